--- a/lichenquay/cli/capacity.py
+++ b/lichenquay/cli/capacity.py
@@ -12,8 +12,8 @@
 from lichenquay.cli import say
 
 if TYPE_CHECKING:
-    from lichenquay.lab.scale.capacity import Capacity, Ranked, Slope
-    from lichenquay.lab.scale.catalogue import Probe
+    from lichenquay.testbed.scale.capacity import Capacity, Ranked, Slope
+    from lichenquay.testbed.scale.catalogue import Probe
 
 SLOPE_HEADS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest was")
 ROW_HEADS = ("role: what", "slope", "low", "high", "sizes", "at the size", "budget", "ratio")
@@ -70,7 +70,7 @@
 
 def chosen(only: tuple[str, ...]) -> list[Probe]:
     """The probes of these names, all without any; UsageError for a name of none."""
-    from lichenquay.lab.scale.catalogue import PROBES
+    from lichenquay.testbed.scale.catalogue import PROBES
 
     names = [probe.name for probe in PROBES]
     for name in only:
@@ -86,7 +86,7 @@
 @say.json_option
 def capacity(full: bool, seed: int, only: tuple[str, ...], json_to: str | None) -> None:
     """Measure what control costs by size, and set the planned size's needs beside their budgets."""
-    from lichenquay.lab.scale import capacity as scale
+    from lichenquay.testbed.scale import capacity as scale
 
     probes = chosen(only)
     with say.progress("capacity") as done:
--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -5,10 +5,10 @@
 import click
 
 from lichenquay.cli import say
-from lichenquay.conf.fleet import NAME, address_of
-from lichenquay.control.client import Client, NoAnswerError
+from lichenquay.config.fleet_settings import NAME, address_of
+from lichenquay.control_plane.client import Client, NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.check import fault_of_entry
+from lichenquay.distribution.validation import fault_of_entry
 
 REFUSED, IN_DOUBT = 1, 3  # exit codes; 2 is of a wrong command line
 STATUS_FIELDS = ("generation", "newest", "in_force", "subscribers", "refused", "stale", "keys", "bytes")
--- a/lichenquay/cli/lab.py
+++ b/lichenquay/cli/lab.py
@@ -8,11 +8,11 @@
 from lichenquay.cli import say
 from lichenquay.cli.capacity import capacity
 from lichenquay.cli.scale import scale
-from lichenquay.conf.read import BadSettings, read_file, read_lab
-from lichenquay.lab.trial import trial
-from lichenquay.lab.world import CannotStart
+from lichenquay.config.reader import BadSettings, read_file, read_lab
 from lichenquay.load.run import CannotRun
 from lichenquay.load.trace import BadTrace
+from lichenquay.testbed.trial import trial
+from lichenquay.testbed.world import CannotStart
 
 PLAIN = (BadSettings, BadTrace, CannotStart, CannotRun)
 KEYS = (
@@ -132,7 +132,7 @@
 @say.fails_plainly(*PLAIN)
 def flood(seconds, connections, addresses, sockets, gate, out, json_to):
     """Depot clients with a manifest each, in calm and then amid a flood of connections that always have a query open."""
-    from lichenquay.lab.siege import siege
+    from lichenquay.testbed.load_under_faults import siege
 
     found = siege(out_of(out), seconds, connections, addresses, sockets, gate=gate)
     say.write_json(json_to, found)
--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -6,7 +6,7 @@
 
 from lichenquay.cli import say
 from lichenquay.cli.lab import KEYS, PLAIN, out_of
-from lichenquay.conf.read import read_file, read_lab
+from lichenquay.config.reader import read_file, read_lab
 from lichenquay.load.run import Workers, report_of
 
 OUT = click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
@@ -36,7 +36,7 @@
     conf = read_file(world) if world else read_lab("")
     conf.load.trace = trace or conf.load.trace
     conf.load.rate, conf.load.seconds = rate or conf.load.rate, seconds or conf.load.seconds
-    from lichenquay.lab.trial import keep
+    from lichenquay.testbed.trial import keep
 
     out = out_of(out)
     workers = Workers(conf, target, out)
--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -9,8 +9,8 @@
 from lichenquay.cli.config import config
 from lichenquay.cli.lab import demo, lab
 from lichenquay.cli.load import load
-from lichenquay.conf.control import warnings_of
-from lichenquay.conf.read import BadSettings, read_file, read_lab, read_settings
+from lichenquay.config.control_settings import warnings_of
+from lichenquay.config.reader import BadSettings, read_file, read_lab, read_settings
 from lichenquay.load.child import environment
 
 
@@ -28,7 +28,7 @@
     """Run a front on a configuration of the platform's form (JSON)."""
     os.execve(
         sys.executable,
-        [sys.executable, "-m", "lichenquay.front"],
+        [sys.executable, "-m", "lichenquay.gateway"],
         {**environment(), "BALANCER_CONFIG": os.path.abspath(config)},
     )
 
@@ -44,7 +44,7 @@
 def check(file, settings):
     """Check a settings file: a world, own settings of a front or a control process, or a front's JSON."""
     if str(file).endswith(".json"):
-        from lichenquay.front.service import CannotStart, open_from, read_config
+        from lichenquay.gateway.service import CannotStart, open_from, read_config
 
         try:
             open_from(read_config({"BALANCER_CONFIG": file})[-1], 1)
@@ -64,7 +64,7 @@
     """Run a control process (a voter or a relay of distributed configuration) on a settings file."""
     os.execve(
         sys.executable,
-        [sys.executable, "-m", "lichenquay.control", os.path.abspath(file)],
+        [sys.executable, "-m", "lichenquay.control_plane", os.path.abspath(file)],
         environment(),
     )
 
--- a/lichenquay/cli/scale.py
+++ b/lichenquay/cli/scale.py
@@ -11,8 +11,8 @@
 import click
 
 from lichenquay.cli import say
-from lichenquay.lab.world import CannotStart
 from lichenquay.load.run import CannotRun
+from lichenquay.testbed.world import CannotStart
 
 ROLE_HEADS = ("role", "cpu_share", "kb", "bytes_per_s", "messages_per_s")
 PREDICTION_HEADS = ("metric", "predicted", "low", "high", "measured", "within")
@@ -48,11 +48,11 @@
 @say.fails_plainly(CannotStart, CannotRun)
 def scale(full, virtual, engine_sweep, fronts, engines, only, real_fronts, queries, seed, out, json_to):
     """Hollow fronts, publishers and relays: what they cost by size, and changes in force amid faults."""
-    from lichenquay.lab.scale import plans
-    from lichenquay.lab.scale.engine_sweep import EngineSweep
-    from lichenquay.lab.scale.figures import engine_figures_of, figures_of, virtual_figures_of
-    from lichenquay.lab.scale.runner import Runner
-    from lichenquay.lab.scale.virtual_run import VirtualRunner, plan_of
+    from lichenquay.testbed.scale import plans
+    from lichenquay.testbed.scale.engine_sweep import EngineSweep
+    from lichenquay.testbed.scale.figures import engine_figures_of, figures_of, virtual_figures_of
+    from lichenquay.testbed.scale.runner import Runner
+    from lichenquay.testbed.scale.virtual_run import VirtualRunner, plan_of
 
     if full + virtual + engine_sweep > 1:
         raise click.UsageError("--full, --virtual, --engine-sweep: one of them")
@@ -80,7 +80,7 @@
 
 def keep(figures, folder, json_to):
     """Figures as JSON, and the page of a run that has sizes."""
-    from lichenquay.lab.scale.report import write_page
+    from lichenquay.testbed.scale.report import write_page
 
     (folder / "report.json").write_text(json.dumps(figures, indent=1))
     if "sizes" in figures:
@@ -124,7 +124,7 @@
 
 def tell_engine_sizes(sizes):
     """One column for each number of engines."""
-    from lichenquay.lab.scale.report import cell_text
+    from lichenquay.testbed.scale.report import cell_text
 
     names = [name for name in sizes[0] if name != "engines"]
     rows = [(name, *(cell_text(one.get(name)) for one in sizes)) for name in names]
--- a/lichenquay/conf/control.py
+++ b/lichenquay/config/control_settings.py
@@ -7,9 +7,9 @@
 from dataclasses import fields as dataclass_fields
 from ipaddress import ip_address
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.engine_list import COMPLETE_KEY, ENGINE_PREFIX
-from lichenquay.conf.fleet import NAME, address_of
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX
+from lichenquay.config.fleet_settings import NAME, address_of
 from lichenquay.distribution.settings import Settings as DistributionSettings
 
 VOTER, RELAY = pb.Control.VOTER, pb.Control.RELAY
--- a/lichenquay/conf/distributed.py
+++ b/lichenquay/config/distributed_values.py
@@ -1,7 +1,7 @@
 """Values that fronts put in force: one check, by the publisher and by each front."""
 
-from lichenquay.conf.engine_list import COMPLETE_KEY, ENGINE_PREFIX, fault_of_complete, fault_of_engine
-from lichenquay.conf.read import BadSettings, read_gate
+from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, fault_of_complete, fault_of_engine
+from lichenquay.config.reader import BadSettings, read_gate
 
 GATE_KEY = "config/gate"  # protobuf text of the `Gate` settings
 
--- a/lichenquay/conf/engine_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -3,9 +3,9 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.admission import interface as io
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.fleet import address_of
-from lichenquay.engine_row import EngineRow
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.fleet_settings import address_of
+from lichenquay.endpoint_record import EngineRow
 
 ENGINE_PREFIX = "engine/"
 COMPLETE_KEY, COMPLETE = "config/engines", b"complete"  # once all engines are published, for the first time
--- a/lichenquay/conf/fleet.py
+++ b/lichenquay/config/fleet_settings.py
@@ -3,7 +3,7 @@
 import hashlib
 import re
 
-from lichenquay.quota.figures import figures_of
+from lichenquay.quota.account_settings import figures_of
 
 MOST_FRONTS = 1024
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # bounded: every datagram carries some
--- a/lichenquay/conf/read.py
+++ b/lichenquay/config/reader.py
@@ -7,12 +7,12 @@
 
 from google.protobuf import text_format
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.control import RANGES as CONTROL_RANGES
-from lichenquay.conf.control import fault_of_control, fault_of_distribution
-from lichenquay.conf.fleet import RANGES as FLEET_RANGES
-from lichenquay.conf.fleet import fault_of_fleet
-from lichenquay.gate.decide import Caps, Rules, networks
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.control_settings import RANGES as CONTROL_RANGES
+from lichenquay.config.control_settings import fault_of_control, fault_of_distribution
+from lichenquay.config.fleet_settings import RANGES as FLEET_RANGES
+from lichenquay.config.fleet_settings import fault_of_fleet
+from lichenquay.connection_admission.decide import Caps, Rules, networks
 
 # a small world that runs on any machine: what `demo` plays, and what files leave out
 WORLD = """
--- a/lichenquay/gate/decide.py
+++ b/lichenquay/connection_admission/decide.py
@@ -13,7 +13,16 @@
 from heapq import nsmallest
 from ipaddress import ip_address, ip_network
 
-from lichenquay.gate.accounts import BUSY, ENDING, GOING, IDLE, SILENT, Holder, Line, Ranks
+from lichenquay.connection_admission.client_accounts import (
+    BUSY,
+    ENDING,
+    GOING,
+    IDLE,
+    SILENT,
+    Holder,
+    Line,
+    Ranks,
+)
 
 # answers
 TAKE, REFUSE = "take", "refuse"
--- a/lichenquay/control/__main__.py
+++ b/lichenquay/control_plane/__main__.py
@@ -1,4 +1,4 @@
-"""One control process, from its start to its exit: `python -m lichenquay.control FILE`."""
+"""One control process, from its start to its exit: `python -m lichenquay.control_plane FILE`."""
 
 from lichenquay.process import block_signals, run
 
@@ -9,8 +9,8 @@
 
 from twisted.internet import reactor  # noqa: E402
 
-from lichenquay.control.service import CannotStartError, Service  # noqa: E402
+from lichenquay.control_plane.service import CannotStartError, Service  # noqa: E402
 
 # Risk: the reactor's own clock is the wall's; where that steps back an hour, nothing due happens for an hour.
 reactor.seconds = time.monotonic
-sys.exit(run("lichenquay.control", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError))
+sys.exit(run("lichenquay.control_plane", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError))
--- a/lichenquay/control/client.py
+++ b/lichenquay/control_plane/client.py
@@ -6,9 +6,9 @@
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.conf.control import distribution_fingerprint
+from lichenquay.config.control_settings import distribution_fingerprint
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.envelope import DISTRIBUTION, MOST, Dropped, Envelope
+from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
 
 ANSWER_S = 0.4  # for one voter's answer; then the next one is asked
 REDIRECT_S = 0.05  # before the next question after `not the leader`: an election may be under way
--- a/lichenquay/control/importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -7,11 +7,11 @@
 from collections import Counter
 
 from lichenquay.admission import interface as io
-from lichenquay.conf.distributed import KINDS
-from lichenquay.conf.engine_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
+from lichenquay.config.distributed_values import KINDS
+from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.check import fault_of_entry
 from lichenquay.distribution.messages import size_of
+from lichenquay.distribution.validation import fault_of_entry
 
 LOOK_MS = 250.0  # between two looks at whether the lease is held
 RETRY_MS = 1000.0  # after a refusal
--- a/lichenquay/control/report.py
+++ b/lichenquay/control_plane/report.py
@@ -1,6 +1,6 @@
 """What a control process shows of its parts, as lines of text."""
 
-from lichenquay.fleet.following import subscriber_lines
+from lichenquay.fleet.applied_configuration import subscriber_lines
 
 
 def publisher_lines(group, publisher, now_ms):
--- a/lichenquay/control/host.py
+++ b/lichenquay/control_plane/runtime.py
@@ -3,7 +3,7 @@
 import random
 import socket
 
-from lichenquay.conf.control import (
+from lichenquay.config.control_settings import (
     VOTER,
     distribution_fingerprint,
     figures_of,
@@ -12,20 +12,20 @@
     region_of,
     warnings_of,
 )
-from lichenquay.conf.distributed import KINDS as CHECKS
-from lichenquay.conf.fleet import address_of
-from lichenquay.control.candidate import Candidate
-from lichenquay.control.importer import EngineImporter
-from lichenquay.control.report import publisher_lines, relay_lines
+from lichenquay.config.distributed_values import KINDS as CHECKS
+from lichenquay.config.fleet_settings import address_of
+from lichenquay.control_plane.endpoint_importer import EngineImporter
+from lichenquay.control_plane.lease_candidate import Candidate
+from lichenquay.control_plane.report import publisher_lines, relay_lines
 from lichenquay.distribution import distribution_pb2, publisher
-from lichenquay.distribution.check import fault_of
 from lichenquay.distribution.relay import Relay
+from lichenquay.distribution.validation import fault_of
 from lichenquay.fleet.addresses import EXPIRE_MS, Addresses
-from lichenquay.fleet.envelope import DISTRIBUTION, OWNER, Envelope
-from lichenquay.fleet.hosting import Host, Identity, Outside, boot_ms, json_logger
-from lichenquay.fleet.post import Post
-from lichenquay.fleet.ranking import ranked
-from lichenquay.front.discovery import Discovery, DiscoveryFactory
+from lichenquay.fleet.datagram_transport import Post
+from lichenquay.fleet.message_envelope import DISTRIBUTION, OWNER, Envelope
+from lichenquay.fleet.runtime import Host, Identity, Outside, boot_ms, json_logger
+from lichenquay.fleet.source_ranking import ranked
+from lichenquay.gateway.discovery import Discovery, DiscoveryFactory
 from lichenquay.lease import lease_pb2
 
 FOLDER_MOST = 256 << 20  # bytes: two states, and eight times that (folder.SHARES)
--- a/lichenquay/control/service.py
+++ b/lichenquay/control_plane/service.py
@@ -3,8 +3,8 @@
 import signal
 import sys
 
-from lichenquay.conf.read import BadSettings, read_control, read_file
-from lichenquay.control.host import control_of
+from lichenquay.config.reader import BadSettings, read_control, read_file
+from lichenquay.control_plane.runtime import control_of
 from lichenquay.process import hear_signals
 
 STARTING, SERVING, LEAVING, ENDED = "starting", "serving", "leaving", "ended"
--- a/lichenquay/distribution/failback.py
+++ b/lichenquay/distribution/failback.py
@@ -1,6 +1,6 @@
 """Back to the preferred source once it answers again, tried beside the session at another one. No I/O."""
 
-from lichenquay.distribution.link import Link
+from lichenquay.distribution.source_session import Link
 
 INF = float("inf")
 MOST_DOUBLINGS = 5  # Of `silent_ms` between two trials, while they are in vain or the source fails again.
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -7,10 +7,10 @@
 from functools import partial
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.check import fault_of
-from lichenquay.distribution.log import MOST_RECORDS, Requests, change_of, fold, record_of
+from lichenquay.distribution.key_store import Store
+from lichenquay.distribution.record_log import MOST_RECORDS, Requests, change_of, fold, record_of
 from lichenquay.distribution.source import Source
-from lichenquay.distribution.store import Store
+from lichenquay.distribution.validation import fault_of
 from lichenquay.lease.group import Group
 from lichenquay.lease.settings import Settings as LeaseSettings
 
--- a/lichenquay/distribution/log.py
+++ b/lichenquay/distribution/record_log.py
@@ -7,7 +7,7 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.store import Store
+from lichenquay.distribution.key_store import Store
 
 MOST_REQUESTS = 4096  # Of the last changes, whose proposal may be repeated without being made twice.
 MOST_RECORDS = 1024  # Not folded, so that a new publisher can still serve deltas from there on.
--- a/lichenquay/distribution/fetch.py
+++ b/lichenquay/distribution/snapshot_fetch.py
@@ -1,8 +1,8 @@
 """One snapshot on its way to a subscriber: pages of one version, asked for a window at a time. No I/O."""
 
 from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.messages import DigestError
-from lichenquay.distribution.store import Store
 
 LEAST_PAGE = 64  # Bytes; more pages than so many fit into the largest state make no sense.
 
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -12,9 +12,9 @@
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.coverage import Census, share_of
 from lichenquay.distribution.history import History
+from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.messages import MOST_KEY, MOST_VERSION, marked, size_of
 from lichenquay.distribution.pacing import PAGE_OVERHEAD, Pacer, Snapshot
-from lichenquay.distribution.store import Store
 
 INF = float("inf")
 MOST_AGE_MS = 1e12  # Said where nothing was confirmed.
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -7,8 +7,7 @@
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.failback import Failback
-from lichenquay.distribution.fetch import Fetch, makes_sense
-from lichenquay.distribution.link import Link
+from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.messages import (
     MOST_MESSAGE,
     MOST_VERSION,
@@ -17,7 +16,8 @@
     is_marked,
     is_time,
 )
-from lichenquay.distribution.store import Store
+from lichenquay.distribution.snapshot_fetch import Fetch, makes_sense
+from lichenquay.distribution.source_session import Link
 
 INF = float("inf")
 MOST_BACKOFF = 6  # Doublings of `report_ms` between two snapshots that a wrong digest costs.
--- a/lichenquay/fleet/following.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -3,15 +3,15 @@
 from typing import Protocol
 
 from lichenquay.admission import interface as io
-from lichenquay.conf.control import distribution_fingerprint, figures_of, prefixes_of
-from lichenquay.conf.distributed import GATE_KEY, gate_of
-from lichenquay.conf.engine_list import COMPLETE_KEY, ENGINE_PREFIX, BadEngineError, row_of
-from lichenquay.conf.fleet import address_of
-from lichenquay.conf.read import BadSettings
+from lichenquay.config.control_settings import distribution_fingerprint, figures_of, prefixes_of
+from lichenquay.config.distributed_values import GATE_KEY, gate_of
+from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, BadEngineError, row_of
+from lichenquay.config.fleet_settings import address_of
+from lichenquay.config.reader import BadSettings
 from lichenquay.distribution import distribution_pb2
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.envelope import DISTRIBUTION
-from lichenquay.fleet.ranking import ranked
+from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.source_ranking import ranked
 
 KINDS = {DISTRIBUTION: distribution_pb2.Message}
 
--- a/lichenquay/fleet/post.py
+++ b/lichenquay/fleet/datagram_transport.py
@@ -5,7 +5,7 @@
 from google.protobuf.message import DecodeError
 from twisted.internet.protocol import DatagramProtocol
 
-from lichenquay.fleet.envelope import Dropped
+from lichenquay.fleet.message_envelope import Dropped
 
 
 class Post(DatagramProtocol):
--- a/lichenquay/fleet/follower.py
+++ b/lichenquay/fleet/follower_runtime.py
@@ -2,10 +2,10 @@
 
 import random
 
-from lichenquay.fleet.envelope import DISTRIBUTION, Envelope
-from lichenquay.fleet.following import KINDS, Following, open_layers, relay_addresses
-from lichenquay.fleet.hosting import Host, Identity, Outside, json_logger
-from lichenquay.fleet.post import Post
+from lichenquay.fleet.applied_configuration import KINDS, Following, open_layers, relay_addresses
+from lichenquay.fleet.datagram_transport import Post
+from lichenquay.fleet.message_envelope import DISTRIBUTION, Envelope
+from lichenquay.fleet.runtime import Host, Identity, Outside, json_logger
 
 
 class Follower(Host):
--- a/lichenquay/fleet/host.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -5,16 +5,16 @@
 
 import random
 
-from lichenquay.conf.fleet import address_of, fingerprint, names_of
-from lichenquay.fleet.accounts import PREFIX, Accounts
-from lichenquay.fleet.envelope import DISTRIBUTION, MEMBERS, OWNER, QUOTA, Envelope
-from lichenquay.fleet.hosting import Host, Identity, Outside, boot_ms, json_logger, unix_now_ms
-from lichenquay.fleet.post import Post
-from lichenquay.fleet.tenants import Tenants
+from lichenquay.config.fleet_settings import address_of, fingerprint, names_of
+from lichenquay.fleet.datagram_transport import Post
+from lichenquay.fleet.message_envelope import DISTRIBUTION, MEMBERS, OWNER, QUOTA, Envelope
+from lichenquay.fleet.quota_part import PREFIX, Accounts
+from lichenquay.fleet.runtime import Host, Identity, Outside, boot_ms, json_logger, unix_now_ms
+from lichenquay.fleet.tenant_usage import Tenants
 from lichenquay.lease import lease_pb2
-from lichenquay.members import members_pb2
-from lichenquay.members.watch import Settings as MembersSettings
-from lichenquay.members.watch import Watch
+from lichenquay.membership import members_pb2
+from lichenquay.membership.failure_detector import Settings as MembersSettings
+from lichenquay.membership.failure_detector import Watch
 from lichenquay.quota import quota_pb2
 from lichenquay.storage.incarnation import section
 from lichenquay.storage.store import DurableStore
@@ -58,7 +58,7 @@
     def new_post(self, settings):
         addresses, kinds, layers = {p.name: address_of(p.address) for p in settings.peers}, KINDS, {}
         if self.distribution is not None:
-            from lichenquay.fleet import following
+            from lichenquay.fleet import applied_configuration as following
 
             addresses |= following.relay_addresses(self.distribution)
             kinds, layers = kinds | following.KINDS, following.open_layers(settings.fleet)
@@ -97,7 +97,7 @@
 
     def follow(self):
         """Distributed configuration, where the settings name relays."""
-        from lichenquay.fleet.following import Following
+        from lichenquay.fleet.applied_configuration import Following
 
         self.following = Following(
             self.distribution, self.settings.name, self.rng, self.now_ms(), self.apply_to, self.log
--- a/lichenquay/fleet/envelope.py
+++ b/lichenquay/fleet/message_envelope.py
@@ -12,7 +12,7 @@
 import google_crc32c
 from google.protobuf.message import DecodeError
 
-from lichenquay.conf.fleet import NAME
+from lichenquay.config.fleet_settings import NAME
 from lichenquay.fleet import fleet_pb2 as pb
 
 VERSION = 1
--- a/lichenquay/fleet/accounts.py
+++ b/lichenquay/fleet/quota_part.py
@@ -3,14 +3,14 @@
 Two parts of the host: `lease` (the group's messages) and itself (asks and answers). No I/O: the host brings time, messages and the disk.
 """
 
-from lichenquay.conf.fleet import USUAL_LEASE_MS, USUAL_TERM_MS, figures, names_of, voters_of
+from lichenquay.config.fleet_settings import USUAL_LEASE_MS, USUAL_TERM_MS, figures, names_of, voters_of
 from lichenquay.lease.group import Group
 from lichenquay.lease.settings import Settings as LeaseSettings
-from lichenquay.quota import kept as ledger_kept
+from lichenquay.quota import ledger_records as ledger_kept
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.keeper import Keeper
+from lichenquay.quota.escrow import Rights
 from lichenquay.quota.ledger import LedgerError
-from lichenquay.quota.rights import Rights
+from lichenquay.quota.ledger_leader import Keeper
 
 LEDGER = "ledger"
 PREFIX = "owner/ledger/"  # of its sections in the folder
--- a/lichenquay/fleet/hosting.py
+++ b/lichenquay/fleet/runtime.py
@@ -14,8 +14,8 @@
 import structlog
 from twisted.internet.error import CannotListenError
 
-from lichenquay.conf.fleet import address_of
-from lichenquay.fleet.envelope import OWNER
+from lichenquay.config.fleet_settings import address_of
+from lichenquay.fleet.message_envelope import OWNER
 from lichenquay.storage.incarnation import next_incarnation
 from lichenquay.storage.recovery import UnusableStoreError
 from lichenquay.storage.store import DurableStore
--- a/lichenquay/front/__main__.py
+++ b/lichenquay/gateway/__main__.py
@@ -12,8 +12,8 @@
 
 from twisted.internet import reactor  # noqa: E402
 
-from lichenquay.front.service import CannotStart, Service  # noqa: E402
+from lichenquay.gateway.service import CannotStart, Service  # noqa: E402
 
 # Risk: the reactor's own clock is the wall's; where that steps back an hour, nothing due happens for an hour.
 reactor.seconds = time.monotonic
-sys.exit(run("lichenquay.front", reactor, lambda: Service(reactor, os.environ), CannotStart))
+sys.exit(run("lichenquay.gateway", reactor, lambda: Service(reactor, os.environ), CannotStart))
--- a/lichenquay/front/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -7,8 +7,8 @@
 
 from twisted.internet.protocol import Protocol
 
-from lichenquay.front import frames
-from lichenquay.front.engine_connection import send_now
+from lichenquay.gateway import frames
+from lichenquay.gateway.engine_connection import send_now
 
 CLOSE_S = 0.3  # for the other side to close as well; then again, while it still reads its last answers
 REST_S, MOST_SENSELESS = 0.05, 16  # after a request that makes no sense; so many of them end a connection
--- a/lichenquay/front/admit.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lichenquay.admission import interface as io
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 
 FAULT_MS = 250.0  # before what failed at its time is tried again
 
--- a/lichenquay/front/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -5,8 +5,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from lichenquay.admission import interface as io
-from lichenquay.engine_row import EngineRow
-from lichenquay.front.http import BadReply, ReplyReader, request
+from lichenquay.endpoint_record import EngineRow
+from lichenquay.gateway.http import BadReply, ReplyReader, request
 
 PATIENCE_MS = 1000  # of one call; PROTOCOL allows 5,000: shorter, a half-open connection shows sooner
 FIRST_PATIENCE_MS = 1  # of the calls until one is answered: what is known from before is in doubt till then
--- a/lichenquay/front/send.py
+++ b/lichenquay/gateway/dispatch.py
@@ -3,8 +3,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from lichenquay.admission import interface as io
-from lichenquay.front import http
-from lichenquay.front.call import Broken, NeverSent, NotConnected, Silent
+from lichenquay.gateway import http
+from lichenquay.gateway.engine_call import Broken, NeverSent, NotConnected, Silent
 
 
 class Send:
--- a/lichenquay/front/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -6,8 +6,8 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from lichenquay.front.call import Broken, Garbled, NotConnected
-from lichenquay.front.http import MOST_PAGE, BadReply, ReplyReader
+from lichenquay.gateway.engine_call import Broken, Garbled, NotConnected
+from lichenquay.gateway.http import MOST_PAGE, BadReply, ReplyReader
 
 
 def send_now(transport, data):
--- a/lichenquay/front/engines.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from lichenquay.admission import interface as io
-from lichenquay.front.call import Call, NotConnected, Silent
-from lichenquay.front.engine_connection import ConnectionFactory
+from lichenquay.gateway.engine_call import Call, NotConnected, Silent
+from lichenquay.gateway.engine_connection import ConnectionFactory
 
 REST_S = 0.03  # between an answer and another query's call: a copy of the answer may come behind it
 LEAST_STALE_S = 0.1  # what has rested for less is not taken for closing, whatever breaks
--- a/lichenquay/front/metrics.py
+++ b/lichenquay/gateway/metrics.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from lichenquay.admission import interface as io
-from lichenquay.front import http
+from lichenquay.gateway import http
 
 LINES_A_SECOND = 5  # of one kind on standard error
 
--- a/lichenquay/front/take_in.py
+++ b/lichenquay/gateway/request_intake.py
@@ -7,11 +7,11 @@
 
 from twisted.internet.protocol import Factory
 
-from lichenquay.front import frames
-from lichenquay.front.admit import FrontQuery
-from lichenquay.front.client_connection import BadQuery, ClientConnection
-from lichenquay.front.statement import tables_of
-from lichenquay.gate import decide
+from lichenquay.connection_admission import decide
+from lichenquay.gateway import frames
+from lichenquay.gateway.client_connection import BadQuery, ClientConnection
+from lichenquay.gateway.controller_adapter import FrontQuery
+from lichenquay.gateway.statement import tables_of
 
 MOST_OPEN = 32  # PROTOCOL: open requests on one connection
 REF = re.compile(r"[0-9a-fA-F]{16}\Z")
--- a/lichenquay/front/relay.py
+++ b/lichenquay/gateway/result_relay.py
@@ -3,8 +3,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from lichenquay.admission import interface as io
-from lichenquay.front import http
-from lichenquay.front.call import Broken, Garbled, NotConnected, Silent
+from lichenquay.gateway import http
+from lichenquay.gateway.engine_call import Broken, Garbled, NotConnected, Silent
 
 MOST_RESULT = 48_000  # PROTOCOL: bytes of a result
 MOST_UNREADABLE = 6  # answers to one call; then the engine itself is at fault
--- a/lichenquay/front/route.py
+++ b/lichenquay/gateway/routing.py
@@ -1,7 +1,7 @@
 """Route: from a submission to the engine's address and the fields of the call."""
 
-from lichenquay.front import http
-from lichenquay.front.certainty import Life
+from lichenquay.gateway import http
+from lichenquay.gateway.attempt_lifecycle import Life
 
 
 class Flight:
--- a/lichenquay/front/service.py
+++ b/lichenquay/gateway/service.py
@@ -10,16 +10,16 @@
 from twisted.internet.error import CannotListenError
 
 from lichenquay.admission import interface as io
-from lichenquay.front.admit import Admit
-from lichenquay.front.discovery import BadList, Discovery, DiscoveryFactory, read_events
-from lichenquay.front.engines import Engines, FrontEngine
-from lichenquay.front.metrics import Log, Metrics
-from lichenquay.front.relay import Relay
-from lichenquay.front.route import Route
-from lichenquay.front.send import Send
-from lichenquay.front.take_in import TakeIn
-from lichenquay.gate.decide import Rules
-from lichenquay.opening import Opening, Sheet, Unreadable, flat
+from lichenquay.connection_admission.decide import Rules
+from lichenquay.deployment_settings import Opening, Sheet, Unreadable, flat
+from lichenquay.gateway.controller_adapter import Admit
+from lichenquay.gateway.discovery import BadList, Discovery, DiscoveryFactory, read_events
+from lichenquay.gateway.dispatch import Send
+from lichenquay.gateway.engine_pool import Engines, FrontEngine
+from lichenquay.gateway.metrics import Log, Metrics
+from lichenquay.gateway.request_intake import TakeIn
+from lichenquay.gateway.result_relay import Relay
+from lichenquay.gateway.routing import Route
 from lichenquay.process import hear_signals
 
 STARTED_S = time.time() - time.monotonic()  # risk: the wall clock steps, and no timer fires, or all at once
@@ -95,7 +95,7 @@
     path = environment.get("LICHENQUAY_SETTINGS")
     if not path:
         return None
-    from lichenquay.conf.read import BadSettings, read_file, read_settings
+    from lichenquay.config.reader import BadSettings, read_file, read_settings
 
     try:
         return read_file(path, read_settings)
@@ -109,11 +109,11 @@
         return None
     distribution = more.distribution if more.HasField("distribution") else None
     if more.HasField("fleet"):
-        from lichenquay.fleet.host import Fleet
+        from lichenquay.fleet.gateway_runtime import Fleet
 
         return Fleet(reactor, more.fleet, seed, pressed, distribution=distribution, apply_to=apply_to)
     if distribution is not None:
-        from lichenquay.fleet.follower import Follower
+        from lichenquay.fleet.follower_runtime import Follower
 
         return Follower(reactor, distribution, seed, apply_to)
     return None
@@ -130,7 +130,7 @@
     """`distributed`: a gate that takes the place of the file's."""
     if more is None:
         return Rules(most, 0, lag_ms=0.0)
-    from lichenquay.conf.read import rules_of
+    from lichenquay.config.reader import rules_of
 
     return rules_of(more.gate if distributed is None else distributed, most)
 
--- a/lichenquay/lease/group.py
+++ b/lichenquay/lease/group.py
@@ -24,7 +24,7 @@
 
 from collections import deque
 
-from lichenquay.lease.holder import HOLDING, Holder
+from lichenquay.lease.lease_holder import HOLDING, Holder
 from lichenquay.lease.lease_pb2 import Message
 from lichenquay.lease.voter import Voter
 
--- a/lichenquay/load/client_connection.py
+++ b/lichenquay/load/client_connection.py
@@ -3,7 +3,7 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 from lichenquay.load.task import statement_of
 
 STREAMS = 32  # PROTOCOL: open queries on a connection
--- a/lichenquay/load/null.py
+++ b/lichenquay/load/null.py
@@ -9,7 +9,7 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 
 
 class Null(Protocol):
--- a/lichenquay/load/plan.py
+++ b/lichenquay/load/plan.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from lichenquay.conf import lichenquay_pb2 as pb
+from lichenquay.config import lichenquay_pb2 as pb
 
 STEPS = 20_000  # of the shape's integral
 COLUMNS = {
--- a/lichenquay/load/proof.py
+++ b/lichenquay/load/proof.py
@@ -8,7 +8,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from lichenquay.conf.read import read_lab
+from lichenquay.config.reader import read_lab
 from lichenquay.load.child import environment, hear
 from lichenquay.load.run import LAG_BOUND_MS, CannotRun, Workers, columns_of, report_of
 
--- a/lichenquay/load/worker.py
+++ b/lichenquay/load/worker.py
@@ -23,7 +23,7 @@
 from twisted.internet import reactor, stdio
 from twisted.protocols.basic import LineReceiver
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 from lichenquay.load.client_connection import RECORDED, STREAMS, Ask, LineFactory
 from lichenquay.load.task import Task
 
--- a/lichenquay/members/watch.py
+++ b/lichenquay/membership/failure_detector.py
@@ -25,12 +25,12 @@
 from dataclasses import dataclass
 from math import log, log10
 
-from lichenquay.members import members_pb2 as pb
-from lichenquay.members.ask import Ask
-from lichenquay.members.hear import Hearing
-from lichenquay.members.spread import Spread
-from lichenquay.members.table import ALIVE, CUT, GONE, LEFT, NEVER, STATES, SUSPECT, Table, rank
-from lichenquay.members.wire import MAX_BY, MAX_INCARNATION, MAX_WORD, good_name, row_of
+from lichenquay.membership import members_pb2 as pb
+from lichenquay.membership.gossip import Spread
+from lichenquay.membership.member_table import ALIVE, CUT, GONE, LEFT, NEVER, STATES, SUSPECT, Table, rank
+from lichenquay.membership.message_format import MAX_BY, MAX_INCARNATION, MAX_WORD, good_name, row_of
+from lichenquay.membership.message_handling import Hearing
+from lichenquay.membership.probing import Ask
 
 INF = float("inf")
 MAX_SCORE = 4  # Ill health of our own: a period is at most five times as long.
--- a/lichenquay/members/spread.py
+++ b/lichenquay/membership/gossip.py
@@ -9,9 +9,9 @@
 from heapq import nsmallest
 from math import ceil, log2
 
-from lichenquay.members import members_pb2 as pb
-from lichenquay.members.table import rank
-from lichenquay.members.wire import MAX_BODY, PARTS, checked, fill
+from lichenquay.membership import members_pb2 as pb
+from lichenquay.membership.member_table import rank
+from lichenquay.membership.message_format import MAX_BODY, PARTS, checked, fill
 
 FANOUT = 3
 MAX_PIECES = 16
--- a/lichenquay/members/table.py
+++ b/lichenquay/membership/member_table.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from lichenquay.members.wire import PARTS
+from lichenquay.membership.message_format import PARTS
 
 ALIVE, SUSPECT, CUT, LEFT, GONE = range(5)
 STATES = ("alive", "suspect", "cut", "left", "gone")
--- a/lichenquay/members/wire.py
+++ b/lichenquay/membership/message_format.py
@@ -6,7 +6,7 @@
 under 2^40. What passes them is dropped and counted.
 """
 
-from lichenquay.members import members_pb2 as pb
+from lichenquay.membership import members_pb2 as pb
 
 MAX_BODY, MAX_NAME, MAX_BY = 1_090, 64, 4
 MAX_TOLD, MAX_INCARNATION, MAX_WORD = 2**48, 2**53, 2**40
--- a/lichenquay/members/hear.py
+++ b/lichenquay/membership/message_handling.py
@@ -6,9 +6,9 @@
 time).
 """
 
-from lichenquay.members import members_pb2 as pb
-from lichenquay.members.table import CUT, LEFT, SUSPECT
-from lichenquay.members.wire import MAX_BY, MAX_INCARNATION, PARTS, good_name, good_row
+from lichenquay.membership import members_pb2 as pb
+from lichenquay.membership.member_table import CUT, LEFT, SUSPECT
+from lichenquay.membership.message_format import MAX_BY, MAX_INCARNATION, PARTS, good_name, good_row
 
 
 class Hearing:
--- a/lichenquay/members/ask.py
+++ b/lichenquay/membership/probing.py
@@ -6,7 +6,7 @@
 Work: one probe a period, at most `MAX_EXTRA` more under way, and at most `MAX_RELAYS` pings for others.
 """
 
-from lichenquay.members import members_pb2 as pb
+from lichenquay.membership import members_pb2 as pb
 
 MAX_EXTRA, MAX_RELAYS = 8, 32
 STEPS = (0.25, 0.5, 1.0)
--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -19,7 +19,7 @@
 
 from lichenquay.lease.durable_state import digest
 from lichenquay.migration import migration_pb2 as pb
-from lichenquay.migration.mover import Mover
+from lichenquay.migration.handover import Mover
 from lichenquay.migration.session import GONE, HELD, WORDS, fits
 from lichenquay.migration.settings import Settings
 from lichenquay.migration.state_machine import MOST_SESSIONS, StateMachine, StateMachineError
--- a/lichenquay/migration/mover.py
+++ b/lichenquay/migration/handover.py
@@ -17,8 +17,8 @@
 
 from functools import partial
 
-from lichenquay.migration import choose
 from lichenquay.migration import migration_pb2 as pb
+from lichenquay.migration import target_selection as choose
 from lichenquay.migration.session import FROZEN, GONE, HELD, OFFERED, Session
 from lichenquay.migration.state_machine import MOST_BYTES, SESSION_BYTES
 
--- a/lichenquay/migration/kept.py
+++ b/lichenquay/migration/replica_group_state.py
@@ -5,7 +5,7 @@
 MOST_STATE. Errors: protobuf's DecodeError and StateMachineError."""
 
 from lichenquay.migration.state_machine import StateMachine
-from lichenquay.quota import kept
+from lichenquay.quota import ledger_records as kept
 from lichenquay.quota.quota_pb2 import Kept
 
 MOST_STATE = 120_000  # a state of 40,000 bytes, hand-overs not yet told, stones, and the records after them
--- a/lichenquay/simwire/__main__.py
+++ b/lichenquay/simulator_adapter/__main__.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from lichenquay.simwire.adapter import Adapter
-from lichenquay.simwire.codec import Malformed
+from lichenquay.simulator_adapter.adapter import Adapter
+from lichenquay.simulator_adapter.codec import Malformed
 
 
 def main():
--- a/lichenquay/simwire/adapter.py
+++ b/lichenquay/simulator_adapter/adapter.py
@@ -5,8 +5,8 @@
 import traceback
 
 from lichenquay.admission import interface as io
-from lichenquay.opening import Opening
-from lichenquay.simwire.codec import Fields, Malformed, plain, us
+from lichenquay.deployment_settings import Opening
+from lichenquay.simulator_adapter.codec import Fields, Malformed, plain, us
 
 ENDINGS = {
     "S": io.FINISHED,
--- a/lichenquay/simwire/codec.py
+++ b/lichenquay/simulator_adapter/codec.py
@@ -1,6 +1,6 @@
 """The bench's lines: reading fields and writing actions. Nothing is decided here."""
 
-from lichenquay.opening import Sheet
+from lichenquay.deployment_settings import Sheet
 
 
 class Malformed(Exception):
--- a/lichenquay/lab/audit.py
+++ b/lichenquay/testbed/audit.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from lichenquay.conf import lichenquay_pb2 as pb
+from lichenquay.config import lichenquay_pb2 as pb
 
 ONE_ANSWER, IN_TIME, NOTHING_AFTER, ROWS = (
     "no answer",
--- a/lichenquay/lab/rivals.py
+++ b/lichenquay/testbed/baseline_policies.py
@@ -18,7 +18,7 @@
 from hashlib import blake2b
 from math import ceil, erfc, log10, sqrt
 
-from lichenquay.members import members_pb2 as pb
+from lichenquay.membership import members_pb2 as pb
 
 ALIVE, CUT = "alive", "cut"
 ORDERS = {}  # The rings of the names last asked for: the same at all members.
--- a/lichenquay/lab/detectors.py
+++ b/lichenquay/testbed/detectors.py
@@ -1,6 +1,6 @@
 """Weighs `members` against phi-accrual and a small Rapid in one virtual network; prints JSON (docs/design/members.md).
 
-    python -m lichenquay.lab.detectors [--sizes 10,200] [--seeds N] [--minutes M] [--only members,phi,...]
+    python -m lichenquay.testbed.detectors [--sizes 10,200] [--seeds N] [--minutes M] [--only members,phi,...]
 
 An episode is a time in which at least one front holds a front that runs for cut. `split_ms`: how long, in all, some
 held it for cut while others did not. Times to detect run from the kill to the last watcher's verdict. Intervals: 95
@@ -13,11 +13,11 @@
 import sys
 import time
 
-from lichenquay.lab.fleetnet import FleetNet, Weather
-from lichenquay.lab.rivals import Phi, Rapid
-from lichenquay.lab.watched import Watched
-from lichenquay.members.table import ALIVE
-from lichenquay.members.watch import Settings, Watch
+from lichenquay.membership.failure_detector import Settings, Watch
+from lichenquay.membership.member_table import ALIVE
+from lichenquay.testbed.baseline_policies import Phi, Rapid
+from lichenquay.testbed.fleetnet import FleetNet, Weather
+from lichenquay.testbed.observed_members import Watched
 
 PAUSE_MS, PAUSE_EVERY_MS, ONE_SIDED_MS = 2_000, 10_000, 20_000
 WARM_MS = 5_000
--- a/lichenquay/lab/emulator.py
+++ b/lichenquay/testbed/emulator.py
@@ -1,6 +1,6 @@
 """Emulated engines and their bulletin on loopback sockets, with faults from a timed script, in a process of their own.
 
-    python -m lichenquay.lab.emulator --conf WORLD --ledger FILE
+    python -m lichenquay.testbed.emulator --conf WORLD --ledger FILE
 
 prints one JSON line with the addresses when it listens, and begins its script when a line `START` comes on standard
 input. The ledger has one JSON line for each thing that happened, with the monotonic clock's milliseconds.
@@ -15,10 +15,10 @@
 from twisted.internet import reactor, stdio
 from twisted.protocols.basic import LineReceiver
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.read import read_file
-from lichenquay.lab.engine_host import EngineHost
-from lichenquay.lab.host import Host, now_ms
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.reader import read_file
+from lichenquay.testbed.engine_host import EngineHost
+from lichenquay.testbed.host import Host, now_ms
 
 
 class Bulletin(Host):
--- a/lichenquay/lab/engine_host.py
+++ b/lichenquay/testbed/engine_host.py
@@ -4,10 +4,10 @@
 
 from twisted.internet import reactor
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.lab import engine as model
-from lichenquay.lab.host import Host, now_ms
+from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.load.task import RUNNING, task_of
+from lichenquay.testbed import engine as model
+from lichenquay.testbed.host import Host, now_ms
 
 # PROTOCOL: wait for news; a query that is not asked for; bytes of a page
 NEWS_MS, KEPT_MS, PAGE = 250.0, 2000.0, 6000
--- a/lichenquay/lab/badfront.py
+++ b/lichenquay/testbed/faulty_gateway.py
@@ -1,6 +1,6 @@
 """A front that breaks one rule on purpose, so that the audit can be seen to find it.
 
-    BALANCER_CONFIG=... python -m lichenquay.lab.badfront FAULT
+    BALANCER_CONFIG=... python -m lichenquay.testbed.faulty_gateway FAULT
 
 It sends each query to an engine in turn and passes on the result; FAULT says what it does wrong. Never for use.
 """
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.protocol import ClientCreator, Factory, Protocol
 
-from lichenquay.front import frames, http
+from lichenquay.gateway import frames, http
 
 FAULTS = (
     "none",
--- a/lichenquay/lab/flood.py
+++ b/lichenquay/testbed/flood.py
@@ -1,7 +1,7 @@
 """A flood against the gate: many connections that always have a query open, thousands of addresses, or none, while known
 depot clients open a connection for each manifest. The flood's own clients are plain sockets in processes of their own.
 
-    python -m lichenquay.lab.flood TARGET SECONDS CONNECTIONS ADDRESSES
+    python -m lichenquay.testbed.flood TARGET SECONDS CONNECTIONS ADDRESSES
 """
 
 import json
@@ -13,7 +13,7 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 from lichenquay.load.task import Task, statement_of
 
 AGAIN_S = 0.1  # before a refused one comes back, whatever it was told
--- a/lichenquay/lab/siege.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -10,12 +10,12 @@
 
 import numpy as np
 
-from lichenquay.conf.read import read_lab
-from lichenquay.front import frames
-from lichenquay.lab.audit import audit, read_ledger
-from lichenquay.lab.world import World
+from lichenquay.config.reader import read_lab
+from lichenquay.gateway import frames
 from lichenquay.load.child import environment
 from lichenquay.load.task import Task, statement_of
+from lichenquay.testbed.audit import audit, read_ledger
+from lichenquay.testbed.world import World
 
 ALLOWED_MS = 4000
 KNOWN = "127.90.0.0/16"
@@ -132,7 +132,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "lichenquay.lab.flood",
+                    "lichenquay.testbed.flood",
                     world.addresses[0],
                     str(seconds + 1),
                     str(connections // processes),
--- a/lichenquay/lab/watched.py
+++ b/lichenquay/testbed/observed_members.py
@@ -1,8 +1,8 @@
 """A fleet of watches in the virtual network, with what its hosts do: those told that they are gone come again with a
 higher incarnation."""
 
-from lichenquay.lab.fleetnet import FleetNet, Weather
-from lichenquay.members.watch import Settings, Watch
+from lichenquay.membership.failure_detector import Settings, Watch
+from lichenquay.testbed.fleetnet import FleetNet, Weather
 
 AGAIN_MS = 10
 
--- a/lichenquay/lab/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -1,5 +1,5 @@
 """Quota of a fleet by rights that fronts hold, beside today's way (each front judges by chance from what it alone
-takes): the same traffic in virtual time, tenant by tenant, over seeds. Prints JSON: `python -m lichenquay.lab.quotas
+takes): the same traffic in virtual time, tenant by tenant, over seeds. Prints JSON: `python -m lichenquay.testbed.quotas
 --seeds 20`.
 
 What is right is told by a reference that no fleet has: one bucket for each tenant that sees every query at once. For
@@ -21,8 +21,8 @@
 from lichenquay.admission.interface import Tenant
 from lichenquay.admission.rings import Ring
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.keeper import Keeper
-from lichenquay.quota.rights import Rights, stocks_of
+from lichenquay.quota.escrow import Rights, stocks_of
+from lichenquay.quota.ledger_leader import Keeper
 
 RATE, WORK_MS = 250.0, 20.0  # of each tenant: ms of work a second; mean of a query
 TERM_MS, PERIOD_MS, QUICKEST_MS = 5000.0, 250.0, 500.0
--- a/lichenquay/lab/scale/audit.py
+++ b/lichenquay/testbed/scale/audit.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from lichenquay.lab.scale.client import Proposal
-from lichenquay.lab.scale.digest import values_digest
-from lichenquay.lab.scale.latency import config_figures
-from lichenquay.lab.scale.record import NEVER, Life
+from lichenquay.testbed.scale.client import Proposal
+from lichenquay.testbed.scale.digest import values_digest
+from lichenquay.testbed.scale.latency import config_figures
+from lichenquay.testbed.scale.record import NEVER, Life
 
 ANSWERED = ("queries finished", "queries deferred", "queries killed")
 MOST_LINES = 40  # Of breaks of one rule; the rest is counted.
--- a/lichenquay/lab/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -4,10 +4,10 @@
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
 
-from lichenquay.lab.scale.catalogue import Probe
-from lichenquay.lab.scale.fit import Fit, FitError, Model, Prediction, fit
-from lichenquay.lab.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
-from lichenquay.lab.scale.sample import Progress, Sample
+from lichenquay.testbed.scale.catalogue import Probe
+from lichenquay.testbed.scale.fit import Fit, FitError, Model, Prediction, fit
+from lichenquay.testbed.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
+from lichenquay.testbed.scale.sample import Progress, Sample
 
 
 @dataclass(frozen=True)
--- a/lichenquay/lab/scale/catalogue.py
+++ b/lichenquay/testbed/scale/catalogue.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from lichenquay.lab.scale.fit import Model
-from lichenquay.lab.scale.probes import (
+from lichenquay.testbed.scale.fit import Model
+from lichenquay.testbed.scale.probes import (
     controller,
     datagram,
     discovery,
@@ -14,7 +14,7 @@
     quota,
     starved,
 )
-from lichenquay.lab.scale.sample import Measure
+from lichenquay.testbed.scale.sample import Measure
 
 
 @dataclass(frozen=True)
--- a/lichenquay/lab/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -1,7 +1,7 @@
-"""A control process of a scale run: production's voter or relay (`lichenquay.control`), which can be told
-of faults.
+"""A control process of a scale run: production's voter or relay (`lichenquay.control_plane`), which can be
+told of faults.
 
-    python -m lichenquay.lab.scale.control WORLD NAME
+    python -m lichenquay.testbed.scale.control WORLD NAME
 
 WORLD is the file of a `WorldSpec`, NAME one of its control processes. Orders come on standard input. Added to
 production's host are the network's faults, a disk that can be full or slow, and counts.
@@ -15,17 +15,17 @@
 
 from google.protobuf import text_format
 
-from lichenquay.conf.read import read_control
-from lichenquay.control.host import Control, VoterHost, control_of
-from lichenquay.fleet.hosting import boot_ms
-from lichenquay.lab.scale import orders
-from lichenquay.lab.scale.faulty_disk import FaultyOs
-from lichenquay.lab.scale.impairment import Impairment
-from lichenquay.lab.scale.lab_post import LabPost, Network
-from lichenquay.lab.scale.order_reader import answer, read_orders, stop
-from lichenquay.lab.scale.settings_files import control_settings
-from lichenquay.lab.scale.world_spec import WorldSpec, read
+from lichenquay.config.reader import read_control
+from lichenquay.control_plane.runtime import Control, VoterHost, control_of
+from lichenquay.fleet.runtime import boot_ms
 from lichenquay.storage.store import DurableStore
+from lichenquay.testbed.scale import orders
+from lichenquay.testbed.scale.faulty_disk import FaultyOs
+from lichenquay.testbed.scale.impairment import Impairment
+from lichenquay.testbed.scale.lab_post import LabPost, Network
+from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
+from lichenquay.testbed.scale.settings_files import control_settings
+from lichenquay.testbed.scale.world_spec import WorldSpec, read
 
 
 class ControlProcess:
--- a/lichenquay/lab/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.lab.scale import scenario as s
-from lichenquay.lab.scale.audit import Findings, audit
-from lichenquay.lab.scale.fit import Fit, FitError, Model, fit
-from lichenquay.lab.scale.latency import start_s
-from lichenquay.lab.scale.roles import Role, costs_between
-from lichenquay.lab.scale.session import Session
-from lichenquay.lab.scale.slopes import Outcome
+from lichenquay.testbed.scale import scenario as s
+from lichenquay.testbed.scale.audit import Findings, audit
+from lichenquay.testbed.scale.fit import Fit, FitError, Model, fit
+from lichenquay.testbed.scale.latency import start_s
+from lichenquay.testbed.scale.roles import Role, costs_between
+from lichenquay.testbed.scale.session import Session
+from lichenquay.testbed.scale.slopes import Outcome
 
 SIZES = (100, 1_000, 3_000, 10_000)
 HELD_OUT = 25_000
--- a/lichenquay/lab/scale/engines.py
+++ b/lichenquay/testbed/scale/engines.py
@@ -3,11 +3,11 @@
 import random
 
 from lichenquay.admission import interface as io
-from lichenquay.conf.engine_list import COMPLETE, COMPLETE_KEY, key_of, value_of
+from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.engine_row import EngineRow
-from lichenquay.lab.scale.scenario import Shape
-from lichenquay.lab.scale.world_spec import CONFIG_PREFIX
+from lichenquay.endpoint_record import EngineRow
+from lichenquay.testbed.scale.scenario import Shape
+from lichenquay.testbed.scale.world_spec import CONFIG_PREFIX
 
 ENTRIES_OF_CHANGE = 5  # While engines are listed: a change is 720 bytes at most.
 CONFIG_KEYS = 200  # Different keys that the trickle changes.
--- a/lichenquay/lab/scale/figures.py
+++ b/lichenquay/testbed/scale/figures.py
@@ -4,15 +4,15 @@
 from collections import Counter
 from dataclasses import asdict
 
-from lichenquay.lab.scale.engine_sweep import FRONTS, EngineKept
-from lichenquay.lab.scale.engines import ENTRIES_OF_CHANGE
-from lichenquay.lab.scale.fit import Fit
-from lichenquay.lab.scale.latency import config_figures, heal_s, start_s
-from lichenquay.lab.scale.record import Life
-from lichenquay.lab.scale.roles import COST_DIGITS, Role
-from lichenquay.lab.scale.runner import Kept
-from lichenquay.lab.scale.slopes import Outcome
-from lichenquay.lab.scale.virtual_run import VirtualKept
+from lichenquay.testbed.scale.engine_sweep import FRONTS, EngineKept
+from lichenquay.testbed.scale.engines import ENTRIES_OF_CHANGE
+from lichenquay.testbed.scale.fit import Fit
+from lichenquay.testbed.scale.latency import config_figures, heal_s, start_s
+from lichenquay.testbed.scale.record import Life
+from lichenquay.testbed.scale.roles import COST_DIGITS, Role
+from lichenquay.testbed.scale.runner import Kept
+from lichenquay.testbed.scale.slopes import Outcome
+from lichenquay.testbed.scale.virtual_run import VirtualKept
 
 HOLLOW_LACKS = ("membership (at most 1,024 names)", "account client", "clients' connections")
 HOLLOW_LACKS_ALL = (*HOLLOW_LACKS, "controller")
--- a/lichenquay/lab/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -1,7 +1,7 @@
 """A process of many hollow fronts: each follows the configuration and the engines' list on a socket of its
 own.
 
-    python -m lichenquay.lab.scale.hollow WORLD NUMBER
+    python -m lichenquay.testbed.scale.hollow WORLD NUMBER
 
 WORLD is the file of a `WorldSpec`; NUMBER tells this process from its likes. Orders come on standard input.
 A hollow front is production's `Follower`, as a front that follows distributed configuration has it. It has
@@ -15,16 +15,16 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lichenquay.fleet.follower import Follower
-from lichenquay.fleet.hosting import boot_ms
-from lichenquay.lab.scale import orders, record
-from lichenquay.lab.scale.digest import values_digest
-from lichenquay.lab.scale.impairment import Impairment
-from lichenquay.lab.scale.lab_post import LabPost, Network
-from lichenquay.lab.scale.order_reader import answer, read_orders, stop
-from lichenquay.lab.scale.scenario import zone_of_name
-from lichenquay.lab.scale.settings_files import front_listen, front_settings
-from lichenquay.lab.scale.world_spec import PREFIXES, WorldSpec, read
+from lichenquay.fleet.follower_runtime import Follower
+from lichenquay.fleet.runtime import boot_ms
+from lichenquay.testbed.scale import orders, record
+from lichenquay.testbed.scale.digest import values_digest
+from lichenquay.testbed.scale.impairment import Impairment
+from lichenquay.testbed.scale.lab_post import LabPost, Network
+from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
+from lichenquay.testbed.scale.scenario import zone_of_name
+from lichenquay.testbed.scale.settings_files import front_listen, front_settings
+from lichenquay.testbed.scale.world_spec import PREFIXES, WorldSpec, read
 
 MOST_LIVES = 50_000  # Of one process's fronts.
 AGAIN_S = 0.05  # Before a front whose address is still taken is started again ...
@@ -160,7 +160,7 @@
         per_s = self.spec.shape.queries_per_s
         if not per_s:
             return None
-        from lichenquay.lab.scale import hollow_controller
+        from lichenquay.testbed.scale import hollow_controller
 
         if self.opening is None:
             self.opening = hollow_controller.opening_of(self.spec.shape.seed)
--- a/lichenquay/lab/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 
 from lichenquay.admission import interface as io
-from lichenquay.conf.read import read_lab
-from lichenquay.engine_row import EngineRow
-from lichenquay.fleet.hosting import boot_ms
-from lichenquay.front import frames
-from lichenquay.front.admit import Admit, FrontQuery
-from lichenquay.lab.world import settings_of
-from lichenquay.opening import Opening, Sheet, flat
+from lichenquay.config.reader import read_lab
+from lichenquay.deployment_settings import Opening, Sheet, flat
+from lichenquay.endpoint_record import EngineRow
+from lichenquay.fleet.runtime import boot_ms
+from lichenquay.gateway import frames
+from lichenquay.gateway.controller_adapter import Admit, FrontQuery
+from lichenquay.testbed.world import settings_of
 
 WORK_MS = 20.0  # Of every query.
 ASKED, OPEN, FAULTS = "queries asked", "queries open", "faults"
--- a/lichenquay/lab/scale/lab_post.py
+++ b/lichenquay/testbed/scale/lab_post.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from lichenquay.fleet.post import Post
-from lichenquay.lab.scale.impairment import Impairment
-from lichenquay.lab.scale.orders import Counts
-from lichenquay.lab.scale.scenario import zone_of_name
+from lichenquay.fleet.datagram_transport import Post
+from lichenquay.testbed.scale.impairment import Impairment
+from lichenquay.testbed.scale.orders import Counts
+from lichenquay.testbed.scale.scenario import zone_of_name
 
 
 @dataclass(frozen=True)
--- a/lichenquay/lab/scale/latency.py
+++ b/lichenquay/testbed/scale/latency.py
@@ -4,8 +4,8 @@
 
 import numpy as np
 
-from lichenquay.lab.scale.client import Proposal
-from lichenquay.lab.scale.record import NEVER, Life
+from lichenquay.testbed.scale.client import Proposal
+from lichenquay.testbed.scale.record import NEVER, Life
 
 P50, P99 = 50, 99
 
--- a/lichenquay/lab/scale/orders.py
+++ b/lichenquay/testbed/scale/orders.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import asdict, dataclass, field
 
-from lichenquay.lab.scale.impairment import Rule
+from lichenquay.testbed.scale.impairment import Rule
 
 
 class UnknownOrderError(ValueError):
--- a/lichenquay/lab/scale/plans.py
+++ b/lichenquay/testbed/scale/plans.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from lichenquay.lab.scale import scenario as s
+from lichenquay.testbed.scale import scenario as s
 
 REAL_FRONTS = 2
 LARGE_SIZES = (50, 200, 800, 2000)
--- a/lichenquay/lab/scale/player.py
+++ b/lichenquay/testbed/scale/player.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lichenquay.lab.scale.latency import OutOfReach
-from lichenquay.lab.scale.scenario import Act, Event, Scenario, Shape, Target, fronts_in
+from lichenquay.testbed.scale.latency import OutOfReach
+from lichenquay.testbed.scale.scenario import Act, Event, Scenario, Shape, Target, fronts_in
 
 SLOW_DISK_MS = 300.0  # Longer for each fsync.
 
--- a/lichenquay/lab/scale/probes/controller.py
+++ b/lichenquay/testbed/scale/probes/controller.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from lichenquay.admission import interface as io
-from lichenquay.lab.scale.probes.door import VirtualDoor, make_engines
-from lichenquay.lab.scale.sample import Progress, Sample, processor_ms, state_bytes
+from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
+from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms, state_bytes
 
 RATE_PER_S = 40.0
 WARM_MS, PLAY_MS = 1_500.0, 2_500.0
--- a/lichenquay/lab/scale/probes/datagram.py
+++ b/lichenquay/testbed/scale/probes/datagram.py
@@ -4,8 +4,8 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from lichenquay.fleet.envelope import MEMBERS, Envelope
-from lichenquay.lab.scale.sample import Progress, Sample, processor_ms
+from lichenquay.fleet.message_envelope import MEMBERS, Envelope
+from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms
 
 FLEET, FINGERPRINT, INCARNATION = "scale", 1, 1_700_000_000_000
 TIMES, RUNS, LEAST_OF = 300, 5, 3  # datagrams a run; a value is the least of three: other load only adds
--- a/lichenquay/lab/scale/probes/discovery.py
+++ b/lichenquay/testbed/scale/probes/discovery.py
@@ -6,10 +6,10 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from lichenquay.front.discovery import Discovery, DiscoveryConnection
-from lichenquay.front.engines import FrontEngine
-from lichenquay.front.http import BadReply, ReplyReader
-from lichenquay.lab.scale.sample import Progress, Sample, processor_ms, state_bytes
+from lichenquay.gateway.discovery import Discovery, DiscoveryConnection
+from lichenquay.gateway.engine_pool import FrontEngine
+from lichenquay.gateway.http import BadReply, ReplyReader
+from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms, state_bytes
 
 RUNS = 3
 IDLE_S = 20  # of following without news
--- a/lichenquay/lab/scale/probes/door.py
+++ b/lichenquay/testbed/scale/probes/door.py
@@ -7,7 +7,7 @@
 
 from lichenquay.admission import interface as io
 from lichenquay.admission.controller import Controller
-from lichenquay.lab.scale.sample import Stopwatch
+from lichenquay.testbed.scale.sample import Stopwatch
 
 FRONTS_AN_ENGINE = 4_400 / 25_000  # of the plan; the share of an engine that a front may use depends on it
 STEP_MS = 5.0
--- a/lichenquay/lab/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -9,8 +9,8 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from lichenquay.lab.scale.sample import Progress, Sample
 from lichenquay.load.child import environment
+from lichenquay.testbed.scale.sample import Progress, Sample
 
 WARM_S, MEASURED_S, PATIENCE_S = 3.0, 3.0, 60.0
 ACCOUNT = 'accounts { tenant: "tenant" rate_ms: 1000 bucket_ms: 5000 }'
@@ -48,7 +48,7 @@
             for number in range(size):
                 path = folder / f"{number}.settings"
                 path.write_text(settings_of(folder, ports, number, KINDS[kind]), encoding="utf-8")
-                command = [sys.executable, "-m", "lichenquay.lab.scale.talker", path, WARM_S, MEASURED_S]
+                command = [sys.executable, "-m", "lichenquay.testbed.scale.talker", path, WARM_S, MEASURED_S]
                 running.append(
                     subprocess.Popen(
                         [str(word) for word in command],
--- a/lichenquay/lab/scale/probes/lease.py
+++ b/lichenquay/testbed/scale/probes/lease.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from lichenquay.lab.fleetnet import FleetNet, Host, Weather
-from lichenquay.lab.scale.sample import Progress, Sample, Stopwatch, TimedPart
 from lichenquay.lease.group import Group, keep_all
 from lichenquay.lease.settings import Settings
-from lichenquay.quota.kept import Seat
+from lichenquay.quota.ledger_records import Seat
+from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
+from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
 
 GROUP, LAYER, VOTERS = "scale", "lease", ("voter-a", "voter-b", "voter-c")
 DISK_MS = 2.0  # from a record's writing to its being on disk
--- a/lichenquay/lab/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -3,10 +3,10 @@
 from collections.abc import Sequence
 from typing import Any
 
-from lichenquay.lab.detectors import watch
-from lichenquay.lab.fleetnet import FleetNet, Host, Weather
-from lichenquay.lab.scale.sample import Progress, Sample, Stopwatch, TimedPart, state_bytes
-from lichenquay.members.table import ALIVE, MAX_MEMBERS, Table
+from lichenquay.membership.member_table import ALIVE, MAX_MEMBERS, Table
+from lichenquay.testbed.detectors import watch
+from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
+from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, state_bytes
 
 LOSSES = (0.0, 0.2)
 WARM_MS, CALM_MS = 1_500.0, 3_000.0
--- a/lichenquay/lab/scale/probes/query_rate.py
+++ b/lichenquay/testbed/scale/probes/query_rate.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from lichenquay.lab.scale.probes.door import VirtualDoor, make_engines
-from lichenquay.lab.scale.sample import Progress, Sample
+from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
+from lichenquay.testbed.scale.sample import Progress, Sample
 
 ENGINES = 10_000
 WARM_MS, PLAY_MS = 1_000.0, 1_000.0
--- a/lichenquay/lab/scale/probes/quota.py
+++ b/lichenquay/testbed/scale/probes/quota.py
@@ -4,12 +4,12 @@
 from itertools import count
 from typing import Any
 
-from lichenquay.lab.fleetnet import FleetNet, Host, Weather
-from lichenquay.lab.scale.sample import Progress, Sample, Stopwatch, TimedPart
-from lichenquay.quota.figures import figures_of
-from lichenquay.quota.keeper import Keeper
-from lichenquay.quota.kept import split
-from lichenquay.quota.rights import Rights, stocks_of
+from lichenquay.quota.account_settings import figures_of
+from lichenquay.quota.escrow import Rights, stocks_of
+from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.ledger_records import split
+from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
+from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
 
 KEEPER, LAYER = "keeper", "quota"
 TERM_MS, WRITE_MS = 4_000.0, 10.0
--- a/lichenquay/lab/scale/probes/starved.py
+++ b/lichenquay/testbed/scale/probes/starved.py
@@ -5,11 +5,11 @@
 
 from twisted.internet.task import Clock
 
-from lichenquay.conf.read import read_settings
-from lichenquay.fleet.envelope import MEMBERS
-from lichenquay.fleet.host import Fleet
-from lichenquay.lab.scale.sample import Progress, Sample
-from lichenquay.members import members_pb2 as pb
+from lichenquay.config.reader import read_settings
+from lichenquay.fleet.gateway_runtime import Fleet
+from lichenquay.fleet.message_envelope import MEMBERS
+from lichenquay.membership import members_pb2 as pb
+from lichenquay.testbed.scale.sample import Progress, Sample
 
 FRONTS, INCARNATION = 8, 2_000_000
 WARM_MS, STEP_MS, MEASURED_S = 2_000.0, 10.0, 1.0
--- a/lichenquay/lab/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -7,10 +7,10 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.envelope import DISTRIBUTION, MOST, Dropped, Envelope
-from lichenquay.fleet.hosting import boot_ms
-from lichenquay.lab.scale.client import Client, Proposal
-from lichenquay.lab.scale.world_spec import CLIENT, FLEET, OPEN_LAYERS, WorldSpec
+from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
+from lichenquay.fleet.runtime import boot_ms
+from lichenquay.testbed.scale.client import Client, Proposal
+from lichenquay.testbed.scale.world_spec import CLIENT, FLEET, OPEN_LAYERS, WorldSpec
 
 STEP_S = 0.01  # Between two looks at what is due.
 INCARNATION = 1
--- a/lichenquay/lab/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_fronts.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.read import read_lab
-from lichenquay.lab.audit import audit, read_ledger
-from lichenquay.lab.scale import measure
-from lichenquay.lab.scale.settings_files import address_text, front_settings
-from lichenquay.lab.scale.world import free_addresses
-from lichenquay.lab.scale.world_spec import WorldSpec
-from lichenquay.lab.world import World
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.reader import read_lab
 from lichenquay.load.run import Workers, columns_of, report_of
+from lichenquay.testbed.audit import audit, read_ledger
+from lichenquay.testbed.scale import measure
+from lichenquay.testbed.scale.settings_files import address_text, front_settings
+from lichenquay.testbed.scale.world import free_addresses
+from lichenquay.testbed.scale.world_spec import WorldSpec
+from lichenquay.testbed.world import World
 
 RATE = 30.0  # Queries a second at each front.
 WORKERS_OF_FRONT = 1
--- a/lichenquay/lab/scale/real_stage.py
+++ b/lichenquay/testbed/scale/real_stage.py
@@ -4,10 +4,10 @@
 import time
 from itertools import count
 
-from lichenquay.fleet.hosting import boot_ms
-from lichenquay.lab.scale.orders import FailDisk
-from lichenquay.lab.scale.proposer import Proposer
-from lichenquay.lab.scale.world import World
+from lichenquay.fleet.runtime import boot_ms
+from lichenquay.testbed.scale.orders import FailDisk
+from lichenquay.testbed.scale.proposer import Proposer
+from lichenquay.testbed.scale.world import World
 
 STEP_S = 0.02
 
--- a/lichenquay/lab/scale/report.py
+++ b/lichenquay/testbed/scale/report.py
@@ -6,8 +6,8 @@
 import html
 from pathlib import Path
 
-from lichenquay.lab.scale.roles import Role
 from lichenquay.load.page import picture, plt
+from lichenquay.testbed.scale.roles import Role
 
 # Half of each budget of a front: the aims of what control may take of it.
 FRONT_BUDGET = {"cpu_share": 0.019, "kb": 64 * 1024, "bytes_per_s": 2500.0}
--- a/lichenquay/lab/scale/roles.py
+++ b/lichenquay/testbed/scale/roles.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from lichenquay.lab.scale.scenario import Shape
-from lichenquay.lab.scale.world import RoleUsage
+from lichenquay.testbed.scale.scenario import Shape
+from lichenquay.testbed.scale.world import RoleUsage
 
 COST_DIGITS = {"cpu_share": 6, "kb": 1, "bytes_per_s": 1, "messages_per_s": 3}  # Each cost, and digits kept.
 
--- a/lichenquay/lab/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lichenquay.conf.fleet import MOST_FRONTS
-from lichenquay.fleet.accounts import MOST_STATE
-from lichenquay.front.http import MOST_BODY
-from lichenquay.lab.scale import plan
+from lichenquay.config.fleet_settings import MOST_FRONTS
+from lichenquay.fleet.quota_part import MOST_STATE
+from lichenquay.gateway.http import MOST_BODY
+from lichenquay.testbed.scale import plan
 
 NONE_TODAY = "none today"
 HOMES = 4  # engines that a set of tables has for its readers and its loads
--- a/lichenquay/lab/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.lab.scale.audit import Findings, audit
-from lichenquay.lab.scale.plans import Plan
-from lichenquay.lab.scale.player import Played
-from lichenquay.lab.scale.real_fronts import RealFront, RealFronts
-from lichenquay.lab.scale.roles import costs_between
-from lichenquay.lab.scale.session import Session
-from lichenquay.lab.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
+from lichenquay.testbed.scale.audit import Findings, audit
+from lichenquay.testbed.scale.plans import Plan
+from lichenquay.testbed.scale.player import Played
+from lichenquay.testbed.scale.real_fronts import RealFront, RealFronts
+from lichenquay.testbed.scale.roles import costs_between
+from lichenquay.testbed.scale.session import Session
+from lichenquay.testbed.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
 
 MIN_LOAD_S = 2.0  # Of the load on real fronts.
 START_S = 6.0  # About how long the processes take to start, for the progress bar.
--- a/lichenquay/lab/scale/scenario.py
+++ b/lichenquay/testbed/scale/scenario.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from functools import cached_property
 
-from lichenquay.lab.scale.impairment import Rule, cut_off
+from lichenquay.testbed.scale.impairment import Rule, cut_off
 
 MOST_FRONTS_OF_ZONE = 367  # 4,400 fronts in 12 zones.
 RELAYS_OF_ZONE = 2
--- a/lichenquay/lab/scale/session.py
+++ b/lichenquay/testbed/scale/session.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from lichenquay.lab.scale import engines, measure, record
-from lichenquay.lab.scale.player import Played, Player, ignore
-from lichenquay.lab.scale.proposer import Proposer
-from lichenquay.lab.scale.real_stage import RealStage
-from lichenquay.lab.scale.roles import Reading
-from lichenquay.lab.scale.scenario import Scenario, Shape
-from lichenquay.lab.scale.world import World
-from lichenquay.lab.world import CannotStart
+from lichenquay.testbed.scale import engines, measure, record
+from lichenquay.testbed.scale.player import Played, Player, ignore
+from lichenquay.testbed.scale.proposer import Proposer
+from lichenquay.testbed.scale.real_stage import RealStage
+from lichenquay.testbed.scale.roles import Reading
+from lichenquay.testbed.scale.scenario import Scenario, Shape
+from lichenquay.testbed.scale.world import World
+from lichenquay.testbed.world import CannotStart
 
 LEADER_S = 30.0  # In which a publisher must lead.
 LOAD_S = 180.0  # In which the engines must be listed.
--- a/lichenquay/lab/scale/settings_files.py
+++ b/lichenquay/testbed/scale/settings_files.py
@@ -1,8 +1,8 @@
 """Production's settings of the control processes and fronts of a scale run."""
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.lab.scale.scenario import CONTROL_ZONE, Shape, zone_of_name
-from lichenquay.lab.scale.world_spec import FLEET, PREFIXES, WorldSpec
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape, zone_of_name
+from lichenquay.testbed.scale.world_spec import FLEET, PREFIXES, WorldSpec
 
 LOOPBACK_PORT = 10_000  # The first of a host's fronts; under the range from which ports are given by chance.
 
--- a/lichenquay/lab/scale/slopes.py
+++ b/lichenquay/testbed/scale/slopes.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from lichenquay.lab.scale.fit import Fit, FitError, Model, fit
-from lichenquay.lab.scale.roles import COST_DIGITS, Role, RoleCost
+from lichenquay.testbed.scale.fit import Fit, FitError, Model, fit
+from lichenquay.testbed.scale.roles import COST_DIGITS, Role, RoleCost
 
 FITTED_ROLES = (Role.FRONT, Role.RELAY, Role.PUBLISHER)
 
--- a/lichenquay/lab/scale/talker.py
+++ b/lichenquay/testbed/scale/talker.py
@@ -1,6 +1,6 @@
 """A process that is a front's part in the fleet and nothing else: what its talk costs on real sockets.
 
-    python -m lichenquay.lab.scale.talker SETTINGS WARM_S MEASURED_S
+    python -m lichenquay.testbed.scale.talker SETTINGS WARM_S MEASURED_S
 
 Prints one line of JSON when the time is over: processor time, datagrams and bytes sent, each a second.
 """
@@ -11,8 +11,8 @@
 
 from twisted.internet import reactor
 
-from lichenquay.conf.read import read_file, read_settings
-from lichenquay.fleet.host import Fleet
+from lichenquay.config.reader import read_file, read_settings
+from lichenquay.fleet.gateway_runtime import Fleet
 
 
 def spent(fleet: Fleet) -> tuple[float, int, int]:
--- a/lichenquay/lab/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -8,21 +8,21 @@
 import random
 from dataclasses import dataclass, field
 
-from lichenquay.control.candidate import Candidate
+from lichenquay.control_plane.lease_candidate import Candidate
 from lichenquay.distribution.publisher import group_settings, make
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.envelope import DISTRIBUTION
-from lichenquay.fleet.ranking import ranked
-from lichenquay.lab.fleetnet import FleetNet
-from lichenquay.lab.scale import engines, record
-from lichenquay.lab.scale.client import Client
-from lichenquay.lab.scale.digest import values_digest
-from lichenquay.lab.scale.impairment import Impairment
-from lichenquay.lab.scale.scenario import Shape, zone_of_name
-from lichenquay.lab.scale.world_spec import CLIENT, PREFIXES
+from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.source_ranking import ranked
 from lichenquay.lease import lease_pb2
+from lichenquay.testbed.fleetnet import FleetNet
+from lichenquay.testbed.scale import engines, record
+from lichenquay.testbed.scale.client import Client
+from lichenquay.testbed.scale.digest import values_digest
+from lichenquay.testbed.scale.impairment import Impairment
+from lichenquay.testbed.scale.scenario import Shape, zone_of_name
+from lichenquay.testbed.scale.world_spec import CLIENT, PREFIXES
 
 DISK_MS = 2.0  # A voter's store.
 LINK_MS = (0.2, 1.0)
--- a/lichenquay/lab/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lichenquay.lab.scale import engines
-from lichenquay.lab.scale import scenario as s
-from lichenquay.lab.scale.audit import Findings, audit
-from lichenquay.lab.scale.player import Played, Player
-from lichenquay.lab.scale.virtual import VirtualWorld
-from lichenquay.lab.world import CannotStart
+from lichenquay.testbed.scale import engines
+from lichenquay.testbed.scale import scenario as s
+from lichenquay.testbed.scale.audit import Findings, audit
+from lichenquay.testbed.scale.player import Played, Player
+from lichenquay.testbed.scale.virtual import VirtualWorld
+from lichenquay.testbed.world import CannotStart
 
 WINDOW_S = 5.0  # Virtual, of the calm in which messages are counted.
 LEADER_MS, LOAD_MS, SETTLE_MS = 30_000.0, 300_000.0, 60_000.0
--- a/lichenquay/lab/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.lab.scale import measure, orders
-from lichenquay.lab.scale.scenario import Shape
-from lichenquay.lab.scale.world_spec import WorldSpec
-from lichenquay.lab.world import CannotStart
 from lichenquay.load.child import ROOT, environment, hear
+from lichenquay.testbed.scale import measure, orders
+from lichenquay.testbed.scale.scenario import Shape
+from lichenquay.testbed.scale.world_spec import WorldSpec
+from lichenquay.testbed.world import CannotStart
 
 READY_S = 60.0  # A busy machine starts many processes slowly.
 ANSWER_S = 10.0
@@ -137,7 +137,7 @@
         loopbacks = loopback_addresses(self.shape.hosts)
         self.spec = WorldSpec(self.shape, free_addresses(names), loopbacks, str(self.folder))
         self.spec.write()
-        module = "lichenquay.lab.scale"
+        module = "lichenquay.testbed.scale"
         for name in names:
             self.control[name] = self._child(name, [f"{module}.control", str(self.spec.path), name])
         for i in range(self.shape.hosts):
--- a/lichenquay/lab/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -4,10 +4,10 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from lichenquay.conf.control import distribution_fingerprint
-from lichenquay.conf.engine_list import ENGINE_PREFIX
-from lichenquay.fleet.envelope import DISTRIBUTION
-from lichenquay.lab.scale.scenario import CONTROL_ZONE, Shape
+from lichenquay.config.control_settings import distribution_fingerprint
+from lichenquay.config.endpoint_list import ENGINE_PREFIX
+from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape
 
 FLEET = "scale"
 CLIENT = f"{CONTROL_ZONE}-client"  # Who proposes changes.
--- a/lichenquay/lab/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -3,10 +3,10 @@
 import json
 from pathlib import Path
 
-from lichenquay.lab.audit import STRANGE, audit, read_ledger, value_of
-from lichenquay.lab.world import World
 from lichenquay.load.page import page
 from lichenquay.load.run import Workers, columns_of, report_of
+from lichenquay.testbed.audit import STRANGE, audit, read_ledger, value_of
+from lichenquay.testbed.world import World
 
 
 def figures_of(kept, lab, ledger):
@@ -32,7 +32,7 @@
         page(out / "report.html", f"a run of {figures['seconds']:g} s", figures, c, kept.latency, ledger)
 
 
-def trial(lab, out, front="lichenquay.front", arguments=(), progress=lambda done: None, during=None):
+def trial(lab, out, front="lichenquay.gateway", arguments=(), progress=lambda done: None, during=None):
     """Plays it. `during(world)`: (seconds, call) pairs for the run. Returns its figures."""
     out = Path(out)
     with World(lab, out, front, arguments) as world:
--- a/lichenquay/lab/world.py
+++ b/lichenquay/testbed/world.py
@@ -12,7 +12,7 @@
 import structlog
 from google.protobuf import text_format
 
-from lichenquay.conf import lichenquay_pb2 as pb
+from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.load.child import ROOT, environment, hear
 
 READY_S = 15.0
@@ -82,7 +82,7 @@
 class World:
     """Starts it all and ends it all; a context. `front`: the module that plays the front."""
 
-    def __init__(self, lab, out, front="lichenquay.front", arguments=()):
+    def __init__(self, lab, out, front="lichenquay.gateway", arguments=()):
         self.lab, self.out, self.front, self.arguments = lab, Path(out), front, arguments
         self.processes, self.fronts, self.addresses = [], [], []
         self.ledger = self.out / "ledger.jsonl"
@@ -96,7 +96,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "lichenquay.lab.emulator",
+                    "lichenquay.testbed.emulator",
                     "--conf",
                     str(conf),
                     "--ledger",
--- a/tests/crossings/hooks.py
+++ b/tests/crossings/hooks.py
@@ -8,7 +8,7 @@
 
 from loopback import until, wait
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 
 ROOT = Path(__file__).resolve().parents[2]
 
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -4,11 +4,12 @@
 import socket
 
 import pytest
-from front_world import RESULT, answered
+from gateway_world import RESULT, answered
 from hooks import PlainClient, over, query_frame, stays, told
 from loopback import until, wait
 
-from lichenquay.front import client_connection, frames, take_in
+from lichenquay.gateway import client_connection, frames
+from lichenquay.gateway import request_intake as take_in
 
 BIG = b"x" * 40_000
 
--- a/tests/crossings/test_engine_connections.py
+++ b/tests/crossings/test_engine_connections.py
@@ -4,16 +4,16 @@
 from types import SimpleNamespace
 
 import pytest
-from front_world import RESULT, answered
+from gateway_world import RESULT, answered
 from hooks import HeldConnects, over, told
 from loopback import PAGES, until, wait
 from twisted.internet.error import ConnectionAborted
 from twisted.python.failure import Failure
 
-from lichenquay.front import frames, http
-from lichenquay.front.call import Call
-from lichenquay.front.engine_connection import EngineConnection
-from lichenquay.front.engines import REST_S, Engines, FrontEngine
+from lichenquay.gateway import frames, http
+from lichenquay.gateway.engine_call import Call
+from lichenquay.gateway.engine_connection import EngineConnection
+from lichenquay.gateway.engine_pool import REST_S, Engines, FrontEngine
 
 
 def settled(w):
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -3,11 +3,11 @@
 cells and what cannot occur."""
 
 import pytest
-from front_world import STATEMENT, answered
+from gateway_world import STATEMENT, answered
 from hooks import HeldConnects, query_frame, told
 from loopback import until, wait
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 
 GONE = {"cancel", "end", "reset"}
 DONE = {frames.FINISHED, frames.DEFERRED, frames.KILLED}
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -3,12 +3,12 @@
 import json
 
 import pytest
-from front_world import RESULT, SETTINGS, answered, reactor_for
+from gateway_world import RESULT, SETTINGS, answered, reactor_for
 from hooks import over, told
 from loopback import until
 
-from lichenquay.front import frames
-from lichenquay.front.service import CannotStart, Service
+from lichenquay.gateway import frames
+from lichenquay.gateway.service import CannotStart, Service
 
 
 def changed(**parts):
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -4,11 +4,11 @@
 import time
 
 import pytest
-from front_world import RESULT, SETTINGS, answered
+from gateway_world import RESULT, SETTINGS, answered
 from hooks import HeldConnects, over, stays, told
 from loopback import until, wait
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 
 
 def asked(w, group="report", **more):
--- a/tests/distribution/hollow.py
+++ b/tests/distribution/hollow.py
@@ -7,11 +7,11 @@
 import time
 from dataclasses import dataclass
 
-from lichenquay.conf.control import distribution_fingerprint
+from lichenquay.config.control_settings import distribution_fingerprint
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.envelope import DISTRIBUTION, Dropped, Envelope
+from lichenquay.fleet.message_envelope import DISTRIBUTION, Dropped, Envelope
 
 SETTINGS = Settings(report_ms=200.0, silent_ms=800.0, stale_ms=1200.0, expire_ms=3000.0, merge_ms=20.0)
 PREFIXES = ["config/"]
--- a/tests/distribution/test_distribution_processes.py
+++ b/tests/distribution/test_distribution_processes.py
@@ -14,7 +14,7 @@
 from installation import CLIENTS, FLEET, LEASE_MS, RELAYS, VOTERS, Installation
 from running import until
 
-from lichenquay.control.client import Client
+from lichenquay.control_plane.client import Client
 from lichenquay.distribution import distribution_pb2 as pb
 
 pytestmark = pytest.mark.together
--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -3,7 +3,7 @@
 from contextlib import contextmanager
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.log import change_of
+from lichenquay.distribution.record_log import change_of
 
 DRIFT = 0.06  # Between a process's clock and true time, and a rest.
 
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -4,14 +4,15 @@
 from unittest.mock import patch
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution import log, pacing
+from lichenquay.distribution import pacing
 from lichenquay.distribution import publisher as publisher_module
+from lichenquay.distribution import record_log as log
 from lichenquay.distribution import subscriber as subscriber_module
-from lichenquay.distribution.fetch import Fetch
 from lichenquay.distribution.history import View
+from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.publisher import Publisher
+from lichenquay.distribution.snapshot_fetch import Fetch
 from lichenquay.distribution.source import Source
-from lichenquay.distribution.store import Store
 from lichenquay.distribution.subscriber import Subscriber
 
 BROKEN = {}
--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -6,7 +6,7 @@
 from distribution_world import LEASE_MS, SETTINGS, VOTERS, World
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.lab.fleetnet import Weather
+from lichenquay.testbed.fleetnet import Weather
 
 FAULTS = (
     "kill",
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -8,16 +8,16 @@
 from contextlib import ExitStack
 from unittest.mock import patch
 
-from lichenquay.fleet.envelope import SUM, Envelope
+from lichenquay.fleet.message_envelope import SUM, Envelope
 from lichenquay.lease.durable_state import Position
-from lichenquay.lease.holder import Holder
+from lichenquay.lease.lease_holder import Holder
 from lichenquay.lease.voter import Voter
-from lichenquay.members.hear import Hearing
-from lichenquay.members.table import Table, rank
+from lichenquay.membership.member_table import Table, rank
+from lichenquay.membership.message_handling import Hearing
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.keeper import Keeper
+from lichenquay.quota.escrow import Rights
 from lichenquay.quota.ledger import Ledger
-from lichenquay.quota.rights import Rights
+from lichenquay.quota.ledger_leader import Keeper
 
 RULES = {}
 
--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -5,7 +5,7 @@
 
 from virtual_fleet import ACCOUNTS
 
-from lichenquay.members.table import LEFT
+from lichenquay.membership.member_table import LEFT
 from lichenquay.quota.ledger import Ledger, LedgerError
 
 LIMITS = {a[0]: a[3] * 1000 for a in ACCOUNTS}
--- a/tests/fleet/fleet_mutations.py
+++ b/tests/fleet/fleet_mutations.py
@@ -11,9 +11,9 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.fleet import fleet_pb2
-from lichenquay.fleet.envelope import MEMBERS, OWNER, QUOTA, SUM, Envelope
+from lichenquay.fleet.message_envelope import MEMBERS, OWNER, QUOTA, SUM, Envelope
 from lichenquay.lease import lease_pb2
-from lichenquay.members import members_pb2
+from lichenquay.membership import members_pb2
 from lichenquay.quota import quota_pb2
 
 KINDS = {
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -13,10 +13,10 @@
 import pytest
 from cluster import CUT, Cluster, until
 
-from lichenquay.conf.fleet import fingerprint
-from lichenquay.conf.read import read_file, read_settings
-from lichenquay.fleet.envelope import MEMBERS, Envelope
-from lichenquay.members import members_pb2
+from lichenquay.config.fleet_settings import fingerprint
+from lichenquay.config.reader import read_file, read_settings
+from lichenquay.fleet.message_envelope import MEMBERS, Envelope
+from lichenquay.membership import members_pb2
 
 ALL_THERE_S, AIM_MS = 20.0, 3000.0
 
--- a/tests/front_world.py
+++ b/tests/gateway_world.py
@@ -8,8 +8,8 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientCreator, Protocol
 
-from lichenquay.front import frames
-from lichenquay.front.service import Service
+from lichenquay.gateway import frames
+from lichenquay.gateway.service import Service
 
 SETTINGS = {
     "seed": 1,
--- a/tests/lease_broken.py
+++ b/tests/lease_broken.py
@@ -3,7 +3,8 @@
 from contextlib import ExitStack, contextmanager
 from unittest.mock import patch
 
-from lichenquay.lease import group, holder, voter
+from lichenquay.lease import group, voter
+from lichenquay.lease import lease_holder as holder
 
 V, H = voter.Voter, holder.Holder
 BROKEN = {}
--- a/tests/migration_broken.py
+++ b/tests/migration_broken.py
@@ -2,7 +2,7 @@
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Answer, Coordinator
-from lichenquay.migration.mover import Mover
+from lichenquay.migration.handover import Mover
 from lichenquay.migration.session import GONE, HELD
 from lichenquay.migration.state_machine import StateMachine
 
--- a/tests/migration_explore.py
+++ b/tests/migration_explore.py
@@ -11,11 +11,11 @@
 from migration_group import AuditError, must
 
 from lichenquay.migration import migration_pb2 as pb
-from lichenquay.migration.choose import Member
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.session import GONE, HELD
 from lichenquay.migration.settings import Settings
 from lichenquay.migration.state_machine import StateMachine
+from lichenquay.migration.target_selection import Member
 
 NAMES = "abc"
 MUTATING = {
--- a/tests/migration_world.py
+++ b/tests/migration_world.py
@@ -8,10 +8,10 @@
 from migration_group import AuditError, Group, Seat, must
 
 from lichenquay.migration import migration_pb2 as pb
-from lichenquay.migration.choose import Member
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.session import GONE, HELD
 from lichenquay.migration.settings import Settings
+from lichenquay.migration.target_selection import Member
 
 STEP_MS, LEASE_MS, REST_MS = 25.0, 3500.0, 12_000.0
 
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -5,9 +5,9 @@
 from random import Random
 
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.keeper import Keeper
+from lichenquay.quota.escrow import Rights, stocks_of
 from lichenquay.quota.ledger import Ledger
-from lichenquay.quota.rights import Rights, stocks_of
+from lichenquay.quota.ledger_leader import Keeper
 
 TERM_MS, PERIOD_MS, STEP_MS = 2000.0, 200.0, 50.0
 
--- a/tests/scale_records.py
+++ b/tests/scale_records.py
@@ -1,8 +1,8 @@
 """Records of a scale run that tests plant."""
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.lab.scale.client import Proposal
-from lichenquay.lab.scale.record import Life
+from lichenquay.testbed.scale.client import Proposal
+from lichenquay.testbed.scale.record import Life
 
 
 def change(version, value, proposed_ms):
--- a/tests/test_certainty.py
+++ b/tests/test_attempt_lifecycle.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 import pytest
-from front_world import BROKEN, RESULT, answered
+from gateway_world import BROKEN, RESULT, answered
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
@@ -17,11 +17,11 @@
 from twisted.internet.error import TimeoutError
 from twisted.python.failure import Failure
 
-from lichenquay.front import certainty as c
-from lichenquay.front import frames, http
-from lichenquay.front.call import Call
-from lichenquay.front.engine_connection import EngineConnection
-from lichenquay.front.engines import Engines, FrontEngine
+from lichenquay.gateway import attempt_lifecycle as c
+from lichenquay.gateway import frames, http
+from lichenquay.gateway.engine_call import Call
+from lichenquay.gateway.engine_connection import EngineConnection
+from lichenquay.gateway.engine_pool import Engines, FrontEngine
 
 # the account alone
 
--- a/tests/test_conf_control.py
+++ b/tests/test_config_control.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.control import (
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.control_settings import (
     RANGES,
     distribution_fingerprint,
     figures_of,
@@ -13,7 +13,7 @@
     region_of,
     warnings_of,
 )
-from lichenquay.conf.read import BadSettings, read_control, read_gate, read_settings
+from lichenquay.config.reader import BadSettings, read_control, read_gate, read_settings
 from lichenquay.distribution.settings import Settings as DistributionSettings
 
 pytestmark = pytest.mark.together
--- a/tests/test_gate.py
+++ b/tests/test_connection_admission.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from lichenquay.gate.accounts import BUSY, ENDING, GOING, IDLE, SILENT
-from lichenquay.gate.decide import (
+from lichenquay.connection_admission.client_accounts import BUSY, ENDING, GOING, IDLE, SILENT
+from lichenquay.connection_admission.decide import (
     BYTES,
     CALM,
     CONNECTIONS,
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -7,8 +7,8 @@
 from standins import FakeDoor, engine, group, quick
 
 from lichenquay.admission import interface as io
-from lichenquay.simwire.adapter import Adapter
-from lichenquay.simwire.codec import Malformed
+from lichenquay.simulator_adapter.adapter import Adapter
+from lichenquay.simulator_adapter.codec import Malformed
 
 
 def test_a_bad_plan_is_cancelled_and_submitted_again():
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -7,7 +7,7 @@
 from distribution_world import FIVE_VOTERS, LEASE_MS, SETTINGS, VOTERS, World, entry_of
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import DISTRIBUTION
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -9,7 +9,7 @@
 from distribution_world import World
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import DISTRIBUTION
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -10,16 +10,16 @@
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution import history as history_module
-from lichenquay.distribution import store as store_module
-from lichenquay.distribution.check import fault_of
+from lichenquay.distribution import key_store as store_module
 from lichenquay.distribution.coverage import Census, Share
 from lichenquay.distribution.history import History
-from lichenquay.distribution.log import MOST_REQUESTS, Requests, change_of, fold, record_of
+from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.messages import digest_of
 from lichenquay.distribution.pacing import Snapshot
+from lichenquay.distribution.record_log import MOST_REQUESTS, Requests, change_of, fold, record_of
 from lichenquay.distribution.settings import Settings
-from lichenquay.distribution.store import Store
-from lichenquay.fleet.envelope import MOST_BODY
+from lichenquay.distribution.validation import fault_of
+from lichenquay.fleet.message_envelope import MOST_BODY
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_engine_importer.py
+++ b/tests/test_engine_importer.py
@@ -8,15 +8,15 @@
 from hypothesis import strategies as st
 
 from lichenquay.admission import interface as io
-from lichenquay.conf import lichenquay_pb2 as conf
-from lichenquay.conf.distributed import KINDS
-from lichenquay.conf.engine_list import COMPLETE_KEY, BadEngineError, key_of, row_of, value_of
-from lichenquay.control.importer import MOST_UNDER_WAY, RETRY_MS, EngineImporter
+from lichenquay.config import lichenquay_pb2 as conf
+from lichenquay.config.distributed_values import KINDS
+from lichenquay.config.endpoint_list import COMPLETE_KEY, BadEngineError, key_of, row_of, value_of
+from lichenquay.control_plane.endpoint_importer import MOST_UNDER_WAY, RETRY_MS, EngineImporter
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.check import fault_of
+from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.settings import Settings
-from lichenquay.distribution.store import Store
-from lichenquay.engine_row import EngineRow
+from lichenquay.distribution.validation import fault_of
+from lichenquay.endpoint_record import EngineRow
 
 
 def row(uid, state=io.LISTED, place="z1", port=80):
--- a/tests/test_fleet_envelope.py
+++ b/tests/test_fleet_envelope.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lichenquay.fleet.addresses import Addresses
-from lichenquay.fleet.envelope import DISTRIBUTION, MEMBERS, OWNER, Dropped, Envelope
+from lichenquay.fleet.message_envelope import DISTRIBUTION, MEMBERS, OWNER, Dropped, Envelope
 
 OPEN = {DISTRIBUTION: 7}
 
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichenquay.lab.scale.probes import starved
+from lichenquay.testbed.scale.probes import starved
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_fleet_tenants.py
+++ b/tests/test_fleet_tenants.py
@@ -6,7 +6,7 @@
 from standins import group
 
 from lichenquay.admission import interface as io
-from lichenquay.fleet.tenants import Tenants
+from lichenquay.fleet.tenant_usage import Tenants
 
 
 class Account:
--- a/tests/test_front.py
+++ b/tests/test_gateway.py
@@ -5,16 +5,16 @@
 from types import SimpleNamespace
 
 import pytest
-from front_world import RESULT, STATEMENT, answered
+from gateway_world import RESULT, STATEMENT, answered
 from loopback import SPOILT, until, wait
 from twisted.internet import reactor
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from lichenquay.front import frames, http
-from lichenquay.front.call import Call
-from lichenquay.front.engine_connection import EngineConnection
-from lichenquay.front.engines import Engines, FrontEngine
+from lichenquay.gateway import frames, http
+from lichenquay.gateway.engine_call import Call
+from lichenquay.gateway.engine_connection import EngineConnection
+from lichenquay.gateway.engine_pool import Engines, FrontEngine
 
 
 def test_a_query_comes_back_whole_and_goes_out_unchanged(world):
--- a/tests/test_front_clients.py
+++ b/tests/test_gateway_clients.py
@@ -6,12 +6,12 @@
 from types import SimpleNamespace
 
 import pytest
-from front_world import RESULT, STATEMENT, answered
+from gateway_world import RESULT, STATEMENT, answered
 from loopback import until
 
-from lichenquay.front import frames
-from lichenquay.front.client_connection import BadQuery, ClientConnection
-from lichenquay.gate import decide
+from lichenquay.connection_admission import decide
+from lichenquay.gateway import frames
+from lichenquay.gateway.client_connection import BadQuery, ClientConnection
 
 
 def test_bad_frames_end_their_connection_alone(world):
--- a/tests/test_front_list.py
+++ b/tests/test_gateway_endpoint_list.py
@@ -1,14 +1,14 @@
 """The list before the whole front: a bulletin that goes wrong, engines that leave and come back."""
 
 import pytest
-from front_world import answered
+from gateway_world import answered
 from loopback import until, wait
 
 from lichenquay.admission import interface as io
-from lichenquay.front import frames, http
-from lichenquay.front.call import Call
-from lichenquay.front.discovery import BadList, Discovery
-from lichenquay.front.engines import FrontEngine
+from lichenquay.gateway import frames, http
+from lichenquay.gateway.discovery import BadList, Discovery
+from lichenquay.gateway.engine_call import Call
+from lichenquay.gateway.engine_pool import FrontEngine
 
 
 def test_a_bulletin_that_goes_back_changes_nothing():
--- a/tests/test_front_tokens.py
+++ b/tests/test_gateway_idempotency_keys.py
@@ -3,10 +3,10 @@
 import json
 
 import pytest
-from front_world import RESULT, SETTINGS, answered
+from gateway_world import RESULT, SETTINGS, answered
 from loopback import until, wait
 
-from lichenquay.front import frames
+from lichenquay.gateway import frames
 
 TOKEN = "3e0a76d25c62fbf2eed3ea015e6f0776"
 
--- a/tests/test_front_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -5,15 +5,15 @@
 from types import SimpleNamespace
 
 import pytest
-from front_world import SETTINGS
+from gateway_world import SETTINGS
 
 from lichenquay.admission import interface as io
-from lichenquay.front import frames, http
-from lichenquay.front.discovery import BadList, read_rows
-from lichenquay.front.metrics import Log
-from lichenquay.front.statement import tables_of
-from lichenquay.opening import Opening, Sheet, flat
-from lichenquay.simwire.codec import Fields
+from lichenquay.deployment_settings import Opening, Sheet, flat
+from lichenquay.gateway import frames, http
+from lichenquay.gateway.discovery import BadList, read_rows
+from lichenquay.gateway.metrics import Log
+from lichenquay.gateway.statement import tables_of
+from lichenquay.simulator_adapter.codec import Fields
 
 
 def fed(reader, data, cuts):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from lichenquay.cli.main import cli
-from lichenquay.conf import lichenquay_pb2 as pb
-from lichenquay.conf.read import read_lab
+from lichenquay.config import lichenquay_pb2 as pb
+from lichenquay.config.reader import read_lab
 from lichenquay.load import compare, plan, proof
 from lichenquay.load.run import Workers, columns_of, report_of
 from lichenquay.load.trace import BadTrace, read_trace, write_trace
--- a/tests/test_members_faults.py
+++ b/tests/test_membership_faults.py
@@ -6,11 +6,11 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from test_members import QUICK, ruled
+from test_membership import QUICK, ruled
 
-from lichenquay.lab.fleetnet import Weather
-from lichenquay.members import members_pb2 as pb
-from lichenquay.members.watch import Settings
+from lichenquay.membership import members_pb2 as pb
+from lichenquay.membership.failure_detector import Settings
+from lichenquay.testbed.fleetnet import Weather
 
 STORM = Weather(loss=0.15, delay_ms=(0.2, 20), doubled=0.1, late=0.05, late_ms=2_000)
 
--- a/tests/test_migration_state_machine.py
+++ b/tests/test_migration_state_machine.py
@@ -9,9 +9,8 @@
 from lichenquay.lease.group import Group
 from lichenquay.lease.settings import Settings as GroupSettings
 from lichenquay.migration import migration_pb2 as pb
-from lichenquay.migration.choose import LEAVES, WANTS, Member, in_order, may_leave, taker
 from lichenquay.migration.coordinator import Coordinator, marked
-from lichenquay.migration.kept import MOST_STATE, Seat, fold_of
+from lichenquay.migration.replica_group_state import MOST_STATE, Seat, fold_of
 from lichenquay.migration.session import GONE, HELD, MOST_NAME
 from lichenquay.migration.state_machine import (
     MOST_BYTES,
@@ -21,7 +20,8 @@
     StateMachine,
     StateMachineError,
 )
-from lichenquay.quota.kept import read, split
+from lichenquay.migration.target_selection import LEAVES, WANTS, Member, in_order, may_leave, taker
+from lichenquay.quota.ledger_records import read, split
 
 
 class Alone:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -3,11 +3,11 @@
 import pytest
 from quota_world import World, figures
 
-from lichenquay.lab.quotas import compare
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.figures import figures_of
-from lichenquay.quota.keeper import Keeper
-from lichenquay.quota.rights import Rights
+from lichenquay.quota.account_settings import figures_of
+from lichenquay.quota.escrow import Rights
+from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.testbed.quotas import compare
 
 MS = 1000
 
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -12,9 +12,9 @@
 from quota_world import STEP_MS, TERM_MS, Violation, World
 
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.keeper import Keeper
+from lichenquay.quota.escrow import Mine, Rights
 from lichenquay.quota.ledger import Ledger, LedgerError
-from lichenquay.quota.rights import Mine, Rights
+from lichenquay.quota.ledger_leader import Keeper
 
 REST_MS = 20000.0  # limit 150 at half of 20 a second, and one term
 
--- a/tests/test_scale_audit.py
+++ b/tests/test_scale_audit.py
@@ -5,9 +5,9 @@
 import pytest
 from scale_records import change, life
 
-from lichenquay.lab.scale import record
-from lichenquay.lab.scale.audit import audit, expected_digest
-from lichenquay.lab.scale.latency import OutOfReach, config_figures, heal_s, start_s
+from lichenquay.testbed.scale import record
+from lichenquay.testbed.scale.audit import audit, expected_digest
+from lichenquay.testbed.scale.latency import OutOfReach, config_figures, heal_s, start_s
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_scale_findings.py
+++ b/tests/test_scale_findings.py
@@ -5,11 +5,11 @@
 import pytest
 
 from lichenquay.distribution.settings import Settings
-from lichenquay.lab.scale import engines
-from lichenquay.lab.scale import scenario as s
-from lichenquay.lab.scale.figures import virtual_figures_of
-from lichenquay.lab.scale.virtual import VirtualWorld
-from lichenquay.lab.scale.virtual_run import VirtualPlan, VirtualRunner
+from lichenquay.testbed.scale import engines
+from lichenquay.testbed.scale import scenario as s
+from lichenquay.testbed.scale.figures import virtual_figures_of
+from lichenquay.testbed.scale.virtual import VirtualWorld
+from lichenquay.testbed.scale.virtual_run import VirtualPlan, VirtualRunner
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_scale_fit.py
+++ b/tests/test_scale_fit.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lichenquay.lab.scale.fit import FitError, Model, fit, student_t
+from lichenquay.testbed.scale.fit import FitError, Model, fit, student_t
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_scale_scenario.py
+++ b/tests/test_scale_scenario.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from lichenquay.lab.scale import orders, plans, scenario
-from lichenquay.lab.scale.engines import TrickleEntries, engine_changes
-from lichenquay.lab.scale.impairment import Impairment, Rule, cut_off
-from lichenquay.lab.scale.roles import Role, RoleCost
-from lichenquay.lab.scale.scenario import MOST_FRONTS_OF_ZONE, Shape, zone_of_name
-from lichenquay.lab.scale.slopes import SizeSample, fits_of, outcomes_of, predictions_of
+from lichenquay.testbed.scale import orders, plans, scenario
+from lichenquay.testbed.scale.engines import TrickleEntries, engine_changes
+from lichenquay.testbed.scale.impairment import Impairment, Rule, cut_off
+from lichenquay.testbed.scale.roles import Role, RoleCost
+from lichenquay.testbed.scale.scenario import MOST_FRONTS_OF_ZONE, Shape, zone_of_name
+from lichenquay.testbed.scale.slopes import SizeSample, fits_of, outcomes_of, predictions_of
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_scale_virtual.py
+++ b/tests/test_scale_virtual.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lichenquay.lab.scale import scenario as s
-from lichenquay.lab.scale.figures import virtual_figures_of
-from lichenquay.lab.scale.virtual_run import VirtualPlan, VirtualRunner
+from lichenquay.testbed.scale import scenario as s
+from lichenquay.testbed.scale.figures import virtual_figures_of
+from lichenquay.testbed.scale.virtual_run import VirtualPlan, VirtualRunner
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_scale_world.py
+++ b/tests/test_scale_world.py
@@ -8,9 +8,9 @@
 from click.testing import CliRunner
 
 from lichenquay.cli import scale as command
-from lichenquay.lab.scale import engine_sweep, plans, report
-from lichenquay.lab.scale import scenario as s
-from lichenquay.lab.scale.figures import engine_figures_of
+from lichenquay.testbed.scale import engine_sweep, plans, report
+from lichenquay.testbed.scale import scenario as s
+from lichenquay.testbed.scale.figures import engine_figures_of
 
 pytestmark = pytest.mark.together
 
