--- a/lichenquay/admission/picker.py
+++ b/lichenquay/admission/picker.py
@@ -4,9 +4,9 @@
 from random import Random
 from zlib import crc32
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.admission.guards import placed, work_of
-from lichenquay.admission.rings import Ring
+from lichenquay.admission.sliding_window import SlidingWindow
 from lichenquay.admission.state import NUMBER, RANK, EngineSums
 
 THREADS_A_CORE = 2.0  # the design's starting limit
@@ -27,15 +27,20 @@
 class Picker:
     """Draws among engines, weighted against their reports; the unheard count average."""
 
-    def __init__(self, gateway, guards, fleet, bucket, groups, make):
+    def __init__(self, gateway, guards, fleet, bucket, groups, capabilities):
         self.seed, self.drawn, self.guards, self.fleet, self.bucket = gateway.seed, 0, guards, fleet, bucket
         self.coin = Random(gateway.seed).random  # a chance that has nothing to do with the draw after it
-        self.own_place, self.bound = gateway.place, [g for g in groups if g.places or g.kinds]
+        self.own_place, self.bound = gateway.zone, [g for g in groups if g.allowed_zones or g.allowed_kinds]
         self.work, self.bound_work, self.spare = 0.0, 0.0, 0.0  # mean work of a query; of bound groups' alone
-        self.threads, self.usual, self.homes, self.swaps = 1.0, None, {}, make.when_short == "swap"
+        self.threads, self.usual, self.homes, self.swaps = (
+            1.0,
+            None,
+            {},
+            capabilities.memory_shortage == "swap",
+        )
         self.used = self.average = self.faults = self.fresh_ms = 0.0  # the peers' use, load, errors; since
         self.heard_for = 8 * bucket  # a report counts so long
-        self.taken, self.since = Ring(8 * bucket, 4), None  # our traffic
+        self.taken, self.since = SlidingWindow(8 * bucket, 4), None  # our traffic
         self.sums, self.near = EngineSums(), []  # of the fleet, by chance but always alike; drawn from first
         self.cold, self.touched = {}, {}  # engines: not warm or not listed; that we used or heard of
         self.usable_cores = self.usable_mb = 1.0  # sums over the fleet of what new work can count on
@@ -100,7 +105,7 @@
     def weigh(self, seen, now):
         warmth = self.guards.warmth(seen.engine, now)
         weight = warmth / (0.3 + (self.load(seen) + own_load(seen)) / warmth) ** 3
-        weight *= OWN_PLACE if seen.engine.place == self.own_place else 1.0
+        weight *= OWN_PLACE if seen.engine.zone == self.own_place else 1.0
         if self.usual and seen.pace:  # slower than its peers. Risk: one that swaps reports idle cores
             weight *= min(1.0, max(0.02, (self.usual / seen.pace) ** (1 + self.swaps)))
         seen.weight, seen.due_ms = weight, now + self.bucket
@@ -116,7 +121,9 @@
         self.cold = {s: True for s in self.cold if part[s] < 1}
         self.usable_cores = max(1.0, self.sums.cores - sum((1 - part[s]) * s.cores for s in self.cold))
         self.usable_mb = max(1.0, self.sums.memory_mb - sum(s.memory_mb for s in self.cold if not part[s]))
-        fit = (s for s in self.sums.by_rank if s.engine.state == io.LISTED and not s.silent)
+        fit = (
+            s for s in self.sums.by_rank if s.engine.state == domain.EndpointState.SERVING and not s.silent
+        )
         self.near = list(islice((s for s in fit if s not in self.cold), often))
         fit = (s for s in sorted(self.cold, key=RANK) if part[s] and not s.silent)
         self.near += [s for s in fit if self.guards.cold_budget(s.engine, part[s])]
@@ -134,7 +141,7 @@
     def drawn_from(self, left, q, now):
         """Weights are kept until an engine is heard of or used: ranking all anew costs more than it tells."""
         weights = [s.weight if s.due_ms > now else self.weigh(s, now) for s in left]
-        for s in self.homes_of(q.tables)[q.group.is_load] if q.tables else ():
+        for s in self.homes_of(q.table_group)[q.group.is_bulk_load] if q.table_group else ():
             if s in left:
                 weights[left.index(s)] *= max(1.0, len(left) / 5)  # about a third goes home, in any fleet
         total = sum(weights)
--- a/lichenquay/admission/rings.py
+++ b/lichenquay/admission/sliding_window.py
@@ -1,7 +1,7 @@
 """Measures over time: fixed buckets of time, used again in a ring."""
 
 
-class Ring:
+class SlidingWindow:
     """Sum and count of samples over the last `buckets` x `width_ms`; the oldest bucket is used again."""
 
     __slots__ = ("at", "counts", "number", "sums", "width_ms")
--- a/lichenquay/admission/state.py
+++ b/lichenquay/admission/state.py
@@ -8,7 +8,7 @@
 
 
 class Held:
-    """What all our submissions hold together."""
+    """What all our attempts hold together."""
 
     def __init__(self):
         self.threads, self.granted = [0, 0], 0.0  # limited groups' and dashboards', MB
@@ -40,13 +40,19 @@
 
 
 class Run:
-    """One submission's hold on its engine: slot, memory and threads, until its work is over."""
-
-    def __init__(self, sub, seen, slot, kind, grant, pool_mb, quick):
-        self.sub, self.seen, self.slot, self.kind, self.grant = sub, seen, slot, kind, grant  # grant in MB
-        self.q, self.group = sub.query, sub.query.group
+    """One attempt's hold on its engine: slot, memory and threads, until its work is over."""
+
+    def __init__(self, attempt, seen, slot, kind, grant, pool_mb, quick):
+        self.attempt, self.seen, self.slot, self.kind, self.grant = (
+            attempt,
+            seen,
+            slot,
+            kind,
+            grant,
+        )  # grant in MB
+        self.q, self.group = attempt.query, attempt.query.group
         self.pool_mb, self.quick = pool_mb, quick  # of its slot's pool; whether a dashboard
-        self.heard_ms, self.called_off, self.noted = sub.sent_ms, False, False
+        self.heard_ms, self.called_off, self.noted = attempt.sent_ms, False, False
         self.waits_ms, self.waited_ms = None, 0.0  # waiting since; waited before
         self.total_counts = True  # whether it is in the total of ours
 
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -2,14 +2,17 @@
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.fleet_settings import address_of
-from lichenquay.endpoint_record import EngineRow
+from lichenquay.endpoint_record import EndpointRecord
 
 ENGINE_PREFIX = "engine/"
 COMPLETE_KEY, COMPLETE = "config/engines", b"complete"  # once all engines are published, for the first time
-STATES = {pb.ListedEngine.SERVING: io.LISTED, pb.ListedEngine.DRAINING: io.DRAINING}
+STATES = {
+    pb.ListedEngine.SERVING: domain.EndpointState.SERVING,
+    pb.ListedEngine.DRAINING: domain.EndpointState.DRAINING,
+}
 STATE_NUMBERS = {state: number for number, state in STATES.items()}
 MOST_UNITS, MOST_TIME_MS = 1e6, 1e15
 
@@ -25,7 +28,7 @@
 
 def key_of(row):
     """The key of an engine."""
-    return f"{ENGINE_PREFIX}{row.place}/{row.uid}"
+    return f"{ENGINE_PREFIX}{row.zone}/{row.uid}"
 
 
 def value_of(row):
@@ -35,7 +38,7 @@
         kind=row.kind,
         cell=row.cell,
         state=STATE_NUMBERS[row.state],
-        units=row.units,
+        units=row.advertised_weight,
         started_ms=row.started_ms,
     ).SerializeToString(deterministic=True)
 
@@ -57,7 +60,7 @@
     if not 0 <= listed.units <= MOST_UNITS or not 0 <= listed.started_ms <= MOST_TIME_MS:
         raise BadEngineError(f"{key}: capacity or time of its start make no sense")
     state = STATES[listed.state]
-    return EngineRow(
+    return EndpointRecord(
         uid, listed.address, place, listed.kind, listed.cell, state, listed.units, listed.started_ms
     )
 
--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -6,7 +6,7 @@
 
 from collections import Counter
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config.distributed_values import KINDS
 from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
@@ -47,7 +47,7 @@
         key = key_of(row)
         if self._keys.get(row.uid, key) != key:  # in another zone: under one key at a time
             self._forget(row.uid)
-        if row.state == io.WITHDRAWN:
+        if row.state == domain.EndpointState.REMOVED:
             self._forget(row.uid)
             return
         entry = pb.Entry(key=key, value=value_of(row))
--- a/lichenquay/deployment_settings.py
+++ b/lichenquay/deployment_settings.py
@@ -4,17 +4,21 @@
 is decided here.
 """
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.admission.controller import Controller
 
-EFFECTS = {"safe": io.READ_ONLY, "keyed": io.TOKENED, "unsafe": io.MUTATING}
+EFFECTS = {
+    "safe": domain.Effect.READ_ONLY,
+    "keyed": domain.Effect.IDEMPOTENT_WITH_KEY,
+    "unsafe": domain.Effect.NON_IDEMPOTENT,
+}
 
 
-class Unreadable(ValueError):
+class SettingsError(ValueError):
     """A part that is missing or makes no sense; the text names it."""
 
 
-class Sheet:
+class SettingsSection:
     """Parts by name, as text, and what they mean. Unknown names are left alone."""
 
     __slots__ = ("parts",)
@@ -23,7 +27,7 @@
         self.parts = parts
 
     def bad(self, name, why):
-        return Unreadable(f"{name}: {why}")
+        return SettingsError(f"{name}: {why}")
 
     def text(self, name, otherwise=None):
         value = self.parts.get(name)
@@ -100,8 +104,8 @@
     return parts
 
 
-class Opening:
-    """Groups, tenants, licence, safeguards and makes, and the controller that they open."""
+class DeploymentSettings:
+    """Groups, tenants, permissions, safeguards and makes, and the controller that they open."""
 
     def __init__(self, f, seed):
         threads = f.numbers("family_info.width_by_class")
@@ -113,7 +117,7 @@
             if effect not in EFFECTS:
                 raise f.bad(p + "effect", f"unknown: {effect!r}")
             places, kinds = f.words(p + "failure_domains_only"), f.words(p + "runs_on")
-            group = io.ResourceGroup(
+            group = domain.ResourceGroup(
                 f.text(p + "name"),
                 EFFECTS[effect],
                 f.ms(p + "aim_us"),
@@ -134,7 +138,7 @@
         self.tenants = {}
         for i in range(f.integer("tenants.count", 0)):
             p = f"tenants.{i}."
-            tenant = io.Tenant(
+            tenant = domain.Tenant(
                 f.text(p + "name"),
                 f.number(p + "share", 0.0),
                 f.number(p + "allowance_per_s", 0.0),
@@ -143,10 +147,10 @@
             self.tenants[tenant.name] = tenant
         kinds = f.words("kinds")
         cores, memory = f.numbers("family_info.size_cores"), f.numbers("family_info.memory_by_kind_mb")
-        self.makes = {k: (at(cores, i, 0.0), at(memory, i, 0.0)) for i, k in enumerate(kinds)}
+        self.sizes_by_kind = {k: (at(cores, i, 0.0), at(memory, i, 0.0)) for i, k in enumerate(kinds)}
         self.idle_ms = f.ms("limits.keepalive_us", 0)  # engines close idle connections after this
         free = "rules.extra_free" in f.parts or "rules.further_ratio" in f.parts
-        self.gateway = io.Gateway(
+        self.gateway = domain.GatewayIdentity(
             f.text("my_zone", ""),
             f.integer("replicas_of_me", 1),
             seed,
@@ -154,14 +158,14 @@
             f.text("registry_mode", "pushed") == "on_request",
             f.integer("slot_no") if "slot_no" in f.parts else None,
         )
-        self.licence = io.Licence(
+        self.permissions = domain.GatewayPermissions(
             f.integer("limits.most_tries", 1),
             f.flag("limits.cancel", "0"),
             f.flag("limits.may_probe", "0"),
             f.flag("limits.second_copies", "0"),
             f.ms("limits.max_retry_after_us", 0) if f.flag("limits.retry_after", "0") else 0.0,
         )
-        self.safeguards = io.Safeguards(
+        self.safety_limits = domain.SafetyLimits(
             f.ms("rules.answer_slack_us", 0),
             f.ms("rules.stop_sending_within_us", 0),
             f.number("rules.start_capacity", 0.0),
@@ -174,7 +178,7 @@
             f.ms("rules.counted_over_us", 0),
             f.ms("rules.must_ask_in_us", 0),
         )
-        self.make = io.EngineMake(
+        self.capabilities = domain.EngineCapabilities(
             f.flag("family_info.takes_grants", "0"),
             f.flag("family_info.ranks_heeded", "0"),
             f.number("family_info.most_grant", 1.0),
@@ -192,14 +196,14 @@
             self.gateway,
             list(self.groups.values()),
             list(self.tenants.values()),
-            self.licence,
-            self.safeguards,
-            self.make,
+            self.permissions,
+            self.safety_limits,
+            self.capabilities,
         )
 
     def describe(self, e, place, kind, cell, state, units, started_ms):
         """What a row of the list says of an engine."""
-        e.place, e.kind, e.cell, e.state, e.units = place, kind, cell, state, units
+        e.zone, e.kind, e.cell, e.state, e.advertised_weight = place, kind, cell, state, units
         e.started_ms = started_ms or None
-        e.cores, e.memory_mb = self.makes.get(kind, (0.0, 0.0))
+        e.cores, e.memory_mb = self.sizes_by_kind.get(kind, (0.0, 0.0))
         return e
--- a/lichenquay/endpoint_record.py
+++ b/lichenquay/endpoint_record.py
@@ -3,14 +3,14 @@
 from typing import NamedTuple
 
 
-class EngineRow(NamedTuple):
-    """`state` is one of `admission.interface`; `started_ms`: Unix time of a late start, or 0."""
+class EndpointRecord(NamedTuple):
+    """`state` is one of `admission.domain`; `started_ms`: Unix time of a late start, or 0."""
 
     uid: str
     address: str
-    place: str
+    zone: str
     kind: str
     cell: int
     state: str
-    units: float
+    advertised_weight: float
     started_ms: float
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config.control_settings import distribution_fingerprint, figures_of, prefixes_of
 from lichenquay.config.distributed_values import GATE_KEY, gate_of
 from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, BadEngineError, row_of
@@ -86,7 +86,9 @@
             if value is not None:
                 listed.append(row_of(key, value))
             elif key in self.subscriber.values:
-                gone.append(row_of(key, self.subscriber.values[key])._replace(state=io.WITHDRAWN))
+                gone.append(
+                    row_of(key, self.subscriber.values[key])._replace(state=domain.EndpointState.REMOVED)
+                )
         still = {row.uid for row in listed}  # in another zone by now
         return [row for row in gone if row.uid not in still] + listed
 
--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -1,6 +1,6 @@
 """What the front's queries tell the fleet's account: taken, finished with so much work, or over without."""
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.admission.guards import work_of
 
 
@@ -36,7 +36,7 @@
 
     def over(self, q):
         """Not finished. What surely never ran costs nothing; anything else its estimate."""
-        if all(s.ending in io.NEVER_RAN for s in q.submissions):
+        if all(s.outcome in domain.NEVER_EXECUTED for s in q.attempts):
             self.accounts.rights.settle(self.now_ms(), q, 0.0)
         else:
             self.accounts.rights.drop(self.now_ms(), q)
--- a/lichenquay/gateway/attempt_lifecycle.py
+++ b/lichenquay/gateway/attempt_lifecycle.py
@@ -1,6 +1,6 @@
-"""Certainty: what may be concluded of one submission at its engine, from POST to ending. Free of I/O; times come in.
+"""Certainty: what may be concluded of one attempt at its engine, from POST to ending. Free of I/O; times come in.
 
-Another submission of a query may go out only when the one before surely is not running and cannot come to run. Proofs:
+Another attempt of a query may go out only when the one before surely is not running and cannot come to run. Proofs:
 
 - nothing of its POST was written (`HELD`);
 - its own end: a whole answer that is none but its (`ended`);
@@ -23,7 +23,7 @@
 
 
 class Life:
-    """One submission's life at its engine. All times are milliseconds of one clock that does not run backwards by more
+    """One attempt's life at its engine. All times are milliseconds of one clock that does not run backwards by more
     than it is apart; a call's time is when its first byte was written."""
 
     __slots__ = (
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -229,7 +229,7 @@
         if self.open.pop(q.stream, None) is not None:
             self.let_go(q)
             self.heard_s = self.desk.seconds()  # it is idle from now on
-            self.wanted_ms = max(self.wanted_ms, q.ends_ms)
+            self.wanted_ms = max(self.wanted_ms, q.deadline_ms)
             self.put(frames.answer(q.stream, code, *body))
             self.desk.metrics.count(self.desk.ANSWERS[code])
             self.close_if_done()
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -4,14 +4,14 @@
 import traceback
 from dataclasses import dataclass
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.gateway import frames
 
 FAULT_MS = 250.0  # before what failed at its time is tried again
 
 
 @dataclass(eq=False)
-class FrontQuery(io.Query):
+class FrontQuery(domain.Query):
     """A query as the front keeps it: whom to answer, and what goes to engines unchanged."""
 
     client: object = None
@@ -19,10 +19,10 @@
     ref: str = ""
     token: str = ""  # by which engines drop its repeats
     statement: bytes = b""
-    grant_mb: float = 0.0  # of its next submissions
+    grant_mb: float = 0.0  # of its next attempts
     rank_asked: int | None = None
     told: bool = False  # the controller knows it
-    flight: object = None  # its latest submission
+    flight: object = None  # its latest attempt
 
 
 class Admit:
@@ -36,8 +36,8 @@
             metrics,
             log,
         )
-        self.step_ms, self.most = opening.gateway.step_ms, opening.licence.most_submissions
-        self.tells_cost = opening.make.tells_cost
+        self.step_ms, self.most = opening.gateway.min_turn_ms, opening.permissions.max_attempts
+        self.reports_cost = opening.capabilities.reports_cost
         self.events, self.timers, self.timed, self.next = [], [], 0, None
         self.now_ms = self.turned_ms = now_ms()
         self.open, self.numbers = set(), 0
@@ -60,16 +60,16 @@
 
     def taken(self, q):
         """Risk: hundreds of queries taken back at once go out to engines and are called off there."""
-        if not q.over:
+        if not q.is_done:
             q.told = True
             if self.quota is not None:
-                q.beyond = self.quota.beyond(q)
-            self.controller.take(q)
+                q.over_quota = self.quota.beyond(q)
+            self.controller.admit(q)
 
     def left(self, q):
         """Its client waits no longer."""
-        if not q.over:
-            q.over = True
+        if not q.is_done:
+            q.is_done = True
             self.open.discard(q)
             if self.quota is not None:
                 self.quota.over(q)
@@ -78,41 +78,41 @@
 
     def gone(self, q):
         if q.told:
-            self.controller.left(q)
+            self.controller.on_client_gone(q)
 
-    def noted(self, sub, what, amount):
-        self.happen(self.note, sub, what, amount)
+    def noted(self, attempt, what, amount):
+        self.happen(self.note, attempt, what, amount)
 
-    def note(self, sub, what, amount):
-        if sub.ending is None:
-            self.controller.noted(sub, what, amount)
+    def note(self, attempt, what, amount):
+        if attempt.outcome is None:
+            self.controller.on_progress(attempt, what, amount)
 
     def back(self, flight, ending, cost, report, result):
-        """A submission ended; a whole result is the client's at once, so that none can come between."""
+        """An attempt ended; a whole result is the client's at once, so that none can come between."""
         q = flight.query
-        if ending == io.FINISHED:
+        if ending == domain.Outcome.COMPLETED:
             self.answer(q, frames.FINISHED, result)
-        took = self.clock_ms() - flight.sub.sent_ms
-        self.happen(self.ended, flight.sub, ending, took, cost if self.tells_cost else None, report)
+        took = self.clock_ms() - flight.attempt.sent_ms
+        self.happen(self.ended, flight.attempt, ending, took, cost if self.reports_cost else None, report)
 
-    def ended(self, sub, ending, took, cost, report):
-        sub.ending = ending
-        if self.quota is not None and ending == io.FINISHED:
-            self.quota.finished(sub.query, cost)
-        self.controller.answered(sub, took, cost, report)
+    def ended(self, attempt, ending, took, cost, report):
+        attempt.outcome = ending
+        if self.quota is not None and ending == domain.Outcome.COMPLETED:
+            self.quota.finished(attempt.query, cost)
+        self.controller.on_attempt_ended(attempt, took, cost, report)
 
     def listed(self, engines, whole):
-        self.happen(self.controller.list_news, engines, whole)
+        self.happen(self.controller.endpoints_updated, engines, whole)
 
     def list_doubted(self, most_ms):
-        self.happen(self.controller.list_doubted, most_ms)
+        self.happen(self.controller.mark_endpoints_stale, most_ms)
 
     def list_confirmed(self):
-        self.happen(self.controller.list_confirmed)
+        self.happen(self.controller.endpoints_confirmed)
 
     def give_up(self, q):
         """Its place is needed by another one: the controller's final answer, in the next turn."""
-        self.happen(self.controller.finish, q)
+        self.happen(self.controller.give_final_answer, q)
 
     def time_up(self):
         """The front itself has to end: what is still open gets the controller's final answer now."""
@@ -153,48 +153,50 @@
             self.metrics.count("faults")
             self.log_line("fault", traceback.format_exc())
             if not what:  # it was to happen at a time: the beat must not end with it
-                self.wake(self.now_ms + FAULT_MS, call)
+                self.call_at(self.now_ms + FAULT_MS, call)
             q = getattr(what[0], "query", what[0]) if what else None
-            for q in [q] if isinstance(q, FrontQuery) else [x for x in self.open if x.ends_ms <= self.now_ms]:
+            for q in (
+                [q] if isinstance(q, FrontQuery) else [x for x in self.open if x.deadline_ms <= self.now_ms]
+            ):
                 if q.flight is not None:
                     self.route.give_up(q.flight)
-                self.kill(q)
+                self.fail(q)
 
     # the door
 
-    def submit(self, q, engine, patience_ms):
-        sub = io.Submission(q, len(q.submissions), engine, self.now_ms)
-        q.submissions.append(sub)
-        if q.over or len(q.submissions) > self.most or patience_ms <= 0:
-            self.metrics.count("submissions never sent")
-            self.happen(self.ended, sub, io.NEVER_SENT, 0.0, None, None)
+    def start_attempt(self, q, engine, patience_ms):
+        attempt = domain.Attempt(q, len(q.attempts), engine, self.now_ms)
+        q.attempts.append(attempt)
+        if q.is_done or len(q.attempts) > self.most or patience_ms <= 0:
+            self.metrics.count("attempts never sent")
+            self.happen(self.ended, attempt, domain.Outcome.NEVER_SENT, 0.0, None, None)
         else:
-            q.flight = self.route.down(sub, patience_ms)
-        return sub
+            q.flight = self.route.down(attempt, patience_ms)
+        return attempt
 
-    def allot(self, q, memory_mb, priority):
+    def set_grant(self, q, memory_mb, priority):
         q.grant_mb, q.rank_asked = memory_mb, priority
         if q.flight is not None:
             self.route.rerank(q.flight, priority)
 
     def may_go(self, flight):
-        """The controller's last look at a submission, at the time that it is by now."""
-        return self.controller.may_go(flight.sub, max(self.now_ms, self.clock_ms()))
+        """The controller's last look at an attempt, at the time that it is by now."""
+        return self.controller.may_dispatch(flight.attempt, max(self.now_ms, self.clock_ms()))
 
-    def cancel(self, sub):
-        flight = sub.query.flight
-        if flight is not None and flight.sub is sub:
+    def cancel_attempt(self, attempt):
+        flight = attempt.query.flight
+        if flight is not None and flight.attempt is attempt:
             self.route.give_up(flight)
 
-    def defer(self, q, pause_ms):
+    def reject(self, q, pause_ms):
         self.answer(q, frames.DEFERRED, [b"no room in time; trying again is harmless"])
 
-    def kill(self, q):
+    def fail(self, q):
         self.answer(q, frames.KILLED, [b"not finished in time"])
 
     def answer(self, q, code, body):
-        if not q.over:
-            q.over = True
+        if not q.is_done:
+            q.is_done = True
             self.open.discard(q)
             if self.quota is not None and code != frames.FINISHED:
                 self.quota.over(q)
@@ -203,23 +205,23 @@
                 None  # risk: timers keep a query for long after its end, and all that it holds
             )
 
-    def wake(self, at_ms, call):
+    def call_at(self, at_ms, call):
         self.timed += 1
         heapq.heappush(self.timers, (at_ms, self.timed, call))
         self.poke(max(at_ms, self.now_ms + self.step_ms))
 
-    def probe(self, engine):
+    def send_health_check(self, engine):
         """PROTOCOL knows no probe; a site that allows them tells how."""
 
-    def watch_list(self, on=True):
+    def watch_endpoints(self, on=True):
         """The bulletin is followed all the time."""
 
-    fetch_list = watch_list
+    fetch_endpoints = watch_endpoints
 
     def close_idle(self, engine):
         self.engines.close_idle(engine)
 
-    def tell(self, whom, content):
+    def send_to_peer(self, whom, content):
         """Fronts share nothing."""
 
     def log(self, text):
--- a/lichenquay/gateway/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -4,15 +4,19 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from lichenquay.admission import interface as io
-from lichenquay.endpoint_record import EngineRow
+from lichenquay.admission import domain
+from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.gateway.http import BadReply, ReplyReader, request
 
 PATIENCE_MS = 1000  # of one call; PROTOCOL allows 5,000: shorter, a half-open connection shows sooner
 FIRST_PATIENCE_MS = 1  # of the calls until one is answered: what is known from before is in doubt till then
 SILENT_MS = PATIENCE_MS + 500  # well within the 7 s after which an event counts as told (PROTOCOL, 'Figures')
 AGAIN_MS = 100  # between calls that bring nothing
-STATES = {"SERVING": io.LISTED, "DRAINING": io.DRAINING, "DELETED": io.WITHDRAWN}
+STATES = {
+    "SERVING": domain.EndpointState.SERVING,
+    "DRAINING": domain.EndpointState.DRAINING,
+    "DELETED": domain.EndpointState.REMOVED,
+}
 
 
 class BadList(ValueError):
@@ -20,7 +24,7 @@
 
 
 def read_rows(item):
-    """(whole list or not, [EngineRow]) of one event."""
+    """(whole list or not, [EndpointRecord]) of one event."""
     try:
         roster, rows = item["roster"], []
         for t in roster["targets"]:
@@ -28,7 +32,7 @@
             if t["state"] not in STATES or not host or not 0 < int(port) < 65536:
                 raise BadList(f"an engine in no known state or place: {t['uid']!r}")
             rows.append(
-                EngineRow(
+                EndpointRecord(
                     str(t["uid"]),
                     f"{host}:{int(port)}",
                     str(t.get("az", "")),
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -1,8 +1,8 @@
-"""Send: the call that starts a submission on its engine."""
+"""Send: the call that starts an attempt on its engine."""
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.gateway import http
 from lichenquay.gateway.engine_call import Broken, NeverSent, NotConnected, Silent
 
@@ -39,9 +39,9 @@
         )
         reply = yield first
         if isinstance(reply, NeverSent):
-            return self.metrics.end(flight, io.NEVER_SENT)
+            return self.metrics.end(flight, domain.Outcome.NEVER_SENT)
         if isinstance(reply, NotConnected):
-            return self.metrics.end(flight, io.NOT_CONNECTED)
+            return self.metrics.end(flight, domain.Outcome.NOT_CONNECTED)
         if isinstance(reply, Exception):
             # Risk: it may have run, and may run on. Its news, asked for on another connection, tell: the engine
             # goes on with it, gives its end again, or knows nothing of it, which proves little (`certainty`).
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import Deferred
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 
 
 class NotConnected(Exception):
@@ -33,7 +33,7 @@
 
 class Call:
     """One call: its bytes, what answers to it make sense, and who waits for one. `new`: it starts a
-    submission. `connection`: the connection that the query's last answer came on. `carrier`: the one that
+    attempt. `connection`: the connection that the query's last answer came on. `carrier`: the one that
     this call is out on, `went_on` also when it is not any more. `on_late`: told instead when there is no
     answer in time; the call stays out, for its answer still settles something."""
 
@@ -75,7 +75,7 @@
     ):
         """See the class. `address`: where it goes, if not where the engine is now."""
         self.engine, self.address, self.data, self.fits = engine, address or engine.address, data, fits
-        self.owner = owner  # the submission that it is for
+        self.owner = owner  # the attempt that it is for
         self.urgent, self.fresh, self.new, self.connection = urgent, fresh, new, connection
         self.on_written, self.on_late, self.may_go, self.carrier, self.went_on = (
             on_written,
@@ -101,7 +101,9 @@
     def void(self):
         """Nobody waits for it; or it would start something on an engine that drains or is gone, or at an
         address that the engine has left. Risk: a drain is told while the connection is still on its way."""
-        if self.new and (self.engine.state != io.LISTED or self.engine.address != self.address):
+        if self.new and (
+            self.engine.state != domain.EndpointState.SERVING or self.engine.address != self.address
+        ):
             self.withdraw()
         return self.ended
 
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -103,14 +103,14 @@
         call.end(reply)
 
     def mistakable(self, call):
-        """Whether a late copy of the last answer here, to another submission, would do as an answer to this
+        """Whether a late copy of the last answer here, to another attempt, would do as an answer to this
         call. Risk: the copy of a 204 says that an engine has given up what it has not been told to yet; of a
         202, that it has read what still lies there: the next query in its key's order goes out too soon."""
         return call.owner is not self.owner and self.nameless is not None and call.fits(self.nameless)
 
     def copied(self, reply):
         """Whether an answer is, to the byte, the last one that came on this connection for another
-        submission. Risk: a copy of that one comes later than the rest between two calls, on a machine that
+        attempt. Risk: a copy of that one comes later than the rest between two calls, on a machine that
         stands still, and would be taken as the answer to this call: served with what no engine made for it.
         The engine says it again on another connection. Only 200 is compared, which brings rows: other answers
         are the same for many queries (500 and 204 carry nothing), and a 500 taken for a copy sends its query
--- a/lichenquay/gateway/engine_pool.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.gateway.engine_call import Call, NotConnected, Silent
 from lichenquay.gateway.engine_connection import ConnectionFactory
 
@@ -20,7 +20,7 @@
 
 
 @dataclass(eq=False)
-class FrontEngine(io.Engine):
+class FrontEngine(domain.Engine):
     """An engine, its address as the bulletin last gave it, and its idle connections, the oldest first."""
 
     address: str = ""
--- a/lichenquay/gateway/http.py
+++ b/lichenquay/gateway/http.py
@@ -5,7 +5,7 @@
 
 import re
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 
 MOST_HEAD = 16_384  # also of all interim answers before a real one
 MOST_BODY = 8 << 20  # of a list: 48,000 engines at once; pages are held to their own limit
@@ -195,7 +195,11 @@
 
 # what engines say
 
-NOTES = {"share": io.PROGRESS, "short": io.SPILLS, "held": io.WAITS}
+NOTES = {
+    "share": domain.ProgressKind.PROGRESS,
+    "short": domain.ProgressKind.SPILLING,
+    "held": domain.ProgressKind.WAITING,
+}
 # what the settings call the values of a load report; an engine may use either name
 COLUMNS = {
     "inflight": "active",
--- a/lichenquay/gateway/metrics.py
+++ b/lichenquay/gateway/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics: how submissions and queries end, the counters of it, and letting go of what is over."""
+"""Metrics: how attempts and queries end, the counters of it, and letting go of what is over."""
 
 import sys
 from collections import Counter
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.gateway import http
 
 LINES_A_SECOND = 5  # of one kind on standard error
@@ -34,7 +34,7 @@
 
 
 class Metrics:
-    """The end of a submission goes back up the chain from here."""
+    """The end of an attempt goes back up the chain from here."""
 
     def __init__(self, back):
         self.back, self.counters, self.out = back, Counter(), 0
@@ -44,17 +44,17 @@
 
     def opened(self):
         self.out += 1
-        self.count("submissions sent")
+        self.count("attempts sent")
 
     def end(self, flight, ending, reply=None, result=None):
-        """The one ending of a submission; what comes later for it is nothing any more."""
+        """The one ending of an attempt; what comes later for it is nothing any more."""
         if flight.over:
             return
         flight.over, flight.connection, flight.late = True, None, None
         flight.settle()
         self.out -= 1
-        self.count(f"submissions {ending}")
-        cost = http.cost_of(reply) if ending == io.FINISHED else None
+        self.count(f"attempts {ending}")
+        cost = http.cost_of(reply) if ending == domain.Outcome.COMPLETED else None
         # None: nothing came from the engine. Empty: it spoke, and reported nothing.
         report = None if reply is None else http.report_of(reply) or {}
         if report:
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -217,7 +217,7 @@
         if verdict.end is not None:  # the youngest of its queries has its final answer now
             self.admit.give_up(next(reversed(verdict.end.what.open.values())))
         statement = bytes(body)  # it outlives the buffer
-        longest = group.timeout_ms or MOST_MS
+        longest = group.queue_timeout_ms or MOST_MS
         return FrontQuery(
             0,
             group,
@@ -228,7 +228,7 @@
             amount(said, "work", MOST_MS),
             amount(said, "memory", MOST_MB),
             tables_of(str(statement, "utf-8", "replace")),
-            tokened=bool(token),
+            has_idempotency_key=bool(token),
             client=connection,
             stream=stream,
             ref=said["ref"],
--- a/lichenquay/gateway/result_relay.py
+++ b/lichenquay/gateway/result_relay.py
@@ -1,8 +1,8 @@
-"""Relay: the news of a submission, the pages of its result, and giving it up."""
+"""Relay: the news of an attempt, the pages of its result, and giving it up."""
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.gateway import http
 from lichenquay.gateway.engine_call import Broken, Garbled, NotConnected, Silent
 
@@ -17,13 +17,13 @@
         self.engines, self.metrics, self.noted, self.now_ms, self.log = engines, metrics, noted, now_ms, log
 
     def fault(self, failure, flight):
-        """Risk: a fault met for one submission leaves its query without an answer, or the engine at work on it."""
+        """Risk: a fault met for one attempt leaves its query without an answer, or the engine at work on it."""
         self.metrics.count("faults")
         self.log("fault", failure.getTraceback())
         if flight.given_up:
             self.metrics.end(flight, flight.given_up)
         else:
-            self.call_off(flight, io.ERROR)
+            self.call_off(flight, domain.Outcome.FAILED)
 
     def call_off(self, flight, ending=None):
         self.give_up(flight, ending).addErrback(self.fault, flight)
@@ -54,19 +54,19 @@
             flight.call is not None
             or known_on is not None
             and known_on.ended_here
-            or flight.engine.state != io.LISTED
+            or flight.engine.state != domain.EndpointState.SERVING
             or self.engines.alive(flight.engine, flight.host)
         )
 
     def stranger(self, flight, connection):
         """Whether what came on a connection may be another engine's word. Risk: an engine that leaves, or has left, the list
         works on behind a closed door, or cut off, and its address has gone to one that knows nothing of its queries."""
-        return flight.engine.state != io.LISTED and connection is not flight.connection
+        return flight.engine.state != domain.EndpointState.SERVING and connection is not flight.connection
 
     @inlineCallbacks
     def ask(self, flight, page):
         """A call for news or for a page, put again on another connection while the engine may still know the
-        query; None once the submission has been ended otherwise."""
+        query; None once the attempt has been ended otherwise."""
         fresh, tries, unreadable, call = False, 0, 0, http.page(flight.host, flight.ref, page)
         fits, life = http.is_page(page) if page else http.is_news, flight.life
         while not (flight.over or flight.given_up):
@@ -88,14 +88,14 @@
                 fresh = False
             except NotConnected as failed:
                 # Its process is gone, refused twice, or nothing has reached it for so long that the query is over.
-                # Risk: another submission comes to an engine while a dying process still holds this one.
+                # Risk: another attempt comes to an engine while a dying process still holds this one.
                 if failed.refused:
                     life.refused(self.now_ms(), self.alive(flight))
                     fresh = False
                 if life.passed(self.now_ms()):
                     if not flight.given_up:
                         self.metrics.count(f"reset: {life.proof}")
-                        self.metrics.end(flight, io.RESET)
+                        self.metrics.end(flight, domain.Outcome.CONNECTION_RESET)
                     return None
             except (Broken, Silent, Garbled) as why:
                 # The connection's fault, or its peer's for once: the engine gives the same answer again.
@@ -105,7 +105,7 @@
                     self.metrics.count("answers unreadable")
                     unreadable += 1
                     if unreadable >= MOST_UNREADABLE:
-                        yield self.give_up(flight, io.ERROR)
+                        yield self.give_up(flight, domain.Outcome.FAILED)
                         return None
                 if not fresh:  # at once on another connection; then with pauses
                     fresh = True
@@ -115,7 +115,7 @@
 
     @inlineCallbacks
     def put(self, flight, data, fits, fresh, keeps=True):
-        """One call for a submission: its answer, and when its first byte was written. `keeps`: it keeps its engine at it."""
+        """One call for an attempt: its answer, and when its first byte was written. `keeps`: it keeps its engine at it."""
         written = [0.0]
 
         def wrote():
@@ -150,7 +150,7 @@
             if reply and not flight.given_up:
                 note = http.note_of(reply)
                 if note or flight.missed:  # a note may have gone with an answer that was lost
-                    self.noted(flight.sub, *(note or (io.ALIVE, 0.0)))
+                    self.noted(flight.attempt, *(note or (domain.ProgressKind.RESPONSIVE, 0.0)))
                 flight.missed = False
             reply = yield self.ask(flight, 0)
             if reply is None:
@@ -158,24 +158,24 @@
         if flight.over or flight.given_up:
             return
         if http.is_full(reply):
-            self.metrics.end(flight, io.FULL, reply)
+            self.metrics.end(flight, domain.Outcome.OVERLOADED, reply)
         else:
             result = yield self.gather(flight, reply)
             if result is not None:
-                self.metrics.end(flight, io.FINISHED, reply, result)
+                self.metrics.end(flight, domain.Outcome.COMPLETED, reply, result)
 
     @inlineCallbacks
     def gather(self, flight, reply):
-        """The whole result, page after page; None once the submission has been ended otherwise."""
+        """The whole result, page after page; None once the attempt has been ended otherwise."""
         parts, pages, size, n = reply.whole("x-parts", 1), [], 0, 0
         while True:
             if reply.status == 500:  # it failed, or its pages are lost
-                self.metrics.end(flight, io.ERROR, reply)
+                self.metrics.end(flight, domain.Outcome.FAILED, reply)
                 return None
             size += len(reply.body)
             if size > MOST_RESULT:
                 self.metrics.count("results too long")
-                yield self.give_up(flight, io.ERROR)
+                yield self.give_up(flight, domain.Outcome.FAILED)
                 return None
             pages.append(reply.body)
             n += 1
@@ -187,13 +187,15 @@
 
     @inlineCallbacks
     def give_up(self, flight, ending=None):
-        """Ends a submission from this side. Its ending is told once the engine surely works on it no longer, for
+        """Ends an attempt from this side. Its ending is told once the engine surely works on it no longer, for
         only then may another go out: its answer to DELETE, its death, or two seconds without a call."""
         if flight.over or flight.given_up:
             return
         if flight.call is not None and flight.call.withdraw():
-            return self.metrics.end(flight, io.NEVER_SENT)
-        flight.given_up = ending or (io.TIMED_OUT if self.now_ms() >= flight.until_ms - 1 else io.CANCELLED)
+            return self.metrics.end(flight, domain.Outcome.NEVER_SENT)
+        flight.given_up = ending or (
+            domain.Outcome.TIMED_OUT if self.now_ms() >= flight.until_ms - 1 else domain.Outcome.CANCELLED
+        )
         flight.wake()
         call, fresh, tries, life = http.give_up(flight.host, flight.ref), False, 0, flight.life
         last_word = None
@@ -218,7 +220,7 @@
 
     @inlineCallbacks
     def tell_rank(self, flight):
-        """A new priority, one call after the other, once the engine has the submission."""
+        """A new priority, one call after the other, once the engine has the attempt."""
         while (
             not (flight.telling or flight.call or flight.over or flight.given_up)
             and flight.told != flight.rank
--- a/lichenquay/gateway/routing.py
+++ b/lichenquay/gateway/routing.py
@@ -1,14 +1,14 @@
-"""Route: from a submission to the engine's address and the fields of the call."""
+"""Route: from an attempt to the engine's address and the fields of the call."""
 
 from lichenquay.gateway import http
 from lichenquay.gateway.attempt_lifecycle import Life
 
 
 class Flight:
-    """A submission on its way: what the network part keeps of it until its ending."""
+    """An attempt on its way: what the network part keeps of it until its ending."""
 
     __slots__ = (
-        "sub",
+        "attempt",
         "query",
         "engine",
         "host",
@@ -27,11 +27,16 @@
         "missed",
     )
 
-    def __init__(self, sub, until_ms):
-        self.sub, self.query, self.engine, self.until_ms = sub, sub.query, sub.engine, until_ms
-        self.host, self.telling = sub.engine.address, False
-        self.ref, self.life = sub.query.ref, Life()
-        self.rank = self.told = sub.query.rank_asked
+    def __init__(self, attempt, until_ms):
+        self.attempt, self.query, self.engine, self.until_ms = (
+            attempt,
+            attempt.query,
+            attempt.engine,
+            until_ms,
+        )
+        self.host, self.telling = attempt.engine.address, False
+        self.ref, self.life = attempt.query.ref, Life()
+        self.rank = self.told = attempt.query.rank_asked
         self.over, self.given_up, self.call, self.connection = False, None, None, None
         self.missed = False  # an answer to a call for it was lost
         self.late = None  # the answer to its first call, after others went out
@@ -57,9 +62,9 @@
     def __init__(self, send, relay):
         self.send, self.relay = send, relay
 
-    def down(self, sub, patience_ms):
-        q = sub.query
-        flight = Flight(sub, sub.sent_ms + patience_ms)
+    def down(self, attempt, patience_ms):
+        q = attempt.query
+        flight = Flight(attempt, attempt.sent_ms + patience_ms)
         self.send.down(
             flight,
             http.start(
@@ -71,7 +76,7 @@
                 q.rank_asked,
                 q.statement,
                 q.token,
-                q.key,
+                q.ordering_key,
             ),
         )
         return flight
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -9,9 +9,9 @@
 
 from twisted.internet.error import CannotListenError
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.connection_admission.decide import Rules
-from lichenquay.deployment_settings import Opening, Sheet, Unreadable, flat
+from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection, flat
 from lichenquay.gateway.controller_adapter import Admit
 from lichenquay.gateway.discovery import BadList, Discovery, DiscoveryFactory, read_events
 from lichenquay.gateway.dispatch import Send
@@ -51,10 +51,10 @@
 
 def open_from(settings, seed):
     try:
-        opening = Opening(Sheet(flat(settings)), seed)
+        opening = DeploymentSettings(SettingsSection(flat(settings)), seed)
         if not opening.groups:
-            raise Unreadable("no classes")
-    except (Unreadable, AttributeError) as bad:
+            raise SettingsError("no classes")
+    except (SettingsError, AttributeError) as bad:
         raise CannotStart(f"settings: {bad}") from None
     return opening
 
@@ -146,20 +146,22 @@
         self.engines = Engines(
             reactor,
             RESERVE // 2,
-            opening.make.connect_timeout_ms or NEWS_MS,
+            opening.capabilities.connect_timeout_ms or NEWS_MS,
             SILENT_MS,
             opening.idle_ms or 4 * NEWS_MS,
         )
         self.admit = Admit(opening, reactor, self.engines, now_ms, self.metrics, self.log)
         self.relay = Relay(self.engines, self.metrics, self.admit.noted, now_ms, self.log)
-        self.send = Send(self.engines, self.relay, self.metrics, self.admit.wake, self.admit.may_go, now_ms)
+        self.send = Send(
+            self.engines, self.relay, self.metrics, self.admit.call_at, self.admit.may_go, now_ms
+        )
         self.route = self.admit.route = Route(self.send, self.relay)
         self.clients = TakeIn(opening, reactor, self.admit, self.metrics, self.log, now_ms, self.is_ready)
         self.more, self.distributed_gate = read_more(environment), None
         self.bound(sockets, room)
         self.list_distributed = self.more is not None and self.more.distribution.engines
         self.following = None
-        self.fleet = fleet_of(self.more, reactor, seed, self.admit.controller.pressed, self)
+        self.fleet = fleet_of(self.more, reactor, seed, self.admit.controller.is_under_pressure, self)
         try:
             self.discovery = Discovery(known, self.news, self.log, self.admit.list_confirmed)
         except BadList as bad:
@@ -195,10 +197,10 @@
             started += now_ms() - time.time() * 1000 if started else 0.0
             self.opening.describe(e, place, kind, cell, state, units, started)
             named.append(e)
-            (gone.add if state == io.WITHDRAWN else gone.discard)(e)
+            (gone.add if state == domain.EndpointState.REMOVED else gone.discard)(e)
         self.admit.listed(named, whole)
         for e in gone:  # no longer listed; its address may be another's by now
-            e.state = io.WITHDRAWN
+            e.state = domain.EndpointState.REMOVED
             self.engines.close_idle(e)
             self.by_uid.pop(e.id, None)
 
@@ -255,7 +257,7 @@
         return (
             self.state == SERVING
             and bool(self.by_uid)
-            and (self.discovery.answered or not self.admit.controller.in_doubt(now_ms()))
+            and (self.discovery.answered or not self.admit.controller.are_endpoints_stale(now_ms()))
         )
 
     def sweep(self):
@@ -305,7 +307,7 @@
         """SIGTERM: listen on for as long as PROTOCOL says; answer all that is taken; tell clients to go."""
         if self.state != SERVING:
             return
-        longest = max(g.timeout_ms or DEADLINE_MS for g in self.opening.groups.values())
+        longest = max(g.queue_timeout_ms or DEADLINE_MS for g in self.opening.groups.values())
         self.state, self.killed_ms = LEAVING, now_ms() + min(DEADLINE_MS, longest) + KILLED_MS
         self.clients.tell_no_more()
         self.engines.later(LISTEN_ON_MS, self.close_door)
@@ -343,7 +345,7 @@
             f"engine connections now: {self.engines.open}",
             f"engine connections at most: {self.engines.most}",
             f"engines listed: {len(self.by_uid)}",
-            f"submissions out: {self.metrics.out}",
+            f"attempts out: {self.metrics.out}",
             f"queries open: {len(self.admit.open)}",
             f"descriptors: {len(os.listdir('/proc/self/fd'))}",
             f"cpu seconds: {time.process_time():.2f}",
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -6,7 +6,7 @@
 nothing is taken from it again, and the keeper is told its totals until the ledger has them. Amounts are whole
 microseconds of engine work, times milliseconds."""
 
-from lichenquay.admission.rings import Ring
+from lichenquay.admission.sliding_window import SlidingWindow
 from lichenquay.quota import quota_pb2 as pb
 
 MOST_ROWS = 8  # in one ask: a datagram of under 1,200 bytes
@@ -50,8 +50,8 @@
         self.term_ms, self.period_ms, self.chance = term_ms, period_ms, chance
         self.book, self.no, self.valid_ms = 1, 0, float("-inf")
         self.rows, self.old, self.tickets, self.debts = {}, {}, {}, {}  # old: {(book, tenant): Mine}, sealed
-        self.demand = {t: Ring(WINDOW_MS / 16, 16) for t in self.stocks}
-        self.latest = {t: Ring(250.0, 4) for t in self.stocks}
+        self.demand = {t: SlidingWindow(WINDOW_MS / 16, 16) for t in self.stocks}
+        self.latest = {t: SlidingWindow(250.0, 4) for t in self.stocks}
         self.largest, self.low = dict.fromkeys(self.stocks, 0), {}  # `low`: under it, an ask goes out at once
         self.scarce, self.owing, self.credit, self.sent, self.turn = (
             {},
--- a/lichenquay/simulator_adapter/adapter.py
+++ b/lichenquay/simulator_adapter/adapter.py
@@ -4,22 +4,26 @@
 import sys
 import traceback
 
-from lichenquay.admission import interface as io
-from lichenquay.deployment_settings import Opening
+from lichenquay.admission import domain
+from lichenquay.deployment_settings import DeploymentSettings
 from lichenquay.simulator_adapter.codec import Fields, Malformed, plain, us
 
 ENDINGS = {
-    "S": io.FINISHED,
-    "E": io.ERROR,
-    "F": io.FULL,
-    "T": io.TIMED_OUT,
-    "C": io.NOT_CONNECTED,
-    "R": io.RESET,
-    "X": io.CANCELLED,
-    "N": io.NEVER_SENT,
+    "S": domain.Outcome.COMPLETED,
+    "E": domain.Outcome.FAILED,
+    "F": domain.Outcome.OVERLOADED,
+    "T": domain.Outcome.TIMED_OUT,
+    "C": domain.Outcome.NOT_CONNECTED,
+    "R": domain.Outcome.CONNECTION_RESET,
+    "X": domain.Outcome.CANCELLED,
+    "N": domain.Outcome.NEVER_SENT,
+}
+NOTES = {1: domain.ProgressKind.PROGRESS, 2: domain.ProgressKind.SPILLING, 3: domain.ProgressKind.WAITING}
+STATES = {
+    "IN": domain.EndpointState.SERVING,
+    "LAME": domain.EndpointState.DRAINING,
+    "OUT": domain.EndpointState.REMOVED,
 }
-NOTES = {1: io.PROGRESS, 2: io.SPILLS, 3: io.WAITS}
-STATES = {"IN": io.LISTED, "LAME": io.DRAINING, "OUT": io.WITHDRAWN}
 
 
 class Instance:
@@ -32,7 +36,7 @@
     # the wire's events, as calls on the controller
 
     def on_hello(self, f):
-        self.opening = Opening(f, f.integer("seed"))
+        self.opening = DeploymentSettings(f, f.integer("seed"))
         self.groups, self.tenants = self.opening.groups, self.opening.tenants
         self.controller = self.opening.controller(self)
 
@@ -43,7 +47,7 @@
         project = f.text("project", "0")
         if project != "0" and project not in self.tenants:
             raise f.bad("project", f"never given: {project!r}")
-        q = io.Query(
+        q = domain.Query(
             f.integer("req"),
             group,
             self.now_ms,
@@ -55,45 +59,45 @@
             f.text("tables", "") or None,
         )
         self.queries[q.id] = q
-        self.controller.take(q)
+        self.controller.admit(q)
 
     def on_response(self, f):
         ending = f.text("ending")
         if ending not in ENDINGS:
             raise f.bad("ending", f"unknown: {ending!r}")
-        sub = self.submission(f, wanted=True)
+        attempt = self.attempt(f, wanted=True)
         took, note, report = f.ms("wait_time_us"), f.integer("note", 0), f.report("telemetry")
-        if sub is None or sub.ending is not None:
+        if attempt is None or attempt.outcome is not None:
             return
-        q = sub.query
-        sub.ending = ENDINGS[ending]
-        q.over = q.over or f.flag("terminal", "0")
+        q = attempt.query
+        attempt.outcome = ENDINGS[ending]
+        q.is_done = q.is_done or f.flag("terminal", "0")
         cost = (float(note // 4096), (note % 4096) * 4.0) if note else None
-        self.controller.answered(sub, took, cost, report)
+        self.controller.on_attempt_ended(attempt, took, cost, report)
         self.forget(q)
 
     def on_change(self, f):
         sort, value = f.integer("sort"), f.number("value")
-        sub = self.submission(f, wanted=False)
-        if sub is not None and sub.ending is None and sort in NOTES:
-            self.controller.noted(sub, NOTES[sort], value)
+        attempt = self.attempt(f, wanted=False)
+        if attempt is not None and attempt.outcome is None and sort in NOTES:
+            self.controller.on_progress(attempt, NOTES[sort], value)
 
     def on_first(self, f):
         """A stream began: its answer is the client's now, and no deadline runs; only its outcome is to come."""
-        sub = self.submission(f, wanted=True)
-        if sub is not None:
-            sub.query.over = True
+        attempt = self.attempt(f, wanted=True)
+        if attempt is not None:
+            attempt.query.is_done = True
 
     def on_abandoned(self, f):
         q = self.queries.get(f.integer("req"))
-        if q is not None and not q.over:
-            q.over = True
-            self.controller.left(q)
+        if q is not None and not q.is_done:
+            q.is_done = True
+            self.controller.on_client_gone(q)
             self.forget(q)
 
     def on_probe_done(self, f):
         ending, took, report = f.text("ending"), f.ms("wait_time_us"), f.report("telemetry")
-        self.controller.probed(self.engine(f), ending == "S", took, report)
+        self.controller.on_health_check(self.engine(f), ending == "S", took, report)
 
     def on_wakeup(self, f):
         call = self.calls.pop(f.text("cookie"), None)
@@ -103,7 +107,7 @@
     def on_targets(self, f):
         mode = f.text("mode")
         if mode == "unavailable":
-            return self.controller.list_failed()
+            return self.controller.endpoints_unavailable()
         if mode not in ("update", "replace", "restored"):
             raise f.bad("mode", f"unknown: {mode!r}")
         rows = self.sheets.get(f.integer("table"))
@@ -114,7 +118,7 @@
             name = row.text("engine")
             e = self.engines.get(name)
             if e is None:
-                e = self.engines[name] = io.Engine(name)
+                e = self.engines[name] = domain.Engine(name)
             state = row.text("status")
             if state not in STATES:
                 raise row.bad("status", f"unknown: {state!r}")
@@ -128,7 +132,7 @@
                 row.ms("ready_at_us", 0),
             )
             named.append(e)
-        self.controller.list_news(named, mode != "update")
+        self.controller.endpoints_updated(named, mode != "update")
 
     def on_note_from(self, f):
         """Gateways share nothing with each other: a peer's message has no use."""
@@ -139,64 +143,64 @@
             raise f.bad("engine", f"never given: {f.text('engine')!r}")
         return e
 
-    def submission(self, f, wanted):
-        """The submission named; None where its query is over and was let go."""
+    def attempt(self, f, wanted):
+        """The attempt named; None where its query is over and was let go."""
         q, leg = self.queries.get(f.integer("req")), f.integer("leg")
         self.engine(f)
         if q is None:
             return None
-        if not 0 <= leg < len(q.submissions):
+        if not 0 <= leg < len(q.attempts):
             if wanted:
                 raise f.bad("leg", f"never given: {leg}")
             return None
-        return q.submissions[leg]
+        return q.attempts[leg]
 
     def forget(self, q):
-        if q.over and all(s.ending is not None for s in q.submissions):
+        if q.is_done and all(s.outcome is not None for s in q.attempts):
             self.queries.pop(q.id, None)
 
     # the door: the controller's answers, as lines
 
-    def submit(self, q, engine, patience_ms):
-        sub = io.Submission(q, len(q.submissions), engine, self.now_ms)
-        q.submissions.append(sub)
+    def start_attempt(self, q, engine, patience_ms):
+        attempt = domain.Attempt(q, len(q.attempts), engine, self.now_ms)
+        q.attempts.append(attempt)
         self.out.append(f"send\treq={q.id}\tengine={engine.id}\tpatience_us={us(patience_ms)}")
-        return sub
+        return attempt
 
-    def allot(self, q, memory_mb, priority):
+    def set_grant(self, q, memory_mb, priority):
         self.out.append(f"allot\treq={q.id}\tgrant_mb={memory_mb:.1f}\tpriority={priority}")
 
-    def cancel(self, sub):
-        self.out.append(f"abandon\treq={sub.query.id}\tleg={sub.number}")
+    def cancel_attempt(self, attempt):
+        self.out.append(f"abandon\treq={attempt.query.id}\tleg={attempt.number}")
 
-    def defer(self, q, pause_ms):
-        q.over = True
+    def reject(self, q, pause_ms):
+        q.is_done = True
         self.out.append(f"reject\treq={q.id}\tpause_us={us(pause_ms)}")
         self.forget(q)
 
-    def kill(self, q):
-        q.over = True
+    def fail(self, q):
+        q.is_done = True
         self.out.append(f"finish_error\treq={q.id}")
         self.forget(q)
 
-    def wake(self, at_ms, call):
+    def call_at(self, at_ms, call):
         self.cookies += 1
         self.calls[str(self.cookies)] = call
         self.out.append(f"after\tcookie={self.cookies}\twhen_us={math.ceil(at_ms * 1000)}")
 
-    def probe(self, engine):
+    def send_health_check(self, engine):
         self.out.append(f"touch\tengine={engine.id}")
 
-    def watch_list(self, on=True):
+    def watch_endpoints(self, on=True):
         self.out.append(f"observe\ton={int(on)}")
 
-    def fetch_list(self):
+    def fetch_endpoints(self):
         self.out.append("pull")
 
     def close_idle(self, engine):
         self.out.append(f"let_go\tengine={engine.id}")
 
-    def tell(self, whom, content):
+    def send_to_peer(self, whom, content):
         self.out.append(f"publish\twhom={whom}\tcontent={content.hex() or '-'}")
 
     def log(self, text):
--- a/lichenquay/simulator_adapter/codec.py
+++ b/lichenquay/simulator_adapter/codec.py
@@ -1,13 +1,13 @@
 """The bench's lines: reading fields and writing actions. Nothing is decided here."""
 
-from lichenquay.deployment_settings import Sheet
+from lichenquay.deployment_settings import SettingsSection
 
 
 class Malformed(Exception):
     """Input that does not follow the wire; the text names the line and the field."""
 
 
-class Fields(Sheet):
+class Fields(SettingsSection):
     """One line: its tag and its name=value parts."""
 
     __slots__ = ("line", "tag")
--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -18,8 +18,8 @@
 import numpy as np
 
 from lichenquay.admission.controller import Controller
-from lichenquay.admission.interface import Tenant
-from lichenquay.admission.rings import Ring
+from lichenquay.admission.domain import Tenant
+from lichenquay.admission.sliding_window import SlidingWindow
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.escrow import Rights, stocks_of
 from lichenquay.quota.ledger_leader import Keeper
@@ -75,7 +75,7 @@
         self.tenants = {t: Tenant(t, 1 / len(TENANTS), RATE / WORK_MS, 0.0) for t in TENANTS}
         self.fronts = [
             SimpleNamespace(
-                traffic={t: Ring(QUICKEST_MS, 8) for t in self.tenants.values()},
+                traffic={t: SlidingWindow(QUICKEST_MS, 8) for t in self.tenants.values()},
                 picker=SimpleNamespace(chance=chance),
             )
             for _ in range(FRONTS)
--- a/lichenquay/testbed/scale/engines.py
+++ b/lichenquay/testbed/scale/engines.py
@@ -2,10 +2,10 @@
 
 import random
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.endpoint_record import EngineRow
+from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import CONFIG_PREFIX
 
@@ -14,18 +14,18 @@
 CONFIG_BYTES = 120
 MOST_START_MS = 10**12  # Unix milliseconds.
 ENGINE_CHANGES = 0.5  # Share of the trickle that is about engines.
-STATES = (io.LISTED, io.DRAINING)
+STATES = (domain.EndpointState.SERVING, domain.EndpointState.DRAINING)
 
 
-def engine_row(number: int, shape: Shape, rng: random.Random, state: str) -> EngineRow:
+def engine_row(number: int, shape: Shape, rng: random.Random, state: str) -> EndpointRecord:
     """An engine, by its number."""
     zone = shape.zones[number % len(shape.zones)]
     address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9047"
     started_ms = float(rng.randrange(MOST_START_MS))
-    return EngineRow(f"e{number:05d}", address, zone, "std", 0, state, 1.0, started_ms)
+    return EndpointRecord(f"e{number:05d}", address, zone, "std", 0, state, 1.0, started_ms)
 
 
-def engine_entry(row: EngineRow) -> pb.Entry:
+def engine_entry(row: EndpointRecord) -> pb.Entry:
     """As it is published."""
     return pb.Entry(key=key_of(row), value=value_of(row))
 
@@ -34,7 +34,8 @@
     """Changes that list `count` engines from number `first` on."""
     rng = random.Random(f"{shape.seed}/engines/{first}")
     entries = [
-        engine_entry(engine_row(number, shape, rng, io.LISTED)) for number in range(first, first + count)
+        engine_entry(engine_row(number, shape, rng, domain.EndpointState.SERVING))
+        for number in range(first, first + count)
     ]
     return [entries[i : i + ENTRIES_OF_CHANGE] for i in range(0, len(entries), ENTRIES_OF_CHANGE)]
 
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config.reader import read_lab
-from lichenquay.deployment_settings import Opening, Sheet, flat
-from lichenquay.endpoint_record import EngineRow
+from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
+from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.gateway import frames
 from lichenquay.gateway.controller_adapter import Admit, FrontQuery
@@ -40,23 +40,23 @@
 
 @dataclass(eq=False)
 class Flight:
-    """A submission on its way, as `Admit` takes it back."""
+    """An attempt on its way, as `Admit` takes it back."""
 
-    sub: io.Submission
+    attempt: domain.Attempt
     query: FrontQuery
     timer: object = None
 
 
 class InstantRoute:
-    """Engines that are never busy: each submission is finished after its query's work."""
+    """Engines that are never busy: each attempt is finished after its query's work."""
 
     def __init__(self, reactor):
         """`admit` is set by its owner."""
         self.reactor, self.admit = reactor, None
 
-    def down(self, sub, patience_ms):
-        """Takes a submission."""
-        flight = Flight(sub, sub.query)
+    def down(self, attempt, patience_ms):
+        """Takes an attempt."""
+        flight = Flight(attempt, attempt.query)
         flight.timer = self.reactor.callLater(WORK_MS / 1000, self._finish, flight)
         return flight
 
@@ -64,13 +64,13 @@
         """It is cancelled, if it is still out."""
         if flight.timer.active():
             flight.timer.cancel()
-            self.admit.back(flight, io.CANCELLED, None, None, [])
+            self.admit.back(flight, domain.Outcome.CANCELLED, None, None, [])
 
     def rerank(self, flight, priority):
         """Engines that are never busy have no use for a priority."""
 
     def _finish(self, flight):
-        self.admit.back(flight, io.FINISHED, None, None, [])
+        self.admit.back(flight, domain.Outcome.COMPLETED, None, None, [])
 
 
 class Queries(Admit):
@@ -84,30 +84,30 @@
 
     def answer(self, q, code, body):
         """By its code; once for each query."""
-        if not q.over:
-            q.over = True
+        if not q.is_done:
+            q.is_done = True
             self.open.discard(q)
             self.metrics.count(ANSWERS[code])
 
 
-def opening_of(seed: int) -> Opening:
+def opening_of(seed: int) -> DeploymentSettings:
     """The laboratory's usual groups, tenants and rules; shared by all fronts of a process."""
-    return Opening(Sheet(flat(settings_of(read_lab("")))), seed)
+    return DeploymentSettings(SettingsSection(flat(settings_of(read_lab("")))), seed)
 
 
 class HollowController:
     """Lists engines as they are distributed, and asks `per_s` queries a second."""
 
-    def __init__(self, reactor, opening: Opening, rng, per_s: float):
+    def __init__(self, reactor, opening: DeploymentSettings, rng, per_s: float):
         """Begins at once, with no engine."""
         self.reactor, self.opening, self.rng, self.per_s = reactor, opening, rng, per_s
         self.queries = Queries(opening, reactor, lambda *words: None)
         self.groups = list(opening.groups.values())
-        self.engines: dict[str, io.Engine] = {}
+        self.engines: dict[str, domain.Engine] = {}
         self.asked = 0
         self.timer = reactor.callLater(rng.uniform(0, 1 / per_s), self._ask)
 
-    def take(self, whole: bool, rows: list[EngineRow]) -> None:
+    def take(self, whole: bool, rows: list[EndpointRecord]) -> None:
         """Engines of the list: all there are, or those that changed."""
         if whole:
             self.engines = {}
@@ -126,16 +126,16 @@
             self.queries.next.cancel()
 
     def _engine(self, row):
-        engine = self.engines.setdefault(row.uid, io.Engine(row.uid))
-        self.opening.describe(engine, row.place, row.kind, row.cell, row.state, row.units, None)
-        if row.state == io.WITHDRAWN:
+        engine = self.engines.setdefault(row.uid, domain.Engine(row.uid))
+        self.opening.describe(engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None)
+        if row.state == domain.EndpointState.REMOVED:
             del self.engines[row.uid]
         return engine
 
     def _ask(self):
         group = self.rng.choice(self.groups)
         now_ms = boot_ms()
-        query = FrontQuery(0, group, now_ms, now_ms + group.timeout_ms, work_ms=WORK_MS)
+        query = FrontQuery(0, group, now_ms, now_ms + group.queue_timeout_ms, estimated_work_ms=WORK_MS)
         self.asked += 1
         self.queries.take(query)
         self.timer = self.reactor.callLater(1 / self.per_s, self._ask)
--- a/lichenquay/testbed/scale/probes/controller.py
+++ b/lichenquay/testbed/scale/probes/controller.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
 from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms, state_bytes
 
@@ -26,13 +26,13 @@
     return samples
 
 
-def whole_lists(engines: list[io.Engine], seed: int) -> list[Sample]:
+def whole_lists(engines: list[domain.Engine], seed: int) -> list[Sample]:
     """All engines in one list: to a controller that knows none, then to one that knows all."""
     first, again = [], []
     for _ in range(WHOLE_LISTS):
         doors = []
         first.append(processor_ms(lambda made=doors: made.append(VirtualDoor(engines, seed, RATE_PER_S))))
-        again.append(processor_ms(lambda made=doors: made[0].controller.list_news(engines, True)))
+        again.append(processor_ms(lambda made=doors: made[0].controller.endpoints_updated(engines, True)))
     size = len(engines)
     return [
         Sample(size, "controller.first_list", "ms", tuple(first)),
@@ -57,14 +57,14 @@
     ]
 
 
-def list_events(engines: list[io.Engine], door: VirtualDoor) -> list[Sample]:
+def list_events(engines: list[domain.Engine], door: VirtualDoor) -> list[Sample]:
     """One changed engine at a time, and the homes of a set of tables, which are ranked anew after it."""
     controller, events, homes = door.controller, [], []
     for turn in range(EVENTS):
         door.now_ms += 1_000.0
         engine = engines[(turn // 2 * 7_919) % len(engines)]
-        engine.state = io.DRAINING if turn % 2 == 0 else io.LISTED
-        events.append(processor_ms(lambda changed=engine: controller.list_news([changed], False)))
+        engine.state = domain.EndpointState.DRAINING if turn % 2 == 0 else domain.EndpointState.SERVING
+        events.append(processor_ms(lambda changed=engine: controller.endpoints_updated([changed], False)))
     for table_set in range(TABLE_SETS):
         homes.append(processor_ms(lambda name=f"set-{table_set}": controller.picker.homes_of(name)))
     return [
--- a/tests/crossings/test_engine_connections.py
+++ b/tests/crossings/test_engine_connections.py
@@ -157,7 +157,7 @@
 
 
 def test_copies_of_204_and_202_start_and_end_nothing():
-    """What such a copy may be taken for: news of nothing, or a priority heard. Neither ends a submission or starts one."""
+    """What such a copy may be taken for: news of nothing, or a priority heard. Neither ends an attempt or starts one."""
     assert not http.is_full(http.Reply(204, {}, True)) and not http.is_news(http.Reply(204, {}, True))
     assert not http.is_done(http.Reply(202, {}, True))
 
@@ -192,7 +192,7 @@
     first = c.ask("report", allow=4000)
     until(lambda: e.news > 1)
     c.transport.write(frames.frame(frames.LEFT, first))
-    until(lambda: told(w, "submissions cancelled") == 1)
+    until(lambda: told(w, "attempts cancelled") == 1)
     wait(0.06 + 2 * REST_S)  # both its connections rest, the one that cancelled it for longer
     second = c.ask("report", allow=4000)
     until(lambda: e.news > 3)
@@ -201,9 +201,9 @@
     until(lambda: any(verb == "DELETE" for _, verb, *_ in e.held))
     cancelled_on[0].answer(204)
     wait(0.1)
-    assert told(w, "submissions cancelled") == 1, "nothing has read that the second one is given up"
+    assert told(w, "attempts cancelled") == 1, "nothing has read that the second one is given up"
     e.go_on()
-    until(lambda: told(w, "submissions cancelled") == 2)
+    until(lambda: told(w, "attempts cancelled") == 2)
     over(w)
 
 
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -161,7 +161,7 @@
 sys.argv = ['lichenquay.gateway']
 runpy.run_module('lichenquay.gateway', run_name='__main__', alter_sys=True)
 """
-HOLDS = ["hold"] * SETTINGS["limits"]["most_tries"]  # for every submission that a query may have
+HOLDS = ["hold"] * SETTINGS["limits"]["most_tries"]  # for every attempt that a query may have
 HELD_S = (
     1.0  # after the step; the front submits again to an engine whose progress stands still for half of this
 )
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -45,7 +45,7 @@
     "all mutating": changed(classes={"effect": "unsafe"}),
     "one try": changed(limits={"most_tries": 1}),
     "no cancel": changed(limits={"cancel": False}),
-    "no further submission": changed(
+    "no further attempt": changed(
         rules={"extra_free": 0, "further_ratio": 0.0, "counted_over_us": 5_000_000}
     ),
     "no reports": changed(report={"how": "none", "columns": []}),
@@ -76,7 +76,7 @@
         "no window",
         "all mutating",
         "one try",
-        "no further submission",
+        "no further attempt",
     ],
 )
 def test_what_may_not_be_sent_again_is_not(world, name):
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -1,4 +1,4 @@
-"""Decided now, written later: what comes between a submission's decision and its first byte."""
+"""Decided now, written later: what comes between an attempt's decision and its first byte."""
 
 import json
 import time
@@ -12,7 +12,7 @@
 
 
 def asked(w, group="report", **more):
-    """A query whose submission waits for its connection."""
+    """A query whose attempt waits for its connection."""
     connects, c = HeldConnects(w), w.client()
     stream = c.ask(group, **more)
     until(lambda: connects.held)
@@ -33,7 +33,7 @@
     seen.silent = True
     c.transport.write(frames.frame(frames.LEFT, stream))
     over(w)
-    assert told(w, "submissions cancelled") == 1
+    assert told(w, "attempts cancelled") == 1
     until(lambda: not blamed(w))
 
 
@@ -50,11 +50,11 @@
     connects.go_on()
     stays(w)
     over(w)
-    assert w.posts() == 0 and not blamed(w) and told(w, "submissions never sent") == 1
+    assert w.posts() == 0 and not blamed(w) and told(w, "attempts never sent") == 1
 
 
 def test_a_client_that_left_in_the_turn_in_which_the_connection_is_up(world):
-    """The event is taken, the turn that calls its submission off has not come: the connection comes up between them."""
+    """The event is taken, the turn that calls its attempt off has not come: the connection comes up between them."""
     w = world(engines=1)
     connects, c, stream = asked(w)
     w.service.admit.step_ms = 200.0  # the next turn is long in coming
@@ -81,9 +81,9 @@
     w = world(engines=1)
     connects, c, stream = asked(w, allow=300)
     (q,) = w.service.admit.open
-    w.service.admit.clock_ms = lambda: q.ends_ms + 1
+    w.service.admit.clock_ms = lambda: q.deadline_ms + 1
     connects.go_on()
-    until(lambda: told(w, "submissions never sent") == 1)
+    until(lambda: told(w, "attempts never sent") == 1)
     assert answered(c, stream)[0] in (frames.DEFERRED, frames.KILLED) and w.posts() == 0
 
 
@@ -109,7 +109,7 @@
     w.service.send.may_go = lambda flight: bool(refusals) and may_go(flight) or bool(refusals.append(flight))
     assert answered(c, c.ask("report")) == (frames.FINISHED, RESULT)
     assert len(refusals) == 1 and w.posts() == 2
-    assert told(w, "submissions never sent") == 1 and told(w, "faults") == 0
+    assert told(w, "attempts never sent") == 1 and told(w, "faults") == 0
     over(w)
 
 
@@ -145,7 +145,7 @@
     w = tokened(world, 400, engines=1)
     w.engines[0].ways = ["error", "ok"]
     c = w.client()
-    w.service.engines.idle = lambda call: None  # the next submission needs a new connection
+    w.service.engines.idle = lambda call: None  # the next attempt needs a new connection
     stream = c.ask("manifest", allow=3000, replay="a1")
     until(lambda: w.posts() == 1)
     connects = HeldConnects(w)
@@ -204,15 +204,15 @@
 
 
 def test_what_is_written_late_counts_where_it_goes_out(world):
-    """Times of a submission follow its first byte: how long it took, since when its repeat is dropped, and its engine's windows."""
+    """Times of an attempt follow its first byte: how long it took, since when its repeat is dropped, and its engine's windows."""
     w = world(engines=1)
     connects, c, stream = asked(w)
     (q,) = w.service.admit.open
-    decided = q.submissions[0].sent_ms
+    decided = q.attempts[0].sent_ms
     wait(0.3)
     connects.go_on()
     assert answered(c, stream) == (frames.FINISHED, RESULT)
-    assert q.submissions[0].sent_ms - decided > 290
+    assert q.attempts[0].sent_ms - decided > 290
 
 
 def test_a_cold_engine_is_not_sent_what_was_decided_in_another_window(world):
@@ -225,10 +225,10 @@
     guards = w.service.admit.controller.guards
     connects, c, stream = asked(w, effort="20.0")
     (q,) = w.service.admit.open
-    sub, later = q.submissions[0], w.service.admit.clock_ms() + 2 * guards.rules.cold_window_ms
+    attempt, later = q.attempts[0], w.service.admit.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms
     seen.cold_sent.add(later, guards.cold_budget(seen.engine, guards.warmth(seen.engine, later)))
-    q.ends_ms = later + 1000
-    assert not w.service.admit.controller.may_go(sub, later)
+    q.deadline_ms = later + 1000
+    assert not w.service.admit.controller.may_dispatch(attempt, later)
     connects.go_on()
     c.transport.write(frames.frame(frames.LEFT, stream))
     over(w)
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -355,4 +355,4 @@
 
 class Query:
     def __init__(self, tenant, work_ms):
-        self.tenant, self.work_ms, self.submissions = SimpleNamespace(name=tenant), work_ms, []
+        self.tenant, self.estimated_work_ms, self.attempts = SimpleNamespace(name=tenant), work_ms, []
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -128,7 +128,7 @@
     """Engines, a bulletin and the front between them and the clients, all in this process."""
 
     def __init__(self, tmp_path, engines=2, sockets=200, start=True):
-        self.out, self.may = set(), {}  # submissions out, by ref; those that may have run
+        self.out, self.may = set(), {}  # attempts out, by ref; those that may have run
         self.drained = {}  # engines, since when it is told that they drain
         BROKEN.clear()
         self.engines = [StandInEngine(self, f"s-{i}") for i in range(engines)]
@@ -160,10 +160,10 @@
         self.ended = True
 
     def sent(self, engine, headers, way):
-        """A submission came whole to an engine: rules 2 and 3."""
+        """An attempt came whole to an engine: rules 2 and 3."""
         ref = headers["X-Hop-Id"]
         if ref in self.out:
-            BROKEN.append("rule 2: two submissions out")
+            BROKEN.append("rule 2: two attempts out")
         if headers["X-Sort"] == "manifest" and ref in self.may:
             BROKEN.append("rule 2: mutating sent again")
         if self.drained.get(engine, time.monotonic()) < time.monotonic() - 0.3:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -2,21 +2,30 @@
 
 import heapq
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.admission.controller import Controller
 
 
-def group(name="report", effect=io.READ_ONLY, **more):
-    facts = dict(target_ms=2000.0, stretch=2.0, timeout_ms=10000.0, value=5.0, late_value=0.3, threads=2)
-    return io.ResourceGroup(name, effect, **{**facts, **more})
+def group(name="report", effect=domain.Effect.READ_ONLY, **more):
+    facts = dict(
+        latency_objective_ms=2000.0,
+        latency_objective_stretch=2.0,
+        queue_timeout_ms=10000.0,
+        priority_weight=5.0,
+        late_weight_share=0.3,
+        threads=2,
+    )
+    return domain.ResourceGroup(name, effect, **{**facts, **more})
 
 
 def quick(**more):
-    return group("status", threads=1, target_ms=500.0, timeout_ms=2500.0, value=1.0, **more)
+    return group(
+        "status", threads=1, latency_objective_ms=500.0, queue_timeout_ms=2500.0, priority_weight=1.0, **more
+    )
 
 
-def engine(name, place="a", kind="k", cell=0, started=None, cores=8.0, memory=16000.0):
-    return io.Engine(name, place, kind, cell, io.LISTED, 1.0, started, cores, memory)
+def engine(name, zone="a", kind="k", cell=0, started=None, cores=8.0, memory=16000.0):
+    return domain.Engine(name, zone, kind, cell, domain.EndpointState.SERVING, 1.0, started, cores, memory)
 
 
 class FakeDoor:
@@ -24,12 +33,19 @@
 
     def __init__(self, groups, engines, tenants=(), fronts=2, seed=7, on_request=False, **figures):
         self.now_ms, self.timers, self.n = 1000.0, [], 0
-        self.queries, self.subs, self.done, self.cancelled, self.logs, self.lines = [], [], {}, [], [], []
+        self.queries, self.attempts, self.done, self.cancelled, self.logs, self.lines = (
+            [],
+            [],
+            {},
+            [],
+            [],
+            [],
+        )
         self.told, self.key_free, self.probes, self.ranks, self.watched = {}, {}, [], [], 0
-        self.licence = io.Licence(
+        self.permissions = domain.GatewayPermissions(
             figures.get("most", 4), figures.get("cancel", True), figures.get("probe", True), False, 500.0
         )
-        self.rules = io.Safeguards(
+        self.safety_limits = domain.SafetyLimits(
             20.0,
             250.0,
             0.3,
@@ -42,101 +58,120 @@
             figures.get("window", 0.0),
             10000.0,
         )
-        self.make = figures.get("make") or io.EngineMake(
-            True, True, 0.4, figures.get("when_short", "queue"), 500.0, True, ("active",), "answers"
+        self.capabilities = figures.get("make") or domain.EngineCapabilities(
+            True, True, 0.4, figures.get("memory_shortage", "queue"), 500.0, True, ("active",), "answers"
         )
         self.fronts, self.engines = fronts, list(engines)
         self.sharers = fronts if figures.get("number") is None else 1  # of a cold engine's budget, at least
         self.c = Controller(
             self,
-            io.Gateway("a", fronts, seed, 5.0, on_request, figures.get("number")),
+            domain.GatewayIdentity("a", fronts, seed, 5.0, on_request, figures.get("number")),
             list(groups),
             list(tenants),
-            self.licence,
-            self.rules,
-            self.make,
+            self.permissions,
+            self.safety_limits,
+            self.capabilities,
         )
-        self.c.list_news(self.engines, True)
+        self.c.endpoints_updated(self.engines, True)
 
     # the door
 
-    def submit(self, q, e, patience_ms):
-        g, may = q.group, [s for s in q.submissions if s.ending not in io.NEVER_RAN]
-        assert not q.over and q.id not in self.done, "rule 1: sent after its end"
-        assert not any(s.ending is None for s in q.submissions), "two submissions out"
-        assert len(q.submissions) < self.licence.most_submissions
-        assert g.effect != io.MUTATING or not may, "rule 2: mutating sent again"
-        if g.effect == io.TOKENED and may:
-            where = {"all": lambda x: 0, "zone": lambda x: x.place, "cell": lambda x: x.cell}[g.dedup]
+    def start_attempt(self, q, e, patience_ms):
+        g, may = q.group, [s for s in q.attempts if s.outcome not in domain.NEVER_EXECUTED]
+        assert not q.is_done and q.id not in self.done, "rule 1: sent after its end"
+        assert not any(s.outcome is None for s in q.attempts), "two attempts out"
+        assert len(q.attempts) < self.permissions.max_attempts
+        assert g.effect != domain.Effect.NON_IDEMPOTENT or not may, "rule 2: mutating sent again"
+        if g.effect == domain.Effect.IDEMPOTENT_WITH_KEY and may:
+            where = {"all": lambda x: 0, "zone": lambda x: x.zone, "cell": lambda x: x.cell}[
+                g.deduplication_scope
+            ]
             assert all(
-                where(s.engine) == where(e) and self.now_ms - s.sent_ms < g.memory_window_ms for s in may
+                where(s.engine) == where(e) and self.now_ms - s.sent_ms < g.idempotency_window_ms for s in may
             ), "rule 2"
-        assert e.state == io.LISTED, "rule 3"
-        assert (not g.places or e.place in g.places) and (not g.kinds or e.kind in g.kinds), "rule 6"
-        if g.in_order and q.key:
-            ahead = [x for x in self.lines if x.key == q.key and x.group.in_order and x.id < q.id]
-            assert all(x.over and all(s.ending for s in x.submissions) for x in ahead), "rule 5: out of turn"
-            assert self.now_ms >= self.key_free.get((q.key, q.id), self.key_free.get(q.key, 0.0)), (
-                "rule 5: no rest"
-            )
-        sub = io.Submission(q, len(q.submissions), e, self.now_ms)
-        q.submissions.append(sub)
-        self.subs.append(sub)
-        r = self.rules
-        if sub.number and r.further_free is not None:
-            since = self.now_ms - r.further_window_ms
-            further = sum(1 for s in self.subs if s.number and s.sent_ms > since)
+        assert e.state == domain.EndpointState.SERVING, "rule 3"
+        assert (not g.allowed_zones or e.zone in g.allowed_zones) and (
+            not g.allowed_kinds or e.kind in g.allowed_kinds
+        ), "rule 6"
+        if g.is_ordered_by_key and q.ordering_key:
+            ahead = [
+                x
+                for x in self.lines
+                if x.ordering_key == q.ordering_key and x.group.is_ordered_by_key and x.id < q.id
+            ]
+            assert all(x.is_done and all(s.outcome for s in x.attempts) for x in ahead), "rule 5: out of turn"
+            assert self.now_ms >= self.key_free.get(
+                (q.ordering_key, q.id), self.key_free.get(q.ordering_key, 0.0)
+            ), "rule 5: no rest"
+        attempt = domain.Attempt(q, len(q.attempts), e, self.now_ms)
+        q.attempts.append(attempt)
+        self.attempts.append(attempt)
+        r = self.safety_limits
+        if attempt.number and r.retry_budget_free is not None:
+            since = self.now_ms - r.retry_budget_window_ms
+            further = sum(1 for s in self.attempts if s.number and s.sent_ms > since)
             taken = sum(1 for x in self.queries if x.arrived_ms > since)
-            assert further <= r.further_free + r.further_share * taken, "rule 7"
-        if e.started_ms is not None and self.now_ms - e.started_ms < r.cold_ms:
+            assert further <= r.retry_budget_free + r.retry_budget_ratio * taken, "rule 7"
+        if e.started_ms is not None and self.now_ms - e.started_ms < r.warm_up_ms:
             sent = sum(
-                s.query.work_ms
-                for s in self.subs
-                if s.engine is e and s.sent_ms >= max(self.told.get(e, 0.0), self.now_ms - r.cold_window_ms)
+                s.query.estimated_work_ms
+                for s in self.attempts
+                if s.engine is e
+                and s.sent_ms >= max(self.told.get(e, 0.0), self.now_ms - r.slow_start_window_ms)
             )
             assert (
-                sent <= r.cold_multiple * self.warm(e) * 0.85 * e.cores * r.cold_window_ms / self.sharers
+                sent
+                <= r.slow_start_overload_factor
+                * self.warm(e)
+                * 0.85
+                * e.cores
+                * r.slow_start_window_ms
+                / self.sharers
             ), "rule 4"
-        return sub
+        return attempt
 
     def warm(self, e):
-        age = (self.now_ms - e.started_ms) / self.rules.cold_ms
-        return self.rules.cold_share + (1 - self.rules.cold_share) * min(1.0, age)
+        age = (self.now_ms - e.started_ms) / self.safety_limits.warm_up_ms
+        return self.safety_limits.warm_up_initial_share + (
+            1 - self.safety_limits.warm_up_initial_share
+        ) * min(1.0, age)
 
     def end(self, q, how):
-        assert not q.over and q.id not in self.done, "rule 1: two answers"
-        assert self.now_ms <= q.ends_ms + self.rules.answer_slack_ms, "rule 1: late"
-        q.over, self.done[q.id] = True, how
+        assert not q.is_done and q.id not in self.done, "rule 1: two answers"
+        assert self.now_ms <= q.deadline_ms + self.safety_limits.answer_slack_ms, "rule 1: late"
+        q.is_done, self.done[q.id] = True, how
 
-    def defer(self, q, pause_ms):
+    def reject(self, q, pause_ms):
         g = q.group
-        may = [s for s in q.submissions if s.ending not in io.NEVER_RAN]
-        assert g.effect == io.READ_ONLY or not may or (g.effect == io.TOKENED and g.dedup == "all"), (
-            "rule 2: deferred"
-        )
-        assert 0 <= pause_ms <= self.licence.longest_pause_ms
+        may = [s for s in q.attempts if s.outcome not in domain.NEVER_EXECUTED]
+        assert (
+            g.effect == domain.Effect.READ_ONLY
+            or not may
+            or (g.effect == domain.Effect.IDEMPOTENT_WITH_KEY and g.deduplication_scope == "all")
+        ), "rule 2: deferred"
+        assert 0 <= pause_ms <= self.permissions.max_retry_after_ms
         self.end(q, "deferred")
 
-    def kill(self, q):
+    def fail(self, q):
         self.end(q, "killed")
 
-    def allot(self, q, memory_mb, priority):
+    def set_grant(self, q, memory_mb, priority):
         assert memory_mb >= 0 and 0 <= priority <= 3
         self.ranks.append((q.id, memory_mb, priority))
 
-    def cancel(self, sub):
-        assert self.licence.cancel
-        self.cancelled.append(sub)
+    def cancel_attempt(self, attempt):
+        assert self.permissions.may_cancel
+        self.cancelled.append(attempt)
 
-    def wake(self, at_ms, call):
+    def call_at(self, at_ms, call):
         self.n += 1
         heapq.heappush(self.timers, (max(at_ms, self.now_ms + 5.0), self.n, call))
 
-    def probe(self, e):
-        assert self.licence.probe
+    def send_health_check(self, e):
+        assert self.permissions.may_health_check
         self.probes.append(e)
 
-    def watch_list(self):
+    def watch_endpoints(self):
         self.watched += 1
 
     def log(self, text):
@@ -145,29 +180,32 @@
     # the world
 
     def take(self, g, work=200.0, memory=100.0, ttl=None, **more):
-        q = io.Query(
+        q = domain.Query(
             len(self.queries) + 1,
             g,
             self.now_ms,
-            self.now_ms + (ttl or g.timeout_ms),
-            work_ms=work,
-            memory_mb=memory,
+            self.now_ms + (ttl or g.queue_timeout_ms),
+            estimated_work_ms=work,
+            estimated_memory_mb=memory,
             **more,
         )
         self.queries.append(q)
         self.lines.append(q)
-        self.c.take(q)
+        self.c.admit(q)
         return q
 
-    def answer(self, sub, ending, report=None, cost=None):
-        q = sub.query
-        sub.ending = ending
-        if ending == io.FINISHED and not q.over:
+    def answer(self, attempt, ending, report=None, cost=None):
+        q = attempt.query
+        attempt.outcome = ending
+        if ending == domain.Outcome.COMPLETED and not q.is_done:
             self.end(q, "finished")
-        if ending in (io.TIMED_OUT, io.RESET, io.CANCELLED) and q.group.in_order:
-            self.key_free[q.key] = self.now_ms + self.rules.order_rest_ms
-            self.key_free[q.key, q.id] = 0.0  # the rest does not delay the query whose turn it is
-        self.c.answered(sub, self.now_ms - sub.sent_ms, cost, report)
+        if (
+            ending in (domain.Outcome.TIMED_OUT, domain.Outcome.CONNECTION_RESET, domain.Outcome.CANCELLED)
+            and q.group.is_ordered_by_key
+        ):
+            self.key_free[q.ordering_key] = self.now_ms + self.safety_limits.ordering_pause_ms
+            self.key_free[q.ordering_key, q.id] = 0.0  # the rest does not delay the query whose turn it is
+        self.c.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, cost, report)
 
     def until(self, at_ms):
         while self.timers and self.timers[0][0] <= at_ms:
@@ -179,10 +217,10 @@
 
     def overdue(self):
         for q in self.queries:
-            assert q.over or self.now_ms <= q.ends_ms + self.rules.answer_slack_ms, (
+            assert q.is_done or self.now_ms <= q.deadline_ms + self.safety_limits.answer_slack_ms, (
                 "rule 1: no answer in time"
             )
-        self.queries = [q for q in self.queries if not q.over or q.arrived_ms > self.now_ms - 30000]
+        self.queries = [q for q in self.queries if not q.is_done or q.arrived_ms > self.now_ms - 30000]
 
     def out(self):
-        return [s for s in self.subs if s.ending is None]
+        return [s for s in self.attempts if s.outcome is None]
--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -337,7 +337,7 @@
         and not BROKEN
         and not spare.posts[len(spare.posts) :]
     )
-    assert w.service.metrics.counters["submissions reset"] == 0
+    assert w.service.metrics.counters["attempts connection reset"] == 0
 
 
 def test_a_stranger_at_the_address_proves_nothing_of_the_one_that_left(world):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.admission.controller import Controller
-from lichenquay.admission.rings import Ring
+from lichenquay.admission.sliding_window import SlidingWindow
 
 CORES, COLD_SHARE, COLD_MS, MULTIPLE = 8.0, 0.3, 12_000.0, 3.0
 
@@ -20,93 +20,98 @@
     def __init__(self, fleet, number, plant):
         self.fleet, self.number, self.plant, self.open = fleet, number, plant, set()
         self.engines = [
-            io.Engine(e, "a", "k", 0, io.LISTED, 1.0, t, CORES, 16000.0) for e, t in fleet.starts.items()
+            domain.Engine(e, "a", "k", 0, domain.EndpointState.SERVING, 1.0, t, CORES, 16000.0)
+            for e, t in fleet.starts.items()
         ]
-        gateway = io.Gateway(
+        gateway = domain.GatewayIdentity(
             "a",
             fleet.fronts if plant != "share" else fleet.fronts // 3,
             fleet.rng.getrandbits(60),
             5.0,
-            number=number,
+            index=number,
         )
         self.c = Controller(
             self,
             gateway,
             [fleet.group],
             [],
-            io.Licence(4, True, False, False, 0.0),
+            domain.GatewayPermissions(4, True, False, False, 0.0),
             fleet.rules,
-            io.EngineMake(False, False, 0.4, "queue", 0.0, False, (), "none"),
+            domain.EngineCapabilities(False, False, 0.4, "queue", 0.0, False, (), "none"),
         )
         if plant == "weight":
-            self.c.guards.weight = lambda q: q.work_ms * 0.4
-        self.c.list_news(self.engines, True)
+            self.c.guards.weight = lambda q: q.estimated_work_ms * 0.4
+        self.c.endpoints_updated(self.engines, True)
         if plant == "forgets":
             for seen in self.c.fleet.values():
-                seen.cold_sent = Ring(fleet.rules.cold_window_ms / 8, 9)
+                seen.cold_sent = SlidingWindow(fleet.rules.slow_start_window_ms / 8, 9)
 
     @property
     def now_ms(self):
         return self.fleet.now
 
     def take(self, work):
-        q = io.Query(
+        q = domain.Query(
             self.fleet.count(),
             self.fleet.group,
             self.now_ms,
-            self.now_ms + self.fleet.group.timeout_ms,
-            work_ms=work,
+            self.now_ms + self.fleet.group.queue_timeout_ms,
+            estimated_work_ms=work,
         )
         self.open.add(q)
         self.fleet.taken += 1
-        self.c.take(q)
+        self.c.admit(q)
 
-    def submit(self, q, e, patience_ms):
-        sub = io.Submission(q, len(q.submissions), e, self.now_ms)
-        q.submissions.append(sub)
+    def start_attempt(self, q, e, patience_ms):
+        attempt = domain.Attempt(q, len(q.attempts), e, self.now_ms)
+        q.attempts.append(attempt)
         late = self.fleet.rng.choice((1.0, 1.0, 5.0, 120.0, 700.0))
-        self.fleet.at(self.now_ms + late, lambda: self.write(sub))
-        return sub
+        self.fleet.at(self.now_ms + late, lambda: self.write(attempt))
+        return attempt
 
-    def write(self, sub):
-        if self.gone or sub.ending:
+    def write(self, attempt):
+        if self.gone or attempt.outcome:
             return
-        if not self.c.may_go(sub, self.now_ms):
-            return self.end(sub, io.NEVER_SENT)
-        self.fleet.sent[sub.engine.id].append((self.now_ms, sub.query.work_ms))
+        if not self.c.may_dispatch(attempt, self.now_ms):
+            return self.end(attempt, domain.Outcome.NEVER_SENT)
+        self.fleet.sent[attempt.engine.id].append((self.now_ms, attempt.query.estimated_work_ms))
         self.fleet.at(
-            self.now_ms + sub.query.work_ms, lambda: self.gone or sub.ending or self.end(sub, io.FINISHED)
+            self.now_ms + attempt.query.estimated_work_ms,
+            lambda: self.gone or attempt.outcome or self.end(attempt, domain.Outcome.COMPLETED),
         )
 
-    def end(self, sub, ending):
-        sub.ending = ending
-        if ending == io.FINISHED and not sub.query.over:
-            self.answer(sub.query)
-        self.c.answered(sub, self.now_ms - sub.sent_ms, None, None)
+    def end(self, attempt, ending):
+        attempt.outcome = ending
+        if ending == domain.Outcome.COMPLETED and not attempt.query.is_done:
+            self.answer(attempt.query)
+        self.c.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, None)
 
-    def cancel(self, sub):
-        self.fleet.at(self.now_ms + 1, lambda: self.gone or sub.ending or self.end(sub, io.CANCELLED))
+    def cancel_attempt(self, attempt):
+        self.fleet.at(
+            self.now_ms + 1,
+            lambda: self.gone or attempt.outcome or self.end(attempt, domain.Outcome.CANCELLED),
+        )
 
     gone = False
 
     def answer(self, q):
-        assert not q.over and q in self.open, "two answers"
-        assert self.now_ms <= q.ends_ms + 10, "an answer after its time"
-        q.over = True
+        assert not q.is_done and q in self.open, "two answers"
+        assert self.now_ms <= q.deadline_ms + 10, "an answer after its time"
+        q.is_done = True
         self.open.discard(q)
 
-    def defer(self, q, pause_ms):
+    def reject(self, q, pause_ms):
         self.answer(q)
 
     kill = answer
 
-    def wake(self, at_ms, call):
+    def call_at(self, at_ms, call):
         self.fleet.at(max(at_ms, self.now_ms + 5.0), lambda: self.gone or call())
 
-    def allot(self, *_):
+    def set_grant(self, *_):
         pass
 
-    log = probe = watch_list = close_idle = allot
+    log = send_health_check = watch_endpoints = close_idle_connections = set_grant
 
 
 class Fleet:
@@ -115,8 +120,10 @@
     def __init__(self, seed, fronts, work, window_ms=1500.0, again=0.7, engines=4, spread=0.5, plant=None):
         self.rng, self.now, self.heap, self.no, self.taken = Random(seed), 1000.0, [], 0, 0
         self.fronts, self.work, self.spread = fronts, work, spread
-        self.group = io.ResourceGroup("report", io.READ_ONLY, 6 * work + 500, 2.0, 12 * work + 2000, 1.0, 0.0)
-        self.rules = io.Safeguards(20.0, 250.0, COLD_SHARE, COLD_MS, MULTIPLE, window_ms)
+        self.group = domain.ResourceGroup(
+            "report", domain.Effect.READ_ONLY, 6 * work + 500, 2.0, 12 * work + 2000, 1.0, 0.0
+        )
+        self.rules = domain.SafetyLimits(20.0, 250.0, COLD_SHARE, COLD_MS, MULTIPLE, window_ms)
         self.starts = {f"e{i}": 1000.0 + 400.0 * i for i in range(engines)}
         self.sent = {e: [] for e in self.starts}
         self.all = [Front(self, i, plant) for i in range(fronts)]
@@ -159,7 +166,7 @@
                     * len(self.starts)
                     * MULTIPLE
                     * CORES
-                    * self.rules.cold_window_ms
+                    * self.rules.slow_start_window_ms
                     / self.work
                     / self.fronts
                 )
@@ -175,14 +182,14 @@
         while self.heap[0][0] <= until_ms:
             self.now, _, call = heapq.heappop(self.heap)
             call()
-            assert all(q.ends_ms + 10 >= self.now for q in self.all[self.no % self.fronts].open), (
+            assert all(q.deadline_ms + 10 >= self.now for q in self.all[self.no % self.fronts].open), (
                 "a query without an answer"
             )
         return self
 
     def audit(self):
         """The worst window: requests of mean work over the budget N and what is put down to chance, 2 root N + 2."""
-        worst, window = 0.0, self.rules.cold_window_ms
+        worst, window = 0.0, self.rules.slow_start_window_ms
         for e, sent in self.sent.items():
             begin = total = 0
             for at, work in sent:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -6,7 +6,7 @@
 import pytest
 from standins import FakeDoor, engine, group, quick
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.simulator_adapter.adapter import Adapter
 from lichenquay.simulator_adapter.codec import Malformed
 
@@ -16,55 +16,60 @@
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
     q = door.take(g, work=2000.0)
     door.until(door.now_ms + 500)
-    door.c.noted(q.submissions[0], io.PROGRESS, 0.02)
-    assert door.cancelled == [q.submissions[0]]
-    door.answer(q.submissions[0], io.CANCELLED)
-    assert len(q.submissions) == 2 and not q.over
+    door.c.on_progress(q.attempts[0], domain.ProgressKind.PROGRESS, 0.02)
+    assert door.cancelled == [q.attempts[0]]
+    door.answer(q.attempts[0], domain.Outcome.CANCELLED)
+    assert len(q.attempts) == 2 and not q.is_done
 
 
 def test_a_mutating_query_that_may_have_run_is_killed_never_sent_again():
-    g = group("load", io.MUTATING, is_load=True)
+    g = group("load", domain.Effect.NON_IDEMPOTENT, is_bulk_load=True)
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
     q = door.take(g)
-    door.c.noted(q.submissions[0], io.PROGRESS, 0.0001)
+    door.c.on_progress(q.attempts[0], domain.ProgressKind.PROGRESS, 0.0001)
     assert not door.cancelled
-    door.answer(q.submissions[0], io.RESET)
-    assert door.done[q.id] == "killed" and len(q.submissions) == 1
+    door.answer(q.attempts[0], domain.Outcome.CONNECTION_RESET)
+    assert door.done[q.id] == "killed" and len(q.attempts) == 1
 
 
 def test_a_mutating_query_refused_unseen_is_sent_elsewhere():
-    g = group("load", io.MUTATING)
+    g = group("load", domain.Effect.NON_IDEMPOTENT)
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
     q = door.take(g)
-    door.answer(q.submissions[0], io.NOT_CONNECTED)
-    assert len(q.submissions) == 2 and q.submissions[1].engine is not q.submissions[0].engine
+    door.answer(q.attempts[0], domain.Outcome.NOT_CONNECTED)
+    assert len(q.attempts) == 2 and q.attempts[1].engine is not q.attempts[0].engine
 
 
-@pytest.mark.parametrize("dedup, wanted", (("all", "e2"), ("zone", "e3"), ("cell", "e4")))
-def test_a_tokened_query_that_may_have_run_goes_only_where_its_repeat_is_dropped(dedup, wanted):
-    g = group("post", io.TOKENED, dedup=dedup, memory_window_ms=5000.0)
+@pytest.mark.parametrize("deduplication_scope, wanted", (("all", "e2"), ("zone", "e3"), ("cell", "e4")))
+def test_a_tokened_query_that_may_have_run_goes_only_where_its_repeat_is_dropped(deduplication_scope, wanted):
+    g = group(
+        "post",
+        domain.Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=deduplication_scope,
+        idempotency_window_ms=5000.0,
+    )
     door = FakeDoor([quick(), g], [engine("e1", "a", cell=1)])
     q = door.take(g)
     others = [engine("e2", "b", cell=2), engine("e3", "a", cell=2), engine("e4", "b", cell=1)]
-    door.c.list_news([e for e in others if dedup == "all" or e.id != wanted], False)
-    door.engines[0].state = io.DRAINING
-    door.answer(q.submissions[0], io.ERROR)
-    assert (len(q.submissions) == 2) == (dedup == "all")
-    door.c.list_news(others, False)
+    door.c.endpoints_updated([e for e in others if deduplication_scope == "all" or e.id != wanted], False)
+    door.engines[0].state = domain.EndpointState.DRAINING
+    door.answer(q.attempts[0], domain.Outcome.FAILED)
+    assert (len(q.attempts) == 2) == (deduplication_scope == "all")
+    door.c.endpoints_updated(others, False)
     door.until(door.now_ms + 50)
-    assert len(q.submissions) == 2 and (dedup == "all" or q.submissions[1].engine.id == wanted)
+    assert len(q.attempts) == 2 and (deduplication_scope == "all" or q.attempts[1].engine.id == wanted)
 
 
 def test_an_engine_not_heard_from_gets_nothing_new_and_its_readers_move():
     g = group()
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
     q = door.take(g)
-    first = q.submissions[0].engine
+    first = q.attempts[0].engine
     door.until(door.now_ms + 900)
-    assert door.c.fleet[first].silent and door.cancelled == [q.submissions[0]]
-    door.answer(q.submissions[0], io.CANCELLED)
-    assert q.submissions[1].engine is not first
-    assert all(door.take(g).submissions[0].engine is not first for _ in range(5))
+    assert door.c.fleet[first].silent and door.cancelled == [q.attempts[0]]
+    door.answer(q.attempts[0], domain.Outcome.CANCELLED)
+    assert q.attempts[1].engine is not first
+    assert all(door.take(g).attempts[0].engine is not first for _ in range(5))
 
 
 @pytest.mark.parametrize(("report", "silent"), [(None, True), ({}, False), ({"active": 2.0}, False)])
@@ -73,10 +78,10 @@
     g = group()
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
     q = door.take(g)
-    seen = door.c.fleet[q.submissions[0].engine]
+    seen = door.c.fleet[q.attempts[0].engine]
     door.until(door.now_ms + 900)
-    assert seen.silent and door.cancelled == [q.submissions[0]]
-    door.answer(q.submissions[0], io.CANCELLED, report)
+    assert seen.silent and door.cancelled == [q.attempts[0]]
+    door.answer(q.attempts[0], domain.Outcome.CANCELLED, report)
     assert seen.silent == silent
 
 
@@ -85,7 +90,7 @@
     door = FakeDoor([quick(), g], [engine("e1")], cancel=False)
     q = door.take(g, work=8000.0, ttl=1000.0)
     door.until(1999)
-    door.answer(q.submissions[0], io.TIMED_OUT)
+    door.answer(q.attempts[0], domain.Outcome.TIMED_OUT)
     seen = door.c.fleet[door.engines[0]]
     assert len(seen.runs) == 1
     door.until(20000)
@@ -95,12 +100,12 @@
 def test_a_submission_that_waits_in_the_engines_line_is_neither_lost_nor_slow():
     g = group()
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
-    sub = door.take(g, work=2000.0).submissions[0]
-    door.c.noted(sub, io.WAITS, 1)  # one note, then silence until it runs
+    attempt = door.take(g, work=2000.0).attempts[0]
+    door.c.on_progress(attempt, domain.ProgressKind.WAITING, 1)  # one note, then silence until it runs
     door.until(door.now_ms + 1500)
     assert not door.cancelled and not any(s.silent for s in door.c.fleet.values())
     for done in (0.001, 0.3):
-        door.c.noted(sub, io.PROGRESS, done)
+        door.c.on_progress(attempt, domain.ProgressKind.PROGRESS, done)
         door.until(door.now_ms + 500)
     assert not door.cancelled
 
@@ -121,18 +126,18 @@
     lost, other = door.take(g, work=900.0), door.take(g, work=90000.0)
     for _ in range(20):
         door.until(door.now_ms + 100)
-        door.c.noted(other.submissions[0], io.PROGRESS, 0.5)
-    assert lost.submissions[0] in door.cancelled and other.submissions[0] not in door.cancelled
+        door.c.on_progress(other.attempts[0], domain.ProgressKind.PROGRESS, 0.5)
+    assert lost.attempts[0] in door.cancelled and other.attempts[0] not in door.cancelled
 
 
 def test_an_engine_whose_note_was_lost_on_the_way_is_heard():
     """Risk: one note lost with its connection counts as a silent engine, and all that runs there is moved."""
-    far = group("report", target_ms=3000.0)
+    far = group("report", latency_objective_ms=3000.0)
     door = FakeDoor([far], [engine("a")])
     q = door.take(far, work=5000.0)
     for _ in range(8):
         door.until(door.now_ms + 250)
-        door.c.noted(q.submissions[0], io.ALIVE, 0.0)
+        door.c.on_progress(q.attempts[0], domain.ProgressKind.RESPONSIVE, 0.0)
     assert not door.cancelled and not door.logs
     door.until(door.now_ms + 1500)
     assert door.logs
@@ -142,18 +147,18 @@
     for confirmed in (True, False):
         g = quick()
         door = FakeDoor([g], [engine("e")])
-        door.c.list_doubted(7000.0)
+        door.c.mark_endpoints_stale(7000.0)
         door.take(g)
         door.until(door.now_ms + 50)
-        assert not door.subs
-        door.c.list_confirmed() if confirmed else door.until(door.now_ms + 7000)
+        assert not door.attempts
+        door.c.endpoints_confirmed() if confirmed else door.until(door.now_ms + 7000)
         door.take(g)
-        assert len(door.subs) == 1 + confirmed  # what waited longer than a tenth of its time was refused
+        assert len(door.attempts) == 1 + confirmed  # what waited longer than a tenth of its time was refused
 
 
 def test_a_failed_call_to_the_list_is_made_again():
     door = FakeDoor([quick()], [], on_request=True)
-    door.c.list_failed()
+    door.c.endpoints_unavailable()
     door.until(door.now_ms + 5000)
     assert door.watched >= 2
 
@@ -182,26 +187,28 @@
     r = random.Random(seed)
     groups = [quick()]
     for i in range(r.randint(0, 4)):
-        effect = r.choice((io.READ_ONLY, io.TOKENED, io.MUTATING))
+        effect = r.choice(
+            (domain.Effect.READ_ONLY, domain.Effect.IDEMPOTENT_WITH_KEY, domain.Effect.NON_IDEMPOTENT)
+        )
         groups.append(
             group(
                 f"g{i}",
                 effect,
                 threads=r.randint(1, 4),
-                is_load=r.random() < 0.3,
-                yields=r.random() < 0.3,
-                in_order=r.random() < 0.4,
-                dedup=r.choice(("all", "zone", "cell")),
-                memory_window_ms=r.choice((0.0, 500.0, 4000.0)),
-                timeout_ms=r.choice((800.0, 4000.0)),
-                target_ms=r.choice((0.0, 500.0, 2000.0)),
-                value=r.choice((0.0, 1.0, 20.0)),
-                places=r.choice((None, frozenset("a"))),
-                kinds=r.choice((None, frozenset("k"))),
+                is_bulk_load=r.random() < 0.3,
+                waits_for_bulk_load=r.random() < 0.3,
+                is_ordered_by_key=r.random() < 0.4,
+                deduplication_scope=r.choice(("all", "zone", "cell")),
+                idempotency_window_ms=r.choice((0.0, 500.0, 4000.0)),
+                queue_timeout_ms=r.choice((800.0, 4000.0)),
+                latency_objective_ms=r.choice((0.0, 500.0, 2000.0)),
+                priority_weight=r.choice((0.0, 1.0, 20.0)),
+                allowed_zones=r.choice((None, frozenset("a"))),
+                allowed_kinds=r.choice((None, frozenset("k"))),
             )
         )
     bare = r.random() < 0.3
-    make = io.EngineMake(
+    make = domain.EngineCapabilities(
         r.random() < 0.7,
         r.random() < 0.7,
         0.4,
@@ -229,7 +236,7 @@
         )
         for i in range(r.choice((0, 1, 2, 6)))
     ]
-    tenants = [io.Tenant("t", 0.5, 10.0, 0.1), io.Tenant("u", 0.5, 10.0, 0.1)][: r.choice((0, 2))]
+    tenants = [domain.Tenant("t", 0.5, 10.0, 0.1), domain.Tenant("u", 0.5, 10.0, 0.1)][: r.choice((0, 2))]
     return (
         r,
         groups,
@@ -253,7 +260,13 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_the_rules_hold_at_every_step(seed):
     r, groups, tenants, door = world(seed)
-    endings = [io.ERROR, io.FULL, io.NOT_CONNECTED, io.RESET, io.TIMED_OUT]
+    endings = [
+        domain.Outcome.FAILED,
+        domain.Outcome.OVERLOADED,
+        domain.Outcome.NOT_CONNECTED,
+        domain.Outcome.CONNECTION_RESET,
+        domain.Outcome.TIMED_OUT,
+    ]
     for step in range(500):
         door.until(door.now_ms + r.choice((1, 5, 20, 90)))
         for _ in range(r.choice((0, 1, 1, 6))):
@@ -262,70 +275,89 @@
                 work=r.choice((0.0, 100.0, 900.0)),
                 memory=r.choice((0.0, 200.0, 9e5)),
                 ttl=r.choice((60.0, 400.0, 4000.0)),
-                key=r.choice(("", "x", "y")),
-                tables=r.choice((None, "1")),
+                ordering_key=r.choice(("", "x", "y")),
+                table_group=r.choice((None, "1")),
                 tenant=r.choice(tenants) if tenants else None,
             )
-        report = {c: r.choice((0.0, 0.5, 1.0, 40.0)) for c in door.make.columns} or None
-        for sub in door.out():
-            late = door.now_ms >= sub.query.ends_ms
-            if late and not sub.query.over:
-                door.answer(sub, io.TIMED_OUT, report)
-            elif sub in door.cancelled and r.random() < 0.5:
-                door.answer(sub, r.choice((io.CANCELLED, io.FINISHED)), report)
+        report = {c: r.choice((0.0, 0.5, 1.0, 40.0)) for c in door.capabilities.load_report_fields} or None
+        for attempt in door.out():
+            late = door.now_ms >= attempt.query.deadline_ms
+            if late and not attempt.query.is_done:
+                door.answer(attempt, domain.Outcome.TIMED_OUT, report)
+            elif attempt in door.cancelled and r.random() < 0.5:
+                door.answer(attempt, r.choice((domain.Outcome.CANCELLED, domain.Outcome.COMPLETED)), report)
             elif r.random() < 0.25:
                 door.answer(
-                    sub, r.choice([io.FINISHED] * 6 + endings), report, r.choice((None, (150.0, 300.0)))
+                    attempt,
+                    r.choice([domain.Outcome.COMPLETED] * 6 + endings),
+                    report,
+                    r.choice((None, (150.0, 300.0))),
                 )
-            elif r.random() < 0.2 and not sub.query.over:
-                door.c.noted(
-                    sub,
-                    *r.choice(((io.PROGRESS, r.random()), (io.SPILLS, 90.0), (io.WAITS, 2), (io.WAITS, 1))),
+            elif r.random() < 0.2 and not attempt.query.is_done:
+                door.c.on_progress(
+                    attempt,
+                    *r.choice(
+                        (
+                            (domain.ProgressKind.PROGRESS, r.random()),
+                            (domain.ProgressKind.SPILLING, 90.0),
+                            (domain.ProgressKind.WAITING, 2),
+                            (domain.ProgressKind.WAITING, 1),
+                        )
+                    ),
                 )
-        for q in [q for q in door.queries if not q.over]:
+        for q in [q for q in door.queries if not q.is_done]:
             if r.random() < 0.003:
-                q.over = True
+                q.is_done = True
                 door.done[q.id] = "left"
-                door.c.left(q)
+                door.c.on_client_gone(q)
         for e in list(door.c.fleet):
-            if door.licence.probe and r.random() < 0.05:
-                door.c.probed(e, r.random() < 0.5, 3.0, report)
+            if door.permissions.may_health_check and r.random() < 0.05:
+                door.c.on_health_check(e, r.random() < 0.5, 3.0, report)
         if r.random() < 0.05 and door.engines:
             e = r.choice(door.engines)
-            e.state = r.choice((io.LISTED, io.LISTED, io.DRAINING, io.WITHDRAWN))
-            if e.state == io.LISTED and r.random() < 0.5:
+            e.state = r.choice(
+                (
+                    domain.EndpointState.SERVING,
+                    domain.EndpointState.SERVING,
+                    domain.EndpointState.DRAINING,
+                    domain.EndpointState.REMOVED,
+                )
+            )
+            if e.state == domain.EndpointState.SERVING and r.random() < 0.5:
                 e.started_ms, door.told[e] = door.now_ms - r.choice((0.0, 2000.0)), door.now_ms
-            door.c.list_news([e], False)
+            door.c.endpoints_updated([e], False)
         if r.random() < 0.02:
-            door.c.list_news([e for e in door.engines if e.state == io.LISTED], True)
+            door.c.endpoints_updated(
+                [e for e in door.engines if e.state == domain.EndpointState.SERVING], True
+            )
         if r.random() < 0.02:
-            door.c.list_failed()
+            door.c.endpoints_unavailable()
     end = door.now_ms + 15000
     while door.now_ms < end:
         door.until(door.now_ms + 50)
-        for sub in door.out():
-            if door.now_ms >= sub.query.ends_ms or sub in door.cancelled:
-                door.answer(sub, io.TIMED_OUT)
+        for attempt in door.out():
+            if door.now_ms >= attempt.query.deadline_ms or attempt in door.cancelled:
+                door.answer(attempt, domain.Outcome.TIMED_OUT)
         door.overdue()
-    assert all(q.over for q in door.queries)
+    assert all(q.is_done for q in door.queries)
 
 
 def test_without_notes_an_engine_is_silent_once_all_that_runs_there_is_overdue():
     """Seen on deployments whose engines tell nothing of what runs: half a second without an answer, usual with work of seconds, took
     engine after engine for silent, and moved all that ran there (stall-data calm: served 0.33)."""
-    make = io.EngineMake(True, False, 0.4, "queue", 0.0, False, ("cpu",), "answers")
+    make = domain.EngineCapabilities(True, False, 0.4, "queue", 0.0, False, ("cpu",), "answers")
     long, short = group(), quick()
     door = FakeDoor([long, short], [engine("a")], make=make, probe=False)
     (seen,) = door.c.fleet.values()
     first = door.take(long, work=1000.0)  # 500 ms of two threads: overdue after four times that
     door.until(door.now_ms + 1900)
-    assert first.submissions and not seen.silent and not door.cancelled
+    assert first.attempts and not seen.silent and not door.cancelled
     second = door.take(long, work=4000.0)
     door.until(door.now_ms + 300)
     assert (
-        first.submissions[0] in door.cancelled and second.submissions and not seen.silent
+        first.attempts[0] in door.cancelled and second.attempts and not seen.silent
     )  # lost alone: it is moved
-    door.answer(first.submissions[0], io.CANCELLED)
-    door.answer(first.submissions[-1], io.FINISHED) if first.submissions[-1].ending is None else None
+    door.answer(first.attempts[0], domain.Outcome.CANCELLED)
+    door.answer(first.attempts[-1], domain.Outcome.COMPLETED) if first.attempts[-1].outcome is None else None
     door.until(door.now_ms + 8500)
     assert seen.silent
--- a/tests/test_controller_passes.py
+++ b/tests/test_controller_passes.py
@@ -6,7 +6,7 @@
 import pytest
 from standins import FakeDoor, engine, group, quick
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 
 pytestmark = pytest.mark.together
 
@@ -42,11 +42,11 @@
 def use(door, queries, group_):
     """Queries that are answered, with some errors and reports."""
     for number in range(queries):
-        door.take(group_, work=20.0, tables=TABLES[number % len(TABLES)])
+        door.take(group_, work=20.0, table_group=TABLES[number % len(TABLES)])
         door.until(door.now_ms + 25)
-        for sub in door.out():
-            ending = io.ERROR if number % 7 == 0 else io.FINISHED
-            door.answer(sub, ending, {"active": float(number % 5)} if number % 3 else None)
+        for attempt in door.out():
+            ending = domain.Outcome.FAILED if number % 7 == 0 else domain.Outcome.COMPLETED
+            door.answer(attempt, ending, {"active": float(number % 5)} if number % 3 else None)
 
 
 def test_beats_queries_and_list_events_pass_over_few_engines():
@@ -59,7 +59,7 @@
     assert fleet.visited < ENGINES / 4
     fleet.visited = 0
     for number in range(10):
-        door.c.list_news([engine(f"new{number}")], False)
+        door.c.endpoints_updated([engine(f"new{number}")], False)
     assert fleet.visited < ENGINES / 4
 
 
@@ -79,7 +79,7 @@
     guards, found = picker.guards, []
     for seen in sorted(picker.fleet.values(), key=lambda s: rank_of(picker, s)):
         warmth = guards.warmth(seen.engine, now_ms)
-        listed = seen.engine.state == io.LISTED and not seen.silent
+        listed = seen.engine.state == domain.EndpointState.SERVING and not seen.silent
         if listed and warmth < 1 and guards.cold_budget(seen.engine, warmth):
             found.append(seen)
     return found
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_what_is_kept_by_increments_is_what_a_pass_gives(seed):
     """Over engines that join, start anew, drain, leave with work of ours on them, and whole lists."""
-    chance, g = Random(seed), group(target_ms=1000.0)
+    chance, g = Random(seed), group(latency_objective_ms=1000.0)
     listed = [engine(f"e{i}", started=None if i % 3 else 1000.0) for i in range(chance.choice((3, 12, 40)))]
     door = FakeDoor([quick(), g], listed, fronts=20, seed=seed)
     for step in range(80):
@@ -116,18 +116,18 @@
         what, some = chance.randrange(5), chance.choice(listed)
         if what == 0:
             listed.append(engine(f"new{step}", started=door.now_ms - chance.uniform(0, 9000)))
-            door.c.list_news([listed[-1]], False)
+            door.c.endpoints_updated([listed[-1]], False)
         elif what == 1:
-            some.state = io.DRAINING
-            door.c.list_news([some], False)
+            some.state = domain.EndpointState.DRAINING
+            door.c.endpoints_updated([some], False)
         elif what == 2 and len(listed) > 2:
             door.take(g, work=500.0)
             listed.remove(some)
-            some.state = io.WITHDRAWN
-            door.c.list_news([some], False)
+            some.state = domain.EndpointState.REMOVED
+            door.c.endpoints_updated([some], False)
         elif what == 3:
-            some.started_ms, some.state = door.now_ms, io.LISTED
-            door.c.list_news([some], False)
+            some.started_ms, some.state = door.now_ms, domain.EndpointState.SERVING
+            door.c.endpoints_updated([some], False)
         else:
-            door.c.list_news(list(listed), True)
+            door.c.endpoints_updated(list(listed), True)
         agrees(door)
--- a/tests/test_controller_slots.py
+++ b/tests/test_controller_slots.py
@@ -5,7 +5,7 @@
 import pytest
 from standins import FakeDoor, engine, group, quick
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.admission.slots import MAX, MIN
 
 REPORT = {"active": 60.0}  # a busy report: more threads than cores hold
@@ -62,11 +62,11 @@
     for _ in range(6):
         door.take(g)
     assert len(door.out()) == 6
-    door.answer(door.subs[0], io.FINISHED, REPORT)
+    door.answer(door.attempts[0], domain.Outcome.COMPLETED, REPORT)
     held = door.take(g)
-    assert not held.submissions
+    assert not held.attempts
     door.until(held.arrived_ms + 999)
-    assert not held.over
+    assert not held.is_done
     door.until(held.arrived_ms + 1010)
     assert door.done[held.id] == "deferred"
 
@@ -115,7 +115,7 @@
 
 def test_pooled_groups_keep_to_our_share_of_the_fleets_memory_where_it_swaps_not_of_one_engines():
     g = group(threads=3)  # a twentieth of an engine's memory is less than one query
-    swap = io.EngineMake(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
+    swap = domain.EngineCapabilities(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
     door = FakeDoor([quick(), g], [engine(f"e{i}") for i in range(10)], fronts=20, make=swap)
     for _ in range(12):
         door.take(g, memory=1600.0)
@@ -125,13 +125,13 @@
 def test_one_query_of_a_pooled_group_goes_though_it_passes_our_share_of_the_fleets_memory():
     """Risk: where a share is below one query, all fronts wait and nobody uses the fleet."""
     g = group(threads=3)
-    swap = io.EngineMake(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
+    swap = domain.EngineCapabilities(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
     door = FakeDoor([quick(), g], [engine(f"e{i}") for i in range(10)], fronts=200, make=swap)
     for _ in range(3):
         door.take(g, memory=1600.0, work=300.0)  # 720 MB are ours: one query in 2.2 of its times
     assert len(door.out()) == 1
     door.until(door.now_ms + 100.0)
-    door.answer(door.out()[0], io.FINISHED)
+    door.answer(door.out()[0], domain.Outcome.COMPLETED)
     door.until(door.now_ms + 110.0)
     assert not door.out()
     door.until(door.now_ms + 50.0)
@@ -147,12 +147,12 @@
         door.c.reported(seen, REPORT)
     door.c.picker.look(door.now_ms)
     for e in door.engines[:draining]:
-        e.state = io.DRAINING
-    door.c.list_news(door.engines[:draining], False)
+        e.state = domain.EndpointState.DRAINING
+    door.c.endpoints_updated(door.engines[:draining], False)
     first = door.take(g, work=300.0)
     door.until(door.now_ms + ends_after_ms)
-    door.answer(first.submissions[0], io.FINISHED, REPORT)
-    assert len(door.take(g, work=300.0).submissions) == sent
+    door.answer(first.attempts[0], domain.Outcome.COMPLETED, REPORT)
+    assert len(door.take(g, work=300.0).attempts) == sent
 
 
 def test_an_old_report_counts_as_the_average_of_the_fresh():
@@ -166,8 +166,8 @@
 
 
 def test_where_memory_swaps_our_share_of_it_binds_always():
-    g = group(target_ms=100000.0)
-    swap = io.EngineMake(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
+    g = group(latency_objective_ms=100000.0)
+    swap = domain.EngineCapabilities(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
     door = FakeDoor([quick(), g], [engine("e1")], make=swap)
     for _ in range(20):
         door.take(g, memory=1600.0)
@@ -177,44 +177,53 @@
 def test_an_engine_told_to_be_short_of_memory_gets_only_dashboards_for_a_note():
     q, g = quick(), group()
     door = FakeDoor([q, g], [engine("e1"), engine("e2")])
-    first = door.take(g).submissions[0]
-    door.c.noted(first, io.WAITS, 1)
-    assert all(door.take(g).submissions[0].engine is not first.engine for _ in range(3))
-    assert {door.take(q).submissions[0].engine for _ in range(20)} == set(door.engines)
+    first = door.take(g).attempts[0]
+    door.c.on_progress(first, domain.ProgressKind.WAITING, 1)
+    assert all(door.take(g).attempts[0].engine is not first.engine for _ in range(3))
+    assert {door.take(q).attempts[0].engine for _ in range(20)} == set(door.engines)
 
 
 def test_an_engine_whose_errors_stand_out_gets_little_and_one_error_blames_nobody():
     """Risk: what fails at once is free at once, and draws ever more: mutating queries were killed by the dozen."""
-    quick = group("status", target_ms=500.0, threads=1, timeout_ms=2500.0)
-    far = group("report", target_ms=3000.0)
+    quick = group("status", latency_objective_ms=500.0, threads=1, queue_timeout_ms=2500.0)
+    far = group("report", latency_objective_ms=3000.0)
     for all_fail in (False, True):
         door = FakeDoor([quick, far], [engine(n) for n in "abc"], most=1)
         sent = []
         for i in range(300):
             q = door.take(quick, work=50.0)
-            sent.append(q.submissions[0].engine.id)
+            sent.append(q.attempts[0].engine.id)
             door.until(door.now_ms + 20)
-            door.answer(q.submissions[0], io.ERROR if all_fail or sent[-1] == "a" else io.FINISHED)
+            door.answer(
+                q.attempts[0],
+                domain.Outcome.FAILED if all_fail or sent[-1] == "a" else domain.Outcome.COMPLETED,
+            )
         if all_fail:
             assert min(sent.count(n) for n in "abc") > 50
         else:
             assert sent.count("a") < 25 and sent.count("b") > 100 and sent.count("c") > 100
     q, left = door.take(far, work=5000.0), door.cancelled
-    door.c.left(q)
-    assert left == [q.submissions[0]]  # risk: what nobody waits for holds its engine
+    door.c.on_client_gone(q)
+    assert left == [q.attempts[0]]  # risk: what nobody waits for holds its engine
 
 
 def test_loads_of_the_same_tables_are_not_lined_up_past_their_target():
     """Risk: a line of loads at every engine in which each ends late, and makes the next one late."""
-    load = group("load", io.MUTATING, is_load=True, target_ms=3000.0, stretch=3.0)
+    load = group(
+        "load",
+        domain.Effect.NON_IDEMPOTENT,
+        is_bulk_load=True,
+        latency_objective_ms=3000.0,
+        latency_objective_stretch=3.0,
+    )
     door = FakeDoor([quick(), load], [engine("e1"), engine("e2")])
-    same = [door.take(load, work=2000.0, tables="7") for _ in range(8)]
-    other = door.take(load, work=2000.0, tables="8")
-    out = [q for q in same if q.submissions]
-    assert len(out) == 6 and {q.submissions[0].engine.id for q in out} == {"e1", "e2"} and other.submissions
+    same = [door.take(load, work=2000.0, table_group="7") for _ in range(8)]
+    other = door.take(load, work=2000.0, table_group="8")
+    out = [q for q in same if q.attempts]
+    assert len(out) == 6 and {q.attempts[0].engine.id for q in out} == {"e1", "e2"} and other.attempts
     door.until(door.now_ms + 300)
-    door.answer(out[0].submissions[0], io.FINISHED)
-    assert sum(bool(q.submissions) for q in same) == len(out) + 1  # the next one takes its place
+    door.answer(out[0].attempts[0], domain.Outcome.COMPLETED)
+    assert sum(bool(q.attempts) for q in same) == len(out) + 1  # the next one takes its place
 
 
 def test_table_homes_draw_about_a_third_in_any_fleet():
@@ -222,7 +231,7 @@
         door = FakeDoor([quick(), group()], [engine(f"e{i}") for i in range(n)])
         door.c.picker.near = list(door.c.fleet.values())  # as with traffic that hears of them all
         homes, far = door.c.picker.homes_of("t1")
-        q = io.Query(1, group(), door.now_ms, door.now_ms + 1000, work_ms=100, tables="t1")
+        q = domain.Query(1, group(), door.now_ms, door.now_ms + 1000, estimated_work_ms=100, table_group="t1")
         picks = [next(door.c.picker.draw(q, door.now_ms)) for _ in range(300)]
         assert 60 < sum(s in homes for s in picks) < 150
 
@@ -234,9 +243,9 @@
         for _ in range(60):
             door.take(g, work=20.0)
             door.until(door.now_ms + 500)
-            for sub in door.out():
-                door.answer(sub, io.FINISHED)
-        used = {s.engine for s in door.subs[-30:]}
+            for attempt in door.out():
+                door.answer(attempt, domain.Outcome.COMPLETED)
+        used = {s.engine for s in door.attempts[-30:]}
         assert len(used) <= 6
         drawn += used
     assert max(drawn.count(e) for e in set(drawn)) <= 16 and len({e.id for e in drawn}) >= 38
@@ -248,26 +257,26 @@
     for _ in range(600):
         door.take(g, work=20.0)
         door.until(door.now_ms + 10)
-        for sub in door.out():
-            door.answer(sub, io.FINISHED)
-    assert len({s.engine for s in door.subs[-200:]}) > 30
+        for attempt in door.out():
+            door.answer(attempt, domain.Outcome.COMPLETED)
+    assert len({s.engine for s in door.attempts[-200:]}) > 30
 
 
 def test_many_gateways_use_a_cold_engine_and_keep_its_budget_together():
-    n, g = 200, group(target_ms=1000.0)
+    n, g = 200, group(latency_objective_ms=1000.0)
     doors = [FakeDoor([g], [], fronts=n, number=i) for i in range(n)]
     for name in ("e1", "e2", "e3"):
         e = engine(name, started=1000.0)
         for age in range(0, 15000, 500):
-            now, rules = 1000.0 + age, doors[0].rules
+            now, rules = 1000.0 + age, doors[0].safety_limits
             at = [
                 [d.c.guards.cold_budget(e, d.c.guards.warmth(e, t)) for d in doors] for t in (now, now + 1500)
             ]
             told = (
-                rules.cold_multiple
+                rules.slow_start_overload_factor
                 * 0.85
                 * e.cores
-                * rules.cold_window_ms
+                * rules.slow_start_window_ms
                 * doors[0].c.guards.warmth(e, now + 1500)
             )
             assert sum(map(max, *at)) <= 0.81 * told  # also while another one joins in the same window
@@ -277,17 +286,17 @@
 
 
 def test_a_cold_engine_is_drawn_from_first_by_those_who_share_it_and_left_alone_by_others():
-    g = group(target_ms=1000.0)
+    g = group(latency_objective_ms=1000.0)
     for ours in (True, False):
         engines = [engine("cold", started=1000.0), *(engine(f"e{i}") for i in range(40))]
         door = FakeDoor([g], engines, fronts=200, number=(100 * (not ours) - crc32(b"cold")) % 200)
         assert (engines[0] in [s.engine for s in door.c.picker.near]) == ours
         door.until(
-            1000.0 + 1.2 * door.rules.cold_window_ms
+            1000.0 + 1.2 * door.safety_limits.slow_start_window_ms
         )  # what the process before it may have sent counts no more
         for _ in range(30):
             door.take(g, work=300.0)
-        assert (engines[0] in {s.engine for s in door.subs}) == ours
+        assert (engines[0] in {s.engine for s in door.attempts}) == ours
 
 
 def test_pooled_slots_bind_once_the_pace_of_all_is_well_above_its_best():
@@ -299,8 +308,8 @@
         for _ in range(12):
             q = door.take(g, work=400.0)
             door.until(door.now_ms + factor * 100.0)
-            for sub in [s for s in door.out() if s.query is q]:
-                door.answer(sub, io.FINISHED)
+            for attempt in [s for s in door.out() if s.query is q]:
+                door.answer(attempt, domain.Outcome.COMPLETED)
         assert door.c.slots.short(door.now_ms) == pressed, factor
         door.until(door.now_ms + 4000)
 
@@ -309,7 +318,7 @@
     """How often each engine is the first one drawn for a query of the group."""
     times = dict.fromkeys((e.id for e in door.engines), 0)
     for _ in range(count):
-        q = io.Query(1, g, door.now_ms, door.now_ms + 1000, work_ms=100)
+        q = domain.Query(1, g, door.now_ms, door.now_ms + 1000, estimated_work_ms=100)
         times[next(door.c.picker.draw(q, door.now_ms)).engine.id] += 1
     return times
 
@@ -319,15 +328,15 @@
 )
 def test_engines_that_a_bound_group_needs_are_left_to_it(works, least, most):
     """Risk: its engines are full of what could run elsewhere, while the others idle."""
-    bound, free = group("bound", kinds=frozenset("b")), group("free")
+    bound, free = group("bound", allowed_kinds=frozenset("b")), group("free")
     door = FakeDoor([quick(), bound, free], [engine(f"e{i}", kind="b" if i < 4 else "k") for i in range(8)])
     door.c.picker.near = list(door.c.fleet.values())
     for _ in range(600):  # half of the cores are the bound group's
         for g, work in zip((bound, free), works, strict=True):
             if work:
                 q = door.take(g, work=work)
-                for sub in q.submissions:
-                    door.answer(sub, io.FINISHED)
+                for attempt in q.attempts:
+                    door.answer(attempt, domain.Outcome.COMPLETED)
     door.until(door.now_ms + 3000.0)
     door.c.picker.look(door.now_ms)
     door.c.picker.near = list(door.c.fleet.values())
@@ -339,7 +348,7 @@
 def test_engines_of_a_bound_group_are_used_by_others_once_those_report_full():
     """Risk: while the others jam, engines that the bound group leaves idle are not used; or at a front's start,
     before it has seen a query of that group, they are filled."""
-    bound, free = group("bound", kinds=frozenset("b")), group("free")
+    bound, free = group("bound", allowed_kinds=frozenset("b")), group("free")
     door = FakeDoor([quick(), bound, free], [engine(f"e{i}", kind="b" if i < 4 else "k") for i in range(8)])
     picker, fleet = door.c.picker, door.c.fleet.values()
     picker.near = list(fleet)
@@ -354,14 +363,14 @@
 
 def test_work_that_runs_on_after_its_time_counts_at_its_engine_alone():
     """Risk: one engine that hangs on to a few long queries takes their front's share of all others."""
-    g = group(effect=io.MUTATING, threads=3)  # not sent again
-    swap = io.EngineMake(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
+    g = group(effect=domain.Effect.NON_IDEMPOTENT, threads=3)  # not sent again
+    swap = domain.EngineCapabilities(True, True, 0.4, "swap", 500.0, False, ("cpu",), "answers")
     door = FakeDoor([quick(), g], [engine(f"e{i}") for i in range(10)], fronts=20, make=swap, cancel=False)
     for _ in range(4):
         door.take(g, memory=1600.0, work=4000.0)
-    sub = door.out()[0]
-    seen = door.c.fleet[sub.engine]
-    door.answer(sub, io.TIMED_OUT)
+    attempt = door.out()[0]
+    seen = door.c.fleet[attempt.engine]
+    door.answer(attempt, domain.Outcome.TIMED_OUT)
     held = door.c.slots.held
     assert seen.granted == 1600.0 and held.granted == 3 * 1600.0 and held.threads == [9, 0]
     door.until(door.now_ms + 10_000.0)
@@ -370,16 +379,16 @@
 
 def test_engines_of_the_fronts_own_place_come_first_all_else_alike():
     """Risk: a query that crosses places pays for the way, and stops with the link."""
-    door = FakeDoor([quick(), group()], [engine(f"e{i}", place="ab"[i % 2]) for i in range(8)])
+    door = FakeDoor([quick(), group()], [engine(f"e{i}", zone="ab"[i % 2]) for i in range(8)])
     door.c.picker.near = list(door.c.fleet.values())
     times = drawn_first(door, group())
     assert 160 < sum(times[f"e{i}"] for i in range(0, 8, 2)) < 240  # two in three
 
 
-@pytest.mark.parametrize(("when_short", "least", "most"), [("queue", 230, 370), ("swap", 60, 150)])
-def test_a_slow_engine_counts_twice_where_engines_swap(when_short, least, most):
+@pytest.mark.parametrize(("memory_shortage", "least", "most"), [("queue", 230, 370), ("swap", 60, 150)])
+def test_a_slow_engine_counts_twice_where_engines_swap(memory_shortage, least, most):
     """Risk: one that swaps reports idle cores, draws ever more, and jams."""
-    door = FakeDoor([quick(), group()], [engine(f"e{i}") for i in range(4)], when_short=when_short)
+    door = FakeDoor([quick(), group()], [engine(f"e{i}") for i in range(4)], memory_shortage=memory_shortage)
     for seen in door.c.fleet.values():
         seen.pace = 3.0 if seen.engine.id == "e0" else 1.0
     door.c.picker.usual, door.c.picker.near = 1.0, list(door.c.fleet.values())
--- a/tests/test_engine_importer.py
+++ b/tests/test_engine_importer.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as conf
 from lichenquay.config.distributed_values import KINDS
 from lichenquay.config.endpoint_list import COMPLETE_KEY, BadEngineError, key_of, row_of, value_of
@@ -16,12 +16,12 @@
 from lichenquay.distribution.key_store import Store
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.validation import fault_of
-from lichenquay.endpoint_record import EngineRow
+from lichenquay.endpoint_record import EndpointRecord
 
 
-def row(uid, state=io.LISTED, place="z1", port=80):
+def row(uid, state=domain.EndpointState.SERVING, zone="z1", port=80):
     """An engine."""
-    return EngineRow(uid, f"10.0.0.1:{port}", place, "std", 2, state, 1.0, 0.0)
+    return EndpointRecord(uid, f"10.0.0.1:{port}", zone, "std", 2, state, 1.0, 0.0)
 
 
 class StandInPublisher:
@@ -83,15 +83,18 @@
     """What is as it was costs nothing; what is gone is deleted."""
     w = World()
     w.announce(row("e1"), row("e2"), whole=True)
-    assert w.publisher.published() == {"e1": io.LISTED, "e2": io.LISTED}
-    w.announce(row("e1", io.DRAINING), row("e2"))
-    assert w.publisher.published() == {"e1": io.DRAINING, "e2": io.LISTED}
+    assert w.publisher.published() == {"e1": domain.EndpointState.SERVING, "e2": domain.EndpointState.SERVING}
+    w.announce(row("e1", domain.EndpointState.DRAINING), row("e2"))
+    assert w.publisher.published() == {
+        "e1": domain.EndpointState.DRAINING,
+        "e2": domain.EndpointState.SERVING,
+    }
     proposed = w.publisher.proposed
-    w.announce(row("e1", io.DRAINING), row("e2"), whole=True)
+    w.announce(row("e1", domain.EndpointState.DRAINING), row("e2"), whole=True)
     assert w.publisher.proposed == proposed
-    w.announce(row("e1", io.WITHDRAWN))
+    w.announce(row("e1", domain.EndpointState.REMOVED))
     w.announce(row("e3"), whole=True)
-    assert w.publisher.published() == {"e3": io.LISTED}
+    assert w.publisher.published() == {"e3": domain.EndpointState.SERVING}
 
 
 def test_many_engines_go_in_changes_that_fit_and_not_all_at_once():
@@ -111,16 +114,16 @@
     w.announce(row("e1"), whole=True)
     w.publisher.held, w.publisher.group.generation = False, 0
     w.announce(row("e2"))
-    assert w.publisher.published() == {"e1": io.LISTED}
+    assert w.publisher.published() == {"e1": domain.EndpointState.SERVING}
     w.publisher.held, w.publisher.group.generation = True, 3
     w.settle()
-    assert w.publisher.published() == {"e1": io.LISTED, "e2": io.LISTED}
+    assert w.publisher.published() == {"e1": domain.EndpointState.SERVING, "e2": domain.EndpointState.SERVING}
     other = World()
     other.publisher.ahead = w.publisher.ahead
     other.announce(row("e9"))  # a part, before the whole
     assert other.publisher.proposed == 0
     other.announce(row("e2"), whole=True)
-    assert other.publisher.published() == {"e2": io.LISTED}
+    assert other.publisher.published() == {"e2": domain.EndpointState.SERVING}
 
 
 def test_a_lost_lease_in_the_middle_leaves_nothing_out():
@@ -134,7 +137,7 @@
     w.settle()
     w.publisher.held, w.publisher.group.generation = True, 5
     w.settle()
-    assert w.publisher.published() == {"e1": io.LISTED}
+    assert w.publisher.published() == {"e1": domain.EndpointState.SERVING}
 
 
 def test_a_refusal_is_tried_again_later_and_told_once():
@@ -146,14 +149,14 @@
     assert 1 <= tries <= 400 * 10.0 / RETRY_MS + 1 and w.warnings == ["no room"]
     w.publisher.full = False
     w.settle()
-    assert w.publisher.published() == {"e1": io.LISTED}
+    assert w.publisher.published() == {"e1": domain.EndpointState.SERVING}
 
 
 def test_an_engine_in_another_zone_has_one_key():
     """The old one goes first."""
     w = World()
     w.announce(row("e1"), row("e2"), whole=True)
-    w.announce(row("e1", place="z2"))
+    w.announce(row("e1", zone="z2"))
     assert sorted(w.publisher.ahead.entries) == [COMPLETE_KEY, "engine/z1/e2", "engine/z2/e1"]
 
 
@@ -161,7 +164,7 @@
     """It is counted, and told once."""
     w = World()
     w.announce(row("e 1"), row("e2"), row("e" * 80), whole=True)
-    assert w.publisher.published() == {"e2": io.LISTED}
+    assert w.publisher.published() == {"e2": domain.EndpointState.SERVING}
     assert w.importer.counts["senseless"] == 2 and len(w.warnings) == 1
 
 
--- a/tests/test_fleet_following.py
+++ b/tests/test_fleet_following.py
@@ -5,14 +5,14 @@
 import sys
 from pathlib import Path
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, value_of
 from lichenquay.config.reader import read_settings
 from lichenquay.distribution import distribution_pb2 as wire
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.source import Source
-from lichenquay.endpoint_record import EngineRow
+from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.fleet.applied_configuration import Following
 from lichenquay.fleet.source_ranking import ranked
 
@@ -128,14 +128,14 @@
 FOLLOWS_ENGINES = SETTINGS.replace('zone: "z1"', 'zone: "z1" engines: true', 1)
 
 
-def row(uid, state=io.LISTED, place="z1", port=80):
+def row(uid, state=domain.EndpointState.SERVING, zone="z1", port=80):
     """An engine."""
-    return EngineRow(uid, f"10.0.0.1:{port}", place, "std", 2, state, 1.0, 0.0)
+    return EndpointRecord(uid, f"10.0.0.1:{port}", zone, "std", 2, state, 1.0, 0.0)
 
 
 def entries_of(*rows):
     """As they are published; a withdrawn one is deleted."""
-    return {key_of(r): None if r.state == io.WITHDRAWN else value_of(r) for r in rows}
+    return {key_of(r): None if r.state == domain.EndpointState.REMOVED else value_of(r) for r in rows}
 
 
 ALL = {COMPLETE_KEY: COMPLETE}
@@ -148,12 +148,12 @@
     front.change(entries_of(row("e2")))
     assert front.lists == []
     front.change(ALL)
-    front.change(entries_of(row("e1", io.DRAINING)))
-    front.change(entries_of(row("e1", io.WITHDRAWN), row("e3", port=81)))
+    front.change(entries_of(row("e1", domain.EndpointState.DRAINING)))
+    front.change(entries_of(row("e1", domain.EndpointState.REMOVED), row("e3", port=81)))
     assert front.lists == [
         (True, [row("e1"), row("e2")]),
-        (False, [row("e1", io.DRAINING)]),
-        (False, [row("e1", io.WITHDRAWN), row("e3", port=81)]),
+        (False, [row("e1", domain.EndpointState.DRAINING)]),
+        (False, [row("e1", domain.EndpointState.REMOVED), row("e3", port=81)]),
     ]
 
 
@@ -174,8 +174,8 @@
     """Its old key goes and its new one comes in one change."""
     front = Front(FOLLOWS_ENGINES)
     front.change({**ALL, **entries_of(row("e1"))})
-    front.change({**entries_of(row("e1", io.WITHDRAWN)), **entries_of(row("e1", place="z2"))})
-    assert front.lists[-1] == (False, [row("e1", place="z2")])
+    front.change({**entries_of(row("e1", domain.EndpointState.REMOVED)), **entries_of(row("e1", zone="z2"))})
+    assert front.lists[-1] == (False, [row("e1", zone="z2")])
 
 
 def test_a_list_that_nobody_has_published_leaves_the_one_that_is_known():
--- a/tests/test_fleet_tenants.py
+++ b/tests/test_fleet_tenants.py
@@ -5,7 +5,7 @@
 import pytest
 from standins import group
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.fleet.tenant_usage import Tenants
 
 
@@ -30,8 +30,13 @@
 
 
 def query(tenant):
-    return io.Query(
-        1, group("report"), 0.0, 1000.0, tenant and io.Tenant(tenant, 0.5, 1.0, 0.1), work_ms=40.0
+    return domain.Query(
+        1,
+        group("report"),
+        0.0,
+        1000.0,
+        tenant and domain.Tenant(tenant, 0.5, 1.0, 0.1),
+        estimated_work_ms=40.0,
     )
 
 
@@ -50,14 +55,14 @@
     "endings, told",
     [
         ([], ("settle", 0.0)),
-        ([io.FULL, io.NOT_CONNECTED], ("settle", 0.0)),
-        ([io.FULL, None], ("drop",)),
-        ([io.ERROR], ("drop",)),
+        ([domain.Outcome.OVERLOADED, domain.Outcome.NOT_CONNECTED], ("settle", 0.0)),
+        ([domain.Outcome.OVERLOADED, None], ("drop",)),
+        ([domain.Outcome.FAILED], ("drop",)),
     ],
 )
 def test_what_never_ran_costs_nothing_and_what_may_have_its_estimate(endings, told):
     account, q = Account(True), query("north")
-    q.submissions = [io.Submission(q, i, None, 0.0, e) for i, e in enumerate(endings)]
+    q.attempts = [domain.Attempt(q, i, None, 0.0, e) for i, e in enumerate(endings)]
     Tenants(account, lambda: 0.0, lambda: None).over(q)
     assert account.told == [told]
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -62,7 +62,7 @@
     does one that takes a spoilt answer, or a connection's fault, for the query's."""
     w = world(engines=2)
     hits = [way]
-    for e in w.engines:  # the first submission, wherever it goes
+    for e in w.engines:  # the first attempt, wherever it goes
         e.ways = hits
     c = w.client()
     got = answered(c, c.ask(group, allow=4000))
@@ -94,7 +94,7 @@
         and len(e.posts) == 1
         and not failures
     )
-    assert not w.service.metrics.counters["submissions not connected"]
+    assert not w.service.metrics.counters["attempts not connected"]
     for line in list(e.lines):
         line.transport.write(b"late")  # nobody has asked for it; the front may not have read it yet
     assert answered(c, c.ask("manifest"))[0] == frames.FINISHED and len(e.posts) == 2
@@ -164,7 +164,10 @@
     dead.stop()
     died = time.time()
     assert answered(c, stream)[0] == frames.FINISHED and w.posts() == 2
-    assert 0.045 < c.answers[stream][2] - died < 0.5 and w.service.metrics.counters["submissions reset"] == 1
+    assert (
+        0.045 < c.answers[stream][2] - died < 0.5
+        and w.service.metrics.counters["attempts connection reset"] == 1
+    )
 
 
 def test_refused_connections_prove_that_nothing_ran(world):
@@ -184,7 +187,7 @@
     c = w.client()
     streams = [c.ask("status", allow=4000) for _ in range(32)]
     assert all(answered(c, s)[0] == frames.FINISHED for s in streams)
-    assert w.service.engines.most <= 6 and not w.service.metrics.counters["submissions not connected"]
+    assert w.service.engines.most <= 6 and not w.service.metrics.counters["attempts not connected"]
     assert sum(len(e.lines) for e in w.engines) <= 6
 
 
--- a/tests/test_gateway_endpoint_list.py
+++ b/tests/test_gateway_endpoint_list.py
@@ -4,7 +4,7 @@
 from gateway_world import answered
 from loopback import until, wait
 
-from lichenquay.admission import interface as io
+from lichenquay.admission import domain
 from lichenquay.gateway import frames, http
 from lichenquay.gateway.discovery import BadList, Discovery
 from lichenquay.gateway.engine_call import Call
@@ -72,7 +72,7 @@
     call, ends = Call(engine, b"", http.is_news, new=True), []
     call.answer.addErrback(ends.append)
     assert not call.void()
-    engine.state = io.DRAINING
+    engine.state = domain.EndpointState.DRAINING
     assert call.void() and ends and not call.written
 
 
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -7,8 +7,8 @@
 import pytest
 from gateway_world import SETTINGS
 
-from lichenquay.admission import interface as io
-from lichenquay.deployment_settings import Opening, Sheet, flat
+from lichenquay.admission import domain
+from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
 from lichenquay.gateway import frames, http
 from lichenquay.gateway.discovery import BadList, read_rows
 from lichenquay.gateway.metrics import Log
@@ -168,17 +168,19 @@
 def test_both_fronts_open_alike():
     parts = flat(SETTINGS)
     line = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
-    one, other = Opening(Sheet(parts), 5), Opening(Fields(1, line), 5)
+    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, line), 5)
     assert [vars(g) for g in one.groups.values()] == [vars(g) for g in other.groups.values()]
-    assert (one.gateway, one.licence, one.safeguards, one.make, one.makes) == (
+    assert (one.gateway, one.permissions, one.safety_limits, one.capabilities, one.sizes_by_kind) == (
         other.gateway,
-        other.licence,
-        other.safeguards,
-        other.make,
-        other.makes,
+        other.permissions,
+        other.safety_limits,
+        other.capabilities,
+        other.sizes_by_kind,
     )
-    assert one.groups["manifest"].effect == io.MUTATING and one.groups["manifest"].is_load
-    assert one.licence.most_submissions == 6 and one.makes == {"k": (8.0, 16384.0)}
+    assert (
+        one.groups["manifest"].effect == domain.Effect.NON_IDEMPOTENT and one.groups["manifest"].is_bulk_load
+    )
+    assert one.permissions.max_attempts == 6 and one.sizes_by_kind == {"k": (8.0, 16384.0)}
 
 
 def test_reports_costs_and_rows():
@@ -192,7 +194,7 @@
         http.cost_of(said(cpu_ms="inf", mem_used="64")) is None
         and http.report_of(said(report="inflight:-1")) is None
     )
-    assert http.note_of(said(tell="held", amount="2")) == (io.WAITS, 2.0)
+    assert http.note_of(said(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
     assert not any(
         http.note_of(said(**more))
         for more in ({}, dict(tell="held"), dict(tell="odd", amount="1"), dict(tell="share", amount="nan"))
--- a/tests/test_rings.py
+++ b/tests/test_sliding_window.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lichenquay.admission.rings import Ring
+from lichenquay.admission.sliding_window import SlidingWindow
 
 WIDTH_MS, BUCKETS = 100.0, 4
 
@@ -29,7 +29,7 @@
 def test_a_ring_tells_what_a_list_of_all_samples_would(seed):
     """Risk: a count kept beside the buckets drifts from them, and a share of errors or a pace is made up."""
     chance = random.Random(seed)
-    ring, all_samples, now_ms = Ring(WIDTH_MS, BUCKETS), AllSamples(), chance.uniform(0, 1e6)
+    ring, all_samples, now_ms = SlidingWindow(WIDTH_MS, BUCKETS), AllSamples(), chance.uniform(0, 1e6)
     for _ in range(300):
         now_ms += chance.choice((0.0, 1.0, 30.0, 150.0, 390.0, 1000.0)) * chance.random()
         if chance.random() < 0.5:
