--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -1,4 +1,4 @@
-"""`lichenquay`, or `./quay`: the sub-commands."""
+"""The `lichenquay` command and its sub-commands."""
 
 import os
 import sys
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -145,7 +145,7 @@
     err: str
 
 
-def quay(installation, *arguments, fleet=FLEET):
+def run_command(installation, *arguments, fleet=FLEET):
     """The command line, of the voters' real addresses, in this process."""
     voters = ",".join(f"127.0.0.1:{installation.ports[name]}" for name in VOTERS)
     got = CliRunner().invoke(config, [*arguments, "--voters", voters, "--fleet", fleet])
@@ -157,15 +157,15 @@
     with Installation(tmp_path, subscribers=0) as installation, Front(installation) as front:
         assert front.takes(3) == 3
         figures = tmp_path / "put.json"
-        put = quay(installation, "put", "config/gate", GATE, "--json", str(figures))
+        put = run_command(installation, "put", "config/gate", GATE, "--json", str(figures))
         assert (put.code, put.out) == (0, "accepted: version 1\n"), put.err
         assert json.loads(figures.read_text())["version"] == 1
         until(lambda: front.in_force() == 1, 10)
         assert front.takes(3) == 1
-        bad = quay(installation, "put", "config/gate", "address { connections: -1 }")
+        bad = run_command(installation, "put", "config/gate", "address { connections: -1 }")
         assert bad.code == 1 and bad.err.startswith("refused: config/gate"), bad.err
         assert bad.err.count("\n") == 1
-        deleted = quay(installation, "delete", "config/gate")
+        deleted = run_command(installation, "delete", "config/gate")
         assert deleted.code == 0, deleted.err
         until(lambda: front.in_force() == 2, 10)
         assert front.takes(3) == 3
@@ -175,7 +175,7 @@
 def test_a_front_goes_on_with_what_it_has_while_everything_else_is_gone(tmp_path):
     """It says that it may be old, and follows again when they are back."""
     with Installation(tmp_path, subscribers=0) as installation, Front(installation) as front:
-        assert quay(installation, "put", "config/gate", GATE).code == 0
+        assert run_command(installation, "put", "config/gate", GATE).code == 0
         until(lambda: front.in_force() == 1, 10)
         for name in RELAYS:
             installation.kill(name)
@@ -183,7 +183,7 @@
         assert front.in_force() == 1 and front.takes(3) == 1
         for name in RELAYS:
             installation.back(name)
-        assert quay(installation, "delete", "config/gate").code == 0
+        assert run_command(installation, "delete", "config/gate").code == 0
         until(lambda: front.in_force() == 2, 20)
         assert front.takes(3) == 3
 
@@ -194,7 +194,7 @@
     fronts.mkdir()
     installation = Installation(tmp_path, subscribers=0)
     with installation, FollowingCluster(fronts, 2, installation) as cluster:
-        assert quay(installation, "put", "config/gate", GATE).code == 0
+        assert run_command(installation, "put", "config/gate", GATE).code == 0
         for name in cluster.names:
             until(lambda name=name: version_in_force(cluster.told(name)) == 1, 15)
         until(lambda: cluster.agree(states={"a": "alive", "b": "alive"}), 10, 0.2)
@@ -209,25 +209,25 @@
     with Installation(tmp_path, subscribers=0) as installation:
         value = tmp_path / "value"
         value.write_bytes(b"x" * 100)
-        assert quay(installation, "put", "config/file", "--file", str(value)).code == 0
+        assert run_command(installation, "put", "config/file", "--file", str(value)).code == 0
         for arguments, said in (
             (("put", "nothing/x", "1"), "refused: key 'nothing/x': of an unknown kind"),
             (("put", "config/x", "1" * 700), "refused: key 'config/x': a value of 700 bytes"),
             (("delete", "config/none"), "refused: key 'config/none': to be deleted"),
             (("put", "config/x", "--file", str(tmp_path / "no")), "Error: "),
         ):
-            got = quay(installation, *arguments)
+            got = run_command(installation, *arguments)
             assert got.code == 1 and got.err.startswith(said), (arguments, got.err)
             assert got.err.count("\n") == 1
-        assert quay(installation, "put", "config/x").code == 2
-        assert quay(installation, "status", "--seconds", "1", fleet="moor").code == 1
+        assert run_command(installation, "put", "config/x").code == 2
+        assert run_command(installation, "status", "--seconds", "1", fleet="moor").code == 1
         figures = tmp_path / "status.json"
-        assert quay(installation, "status", "--json", str(figures)).code == 0
+        assert run_command(installation, "status", "--json", str(figures)).code == 0
         status = json.loads(figures.read_text())
         assert (status["newest"], status["keys"], status["refused"]) == (1, 1, 0)
         for name in VOTERS:
             installation.signal(name, signal.SIGSTOP)
-        got = quay(installation, "put", "config/x", "1", "--seconds", "1")
+        got = run_command(installation, "put", "config/x", "1", "--seconds", "1")
         assert got.code == IN_DOUBT and got.err.startswith("in doubt: it may have been made or not")
         assert got.err.count("\n") == 1
 
