--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -5,7 +5,7 @@
 import click
 
 from lichenquay.cli import say
-from lichenquay.config.fleet_settings import NAME, address_of
+from lichenquay.config.fleet_settings import NAME_PATTERN, parse_address
 from lichenquay.control_plane.client import Client, NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.validation import fault_of_entry
@@ -24,7 +24,7 @@
         if not isinstance(value, str):
             return value
         try:
-            return [address_of(text) for text in value.split(",")]
+            return [parse_address(text) for text in value.split(",")]
         except ValueError as bad:
             return self.fail(str(bad), param, ctx)
 
@@ -36,7 +36,9 @@
 
     def convert(self, value, param, ctx):
         """The name itself."""
-        return value if NAME.match(value) else self.fail(f"{value!r} is no name of a fleet", param, ctx)
+        return (
+            value if NAME_PATTERN.match(value) else self.fail(f"{value!r} is no name of a fleet", param, ctx)
+        )
 
 
 def voters_options(call):
--- a/lichenquay/cli/lab.py
+++ b/lichenquay/cli/lab.py
@@ -8,13 +8,15 @@
 from lichenquay.cli import say
 from lichenquay.cli.capacity import capacity
 from lichenquay.cli.scale import scale
-from lichenquay.config.reader import BadSettings, read_file, read_lab
+from lichenquay.config.errors import ConfigurationError
+from lichenquay.config.reader import read_file
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.run import CannotRun
 from lichenquay.load.trace import BadTrace
 from lichenquay.testbed.trial import trial
 from lichenquay.testbed.world import CannotStart
 
-PLAIN = (BadSettings, BadTrace, CannotStart, CannotRun)
+PLAIN = (ConfigurationError, BadTrace, CannotStart, CannotRun)
 KEYS = (
     "asked",
     "finished",
@@ -67,7 +69,7 @@
 @say.fails_plainly(*PLAIN)
 def demo(seconds, rate, out, json_to):
     """A front amid four emulated engines under open-loop load, with an engine drained and another one slow on the way."""
-    lab = read_lab(
+    lab = read_testbed(
         f"""load {{ seconds: {seconds} rate: {rate} shape: SURGE peak: 2 }}
         faults {{ kind: SLOW engine: 1 at_ms: {seconds * 250} for_ms: {seconds * 250} amount: 0.4 }}
         faults {{ kind: DRAIN engine: 2 at_ms: {seconds * 400} for_ms: 1500 }}
--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -6,7 +6,8 @@
 
 from lichenquay.cli import say
 from lichenquay.cli.lab import KEYS, PLAIN, out_of
-from lichenquay.config.reader import read_file, read_lab
+from lichenquay.config.reader import read_file
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.run import Workers, report_of
 
 OUT = click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
@@ -33,7 +34,7 @@
     host, _, port = target.rpartition(":")
     if not host.startswith("127.") or not port.isdigit():
         raise click.UsageError(f"TARGET: {target!r} is no loopback address with a port")
-    conf = read_file(world) if world else read_lab("")
+    conf = read_file(world) if world else read_testbed("")
     conf.load.trace = trace or conf.load.trace
     conf.load.rate, conf.load.seconds = rate or conf.load.rate, seconds or conf.load.seconds
     from lichenquay.testbed.trial import keep
@@ -145,7 +146,7 @@
     """Check a trace; with TARGET, write it there as CSV or Parquet with all its columns."""
     from lichenquay.load.trace import read_trace, write_trace
 
-    conf = read_file(world) if world else read_lab("")
+    conf = read_file(world) if world else read_testbed("")
     plan = read_trace(source, conf, conf.seed)
     if target:
         if Path(target).suffix not in (".csv", ".parquet", ".pq"):
--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -10,7 +10,9 @@
 from lichenquay.cli.lab import demo, lab
 from lichenquay.cli.load import load
 from lichenquay.config.control_settings import warnings_of
-from lichenquay.config.reader import BadSettings, read_file, read_lab, read_settings
+from lichenquay.config.errors import ConfigurationError
+from lichenquay.config.reader import read_file, read_settings
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.child import environment
 
 
@@ -40,7 +42,7 @@
     is_flag=True,
     help="It is a front's own settings (LICHENQUAY_SETTINGS) or a control process's, not a world.",
 )
-@say.fails_plainly(BadSettings)
+@say.fails_plainly(ConfigurationError)
 def check(file, settings):
     """Check a settings file: a world, own settings of a front or a control process, or a front's JSON."""
     if str(file).endswith(".json"):
@@ -54,7 +56,7 @@
         for line in warnings_of(read_file(file, read_settings)):
             click.echo(f"{file}: {line}", err=True)
     else:
-        read_file(file, read_lab)
+        read_file(file, read_testbed)
     click.echo(f"{file}: well")
 
 
--- a/lichenquay/config/__init__.py
+++ b/lichenquay/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of our own features: protobuf text format, read whole or refused."""
+"""Settings in protobuf text format, beyond the platform's JSON: read whole or refused."""
--- a/lichenquay/config/distributed_values.py
+++ b/lichenquay/config/distributed_values.py
@@ -1,31 +1,37 @@
-"""Values that fronts put in force: one check, by the publisher and by each front."""
+"""Checks of the values that gateways apply: the same at the publisher and at each gateway."""
 
-from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, fault_of_complete, fault_of_engine
-from lichenquay.config.reader import BadSettings, read_gate
+from lichenquay.config.endpoint_list import (
+    COMPLETE_KEY,
+    ENGINE_PREFIX,
+    problem_with_completeness,
+    problem_with_endpoint,
+)
+from lichenquay.config.errors import ConfigurationError
+from lichenquay.config.reader import read_gate
 
 GATE_KEY = "config/gate"  # protobuf text of the `Gate` settings
 
 
-def gate_of(value):
-    """The gate that a value says. Errors: BadSettings, in one line."""
+def gate_of(value: bytes):
+    """The `Gate` message that a value holds. Errors: ConfigurationError."""
     try:
         text = value.decode("utf-8")
-    except UnicodeDecodeError as bad:
-        raise BadSettings(f"{GATE_KEY}: not UTF-8 text at byte {bad.start}") from None
+    except UnicodeDecodeError as error:
+        raise ConfigurationError(f"{GATE_KEY}: not UTF-8 text at byte {error.start}") from None
     return read_gate(text, GATE_KEY)
 
 
-def fault_of_value(key, value):
-    """Why a value of this key cannot be put in force, or None. Keys that no front reads may hold anything."""
+def problem_with_value(key: str, value: bytes) -> str | None:
+    """Why a value cannot be applied under this key, or None. Keys that no gateway reads may hold anything."""
     if key == COMPLETE_KEY:
-        return fault_of_complete(value)
+        return problem_with_completeness(value)
     if key != GATE_KEY:
         return None
     try:
         gate_of(value)
-    except BadSettings as bad:
-        return str(bad)
+    except ConfigurationError as error:
+        return str(error)
     return None
 
 
-KINDS = {"config/": fault_of_value, ENGINE_PREFIX: fault_of_engine}  # as distribution.check takes them
+CHECKS_BY_PREFIX = {"config/": problem_with_value, ENGINE_PREFIX: problem_with_endpoint}
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -1,74 +1,77 @@
-"""Values under `engine/`: the list of engines, one key each, as the publisher writes and fronts read it."""
+"""Distributed entries under `engine/`: the endpoint list, one key per engine."""
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.admission import domain
+from lichenquay.admission.domain import EndpointState
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.fleet_settings import address_of
+from lichenquay.config.errors import InvalidEndpointError
+from lichenquay.config.fleet_settings import parse_address
 from lichenquay.endpoint_record import EndpointRecord
 
 ENGINE_PREFIX = "engine/"
-COMPLETE_KEY, COMPLETE = "config/engines", b"complete"  # once all engines are published, for the first time
-STATES = {
-    pb.ListedEngine.SERVING: domain.EndpointState.SERVING,
-    pb.ListedEngine.DRAINING: domain.EndpointState.DRAINING,
-}
+# The marker that all engines have been published once.
+COMPLETE_KEY = "config/engines"
+COMPLETE = b"complete"
+STATES = {pb.ListedEngine.SERVING: EndpointState.SERVING, pb.ListedEngine.DRAINING: EndpointState.DRAINING}
 STATE_NUMBERS = {state: number for number, state in STATES.items()}
-MOST_UNITS, MOST_TIME_MS = 1e6, 1e15
+MAX_WEIGHT = 1e6
+MAX_TIME_MS = 1e15
 
 
-class BadEngineError(ValueError):
-    """An entry that names no engine. The text is one line."""
-
-
-def fault_of_complete(value):
-    """Why this is no word on whether all engines are published, or None."""
+def problem_with_completeness(value: bytes) -> str | None:
+    """Why a value cannot stand under `COMPLETE_KEY`, or None."""
     return None if value == COMPLETE else f"{COMPLETE_KEY}: {COMPLETE.decode()!r} is all that it can be"
 
 
-def key_of(row):
+def key_of(record: EndpointRecord) -> str:
     """The key of an engine."""
-    return f"{ENGINE_PREFIX}{row.zone}/{row.uid}"
+    return f"{ENGINE_PREFIX}{record.zone}/{record.uid}"
 
 
-def value_of(row):
-    """What stands under that key; a withdrawn engine has none."""
+def value_of(record: EndpointRecord) -> bytes:
+    """The value of an engine that is not removed."""
     return pb.ListedEngine(
-        address=row.address,
-        kind=row.kind,
-        cell=row.cell,
-        state=STATE_NUMBERS[row.state],
-        units=row.advertised_weight,
-        started_ms=row.started_ms,
+        address=record.address,
+        kind=record.kind,
+        cell=record.cell,
+        state=STATE_NUMBERS[record.state],
+        units=record.advertised_weight,
+        started_ms=record.started_ms,
     ).SerializeToString(deterministic=True)
 
 
-def row_of(key, value):
-    """The engine that an entry names. Errors: BadEngineError."""
-    place, separator, uid = key.removeprefix(ENGINE_PREFIX).partition("/")
+def record_of(key: str, value: bytes) -> EndpointRecord:
+    """The engine that an entry describes. Errors: InvalidEndpointError."""
+    zone, separator, uid = key.removeprefix(ENGINE_PREFIX).partition("/")
     if not key.startswith(ENGINE_PREFIX) or not separator or not uid or "/" in uid:
-        raise BadEngineError(f"key {key[:64]!r}: not engine/ZONE/UID")
+        raise InvalidEndpointError(f"key {key[:64]!r}: not engine/ZONE/UID")
     try:
         listed = pb.ListedEngine.FromString(value)
-        host, port = address_of(listed.address)
+        parse_address(listed.address)
     except DecodeError:
-        raise BadEngineError(f"{key}: no engine's entry") from None
+        raise InvalidEndpointError(f"{key}: no engine's entry") from None
     except ValueError:
-        raise BadEngineError(f"{key}: {listed.address[:40]!r} is no address:port") from None
+        raise InvalidEndpointError(f"{key}: {listed.address[:40]!r} is no address:port") from None
     if listed.state not in STATES:
-        raise BadEngineError(f"{key}: in no known state")
-    if not 0 <= listed.units <= MOST_UNITS or not 0 <= listed.started_ms <= MOST_TIME_MS:
-        raise BadEngineError(f"{key}: capacity or time of its start make no sense")
-    state = STATES[listed.state]
+        raise InvalidEndpointError(f"{key}: in no known state")
+    if not 0 <= listed.units <= MAX_WEIGHT or not 0 <= listed.started_ms <= MAX_TIME_MS:
+        raise InvalidEndpointError(f"{key}: capacity or time of its start make no sense")
     return EndpointRecord(
-        uid, listed.address, place, listed.kind, listed.cell, state, listed.units, listed.started_ms
+        uid=uid,
+        address=listed.address,
+        zone=zone,
+        kind=listed.kind,
+        cell=listed.cell,
+        state=STATES[listed.state],
+        advertised_weight=listed.units,
+        started_ms=listed.started_ms,
     )
 
 
-def fault_of_engine(key, value):
-    """Why an entry names no engine, or None."""
+def problem_with_endpoint(key: str, value: bytes) -> str | None:
+    """Why an entry describes no engine, or None."""
     try:
-        row_of(key, value)
-    except BadEngineError as bad:
-        return str(bad)
+        record_of(key, value)
+    except InvalidEndpointError as error:
+        return str(error)
     return None
--- a/lichenquay/config/fleet_settings.py
+++ b/lichenquay/config/fleet_settings.py
@@ -1,14 +1,20 @@
-"""The settings of a front among others (`fleet`): checked whole, with usual values, and the fingerprint that all must share."""
+"""Settings of a gateway among others (`fleet`): checks, defaults, and the fingerprint that all share."""
 
 import hashlib
 import re
+from typing import NamedTuple
 
 from lichenquay.quota.account_settings import figures_of
 
-MOST_FRONTS = 1024
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # bounded: every datagram carries some
-USUAL_ACCOUNT = {"credit_ms": 0.0, "due_ms": 30_000.0, "repay_share": 0.25, "lend_share": 0.5}
-USUAL_LEASE_MS, USUAL_TERM_MS = 1500.0, 4000.0
+MAX_GATEWAYS = 1024
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # short, as every datagram carries some
+NOT_A_NAME = "is no name of 1 to 24 letters, digits, dots and dashes"
+VOTER_COUNTS = (2, 3, 5)
+DEFAULT_LEASE_MS = 1500.0
+DEFAULT_TERM_MS = 4000.0
+# A term has to outlive a lease that is renewed late, or a leader would lose its grants while it leads.
+LEASES_IN_A_TERM = 2
+DEFAULT_ACCOUNT = {"credit_ms": 0.0, "due_ms": 30_000.0, "repay_share": 0.25, "lend_share": 0.5}
 RANGES = {
     "fleet.lease_ms": (200, 60_000),
     "fleet.term_ms": (500, 600_000),
@@ -21,111 +27,168 @@
 }
 
 
-def address_of(text):
-    """(address, port); ValueError for what is none."""
+class QuotaAccount(NamedTuple):
+    """A tenant's quota over the whole fleet, in milliseconds of engine work."""
+
+    tenant: str
+    rate_ms: float  # per second
+    bucket_ms: float  # unused quota that is kept at most
+    credit_ms: float  # outstanding loans at most
+    due_ms: float  # a loan that is older is overdue
+    repay_share: float  # of the rate that repays loans
+    lend_share: float  # of the bucket that others may borrow
+
+
+def parse_address(text: str) -> tuple[str, int]:
+    """(address, port). Errors: ValueError for a text that is none."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(f"{text!r} is no address:port")
     return host, int(port)
 
 
-def fault_of_fleet(fleet):
-    """The first thing that makes no sense, or None. Risk: a front that starts on half of it talks as nobody meant."""
+def problem_with_fleet(fleet) -> str | None:
+    """The first thing that cannot be used, or None.
+
+    The section is checked whole, since a gateway that starts on a part of it would act as nobody meant.
+    """
+    return (
+        _problem_with_identity(fleet)
+        or _problem_with_peers(fleet)
+        or _problem_with_addresses(fleet)
+        or _problem_with_voters(fleet)
+        or _problem_with_accounts(fleet)
+    )
+
+
+def gateway_names(fleet) -> list[str]:
+    """The names of all gateways, sorted."""
+    return sorted({fleet.name, *(peer.name for peer in fleet.peers)})
+
+
+def voter_names(fleet) -> list[str]:
+    """The gateways that vote on the ledger: as given, else the first five, three or two by name."""
+    if fleet.voters:
+        return sorted(fleet.voters)
+    names = gateway_names(fleet)
+    if len(names) >= 5:
+        return names[:5]
+    return names[:3] if len(names) >= 3 else names[:2]
+
+
+def quota_account(account) -> QuotaAccount:
+    """An account with its defaults."""
+    optional = (
+        getattr(account, field) if account.HasField(field) else default
+        for field, default in DEFAULT_ACCOUNT.items()
+    )
+    return QuotaAccount(account.tenant, account.rate_ms, account.bucket_ms, *optional)
+
+
+def ledger_account(account):
+    """An account as the ledger takes it. Errors: ValueError, in one line."""
+    quota = quota_account(account)
+    return figures_of(
+        quota.tenant,
+        quota.rate_ms,
+        quota.bucket_ms,
+        quota.credit_ms,
+        quota.due_ms,
+        quota.repay_share,
+        1.0 - quota.lend_share,
+    )
+
+
+def fingerprint(fleet) -> int:
+    """64 bits over all that must be the same on all gateways; addresses and folders may differ."""
+    accounts = sorted(tuple(quota_account(account)) for account in fleet.accounts)
+    values = (
+        1,  # revision of the protocol
+        fleet.fleet,
+        voter_names(fleet),
+        fleet.lease_ms or DEFAULT_LEASE_MS,
+        fleet.term_ms or DEFAULT_TERM_MS,
+        accounts,
+    )
+    return int.from_bytes(hashlib.blake2b(repr(values).encode(), digest_size=8).digest(), "big")
+
+
+def _problem_with_identity(fleet):
     for field in ("fleet", "name", "listen"):
         if not getattr(fleet, field):
             return f"fleet.{field}: missing"
     for field in ("fleet", "name"):
-        if not NAME.match(getattr(fleet, field)):
-            return f"fleet.{field}: {getattr(fleet, field)[:40]!r} is no name of 1 to 24 letters, digits, dots and dashes"
+        value = getattr(fleet, field)
+        if not NAME_PATTERN.match(value):
+            return f"fleet.{field}: {value[:40]!r} {NOT_A_NAME}"
+    return None
+
+
+def _problem_with_peers(fleet):
     if not fleet.peers:
         return "fleet.peers: missing; a fleet is two fronts at least"
-    if len(fleet.peers) >= MOST_FRONTS:
-        return f"fleet.peers: {len(fleet.peers)}, but a fleet is {MOST_FRONTS} fronts at most"
-    names, addresses = {fleet.name}, {fleet.listen}
-    for i, peer in enumerate(fleet.peers):
-        if not NAME.match(peer.name):
-            return f"fleet.peers[{i}].name: {peer.name[:40]!r} is no name of 1 to 24 letters, digits, dots and dashes"
+    if len(fleet.peers) >= MAX_GATEWAYS:
+        return f"fleet.peers: {len(fleet.peers)}, but a fleet is {MAX_GATEWAYS} fronts at most"
+    names = {fleet.name}
+    addresses = {fleet.listen}
+    for index, peer in enumerate(fleet.peers):
+        here = f"fleet.peers[{index}]"
+        if not NAME_PATTERN.match(peer.name):
+            return f"{here}.name: {peer.name[:40]!r} {NOT_A_NAME}"
         if peer.name == fleet.name:
-            return f"fleet.peers[{i}].name: {peer.name!r} is this front itself"
+            return f"{here}.name: {peer.name!r} is this front itself"
         if peer.name in names:
-            return f"fleet.peers[{i}].name: {peer.name!r} is another peer's"
+            return f"{here}.name: {peer.name!r} is another peer's"
         if peer.address in addresses:
-            return f"fleet.peers[{i}].address: {peer.address!r} is another's"
+            return f"{here}.address: {peer.address!r} is another's"
         names.add(peer.name)
         addresses.add(peer.address)
-    for name, text in (
-        ("listen", fleet.listen),
-        *((f"peers[{i}].address", p.address) for i, p in enumerate(fleet.peers)),
-    ):
+    return None
+
+
+def _problem_with_addresses(fleet):
+    addresses = {"listen": fleet.listen}
+    addresses |= {f"peers[{index}].address": peer.address for index, peer in enumerate(fleet.peers)}
+    for path, text in addresses.items():
         try:
-            address_of(text)
-        except ValueError as bad:
-            return f"fleet.{name}: {bad}"
-    return fault_of_voters(fleet, names) or fault_of_accounts(fleet)
+            parse_address(text)
+        except ValueError as error:
+            return f"fleet.{path}: {error}"
+    return None
 
 
-def fault_of_voters(fleet, names):
-    if fleet.voters and (len(set(fleet.voters)) < len(fleet.voters) or len(fleet.voters) not in (2, 3, 5)):
-        return (
-            f"fleet.voters: {len(fleet.voters)} of them; 3 or 5 names are wanted, 2 where there are no more"
-        )
+def _problem_with_voters(fleet):
+    count = len(fleet.voters)
+    is_unique = len(set(fleet.voters)) == count
+    if count and (not is_unique or count not in VOTER_COUNTS):
+        return f"fleet.voters: {count} of them; 3 or 5 names are wanted, 2 where there are no more"
     for name in fleet.voters:
-        if name not in names:
+        if name not in gateway_names(fleet):
             return f"fleet.voters: {name!r} is no front of this fleet"
     return None
 
 
-def fault_of_accounts(fleet):
+def _problem_with_accounts(fleet):
     if fleet.accounts and not fleet.folder:
         return "fleet.folder: missing; accounts need one that lasts"
-    tenants = [a.tenant for a in fleet.accounts]
+    tenants = [account.tenant for account in fleet.accounts]
     if "" in tenants or len(set(tenants)) < len(tenants):
         return "fleet.accounts: each needs a tenant of its own"
-    for i, account in enumerate(fleet.accounts):
-        for field in ("rate_ms", "bucket_ms"):
-            if not account.HasField(field):
-                return f"fleet.accounts[{i}].{field}: missing"
-        try:
-            figures(account)
-        except ValueError as bad:
-            return f"fleet.accounts[{i}]: {bad}"
-    if fleet.HasField("term_ms") and fleet.term_ms < 2 * (fleet.lease_ms or USUAL_LEASE_MS):
-        return f"fleet.term_ms: {fleet.term_ms:g} is under two leases of {fleet.lease_ms or USUAL_LEASE_MS:g}"
+    for index, account in enumerate(fleet.accounts):
+        if problem := _problem_with_account(account):
+            return f"fleet.accounts[{index}]{problem}"
+    lease_ms = fleet.lease_ms or DEFAULT_LEASE_MS
+    if fleet.HasField("term_ms") and fleet.term_ms < LEASES_IN_A_TERM * lease_ms:
+        return f"fleet.term_ms: {fleet.term_ms:g} is under two leases of {lease_ms:g}"
     return None
 
 
-def names_of(fleet):
-    return sorted({fleet.name, *(p.name for p in fleet.peers)})
-
-
-def voters_of(fleet):
-    """Who keeps the ledger: as set, else the first five, three or two fronts by name."""
-    if fleet.voters:
-        return sorted(fleet.voters)
-    names = names_of(fleet)
-    return names[: 5 if len(names) >= 5 else 3 if len(names) >= 3 else 2]
-
-
-def account_of(account):
-    """(tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, lend_share)."""
-    more = (getattr(account, f) if account.HasField(f) else usual for f, usual in USUAL_ACCOUNT.items())
-    return account.tenant, account.rate_ms, account.bucket_ms, *more
-
-
-def figures(account):
-    """As the ledger takes them. Errors: ValueError, in one line."""
-    tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, lend_share = account_of(account)
-    return figures_of(tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, 1.0 - lend_share)
-
-
-def fingerprint(fleet):
-    """Of all that must be alike on all fronts: 64 bits. Addresses and folders are each front's own."""
-    said = (
-        1,
-        fleet.fleet,
-        voters_of(fleet),
-        fleet.lease_ms or USUAL_LEASE_MS,
-        fleet.term_ms or USUAL_TERM_MS,
-        sorted(map(account_of, fleet.accounts)),
-    )
-    return int.from_bytes(hashlib.blake2b(repr(said).encode(), digest_size=8).digest(), "big")
+def _problem_with_account(account):
+    for field in ("rate_ms", "bucket_ms"):
+        if not account.HasField(field):
+            return f".{field}: missing"
+    try:
+        ledger_account(account)
+    except ValueError as error:
+        return f": {error}"
+    return None
--- a/lichenquay/control_plane/client.py
+++ b/lichenquay/control_plane/client.py
@@ -6,7 +6,7 @@
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.config.control_settings import distribution_fingerprint
+from lichenquay.config.distribution_settings import distribution_fingerprint
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
 
--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from lichenquay.admission import domain
-from lichenquay.config.distributed_values import KINDS
+from lichenquay.config.distributed_values import CHECKS_BY_PREFIX
 from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import size_of
@@ -51,7 +51,7 @@
             self._forget(row.uid)
             return
         entry = pb.Entry(key=key, value=value_of(row))
-        fault = fault_of_entry(entry, KINDS)
+        fault = fault_of_entry(entry, CHECKS_BY_PREFIX)
         if fault is not None:
             if not self.counts["senseless"]:
                 self.log.warning("engines", why=fault)
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -5,15 +5,14 @@
 
 from lichenquay.config.control_settings import (
     VOTER,
-    distribution_fingerprint,
-    figures_of,
     group_fingerprint,
-    lease_ms_of,
+    lease_duration_ms,
     region_of,
     warnings_of,
 )
-from lichenquay.config.distributed_values import KINDS as CHECKS
-from lichenquay.config.fleet_settings import address_of
+from lichenquay.config.distributed_values import CHECKS_BY_PREFIX as CHECKS
+from lichenquay.config.distribution_settings import distribution_fingerprint, distribution_settings
+from lichenquay.config.fleet_settings import parse_address
 from lichenquay.control_plane.endpoint_importer import EngineImporter
 from lichenquay.control_plane.lease_candidate import Candidate
 from lichenquay.control_plane.report import publisher_lines, relay_lines
@@ -51,7 +50,7 @@
     def __init__(self, reactor, said, log=None):
         """`said`: the settings of one control process, checked."""
         self.settings = settings = said.control
-        self.figures, self.warnings = figures_of(settings.figures), warnings_of(said)
+        self.figures, self.warnings = distribution_settings(settings.figures), warnings_of(said)
         self.rng = random.Random(random.SystemRandom().getrandbits(128))
         self.addresses = self._new_addresses()
         self.leave_by_ms, self.said_version, self.said_ms = None, 0, float("-inf")
@@ -135,7 +134,7 @@
             self.incarnation,
             sorted(voter.name for voter in settings.voters),
             self.rng,
-            publisher.group_settings(self.figures, lease_ms_of(settings)),
+            publisher.group_settings(self.figures, lease_duration_ms(settings)),
             self.figures,
             now_ms,
             self.kept_sections(),
@@ -150,7 +149,7 @@
         """The list of engines is followed here, and published while this voter holds the lease."""
         self.importer = self.parts[IMPORTER] = EngineImporter(self.publisher, self.rng, now_ms, self.log)
         discovery = Discovery(NO_EVENTS, self.announced, self.tell_discovery)
-        host, port = address_of(self.settings.discovery)
+        host, port = parse_address(self.settings.discovery)
         self.discovery = DiscoveryFactory(self.reactor, discovery, host, port, CONNECT_MS)
 
     def announced(self, whole, rows):
@@ -243,7 +242,7 @@
 def _named(settings):
     """{name: address} of all others that the settings name."""
     places = [*settings.voters, *settings.relays]
-    return {place.name: address_of(place.address) for place in places if place.name != settings.name}
+    return {place.name: parse_address(place.address) for place in places if place.name != settings.name}
 
 
 def _envelope(settings):
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -3,7 +3,8 @@
 import signal
 import sys
 
-from lichenquay.config.reader import BadSettings, read_control, read_file
+from lichenquay.config.errors import ConfigurationError
+from lichenquay.config.reader import read_control, read_file
 from lichenquay.control_plane.runtime import control_of
 from lichenquay.process import hear_signals
 
@@ -24,7 +25,7 @@
             raise CannotStartError("one settings file is wanted")
         try:
             said = read_file(arguments[0], read_control)
-        except BadSettings as bad:
+        except ConfigurationError as bad:
             raise CannotStartError(str(bad)) from None
         self.reactor, self.state = reactor, STARTING
         self.host = control_of(reactor, said)
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -3,11 +3,15 @@
 from typing import Protocol
 
 from lichenquay.admission import domain
-from lichenquay.config.control_settings import distribution_fingerprint, figures_of, prefixes_of
 from lichenquay.config.distributed_values import GATE_KEY, gate_of
-from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, BadEngineError, row_of
-from lichenquay.config.fleet_settings import address_of
-from lichenquay.config.reader import BadSettings
+from lichenquay.config.distribution_settings import (
+    distribution_fingerprint,
+    distribution_settings,
+    followed_prefixes,
+)
+from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, record_of
+from lichenquay.config.errors import ConfigurationError, InvalidEndpointError
+from lichenquay.config.fleet_settings import parse_address
 from lichenquay.distribution import distribution_pb2
 from lichenquay.distribution.subscriber import Subscriber
 from lichenquay.fleet.message_envelope import DISTRIBUTION
@@ -28,7 +32,7 @@
 
 def relay_addresses(settings):
     """{name: address} of the relays that a front may follow."""
-    return {relay.name: address_of(relay.address) for relay in settings.relays}
+    return {relay.name: parse_address(relay.address) for relay in settings.relays}
 
 
 def open_layers(fleet):
@@ -45,9 +49,9 @@
         self.engines_follow, self.engines_known = settings.engines, False
         region = next((r.region for r in settings.relays if r.zone == settings.zone), "")
         sources = ranked(settings.relays, name, settings.zone, region)
-        figures = figures_of(settings.figures)
+        figures = distribution_settings(settings.figures)
         self.subscriber = Subscriber(
-            name, sources, prefixes_of(settings), rng, figures, now_ms, self.apply, self.told
+            name, sources, followed_prefixes(settings), rng, figures, now_ms, self.apply, self.told
         )
 
     def apply(self, now_ms, changed, whole):
@@ -56,7 +60,7 @@
         try:
             gate = gate_of(changed[GATE_KEY]) if changed.get(GATE_KEY) is not None else None
             rows = self._rows(changed) if self.engines_follow else []
-        except (BadSettings, BadEngineError) as bad:
+        except (ConfigurationError, InvalidEndpointError) as bad:
             self.fault = str(bad)
             return self.fault
         if gate_changed:
@@ -78,16 +82,16 @@
             self.apply_to.put_engines(True, self._rows(subscriber.values))
 
     def _rows(self, changed):
-        """The engines that changed, those that are gone first. Errors: BadEngineError."""
+        """The engines that changed, those that are gone first. Errors: InvalidEndpointError."""
         gone, listed = [], []
         for key, value in changed.items():
             if not key.startswith(ENGINE_PREFIX):
                 continue
             if value is not None:
-                listed.append(row_of(key, value))
+                listed.append(record_of(key, value))
             elif key in self.subscriber.values:
                 gone.append(
-                    row_of(key, self.subscriber.values[key])._replace(state=domain.EndpointState.REMOVED)
+                    record_of(key, self.subscriber.values[key])._replace(state=domain.EndpointState.REMOVED)
                 )
         still = {row.uid for row in listed}  # in another zone by now
         return [row for row in gone if row.uid not in still] + listed
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -5,7 +5,7 @@
 
 import random
 
-from lichenquay.config.fleet_settings import address_of, fingerprint, names_of
+from lichenquay.config.fleet_settings import fingerprint, gateway_names, parse_address
 from lichenquay.fleet.datagram_transport import Post
 from lichenquay.fleet.message_envelope import DISTRIBUTION, MEMBERS, OWNER, QUOTA, Envelope
 from lichenquay.fleet.quota_part import PREFIX, Accounts
@@ -46,7 +46,7 @@
         self.settings, self.pressed = settings, pressed
         self.distribution, self.apply_to, self.following = distribution, apply_to, None
         self.rng = random.Random(f"{seed}:{settings.name}")
-        self.names = names_of(settings)
+        self.names = gateway_names(settings)
         self.left, self.accounts, self.quota, self.rising = False, None, None, None
         super().__init__(
             Outside(reactor, now_ms, unix_ms, folder, writer),
@@ -56,7 +56,7 @@
         )
 
     def new_post(self, settings):
-        addresses, kinds, layers = {p.name: address_of(p.address) for p in settings.peers}, KINDS, {}
+        addresses, kinds, layers = {p.name: parse_address(p.address) for p in settings.peers}, KINDS, {}
         if self.distribution is not None:
             from lichenquay.fleet import applied_configuration as following
 
--- a/lichenquay/fleet/message_envelope.py
+++ b/lichenquay/fleet/message_envelope.py
@@ -12,7 +12,7 @@
 import google_crc32c
 from google.protobuf.message import DecodeError
 
-from lichenquay.config.fleet_settings import NAME
+from lichenquay.config.fleet_settings import NAME_PATTERN
 from lichenquay.fleet import fleet_pb2 as pb
 
 VERSION = 1
@@ -75,4 +75,4 @@
 
     def takes(self, name, layer):
         """Whether a process of this name may speak in this layer."""
-        return bool(NAME.match(name)) if layer in self.open_layers else name in self.names
+        return bool(NAME_PATTERN.match(name)) if layer in self.open_layers else name in self.names
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -3,7 +3,13 @@
 Two parts of the host: `lease` (the group's messages) and itself (asks and answers). No I/O: the host brings time, messages and the disk.
 """
 
-from lichenquay.config.fleet_settings import USUAL_LEASE_MS, USUAL_TERM_MS, figures, names_of, voters_of
+from lichenquay.config.fleet_settings import (
+    DEFAULT_LEASE_MS,
+    DEFAULT_TERM_MS,
+    gateway_names,
+    ledger_account,
+    voter_names,
+)
 from lichenquay.lease.group import Group
 from lichenquay.lease.settings import Settings as LeaseSettings
 from lichenquay.quota import ledger_records as ledger_kept
@@ -27,13 +33,13 @@
 
     def __init__(self, settings, incarnation, rng, now_ms, kept, state_of, pressed, log):
         self.name, self.incarnation, self.rng, self.log = settings.name, incarnation, rng, log
-        self.state_of, self.pressed, self.voters = state_of, pressed, voters_of(settings)
-        self.fronts = len(names_of(settings))
-        self.figures = [figures(a) for a in settings.accounts]
-        self.term_ms = settings.term_ms or USUAL_TERM_MS
+        self.state_of, self.pressed, self.voters = state_of, pressed, voter_names(settings)
+        self.fronts = len(gateway_names(settings))
+        self.figures = [ledger_account(a) for a in settings.accounts]
+        self.term_ms = settings.term_ms or DEFAULT_TERM_MS
         self.group = self.keeper = None
         if self.name in self.voters:
-            lease_ms = settings.lease_ms or USUAL_LEASE_MS
+            lease_ms = settings.lease_ms or DEFAULT_LEASE_MS
             owner = LeaseSettings(
                 lease_ms=lease_ms,
                 renew_ms=lease_ms / 6,
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -14,7 +14,7 @@
 import structlog
 from twisted.internet.error import CannotListenError
 
-from lichenquay.config.fleet_settings import address_of
+from lichenquay.config.fleet_settings import parse_address
 from lichenquay.fleet.message_envelope import OWNER
 from lichenquay.storage.incarnation import next_incarnation
 from lichenquay.storage.recovery import UnusableStoreError
@@ -99,7 +99,7 @@
                     who.folder, who.fleet, who.name, who.folder_bytes, now_ms=self.now_ms()
                 )
             self.rise()
-            host, port = address_of(who.listen)
+            host, port = parse_address(who.listen)
             self.port = self.reactor.listenUDP(port, self.post, interface=host)
         except UnusableStoreError as bad:
             return str(bad)
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -95,11 +95,12 @@
     path = environment.get("LICHENQUAY_SETTINGS")
     if not path:
         return None
-    from lichenquay.config.reader import BadSettings, read_file, read_settings
+    from lichenquay.config.errors import ConfigurationError
+    from lichenquay.config.reader import read_file, read_settings
 
     try:
         return read_file(path, read_settings)
-    except BadSettings as bad:
+    except ConfigurationError as bad:
         raise CannotStart(str(bad)) from None
 
 
@@ -130,9 +131,9 @@
     """`distributed`: a gate that takes the place of the file's."""
     if more is None:
         return Rules(most, 0, lag_ms=0.0)
-    from lichenquay.config.reader import rules_of
+    from lichenquay.config.connection_admission_settings import connection_rules
 
-    return rules_of(more.gate if distributed is None else distributed, most)
+    return connection_rules(more.gate if distributed is None else distributed, most)
 
 
 class Service:
--- a/lichenquay/load/proof.py
+++ b/lichenquay/load/proof.py
@@ -8,7 +8,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from lichenquay.config.reader import read_lab
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.child import environment, hear
 from lichenquay.load.run import LAG_BOUND_MS, CannotRun, Workers, columns_of, report_of
 
@@ -37,7 +37,7 @@
 
 
 def null_world(rate, seconds, workers, connections, closed=False, seed=1):
-    return read_lab(
+    return read_testbed(
         f"""seed: {seed} load {{ rate: {rate} seconds: {seconds} workers: {workers} connections: {connections}
         addresses: 1 closed: {str(closed).lower()} }}""",
         "null",
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from lichenquay.config.reader import read_lab
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
 from lichenquay.load.child import environment
 from lichenquay.load.task import Task, statement_of
@@ -116,7 +116,7 @@
 def siege(out, seconds=10.0, connections=1500, addresses=1, sockets=400, rate=20.0, gate=True, processes=4):
     """Figures of a calm and a flooded part of `seconds` each. `gate`: with known clients and their reserve, else without."""
     rules = f'gate {{ known: "{KNOWN}" reserve: 40 most_queries: 32 address {{ connections: 32 queries: 12 }} prefix {{ connections: 96 queries: 24 per_s: 20 burst: 40 }} lag_ms: 50 }}'
-    lab = read_lab(
+    lab = read_testbed(
         f"front {{ sockets: {sockets} memory_mb: 192 {rules if gate else ''} }} engines {{ cores: 8 most_open: 256 }}"
     )
     out = Path(out)
--- a/lichenquay/testbed/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_fronts.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.reader import read_lab
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.run import Workers, columns_of, report_of
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.scale import measure
@@ -64,7 +64,7 @@
         """`seconds`: of the load."""
         seed = spec.shape.seed
         text = f"seed: {seed} load {{ seconds: {seconds} rate: {RATE} }} front {{ count: {count} }}"
-        self.lab = read_lab(text)
+        self.lab = read_testbed(text)
         self.lab.load.workers = WORKERS_OF_FRONT
         self.out, self.seconds = Path(out), seconds
         self.world = FollowingWorld(self.lab, self.out, spec)
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lichenquay.config.fleet_settings import MOST_FRONTS
+from lichenquay.config.fleet_settings import MAX_GATEWAYS
 from lichenquay.fleet.quota_part import MOST_STATE
 from lichenquay.gateway.http import MOST_BODY
 from lichenquay.testbed.scale import plan
@@ -244,7 +244,7 @@
         F,
         lambda at: float(F),
         "fronts",
-        float(MOST_FRONTS),
+        float(MAX_GATEWAYS),
         "members: at most 1,024 names",
     ),
     Row(
--- a/lichenquay/testbed/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -4,7 +4,7 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from lichenquay.config.control_settings import distribution_fingerprint
+from lichenquay.config.distribution_settings import distribution_fingerprint
 from lichenquay.config.endpoint_list import ENGINE_PREFIX
 from lichenquay.fleet.message_envelope import DISTRIBUTION
 from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape
--- a/tests/distribution/hollow.py
+++ b/tests/distribution/hollow.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import dataclass
 
-from lichenquay.config.control_settings import distribution_fingerprint
+from lichenquay.config.distribution_settings import distribution_fingerprint
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from lichenquay.config.reader import read_lab
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
 from lichenquay.load.child import environment, hear
 from lichenquay.load.task import Task, statement_of
@@ -20,7 +20,7 @@
     """A context: emulated engines and their bulletin; `world`: settings of the laboratory."""
 
     def __init__(self, path, world):
-        self.path, self.lab = Path(path), read_lab(world)
+        self.path, self.lab = Path(path), read_testbed(world)
         self.settings = settings_of(self.lab)
 
     def __enter__(self):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,5 +1,7 @@
-"""Settings in protobuf text format: read whole or refused in one line that names file, line and cause; the generated code
-is current."""
+"""Settings in protobuf text format: read whole, or rejected in one line that names file, line and cause.
+
+The generated protobuf code is current.
+"""
 
 import subprocess
 import sys
@@ -10,21 +12,18 @@
 from hypothesis import strategies as st
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.fleet_settings import fingerprint, voters_of
+from lichenquay.config.connection_admission_settings import connection_rules
+from lichenquay.config.errors import ConfigurationError
+from lichenquay.config.fleet_settings import fingerprint, voter_names
 from lichenquay.config.generate_protobuf import HERE, PROTOS
-from lichenquay.config.reader import (
-    RANGES,
-    BadSettings,
-    fault_of,
-    fields,
-    read_file,
-    read_lab,
-    read_settings,
-    rules_of,
-)
+from lichenquay.config.ranges import RANGES
+from lichenquay.config.reader import read_file, read_settings
+from lichenquay.config.testbed_settings import problem_with_testbed, read_testbed
+from lichenquay.config.text_format import given_values
 
 
-def test_the_generated_code_is_current(tmp_path):
+def test_the_generated_protobuf_code_is_current(tmp_path):
+    """Every `_pb2.py` is what its .proto gives."""
     subprocess.run(
         [
             sys.executable,
@@ -40,13 +39,15 @@
         assert (tmp_path / name).read_text() == (proto.parent / name).read_text(), proto
 
 
-def test_what_is_left_out_has_its_usual_value_and_zero_can_be_said():
-    lab = read_lab(
-        'load { skew: 0 rate: 7 } groups { name: "one" target_ms: 5 timeout_ms: 9 threads: 1 share: 1 work_ms: 1 }'
+def test_defaults_fill_in_what_a_file_omits_and_zero_is_a_value():
+    """Given lists replace the default lists."""
+    lab = read_testbed(
+        "load { skew: 0 rate: 7 } "
+        'groups { name: "one" target_ms: 5 timeout_ms: 9 threads: 1 share: 1 work_ms: 1 }'
     )
     assert lab.load.skew == 0 and lab.load.rate == 7 and lab.load.workers == 2 and lab.engines.count == 4
     assert [g.name for g in lab.groups] == ["one"] and len(lab.tenants) == 3
-    assert read_lab("engines { zones: 'z' }").engines.zones == ["z"]
+    assert read_testbed("engines { zones: 'z' }").engines.zones == ["z"]
 
 
 @pytest.mark.parametrize(
@@ -61,7 +62,8 @@
             ":1: load.workers: 9 of them need a connection each, there are 4",
         ),
         (
-            "groups { name: 'a' work_ms: 1 threads: 1 share: 1 target_ms: 1 timeout_ms: 1 }\ngroups { name: 'a'\n }",
+            "groups { name: 'a' work_ms: 1 threads: 1 share: 1 target_ms: 1 timeout_ms: 1 }\n"
+            "groups { name: 'a'\n }",
             "groups[1].target_ms: 0 is not between",
         ),
         ("faults { at_ms: 3 }", "faults[0].kind: missing"),
@@ -74,24 +76,27 @@
         ("tenants { share: 1 }", "tenants: each needs a name"),
     ],
 )
-def test_what_makes_no_sense_is_refused_in_one_line(text, said):
-    with pytest.raises(BadSettings) as bad:
-        read_lab(text, "w.textproto")
+def test_an_unusable_testbed_is_rejected_in_one_line(text, said):
+    """With file, line and path."""
+    with pytest.raises(ConfigurationError) as bad:
+        read_testbed(text, "w.textproto")
     line = str(bad.value)
     assert line.startswith("w.textproto") and said in line and "\n" not in line
 
 
 def test_a_file_that_cannot_be_read_is_named(tmp_path):
-    with pytest.raises(BadSettings, match="nothing.textproto: No such file"):
+    """Missing, or not text."""
+    with pytest.raises(ConfigurationError, match="nothing.textproto: No such file"):
         read_file(tmp_path / "nothing.textproto")
     (tmp_path / "x").write_bytes(b"\xff\xfe")
-    with pytest.raises(BadSettings, match="not UTF-8"):
+    with pytest.raises(ConfigurationError, match="not UTF-8"):
         read_file(tmp_path / "x")
 
 
-def test_every_figure_of_a_world_has_a_range():
-    lab = read_lab("faults { kind: HANG }")
-    figures = {p for p, _, v in fields(lab) if isinstance(v, (int, float)) and not isinstance(v, bool)}
+def test_every_number_of_a_testbed_has_a_range():
+    """So no value goes unchecked."""
+    lab = read_testbed("faults { kind: HANG }")
+    figures = {p for p, _, v in given_values(lab) if isinstance(v, (int, float)) and not isinstance(v, bool)}
     free = {"seed", "groups.effect", "faults.kind", "faults.engine", "load.arrivals", "load.shape"}
     others = ("fleet", "control", "distribution")  # these have tests of their own
     assert figures - free == {name for name in RANGES if "gate" not in name and not name.startswith(others)}
@@ -124,13 +129,14 @@
         max_size=14,
     ).map(" ".join)
 )
-def test_no_text_does_more_than_be_refused(text):
+def test_any_text_is_read_or_rejected(text):
+    """Whatever is accepted survives being written and read again."""
     try:
-        lab = read_lab(text)
-    except BadSettings as bad:
+        lab = read_testbed(text)
+    except ConfigurationError as bad:
         assert "\n" not in str(bad).strip()
     else:
-        assert fault_of(lab) is None
+        assert problem_with_testbed(lab) is None
         again = pb.Lab()
         text_format.Parse(text_format.MessageToString(lab), again)
         assert again == lab
@@ -147,33 +153,29 @@
         ("gate { prefix { held_bytes: 10000000000000 } }", "gate.prefix.held_bytes: 1e+13 is not"),
     ],
 )
-def test_a_gate_that_makes_no_sense_is_refused_in_one_line(text, said):
-    with pytest.raises(BadSettings) as bad:
+def test_an_unusable_gate_section_is_rejected_in_one_line(text, said):
+    """With its path."""
+    with pytest.raises(ConfigurationError) as bad:
         read_settings(text, "s")
     assert said in str(bad.value) and "\n" not in str(bad.value)
 
 
-def test_a_gates_rules():
-    r = rules_of(
+def test_the_rules_made_of_a_gate_section():
+    """Given values and defaults."""
+    rules = connection_rules(
         read_settings(
             "gate { address { connections: 3 per_s: 2 burst: 4 } known: '10.0.0.1' reserve: 5 lag_ms: 0 }"
         ).gate,
         70,
     )
-    assert (r.most, r.address.connections, r.address.burst, r.reserve, r.lag_ms, r.prefix4, r.again_ms) == (
-        70,
-        3,
-        4,
-        5,
-        0,
-        24,
-        1000,
-    )
-    assert str(r.known[0]) == "10.0.0.1/32"
+    assert (rules.most, rules.reserve, rules.lag_ms) == (70, 5, 0)
+    assert (rules.address.connections, rules.address.burst) == (3, 4)
+    assert (rules.prefix4, rules.again_ms) == (24, 1000)
+    assert str(rules.known[0]) == "10.0.0.1/32"
 
 
-FLEET = """fleet { fleet: "yard" name: "a" listen: "127.0.0.1:4001" folder: "f" peers { name: "b" address: "127.0.0.1:4002" }
-peers { name: "c" address: "127.0.0.1:4003" } %s }"""
+FLEET = """fleet { fleet: "yard" name: "a" listen: "127.0.0.1:4001" folder: "f" peers { name: "b"
+address: "127.0.0.1:4002" } peers { name: "c" address: "127.0.0.1:4003" } %s }"""
 
 
 @pytest.mark.parametrize(
@@ -206,8 +208,7 @@
         ),
         (FLEET % 'accounts { tenant: "t" bucket_ms: 1 }', "fleet.accounts[0].rate_ms: missing"),
         (
-            FLEET
-            % 'accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 } accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 }',
+            FLEET % ('accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 } ' * 2),
             "a tenant of its own",
         ),
         (
@@ -221,13 +222,16 @@
         ),
     ],
 )
-def test_a_fleet_that_makes_no_sense_is_refused_in_one_line(text, said):
-    with pytest.raises(BadSettings) as bad:
+def test_an_unusable_fleet_section_is_rejected_in_one_line(text, said):
+    """With its path."""
+    with pytest.raises(ConfigurationError) as bad:
         read_settings(text, "s")
     assert said in str(bad.value) and "\n" not in str(bad.value)
 
 
-def test_a_fleets_fingerprint_is_alike_where_it_has_to_be():
+def test_the_fingerprint_covers_what_all_gateways_must_share():
+    """And nothing that is each gateway's own."""
+
     def print_of(text):
         return fingerprint(read_settings(text).fleet)
 
@@ -254,4 +258,4 @@
         )
         == 4
     )
-    assert voters_of(read_settings(own).fleet) == ["a", "b", "c"]
+    assert voter_names(read_settings(own).fleet) == ["a", "b", "c"]
--- a/tests/test_config_control.py
+++ b/tests/test_config_control.py
@@ -5,15 +5,18 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.control_settings import (
     RANGES,
-    distribution_fingerprint,
-    figures_of,
     group_fingerprint,
-    lease_ms_of,
-    prefixes_of,
+    lease_duration_ms,
     region_of,
     warnings_of,
 )
-from lichenquay.config.reader import BadSettings, read_control, read_gate, read_settings
+from lichenquay.config.distribution_settings import (
+    distribution_fingerprint,
+    distribution_settings,
+    followed_prefixes,
+)
+from lichenquay.config.errors import ConfigurationError
+from lichenquay.config.reader import read_control, read_gate, read_settings
 from lichenquay.distribution.settings import Settings as DistributionSettings
 
 pytestmark = pytest.mark.together
@@ -52,7 +55,7 @@
 
 def fault_in(text):
     """The line that a text is refused with."""
-    with pytest.raises(BadSettings) as bad:
+    with pytest.raises(ConfigurationError) as bad:
         read_settings(text, "s")
     line = str(bad.value)
     assert "\n" not in line and line.startswith("s")
@@ -189,12 +192,12 @@
     """And what is said takes its place."""
     text = control_text("lease_ms: 900 figures { merge_ms: 0 most_sessions: 9 }")
     control = read_control(text).control
-    figures = figures_of(control.figures)
-    assert lease_ms_of(control) == 900 and region_of(control) == "north"
+    figures = distribution_settings(control.figures)
+    assert lease_duration_ms(control) == 900 and region_of(control) == "north"
     assert (figures.merge_ms, figures.most_sessions) == (0, 9)
     assert figures.report_ms == DistributionSettings().report_ms
     following = read_settings(front_text()).distribution
-    assert prefixes_of(following) == ("config/",)
+    assert followed_prefixes(following) == ("config/",)
 
 
 def test_a_fingerprint_is_alike_where_it_has_to_be():
@@ -217,7 +220,7 @@
 
 def test_a_file_without_control_is_no_control_process():
     """It would start as nothing."""
-    with pytest.raises(BadSettings, match="control: missing"):
+    with pytest.raises(ConfigurationError, match="control: missing"):
         read_control("gate { }")
 
 
@@ -229,6 +232,6 @@
         ("reserve: 3", "gate.reserve: 3, but no range is known"),
         ("gat: 3", 'no field named "gat"'),
     ):
-        with pytest.raises(BadSettings) as bad:
+        with pytest.raises(ConfigurationError) as bad:
             read_gate(text)
         assert said in str(bad.value) and "\n" not in str(bad.value)
--- a/tests/test_engine_importer.py
+++ b/tests/test_engine_importer.py
@@ -9,8 +9,9 @@
 
 from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as conf
-from lichenquay.config.distributed_values import KINDS
-from lichenquay.config.endpoint_list import COMPLETE_KEY, BadEngineError, key_of, row_of, value_of
+from lichenquay.config.distributed_values import CHECKS_BY_PREFIX
+from lichenquay.config.endpoint_list import COMPLETE_KEY, key_of, record_of, value_of
+from lichenquay.config.errors import InvalidEndpointError
 from lichenquay.control_plane.endpoint_importer import MOST_UNDER_WAY, RETRY_MS, EngineImporter
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.key_store import Store
@@ -35,7 +36,7 @@
 
     def propose(self, now_ms, entries, request, done):
         """As the publisher."""
-        fault = "no room" if self.full else fault_of(entries, self.ahead, self.settings, KINDS)
+        fault = "no room" if self.full else fault_of(entries, self.ahead, self.settings, CHECKS_BY_PREFIX)
         if fault is not None:
             done(now_ms, pb.Proposed(request=request, outcome=pb.Proposed.REFUSED, reason=fault))
             return
@@ -52,7 +53,7 @@
     def published(self):
         """{uid: state} by the entries."""
         entries = self.ahead.entries.items()
-        rows = (row_of(key, value) for key, (value, _) in entries if key != COMPLETE_KEY)
+        rows = (record_of(key, value) for key, (value, _) in entries if key != COMPLETE_KEY)
         return {r.uid: r.state for r in rows}
 
 
@@ -185,16 +186,16 @@
 )
 def test_an_entry_that_names_no_engine_is_refused(key, value, why):
     """In one line; by the publisher's check too."""
-    with pytest.raises(BadEngineError, match=why):
-        row_of(key, value)
-    assert why in KINDS["engine/"](key, value)
+    with pytest.raises(InvalidEndpointError, match=why):
+        record_of(key, value)
+    assert why in CHECKS_BY_PREFIX["engine/"](key, value)
 
 
 @given(st.binary(max_size=120))
 def test_no_bytes_break_the_reader(value):
     """They name an engine or are refused."""
     try:
-        found = row_of("engine/z/e", value)
-    except BadEngineError:
+        found = record_of("engine/z/e", value)
+    except InvalidEndpointError:
         return
-    assert row_of(key_of(found), value_of(found)) == found
+    assert record_of(key_of(found), value_of(found)) == found
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,7 @@
 
 from lichenquay.cli.main import cli
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.reader import read_lab
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load import compare, plan, proof
 from lichenquay.load.run import Workers, columns_of, report_of
 from lichenquay.load.trace import BadTrace, read_trace, write_trace
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("shape", list(pb.Load.Shape.values()))
 @pytest.mark.parametrize("arrivals", list(pb.Load.Arrivals.values()))
 def test_arrivals_follow_their_shape(shape, arrivals):
-    load = read_lab("load { rate: 200 seconds: 40 peak: 3 }").load
+    load = read_testbed("load { rate: 200 seconds: 40 peak: 3 }").load
     load.shape, load.arrivals = shape, arrivals
     at = plan.arrivals(load, np.random.default_rng(3))
     assert (np.diff(at) >= 0).all() and at[0] >= 0 and at[-1] <= 40_000
@@ -39,7 +39,7 @@
 
 
 def test_a_seed_makes_the_same_plan_and_another_one_another():
-    lab = read_lab("load { leave_share: 0.3 }")
+    lab = read_testbed("load { leave_share: 0.3 }")
     a, b, c = plan.plan_of(lab), plan.plan_of(lab), plan.plan_of(lab, 2)
     assert all((a[n] == b[n]).all() for n in plan.COLUMNS) and not np.array_equal(a["at_ms"], c["at_ms"])
     assert 0.2 < np.isfinite(a["leave_ms"]).mean() < 0.4 and set(a["group"]) == {
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("name", ["t.csv", "t.parquet"])
 def test_a_trace_comes_back_as_it_was_written(tmp_path, name):
-    lab = read_lab("load { leave_share: 0.5 seconds: 2 }")
+    lab = read_testbed("load { leave_share: 0.5 seconds: 2 }")
     a = plan.plan_of(lab)
     write_trace(tmp_path / name, a)
     b = read_trace(tmp_path / name, lab)
@@ -80,7 +80,7 @@
 def test_a_row_that_makes_no_sense_is_named(tmp_path, text, said):
     (tmp_path / "t.csv").write_text(text)
     with pytest.raises(BadTrace) as bad:
-        read_trace(tmp_path / "t.csv", read_lab(""))
+        read_trace(tmp_path / "t.csv", read_testbed(""))
     assert said in str(bad.value) and "\n" not in str(bad.value)
 
 
@@ -98,7 +98,7 @@
     path = tmp_path_factory.getbasetemp() / "any.csv"
     path.write_bytes(data)
     try:
-        got = read_trace(path, read_lab(""))
+        got = read_trace(path, read_testbed(""))
     except BadTrace as bad:
         assert "\n" not in str(bad).strip()
     else:
@@ -109,7 +109,7 @@
 
 
 def short(rate=300, seconds=1.5, workers=2, connections=4, more=""):
-    return read_lab(
+    return read_testbed(
         f"load {{ rate: {rate} seconds: {seconds} workers: {workers} connections: {connections} addresses: 2 {more} }}"
     )
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichenquay.config.reader import read_lab
+from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.task import RUNNING, Task, statement_of, task_of
 from lichenquay.testbed import audit as a
 from lichenquay.testbed.engine import FULL, Engine, rows_of
@@ -189,7 +189,7 @@
 def test_each_check_finds_the_front_that_breaks_its_rule(tmp_path, fault, check):
     """Risk: an audit that cannot fail."""
     pushed = fault == "one engine"
-    lab = read_lab(
+    lab = read_testbed(
         f"load {{ seconds: 2 rate: {400 if pushed else 80} workers: 1 connections: 4 }} engines {{ cold_multiple: {0.3 if pushed else 3} }}"
         'groups { name: "status" target_ms: 500 timeout_ms: 900 threads: 1 share: 3 work_ms: 8 rows: 3 memory_mb: 1 }'
         'groups { name: "manifest" effect: MUTATING target_ms: 500 timeout_ms: 900 threads: 1 share: 2 work_ms: 8 rows: 1 memory_mb: 1 }'
@@ -228,7 +228,7 @@
 
 def test_the_front_keeps_its_rules_amid_all_faults(tmp_path):
     got = trial(
-        read_lab(
+        read_testbed(
             f"load {{ seconds: 4 rate: 80 leave_share: 0.05 repeats: 1 shape: BURST peak: 3 }} {FAULTS}"
         ),
         tmp_path,
@@ -243,13 +243,13 @@
 
 
 def test_a_front_that_stands_still_while_arrivals_go_on(tmp_path):
-    lab = read_lab("load { seconds: 3 rate: 60 }")
+    lab = read_testbed("load { seconds: 3 rate: 60 }")
     got = trial(lab, tmp_path, during=lambda world: [(1.0, lambda: world.stall(0.5))])
     assert got["max_ms"] > 400 and not got["broken_rules"] and not got["silent"]
 
 
 def test_the_worlds_figures_reach_the_front(tmp_path):
-    with World(read_lab("engines { count: 2 }"), tmp_path) as world:
+    with World(read_testbed("engines { count: 2 }"), tmp_path) as world:
         assert len(world.told["engines"]) == 2 and world.leave() == 0
 
 
