--- a/lichenquay/config/connection_admission_settings.py
+++ b/lichenquay/config/connection_admission_settings.py
@@ -3,7 +3,7 @@
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.connection_admission.decide import Caps, Rules, networks
+from lichenquay.connection_admission.limits import ClientLimits, ConnectionRules, parse_networks
 
 DEFAULTS = "prefix4: 24 most_seen: 4096 again_ms: 1000 lag_ms: 50"
 
@@ -15,7 +15,7 @@
         if limits.per_s and limits.burst < 1:
             return f"{path}.{holder}.burst: {limits.burst:g} lets nobody in; 1 at least, as per_s is set"
     try:
-        networks(gate.known)
+        parse_networks(gate.known)
     except ValueError as error:
         return f"{path}.known: {error}"
     if gate.reserve and not gate.known:
@@ -23,27 +23,27 @@
     return None
 
 
-def connection_rules(gate, max_connections: int) -> Rules:
+def connection_rules(gate, max_connections: int) -> ConnectionRules:
     """The rules of connection admission for at most `max_connections`, defaults filled in."""
     effective = pb.Gate()
     text_format.Parse(DEFAULTS, effective)
     effective.MergeFrom(gate)
-    return Rules(
+    return ConnectionRules(
         max_connections,
         effective.most_queries,
         _client_limits(effective.address),
         _client_limits(effective.prefix),
         effective.prefix4,
-        networks(effective.known),
+        parse_networks(effective.known),
         effective.reserve,
-        most_seen=effective.most_seen,
-        again_ms=effective.again_ms,
-        lag_ms=effective.lag_ms,
+        max_remembered=effective.most_seen,
+        retry_after_ms=effective.again_ms,
+        max_lag_ms=effective.lag_ms,
     )
 
 
 def _client_limits(caps):
-    return Caps(
+    return ClientLimits(
         caps.connections,
         caps.per_s,
         caps.burst,
--- a/lichenquay/connection_admission/__init__.py
+++ b/lichenquay/connection_admission/__init__.py
@@ -1,1 +1,4 @@
-"""Connection admission: which clients' connections and queries are taken, and what goes first when room is short."""
+"""Connection admission: which connections and queries of clients are admitted, and which are evicted.
+
+Nothing here performs I/O. Times are milliseconds of one monotonic clock, sizes are bytes.
+"""
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -65,7 +65,7 @@
             0,
             Streams(),
         )
-        self.place = desk.gate.opened(address, desk.gate_ms(), self)
+        self.place = desk.gate.on_connection_opened(address, desk.gate_ms(), self)
         self.up, self.stuck, self.bad, self.told, self.heard_s = True, False, False, False, desk.seconds()
         self.known, self.begun_s, self.senseless, self.rests = False, self.heard_s, 0, None
         self.kept, self.kept_size = {}, 0  # requests that wait while it is stuck, by stream
@@ -88,7 +88,7 @@
         try:
             for kind, stream, payload in self.reader.feed(data):
                 if not self.known:
-                    self.desk.gate.spoke(self.place, self.desk.gate_ms())
+                    self.desk.gate.on_frame_received(self.place, self.desk.gate_ms())
                 self.known, self.begun_s = True, self.heard_s
                 if self.stuck and kind == frames.QUERY:
                     self.keep(stream, payload)
@@ -134,7 +134,7 @@
         """So many bytes more, or less, that it makes the front hold."""
         if more:
             self.desk.held += more
-            self.desk.gate.holds(self.place, more)
+            self.desk.gate.on_held_bytes_changed(self.place, more)
 
     def gives_way(self):
         """Its place goes to another one: what was taken on it gets its final answer now, then it is closed."""
@@ -157,7 +157,7 @@
         for stream in list(self.kept):  # taken, for its client: it gets its answer, if it reads
             self.forget(stream)
             self.put(frames.answer(stream, code, why.encode()))
-        self.desk.gate.goes(self.place, self.desk.gate_ms())
+        self.desk.gate.on_connection_ending(self.place, self.desk.gate_ms())
         self.close_if_done()
 
     def heard(self, kind, stream, payload):
@@ -195,7 +195,7 @@
             self.desk.metrics.count("answers killed")
             return self.put(frames.answer(stream, frames.KILLED, b"a fault in the front"))
         self.open[stream] = self.desk.refs[q.ref] = q
-        self.desk.gate.asked(self.place, self.desk.gate_ms())
+        self.desk.gate.on_query_admitted(self.place, self.desk.gate_ms())
         self.hold(len(q.statement))
         self.desk.admit.take(q)
 
@@ -209,7 +209,7 @@
         if (
             self.senseless > MOST_SENSELESS
             or why.code == frames.KILLED
-            and self.desk.gate.senseless(self.place, self.desk.gate_ms())
+            and self.desk.gate.on_invalid_request(self.place, self.desk.gate_ms())
         ):
             raise frames.BadFrame("too many requests that make no sense")
         self.rest()
@@ -242,7 +242,7 @@
         """Risk: timers keep a query until its client's time is up, and with it a statement of any length and its
         connection."""
         self.hold(-len(q.statement))
-        self.desk.gate.answered(self.place, self.desk.gate_ms())
+        self.desk.gate.on_query_finished(self.place, self.desk.gate_ms())
         self.desk.refs.pop(q.ref, None)
         q.statement, q.client = b"", None
 
@@ -289,7 +289,7 @@
         client has not read yet."""
         if self.up:
             self.up = False
-            self.desk.gate.goes(self.place, self.desk.gate_ms())
+            self.desk.gate.on_connection_ending(self.place, self.desk.gate_ms())
             self.ending = self.desk.reactor.callLater(CLOSE_S, self.over)
             if not self.unsent:
                 self.shut()
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.protocol import Factory
 
-from lichenquay.connection_admission import decide
+from lichenquay.connection_admission import decisions, limits
 from lichenquay.gateway import frames
 from lichenquay.gateway.client_connection import BadQuery, ClientConnection
 from lichenquay.gateway.controller_adapter import FrontQuery
@@ -76,15 +76,18 @@
         self.most = self.room = self.held = self.turned = self.waits = 0
         self.full = False  # nothing more is taken in: the front ends
         self.turned_s = 0.0  # since when `turned` counts refusals, for a second
-        self.gate, self.waits_s = decide.Gate(decide.Rules(0, 0), self.gate_ms()), None
+        self.gate, self.waits_s = (
+            decisions.ConnectionAdmission(limits.ConnectionRules(0, 0), self.gate_ms()),
+            None,
+        )
 
     def gate_ms(self):
         return self.seconds() * 1000
 
     def bound(self, room, rules):
         """Limits, as they are now; what is open stays open."""
-        self.most, self.room = rules.most, room
-        self.gate.change(rules)
+        self.most, self.room = rules.max_connections, room
+        self.gate.set_rules(rules)
 
     def listen(self, host, port):
         self.port = self.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
@@ -107,7 +110,7 @@
             and self.turned < FLOOD
             and self.waits < MOST_WAITS
             and self.gate.is_full()
-            and self.gate.soon(now * 1000)
+            and self.gate.expects_capacity_soon(now * 1000)
             and now - (self.waits_s or now) < PATIENCE_S
         ):
             self.waits_s, self.waits = self.waits_s or now, self.waits + 1
@@ -122,11 +125,14 @@
                 return False
             except OSError as why:
                 return self.no_descriptor() if why.errno in (errno.EMFILE, errno.ENFILE) else False
-            verdict = self.gate.arrives(address[0], self.gate_ms())
-            if verdict.answer == decide.REFUSE:
+            verdict = self.gate.admit_connection(address[0], self.gate_ms())
+            if not verdict.is_admitted:
                 self.turned += 1
-                self.metrics.count(f"connections refused: {verdict.why}")
-                refuse(skt, b"%s; come back in %.0f ms" % (verdict.why.encode(), max(1.0, verdict.again_ms)))
+                self.metrics.count(f"connections refused: {verdict.reason}")
+                refuse(
+                    skt,
+                    b"%s; come back in %.0f ms" % (verdict.reason.encode(), max(1.0, verdict.retry_after_ms)),
+                )
                 continue
             self.make_way(verdict)
             skt.setblocking(False)
@@ -167,10 +173,10 @@
 
     def make_way(self, verdict):
         if verdict.abort is not None:
-            verdict.abort.what.transport.abortConnection()
-            self.gate.closed(verdict.abort, self.gate_ms())
-        if verdict.end is not None:
-            verdict.end.what.gives_way()
+            verdict.abort.handler.transport.abortConnection()
+            self.gate.on_connection_closed(verdict.abort, self.gate_ms())
+        if verdict.evict is not None:
+            verdict.evict.handler.gives_way()
 
     def accept_on(self):
         if self.port is not None:
@@ -185,7 +191,7 @@
 
     def closed(self, connection):
         self.connections.pop(connection, None)
-        self.gate.closed(connection.place, self.gate_ms())
+        self.gate.on_connection_closed(connection.place, self.gate_ms())
 
     def query(self, connection, stream, said, twice, body, now):
         if self.full:
@@ -211,11 +217,11 @@
             raise BadQuery("ref: it is open already")
         if not self.fits(len(body)):
             raise NoRoom("no room for its statement")
-        verdict = self.gate.asks(connection.place, len(body), self.gate_ms())
-        if verdict.answer == decide.REFUSE:
-            raise NoRoom(f"{verdict.why}; come back in {max(1.0, verdict.again_ms):.0f} ms")
-        if verdict.end is not None:  # the youngest of its queries has its final answer now
-            self.admit.give_up(next(reversed(verdict.end.what.open.values())))
+        verdict = self.gate.admit_query(connection.place, len(body), self.gate_ms())
+        if not verdict.is_admitted:
+            raise NoRoom(f"{verdict.reason}; come back in {max(1.0, verdict.retry_after_ms):.0f} ms")
+        if verdict.evict is not None:  # the youngest of its queries has its final answer now
+            self.admit.give_up(next(reversed(verdict.evict.handler.open.values())))
         statement = bytes(body)  # it outlives the buffer
         longest = group.queue_timeout_ms or MOST_MS
         return FrontQuery(
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -10,7 +10,7 @@
 from twisted.internet.error import CannotListenError
 
 from lichenquay.admission import domain
-from lichenquay.connection_admission.decide import Rules
+from lichenquay.connection_admission.limits import ConnectionRules
 from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection, flat
 from lichenquay.gateway.controller_adapter import Admit
 from lichenquay.gateway.discovery import BadList, Discovery, DiscoveryFactory, read_events
@@ -130,7 +130,7 @@
 def rules_for(more, most, distributed=None):
     """`distributed`: a gate that takes the place of the file's."""
     if more is None:
-        return Rules(most, 0, lag_ms=0.0)
+        return ConnectionRules(most, 0, max_lag_ms=0.0)
     from lichenquay.config.connection_admission_settings import connection_rules
 
     return connection_rules(more.gate if distributed is None else distributed, most)
@@ -272,7 +272,7 @@
             (self.engines.open + len(clients.connections) + RESERVE // 2) / self.sockets,
             clients.held / max(1, clients.room),
         )
-        clients.gate.measured(used, lag, now)
+        clients.gate.update_load(used, lag, now)
         self.engines.later(WATCH_MS, self.watch)
         self.engines.watch()
 
@@ -355,7 +355,7 @@
             f"gate: {self.clients.gate.state}",
             *(
                 f"holds most: {name}{' (known)' * known}: {connections} connections, {queries} queries, {held} bytes"
-                for name, known, connections, queries, held in self.clients.gate.top(5)
+                for name, known, connections, queries, held in self.clients.gate.largest_clients(5)
             ),
             *(self.fleet.lines() if self.fleet is not None else ()),
         ]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -168,9 +168,9 @@
         ).gate,
         70,
     )
-    assert (rules.most, rules.reserve, rules.lag_ms) == (70, 5, 0)
+    assert (rules.max_connections, rules.reserve, rules.max_lag_ms) == (70, 5, 0)
     assert (rules.address.connections, rules.address.burst) == (3, 4)
-    assert (rules.prefix4, rules.again_ms) == (24, 1000)
+    assert (rules.ipv4_prefix_bits, rules.retry_after_ms) == (24, 1000)
     assert str(rules.known[0]) == "10.0.0.1/32"
 
 
--- a/tests/test_connection_admission.py
+++ b/tests/test_connection_admission.py
@@ -1,201 +1,213 @@
-"""The gate's decisions alone: rules by example, and a stateful machine that checks what must hold after every step."""
+"""Connection admission: its rules by example, and a stateful machine that checks its invariants."""
 
 import pytest
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from lichenquay.connection_admission.client_accounts import BUSY, ENDING, GOING, IDLE, SILENT
-from lichenquay.connection_admission.decide import (
-    BYTES,
-    CALM,
-    CONNECTIONS,
-    CRITICAL,
-    FULL,
-    LEAVING,
-    NO_ROOM,
-    OVERLOAD,
-    QUERIES,
-    RATE,
-    REFUSE,
-    STATES,
-    TAKE,
-    TIGHT,
-    Caps,
-    Gate,
-    Rules,
-    networks,
+from lichenquay.connection_admission.client_accounts import ENDING_STATES, ConnectionState
+from lichenquay.connection_admission.decisions import (
+    EVICTION_ORDER,
+    KNOWN,
+    UNKNOWN,
+    ConnectionAdmission,
+    RejectReason,
 )
+from lichenquay.connection_admission.limits import ClientLimits, ConnectionRules, parse_networks
+from lichenquay.connection_admission.load_state import LOAD_STATES, LoadState
 
-KNOWN = "10.9.0.1"
+KNOWN_NETWORK = "10.9.0.0/16"
+KNOWN_ADDRESS = "10.9.0.1"
 
 
-def gate(**more):
-    facts = dict(most=6, most_queries=0, known=networks(["10.9.0.0/16"]), reserve=2)
-    return Gate(Rules(**{**facts, **more}), 0.0)
+def admission_with(**changes):
+    """Connection admission with six connections, two of them reserved, and changes to these rules."""
+    defaults = dict(max_connections=6, max_queries=0, known=parse_networks([KNOWN_NETWORK]), reserve=2)
+    return ConnectionAdmission(ConnectionRules(**{**defaults, **changes}), 0.0)
 
 
-def come(g, address, now=100.0, ask=False):
-    v = g.arrives(address, now)
-    if v.answer == REFUSE:
+def connect(admission, address, now_ms=100.0, query=False):
+    """Opens a connection, with a query if wanted, and closes what is evicted; None if it is rejected."""
+    decision = admission.admit_connection(address, now_ms)
+    if not decision.is_admitted:
         return None
-    if v.end is not None:
-        g.goes(v.end, now)
-        g.closed(v.end, now)
-    line = g.opened(address, now)
-    if ask:
-        g.spoke(line, now)
-        assert g.asks(line, 10, now).answer == TAKE
-        g.asked(line, now)
-    return line
-
-
-def test_caps_hold_for_an_address_and_for_its_prefix():
-    g = gate(most=99, address=Caps(connections=2, queries=1, held_bytes=50), prefix=Caps(connections=3))
-    a, b = come(g, "10.1.1.1"), come(g, "10.1.1.1")
-    assert (
-        g.arrives("10.1.1.1", 1.0).why == CONNECTIONS
-        and come(g, "10.1.1.2")
-        and g.arrives("10.1.1.3", 1.0).why == CONNECTIONS
+    if decision.evict is not None:
+        admission.on_connection_ending(decision.evict, now_ms)
+        admission.on_connection_closed(decision.evict, now_ms)
+    connection = admission.on_connection_opened(address, now_ms)
+    if query:
+        admission.on_frame_received(connection, now_ms)
+        assert admission.admit_query(connection, 10, now_ms).is_admitted
+        admission.on_query_admitted(connection, now_ms)
+    return connection
+
+
+def test_limits_hold_for_an_address_and_for_its_prefix():
+    """Connections, queries and bytes; an IPv6 address is a /64."""
+    admission = admission_with(
+        max_connections=99,
+        address=ClientLimits(connections=2, queries=1, held_bytes=50),
+        prefix=ClientLimits(connections=3),
     )
-    assert come(g, "10.1.2.3")
-    assert g.asks(a, 51, 1.0).why == BYTES
-    g.asked(a, 1.0)
-    assert g.asks(b, 1, 1.0).why == QUERIES
-    g.answered(a, 2.0)
-    assert g.asks(b, 1, 2.0).answer == TAKE
-    six = gate(most=99, address=Caps(connections=1))
-    assert (
-        come(six, "2001:db8::1")
-        and six.arrives("2001:db8::2", 1.0).why == CONNECTIONS
-        and come(six, "2001:db8:0:1::2")
-    )
-
-
-def test_new_connections_come_at_a_rate_and_the_refusal_says_when():
-    g = gate(most=99, address=Caps(per_s=10, burst=3))
-    assert all(come(g, "10.1.1.1") for _ in range(3))
-    v = g.arrives("10.1.1.1", 100.0)
-    assert v.why == RATE and v.again_ms == 100.0 and come(g, "10.1.1.2")
-    assert g.arrives("10.1.1.1", 0.0).why == RATE and g.arrives("10.1.1.1", 199.0).why == RATE
-    assert come(g, "10.1.1.1", 201.0) and g.arrives("10.1.1.1", 201.0).why == RATE
-    assert [bool(come(g, "10.1.1.1", 1e9)) for _ in range(4)] == [
-        True,
-        True,
-        True,
-        False,
-    ]  # a clock that jumps fills one bucket
-
-
-def test_connections_are_given_up_in_order():
-    g = gate(most=5)
-    going, silent, idle, busy = (
-        come(g, "10.1.0.1"),
-        come(g, "10.1.0.2"),
-        come(g, "10.1.0.3"),
-        come(g, "10.1.0.4", ask=True),
-    )
-    late = come(g, "10.1.0.4", 101.0, ask=True)
-    g.spoke(idle, 100.0)
-    g.goes(going, 100.0)
-    order = []
+    first = connect(admission, "10.1.1.1")
+    second = connect(admission, "10.1.1.1")
+    assert admission.admit_connection("10.1.1.1", 1.0).reason == RejectReason.CONNECTIONS
+    assert connect(admission, "10.1.1.2")
+    assert admission.admit_connection("10.1.1.3", 1.0).reason == RejectReason.CONNECTIONS
+    assert connect(admission, "10.1.2.3")
+    assert admission.admit_query(first, 51, 1.0).reason == RejectReason.BYTES
+    admission.on_query_admitted(first, 1.0)
+    assert admission.admit_query(second, 1, 1.0).reason == RejectReason.QUERIES
+    admission.on_query_finished(first, 2.0)
+    assert admission.admit_query(second, 1, 2.0).is_admitted
+    ipv6 = admission_with(max_connections=99, address=ClientLimits(connections=1))
+    assert connect(ipv6, "2001:db8::1")
+    assert ipv6.admit_connection("2001:db8::2", 1.0).reason == RejectReason.CONNECTIONS
+    assert connect(ipv6, "2001:db8:0:1::2")
+
+
+def test_new_connections_are_limited_in_rate_and_the_rejection_says_when():
+    """A clock that steps back gives no tokens, one that jumps fills one bucket."""
+    admission = admission_with(max_connections=99, address=ClientLimits(per_s=10, burst=3))
+    assert all(connect(admission, "10.1.1.1") for _ in range(3))
+    decision = admission.admit_connection("10.1.1.1", 100.0)
+    assert decision.reason == RejectReason.RATE
+    assert decision.retry_after_ms == 100.0
+    assert connect(admission, "10.1.1.2")
+    assert admission.admit_connection("10.1.1.1", 0.0).reason == RejectReason.RATE
+    assert admission.admit_connection("10.1.1.1", 199.0).reason == RejectReason.RATE
+    assert connect(admission, "10.1.1.1", 201.0)
+    assert admission.admit_connection("10.1.1.1", 201.0).reason == RejectReason.RATE
+    after_a_jump = [bool(connect(admission, "10.1.1.1", 1e9)) for _ in range(4)]
+    assert after_a_jump == [True, True, True, False]
+
+
+def test_connections_are_evicted_in_order():
+    """Silent, idle, then the youngest query of the largest account; what is closing has left its place."""
+    admission = admission_with(max_connections=5)
+    closing = connect(admission, "10.1.0.1")
+    silent = connect(admission, "10.1.0.2")
+    idle = connect(admission, "10.1.0.3")
+    busy = connect(admission, "10.1.0.4", query=True)
+    youngest = connect(admission, "10.1.0.4", 101.0, query=True)
+    admission.on_frame_received(idle, 100.0)
+    admission.on_connection_ending(closing, 100.0)
+    evicted = []
     for i in range(5):
-        v = g.arrives(f"10.2.0.{i}", 200.0)
-        order.append(v.end)
-        if v.end:
-            g.closed(v.end, 200.0)
-        if v.answer == TAKE:
-            new = g.opened(f"10.2.0.{i}", 200.0)
-            g.asked(new, 200.0)
-    # one that goes already leaves its place; 10.1.0.4 held two, and the new one holds one
-    assert order == [None, silent, idle, late, None] and busy.stands == BUSY and going.stands == GOING
-    assert come(g, "10.1.0.4", 202.0) is None
-    g2 = gate(most=5)
-    lines = [come(g2, "10.1.0.4", i, ask=True) for i in range(5)]
-    assert g2.arrives("10.2.0.1", 10.0).end is lines[-1]  # who holds most gives its youngest
-
-
-def test_what_ends_has_a_little_room_of_its_own_and_is_cut_off_beyond_it():
-    g = gate(most=2, spare=1)
-    a, b = come(g, "10.1.0.1", ask=True), come(g, "10.1.0.2")
-    g.goes(a, 100.0)
-    g.goes(b, 100.0)
-    assert a.stands == ENDING and b.stands == GOING and come(g, "10.1.0.3", 101.0) is not None
-    v = g.arrives("10.1.0.4", 102.0)
-    assert (
-        v.answer == TAKE and v.abort is b and v.end is None
-    )  # one with a query to be answered is never cut off
-    g.closed(b, 102.0)
-    come(g, "10.1.0.4", 102.0)
-    assert g.arrives("10.1.0.5", 103.0).why == NO_ROOM
-    g.answered(a, 104.0)
-    assert a.stands == GOING
-
-
-def test_silent_ones_have_their_time_to_speak():
-    g = gate(most=2)
-    come(g, "10.1.0.1", 100.0)
-    come(g, "10.1.0.2", 100.0)
-    assert g.arrives("10.1.0.3", 110.0).why == NO_ROOM and g.arrives("10.1.0.3", 120.0).answer == TAKE
+        decision = admission.admit_connection(f"10.2.0.{i}", 200.0)
+        evicted.append(decision.evict)
+        if decision.evict:
+            admission.on_connection_closed(decision.evict, 200.0)
+        if decision.is_admitted:
+            admission.on_query_admitted(admission.on_connection_opened(f"10.2.0.{i}", 200.0), 200.0)
+    # 10.1.0.4 held two connections, and the new client holds one.
+    assert evicted == [None, silent, idle, youngest, None]
+    assert busy.state == ConnectionState.BUSY
+    assert closing.state == ConnectionState.CLOSING
+    assert connect(admission, "10.1.0.4", 202.0) is None
+    other = admission_with(max_connections=5)
+    connections = [connect(other, "10.1.0.4", i, query=True) for i in range(5)]
+    assert other.admit_connection("10.2.0.1", 10.0).evict is connections[-1]
+
+
+def test_ending_connections_have_room_of_their_own_and_are_cut_off_beyond_it():
+    """One with a query to be answered is never cut off."""
+    admission = admission_with(max_connections=2, max_ending=1)
+    with_query = connect(admission, "10.1.0.1", query=True)
+    without_query = connect(admission, "10.1.0.2")
+    admission.on_connection_ending(with_query, 100.0)
+    admission.on_connection_ending(without_query, 100.0)
+    assert with_query.state == ConnectionState.ENDING
+    assert without_query.state == ConnectionState.CLOSING
+    assert connect(admission, "10.1.0.3", 101.0) is not None
+    decision = admission.admit_connection("10.1.0.4", 102.0)
+    assert decision.is_admitted and decision.abort is without_query and decision.evict is None
+    admission.on_connection_closed(without_query, 102.0)
+    connect(admission, "10.1.0.4", 102.0)
+    assert admission.admit_connection("10.1.0.5", 103.0).reason == RejectReason.NO_CAPACITY
+    admission.on_query_finished(with_query, 104.0)
+    assert with_query.state == ConnectionState.CLOSING
+
+
+def test_silent_connections_have_time_to_send_a_frame():
+    """They are not evicted within `quiet_ms`."""
+    admission = admission_with(max_connections=2)
+    connect(admission, "10.1.0.1", 100.0)
+    connect(admission, "10.1.0.2", 100.0)
+    assert admission.admit_connection("10.1.0.3", 110.0).reason == RejectReason.NO_CAPACITY
+    assert admission.admit_connection("10.1.0.3", 120.0).is_admitted
 
 
 def test_the_reserve_is_lent_and_called_back_at_once():
-    g = gate(most=6)
-    lent = [come(g, f"10.1.0.{i}", ask=True) for i in range(6)]
-    assert all(lent) and g.arrives("10.1.0.9", 100.0).why == NO_ROOM
-    known = [come(g, f"10.9.0.{i}", 100.0, ask=True) for i in range(6)]
-    assert all(known) and len(g.lines[False]) == 0
-    assert g.arrives("10.1.0.1", 100.0).why == NO_ROOM
-    come(g, "10.9.0.1", 101.0, ask=True)
-    assert g.arrives("10.9.0.77", 200.0).why == NO_ROOM
-
-
-def test_queries_give_way_to_known_clients_only():
-    g = gate(most=20, most_queries=4)
-    one = come(g, "10.1.0.1")
+    """Unknown clients may use all connections, until known ones come."""
+    admission = admission_with(max_connections=6)
+    lent = [connect(admission, f"10.1.0.{i}", query=True) for i in range(6)]
+    assert all(lent)
+    assert admission.admit_connection("10.1.0.9", 100.0).reason == RejectReason.NO_CAPACITY
+    known = [connect(admission, f"10.9.0.{i}", 100.0, query=True) for i in range(6)]
+    assert all(known)
+    assert len(admission.connections[UNKNOWN]) == 0
+    assert admission.admit_connection("10.1.0.1", 100.0).reason == RejectReason.NO_CAPACITY
+    connect(admission, "10.9.0.1", 101.0, query=True)
+    assert admission.admit_connection("10.9.0.77", 200.0).reason == RejectReason.NO_CAPACITY
+
+
+def test_queries_are_evicted_for_known_clients_only():
+    """The unknown client's that asked last."""
+    admission = admission_with(max_connections=20, max_queries=4)
+    querying = connect(admission, "10.1.0.1")
     for i in range(4):
-        g.asked(one, i)
-    two, known = come(g, "10.1.0.2"), come(g, KNOWN)
-    assert g.asks(two, 1, 10.0).why == NO_ROOM and g.asks(known, 1, 10.0).end is one
-
-
-def test_states_rise_at_once_and_fall_after_a_rest():
-    g = gate()
-    assert g.measured(0.8, 0, 0.0) == TIGHT and g.measured(0.99, 0, 1.0) == FULL
-    assert g.arrives("10.1.0.1", 2.0).why == OVERLOAD and g.arrives(KNOWN, 2.0).answer == TAKE
-    assert (
-        g.measured(0.95, 0, 500.0) == FULL
-        and g.measured(0.5, 0, 600.0) == FULL
-        and g.measured(0.5, 0, 740.0) == FULL
-    )
-    assert (
-        g.measured(0.5, 0, 760.0) == CRITICAL
-        and g.measured(0.5, 0, 1020.0) == TIGHT
-        and g.measured(0.5, 0, 1300.0) == CALM
-    )
+        admission.on_query_admitted(querying, i)
+    unknown = connect(admission, "10.1.0.2")
+    known = connect(admission, KNOWN_ADDRESS)
+    assert admission.admit_query(unknown, 1, 10.0).reason == RejectReason.NO_CAPACITY
+    assert admission.admit_query(known, 1, 10.0).evict is querying
+
+
+def test_load_states_rise_at_once_and_fall_one_by_one_after_a_time():
+    """Hysteresis; when all is used up, known clients alone are admitted."""
+    admission = admission_with()
+    assert admission.update_load(0.8, 0, 0.0) == LoadState.TIGHT
+    assert admission.update_load(0.99, 0, 1.0) == LoadState.FULL
+    assert admission.admit_connection("10.1.0.1", 2.0).reason == RejectReason.OVERLOAD
+    assert admission.admit_connection(KNOWN_ADDRESS, 2.0).is_admitted
+    assert admission.update_load(0.95, 0, 500.0) == LoadState.FULL
+    assert admission.update_load(0.5, 0, 600.0) == LoadState.FULL
+    assert admission.update_load(0.5, 0, 740.0) == LoadState.FULL
+    assert admission.update_load(0.5, 0, 760.0) == LoadState.CRITICAL
+    assert admission.update_load(0.5, 0, 1020.0) == LoadState.TIGHT
+    assert admission.update_load(0.5, 0, 1300.0) == LoadState.CALM
 
 
 def test_lag_counts_only_where_it_stands():
-    g = gate()
-    assert g.measured(0.0, 400.0, 0.0) == CALM and g.measured(0.0, 0.0, 60.0) == CALM
-    for at in range(100, 500, 20):
-        g.measured(0.0, 60.0, float(at))
-    assert g.state == FULL
-
-
-def test_leaving_refuses_and_other_rules_leave_what_is_open():
-    g = gate()
-    line = come(g, "10.1.0.1", ask=True)
-    come(g, "10.1.0.1")
-    g.change(Rules(most=1, most_queries=0, address=Caps(connections=1)))
-    assert len(g.lines[False]) == 2 and g.arrives("10.1.0.1", 9.0).why == CONNECTIONS
-    g.leaving = True
-    assert g.arrives(KNOWN, 10.0).why == LEAVING and g.asks(line, 1, 10.0).answer == TAKE
+    """A single late turn passes."""
+    admission = admission_with()
+    assert admission.update_load(0.0, 400.0, 0.0) == LoadState.CALM
+    assert admission.update_load(0.0, 0.0, 60.0) == LoadState.CALM
+    for now_ms in range(100, 500, 20):
+        admission.update_load(0.0, 60.0, float(now_ms))
+    assert admission.state == LoadState.FULL
+
+
+def test_shutdown_rejects_connections_and_new_rules_leave_what_is_open():
+    """Queries on open connections are still admitted."""
+    admission = admission_with()
+    connection = connect(admission, "10.1.0.1", query=True)
+    connect(admission, "10.1.0.1")
+    admission.set_rules(
+        ConnectionRules(max_connections=1, max_queries=0, address=ClientLimits(connections=1))
+    )
+    assert len(admission.connections[UNKNOWN]) == 2
+    assert admission.admit_connection("10.1.0.1", 9.0).reason == RejectReason.CONNECTIONS
+    admission.is_shutting_down = True
+    assert admission.admit_connection(KNOWN_ADDRESS, 10.0).reason == RejectReason.SHUTTING_DOWN
+    assert admission.admit_query(connection, 1, 10.0).is_admitted
 
 
-def test_a_range_that_is_none_is_named():
+def test_a_text_that_is_no_address_range_is_named():
+    """In the error."""
     with pytest.raises(ValueError, match="10.9"):
-        networks(["10.9.0.0/33"])
+        parse_networks(["10.9.0.0/33"])
 
 
 ADDRESSES = (
@@ -205,153 +217,192 @@
 )
 
 
-class Decisions(RuleBasedStateMachine):
+class AdmissionMachine(RuleBasedStateMachine):
+    """Random clients; every count is compared with one made from the open connections."""
+
     @initialize(
-        most=st.integers(1, 12),
-        queries=st.integers(0, 10),
-        cap=st.integers(0, 4),
-        wide=st.integers(0, 6),
+        max_connections=st.integers(1, 12),
+        max_queries=st.integers(0, 10),
+        address_limit=st.integers(0, 4),
+        prefix_limit=st.integers(0, 6),
         rate=st.sampled_from([0, 2]),
         reserve=st.integers(0, 4),
-        seen=st.integers(2, 6),
+        max_remembered=st.integers(2, 6),
     )
-    def begin(self, most, queries, cap, wide, rate, reserve, seen):
-        self.rules = Rules(
-            most,
-            queries,
-            Caps(cap, rate, 2 * rate, 3, 100, 2),
-            Caps(wide, 0, 0, 5, 200),
-            known=networks(["10.9.0.0/16"]),
+    def begin(self, max_connections, max_queries, address_limit, prefix_limit, rate, reserve, max_remembered):
+        """Rules by chance."""
+        self.rules = ConnectionRules(
+            max_connections,
+            max_queries,
+            ClientLimits(address_limit, rate, 2 * rate, 3, 100, 2),
+            ClientLimits(prefix_limit, 0, 0, 5, 200),
+            known=parse_networks([KNOWN_NETWORK]),
             reserve=reserve,
-            most_seen=seen,
-            spare=2,
+            max_remembered=max_remembered,
+            max_ending=2,
         )
-        self.g, self.now, self.lines = Gate(self.rules, 0.0), 0.0, []
+        self.admission = ConnectionAdmission(self.rules, 0.0)
+        self.now_ms = 0.0
+        self.open = []
+        self.rules_were_lowered = False
 
-    def drop(self, line):
-        self.g.goes(line, self.now)
-        self.g.closed(line, self.now)
-        self.lines.remove(line)
+    def close(self, connection):
+        """Ends a connection and closes it."""
+        self.admission.on_connection_ending(connection, self.now_ms)
+        self.admission.on_connection_closed(connection, self.now_ms)
+        self.open.remove(connection)
 
     @rule(ms=st.sampled_from([0.0, 1.0, 25.0, 300.0, -50.0, 1e7]))
-    def time_goes(self, ms):
-        self.now += ms
+    def time_passes(self, ms):
+        """Also backwards."""
+        self.now_ms += ms
 
     @rule(address=st.sampled_from(ADDRESSES))
-    def one_comes(self, address):
-        g = self.g
-        full, known = (
-            sum(x.stands not in (ENDING, GOING) for x in self.lines) >= self.rules.most,
-            address.startswith("10.9."),
-        )
-        over = len(self.lines) >= self.rules.most + self.rules.spare
-        h = g.holder(address)
-        active = [x.holder.active for x in g.lines[False] if x.stands not in (ENDING, GOING)]
-        v = g.arrives(address, self.now)
-        if v.answer == REFUSE:
-            if v.why == NO_ROOM:
-                assert full or over
-                assert over or not (known and active), "the reserve is called back at once"
-                assert over or known or h.active + 1 >= max(active, default=0), (
-                    "nobody holds two more than one that is refused"
-                )
+    def a_client_connects(self, address):
+        """What is rejected for capacity has a reason for it, and what is evicted may be."""
+        admission = self.admission
+        is_full = sum(not connection.is_ending() for connection in self.open) >= self.rules.max_connections
+        is_over = len(self.open) >= self.rules.max_connections + self.rules.max_ending
+        is_known = address.startswith("10.9.")
+        account = admission.account_of(address)
+        active_counts = [
+            connection.account.active_count
+            for connection in admission.connections[UNKNOWN]
+            if not connection.is_ending()
+        ]
+        decision = admission.admit_connection(address, self.now_ms)
+        if not decision.is_admitted:
+            if decision.reason == RejectReason.NO_CAPACITY:
+                assert is_full or is_over
+                assert is_over or not (is_known and active_counts), "the reserve is called back at once"
+                is_fair = account.active_count + 1 >= max(active_counts, default=0)
+                assert is_over or is_known or is_fair, "nobody holds two more than one that is rejected"
             return
-        assert (v.end is not None) == full and (v.abort is not None) == over
-        if v.abort is not None:
-            assert not v.abort.queries, (
-                "a query that was taken gets its final answer before its connection goes"
-            )
-            g.closed(v.abort, self.now)
-            self.lines.remove(v.abort)
-        if v.end is not None:
-            assert not v.end.holder.known or known, "known clients give way to none but known ones"
-            g.goes(v.end, self.now)
-        self.lines.append(g.opened(address, self.now))
+        assert (decision.evict is not None) == is_full
+        assert (decision.abort is not None) == is_over
+        if decision.abort is not None:
+            assert not decision.abort.query_count, "a query gets its final answer before its connection goes"
+            admission.on_connection_closed(decision.abort, self.now_ms)
+            self.open.remove(decision.abort)
+        if decision.evict is not None:
+            is_evicted_known = decision.evict.account.known
+            assert not is_evicted_known or is_known, "known clients are evicted for known ones alone"
+            admission.on_connection_ending(decision.evict, self.now_ms)
+        self.open.append(admission.on_connection_opened(address, self.now_ms))
 
     @rule(i=st.integers(0, 30), size=st.integers(0, 60))
-    def one_asks(self, i, size):
-        if self.lines:
-            line = self.lines[i % len(self.lines)]
-            self.g.spoke(line, self.now)
-            v = self.g.asks(line, size, self.now)
-            if v.why == NO_ROOM:
-                assert not line.holder.known or not self.g.queries[False], "known clients' queries go first"
-            if v.answer == TAKE:
-                if v.end is not None:
-                    assert v.end.queries and not v.end.holder.known or line.holder.known
-                    self.g.answered(v.end, self.now)
-                self.g.asked(line, self.now)
-                self.g.holds(line, size)
+    def a_client_queries(self, i, size):
+        """Known clients' queries go first."""
+        if not self.open:
+            return
+        connection = self.open[i % len(self.open)]
+        self.admission.on_frame_received(connection, self.now_ms)
+        decision = self.admission.admit_query(connection, size, self.now_ms)
+        if decision.reason == RejectReason.NO_CAPACITY:
+            assert not connection.account.known or not self.admission.query_count[UNKNOWN]
+        if not decision.is_admitted:
+            return
+        evict = decision.evict
+        if evict is not None:
+            assert evict.query_count and not evict.account.known or connection.account.known
+            self.admission.on_query_finished(evict, self.now_ms)
+        self.admission.on_query_admitted(connection, self.now_ms)
+        self.admission.on_held_bytes_changed(connection, size)
 
     @rule(i=st.integers(0, 30))
-    def one_is_answered(self, i):
-        busy = [x for x in self.lines if x.queries]
+    def a_query_finishes(self, i):
+        """One of those that are open."""
+        busy = [connection for connection in self.open if connection.query_count]
         if busy:
-            self.g.answered(busy[i % len(busy)], self.now)
-
-    @rule(i=st.integers(0, 30), how=st.sampled_from(["closes", "goes", "senseless"]))
-    def one_does_something_else(self, i, how):
-        if self.lines:
-            line = self.lines[i % len(self.lines)]
-            if how == "closes" or how == "senseless" and self.g.senseless(line, self.now):
-                self.drop(line)
-            elif how == "goes":
-                self.g.goes(line, self.now)
-
-    @rule(used=st.floats(0, 1.1), lag=st.floats(0, 200))
-    def it_is_measured(self, used, lag):
-        assert self.g.measured(used, lag, self.now) in STATES
-
-    @rule(cap=st.integers(1, 4), most=st.integers(1, 12))
-    def limits_change(self, cap, most):
-        self.rules = Rules(
-            most,
-            self.rules.most_queries,
-            Caps(cap, 0, 0, 3, 100, 2),
+            self.admission.on_query_finished(busy[i % len(busy)], self.now_ms)
+
+    @rule(i=st.integers(0, 30), what=st.sampled_from(["closes", "ends", "invalid request"]))
+    def something_else_happens(self, i, what):
+        """A connection is closed, is ended, or brings an invalid request."""
+        if not self.open:
+            return
+        connection = self.open[i % len(self.open)]
+        is_invalid = what == "invalid request"
+        if what == "closes" or is_invalid and self.admission.on_invalid_request(connection, self.now_ms):
+            self.close(connection)
+        elif what == "ends":
+            self.admission.on_connection_ending(connection, self.now_ms)
+
+    @rule(used_share=st.floats(0, 1.1), lag_ms=st.floats(0, 200))
+    def load_is_measured(self, used_share, lag_ms):
+        """Any measurement gives a state."""
+        assert self.admission.update_load(used_share, lag_ms, self.now_ms) in LOAD_STATES
+
+    @rule(address_limit=st.integers(1, 4), max_connections=st.integers(1, 12))
+    def rules_change(self, address_limit, max_connections):
+        """While connections are open."""
+        self.rules = ConnectionRules(
+            max_connections,
+            self.rules.max_queries,
+            ClientLimits(address_limit, 0, 0, 3, 100, 2),
             self.rules.prefix,
             known=self.rules.known,
             reserve=self.rules.reserve,
-            most_seen=self.rules.most_seen,
-            spare=2,
+            max_remembered=self.rules.max_remembered,
+            max_ending=2,
         )
-        self.g.change(self.rules)
-        self.lowered = True
+        self.admission.set_rules(self.rules)
+        self.rules_were_lowered = True
+
+    @invariant()
+    def the_total_is_bounded(self):
+        """As far as the rules have not been lowered under what was open."""
+        if not hasattr(self, "admission"):
+            return
+        admission = self.admission
+        most = self.rules.max_connections + self.rules.max_ending
+        assert self.rules_were_lowered or len(self.open) <= most
+        assert len(admission.connections[KNOWN]) + len(admission.connections[UNKNOWN]) == len(self.open)
+        assert not self.rules.max_queries or sum(admission.query_count.values()) <= self.rules.max_queries
+        idle = admission.registry.idle
+        assert len(idle) <= self.rules.max_remembered
+        assert len(admission.registry.accounts) <= len(idle) + 2 * len(self.open)
+
+    @invariant()
+    def each_account_is_counted_exactly(self):
+        """And within its limits."""
+        if not hasattr(self, "admission"):
+            return
+        registry = self.admission.registry
+        for account in {connection.account for connection in self.open}:
+            own = [connection for connection in self.open if connection.account is account]
+            assert account.connection_count == len(own) == len(account.connections)
+            assert account.query_count == sum(connection.query_count for connection in own)
+            assert account.held_bytes == sum(connection.held_bytes for connection in own)
+            limit = self.rules.address.connections
+            assert self.rules_were_lowered or not limit or account.connection_count <= limit
+            assert account.query_count <= 3 and account.held_bytes <= 100
+            assert registry.accounts[account.name] is account
+            assert account.name not in registry.idle
+            assert account.active_count == sum(not connection.is_ending() for connection in own)
+            ranking = self.admission.ranking[account.known]
+            assert not account.active_count or account in ranking.by_count[account.active_count]
 
     @invariant()
-    def all_holds(self):
-        if not hasattr(self, "g"):
+    def every_index_is_exact(self):
+        """Rankings, states and open queries, for known and unknown clients."""
+        if not hasattr(self, "admission"):
             return
-        g = self.g
-        assert hasattr(self, "lowered") or len(self.lines) <= self.rules.most + self.rules.spare
-        assert len(g.lines[True]) + len(g.lines[False]) == len(self.lines)
-        for h in {x.holder for x in self.lines}:
-            mine = [x for x in self.lines if x.holder is h]
-            assert (
-                h.count == len(mine) == len(h.lines)
-                and h.queries == sum(x.queries for x in mine)
-                and h.held == sum(x.held for x in mine)
-            )
-            caps = self.rules.address
-            if not hasattr(self, "lowered"):
-                assert not caps.connections or h.count <= caps.connections
-            assert h.queries <= 3 and h.held <= 100
-            assert g.holders[h.name] is h and h.name not in g.idle_holders
-            assert h.active == sum(x.stands not in (ENDING, GOING) for x in mine)
-            assert not h.active or h in g.ranks[h.known].by[h.active]
-        for known in (False, True):
-            counts = [h.active for h in {x.holder for x in g.lines[known]}]
-            assert g.ranks[known].top == max(counts, default=0)
-            for kind in (SILENT, IDLE, ENDING, GOING):
-                assert set(g.stand[kind, known]) == {x for x in g.lines[known] if x.stands == kind}
-            assert set(g.asking[known]) == {x for x in g.lines[known] if x.queries}
-            assert g.queries[known] == sum(x.queries for x in g.lines[known])
-        assert not self.rules.most_queries or sum(g.queries.values()) <= self.rules.most_queries
-        assert len(g.idle_holders) <= self.rules.most_seen and len(g.holders) <= len(
-            g.idle_holders
-        ) + 2 * len(self.lines)
-
-
-Decisions.TestCase.settings = settings(
+        admission = self.admission
+        for known in (UNKNOWN, KNOWN):
+            connections = admission.connections[known]
+            active_counts = [account.active_count for account in {c.account for c in connections}]
+            assert admission.ranking[known].largest_count == max(active_counts, default=0)
+            for state in (*EVICTION_ORDER, *ENDING_STATES):
+                in_state = {connection for connection in connections if connection.state == state}
+                assert set(admission.by_state[state, known]) == in_state
+            querying = {connection for connection in connections if connection.query_count}
+            assert set(admission.querying[known]) == querying
+            query_count = sum(connection.query_count for connection in connections)
+            assert admission.query_count[known] == query_count
+
+
+AdmissionMachine.TestCase.settings = settings(
     max_examples=200,
     stateful_step_count=40,
     deadline=None,
@@ -359,4 +410,4 @@
     phases=(Phase.generate,),
     report_multiple_bugs=False,
 )
-TestDecisions = Decisions.TestCase
+TestAdmissionMachine = AdmissionMachine.TestCase
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -9,7 +9,7 @@
 from gateway_world import RESULT, STATEMENT, answered
 from loopback import until
 
-from lichenquay.connection_admission import decide
+from lichenquay.connection_admission import decisions, limits
 from lichenquay.gateway import frames
 from lichenquay.gateway.client_connection import BadQuery, ClientConnection
 
@@ -73,7 +73,7 @@
     w = world(engines=5, sockets=150)
     for e in w.engines:
         e.ways = ["hold"] * 9
-    w.service.clients.bound(1 << 20, decide.Rules(4, 0, lag_ms=0.0))
+    w.service.clients.bound(1 << 20, limits.ConnectionRules(4, 0, max_lag_ms=0.0))
     streams = [(c, c.ask("report", allow=4000)) for c in (w.client() for _ in range(4))]
     until(lambda: len(w.out) == 4)
     for _ in range(18):
@@ -129,14 +129,14 @@
     w = world(engines=5)
     for e in w.engines:
         e.ways = ["hold"] * 9
-    known = decide.networks(["127.0.0.1"])
-    w.service.clients.bound(1 << 20, decide.Rules(2, 0, lag_ms=0.0))
+    known = limits.parse_networks(["127.0.0.1"])
+    w.service.clients.bound(1 << 20, limits.ConnectionRules(2, 0, max_lag_ms=0.0))
     others = [w.client() for _ in range(2)]
     streams = [c.ask("report", allow=4000) for c in others]
     until(lambda: len(w.out) == 2)
     gate = w.service.clients.gate
-    gate.change(decide.Rules(2, 0, known=known, reserve=1, lag_ms=0.0))
-    gate.holders.clear()  # as if those had come from elsewhere
+    gate.set_rules(limits.ConnectionRules(2, 0, known=known, reserve=1, max_lag_ms=0.0))
+    gate.registry.accounts.clear()  # as if those had come from elsewhere
     depot = w.client()
     until(lambda: any(c.closed for c in others))
     gone = next(c for c in others if c.closed)
@@ -166,7 +166,7 @@
     """Risk: a client that comes back at once with what makes no sense takes the turns of others."""
     later, said, clock = [], [], SimpleNamespace(now=0.0)
     desk = SimpleNamespace(
-        gate=decide.Gate(decide.Rules(9, 0), 0.0),
+        gate=decisions.ConnectionAdmission(limits.ConnectionRules(9, 0), 0.0),
         gate_ms=lambda: clock.now * 1000,
         now_ms=lambda: 0.0,
         seconds=lambda: clock.now,
@@ -256,7 +256,7 @@
 
 def test_a_client_that_does_not_read_is_bounded():
     desk = SimpleNamespace(
-        gate=decide.Gate(decide.Rules(9, 0), 0.0),
+        gate=decisions.ConnectionAdmission(limits.ConnectionRules(9, 0), 0.0),
         gate_ms=lambda: 0.0,
         now_ms=lambda: 0.0,
         seconds=lambda: 0.0,
