--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -13,19 +13,19 @@
     """What a query does to data, and so whether it may be retried."""
 
     READ_ONLY = "read-only"
-    IDEMPOTENT_WITH_KEY = "tokened"
-    NON_IDEMPOTENT = "mutating"
+    IDEMPOTENT_WITH_KEY = "idempotent-with-key"
+    NON_IDEMPOTENT = "non-idempotent"
 
 
 class Outcome(StrEnum):
     """How an attempt ended."""
 
-    COMPLETED = "finished"
-    FAILED = "error"
-    OVERLOADED = "full"  # the engine shed it and promises that it never ran
+    COMPLETED = "completed"
+    FAILED = "failed"
+    OVERLOADED = "overloaded"  # the engine shed it and promises that it never ran
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
-    CONNECTION_RESET = "reset"
+    CONNECTION_RESET = "connection reset"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
 
@@ -38,17 +38,17 @@
     """What a progress event of an attempt reports."""
 
     PROGRESS = "progress"  # amount: the share done, 0 to 1
-    SPILLING = "spills"  # amount: missing memory in MB
-    WAITING = "waits"  # amount: a `WaitReason`
-    RESPONSIVE = "alive"  # the engine answers; what it reported was lost
+    SPILLING = "spilling"  # amount: missing memory in MB
+    WAITING = "waiting"  # amount: a `WaitReason`
+    RESPONSIVE = "responsive"  # the engine answers; what it reported was lost
 
 
 class EndpointState(StrEnum):
     """What the endpoint list says of an engine."""
 
-    SERVING = "listed"
+    SERVING = "serving"
     DRAINING = "draining"
-    REMOVED = "withdrawn"
+    REMOVED = "removed"
 
 
 @dataclass(eq=False)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -112,7 +112,7 @@
     until(lambda: e.news > 3)
     (q,) = w.service.admit.open
     for rank in (3, 0, 2):
-        w.service.admit.allot(q, 10.0, rank)
+        w.service.admit.set_grant(q, 10.0, rank)
     until(lambda: len(e.ranks) > 1)
     wait(0.1)
     assert e.ranks[0] == ("00000000000000aa", b"3") and e.ranks[-1] == ("00000000000000aa", b"2")
