--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -204,7 +204,7 @@
 
 def test_other_commands_start_without_the_probes():
     """They reach over the whole tree."""
-    code = "import sys, lichenquay.cli.main; sys.exit(any('lab.scale' in name for name in sys.modules))"
+    code = "import sys, lichenquay.cli.main; sys.exit(any('testbed.scale' in name for name in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code], env=environment(), check=False).returncode == 0
 
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -261,7 +261,7 @@
     code = (
         "import sys, lichenquay.gateway.service; print(sorted(m for m in sys.modules if m.split('.')[0] in "
         "('numpy', 'pyarrow', 'hdrh', 'click', 'rich', 'structlog', 'google', 'matplotlib', 'h11', 'google_crc32c') or "
-        "m.startswith(tuple('lichenquay.' + p for p in ('lab', 'load', 'cli', 'conf', 'fleet', 'members', 'storage', 'lease', 'quota', 'migration', 'distribution', 'control')))))"
+        "m.startswith(tuple('lichenquay.' + p for p in ('testbed', 'load', 'cli', 'config', 'fleet', 'membership', 'storage', 'lease', 'quota', 'migration', 'distribution', 'control_plane')))))"
     )
     got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
     assert got.stdout.strip() == "[]"
