--- a/lichenquay/cli/__main__.py
+++ b/lichenquay/cli/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m lichenquay.cli`: the same as the command `lichenquay`."""
+
 from lichenquay.cli.main import main
 
 main()
--- a/lichenquay/cli/capacity.py
+++ b/lichenquay/cli/capacity.py
@@ -9,15 +9,15 @@
 
 import click
 
-from lichenquay.cli import say
+from lichenquay.cli import console
 
 if TYPE_CHECKING:
     from lichenquay.testbed.scale.capacity import Capacity, Ranked, Slope
     from lichenquay.testbed.scale.catalogue import Probe
 
-SLOPE_HEADS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest was")
-ROW_HEADS = ("role: what", "slope", "low", "high", "sizes", "at the size", "budget", "ratio")
-FORETOLD = {None: None, True: "foretold", False: "not foretold"}
+SLOPE_HEADINGS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest was")
+ROW_HEADINGS = ("role: what", "slope", "low", "high", "sizes", "at the size", "budget", "ratio")
+PREDICTED = {None: None, True: "foretold", False: "not foretold"}
 
 
 def four_digits(value: float | None) -> str | None:
@@ -42,7 +42,7 @@
     """One row of slopes."""
     model = slope.fit.model.value if slope.fit else None
     intercept = four_digits(slope.fit.intercept) if slope.fit else None
-    foretold = FORETOLD[slope.held_out.within]
+    foretold = PREDICTED[slope.held_out.within]
     return f"{slope.what}, {slope.unit}", model, intercept, *fit_cells(slope), foretold
 
 
@@ -60,16 +60,16 @@
     )
 
 
-def show(found: Capacity) -> None:
+def print_capacity(found: Capacity) -> None:
     """Both tables, on standard output."""
-    say.table("slopes", [slope_cells(s) for s in found.slopes.values()], SLOPE_HEADS)
+    console.print_table("slopes", [slope_cells(s) for s in found.slopes.values()], SLOPE_HEADINGS)
     rows = [ranked_cells(r, found.slopes) for r in found.ranked]
-    say.table("needs at the planned size", rows, ROW_HEADS)
+    console.print_table("needs at the planned size", rows, ROW_HEADINGS)
     click.echo(f"{found.processor_s:.1f} s of processor time")
 
 
-def chosen(only: tuple[str, ...]) -> list[Probe]:
-    """The probes of these names, all without any; UsageError for a name of none."""
+def selected_probes(only: tuple[str, ...]) -> list[Probe]:
+    """The probes of these names, or all. Errors: click.UsageError for an unknown name."""
     from lichenquay.testbed.scale.catalogue import PROBES
 
     names = [probe.name for probe in PROBES]
@@ -83,13 +83,13 @@
 @click.option("--full", is_flag=True, help="Up to 25,000 engines and 800 fronts: minutes.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option("--only", multiple=True, help="The probe of this name alone; may be repeated.")
-@say.json_option
-def capacity(full: bool, seed: int, only: tuple[str, ...], json_to: str | None) -> None:
+@console.json_option
+def capacity(full: bool, seed: int, only: tuple[str, ...], json_path: str | None) -> None:
     """Measure what control costs by size, and set the planned size's needs beside their budgets."""
     from lichenquay.testbed.scale import capacity as scale
 
-    probes = chosen(only)
-    with say.progress("capacity") as done:
+    probes = selected_probes(only)
+    with console.progress("capacity") as done:
         found = scale.run(full, seed, done, probes)
-    say.write_json(json_to, scale.as_json(found))
-    show(found)
+    console.write_json(json_path, scale.as_json(found))
+    print_capacity(found)
--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -4,13 +4,15 @@
 
 import click
 
-from lichenquay.cli import say
+from lichenquay.cli import console
 from lichenquay.config.fleet_settings import NAME_PATTERN, parse_address
 from lichenquay.control_plane.client import Client, NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.validation import fault_of_entry
 
-REFUSED, IN_DOUBT = 1, 3  # exit codes; 2 is of a wrong command line
+# Exit codes; 2 is that of a wrong command line.
+REJECTED = 1
+IN_DOUBT = 3
 STATUS_FIELDS = ("generation", "newest", "in_force", "subscribers", "refused", "stale", "keys", "bytes")
 
 
@@ -25,8 +27,8 @@
             return value
         try:
             return [parse_address(text) for text in value.split(",")]
-        except ValueError as bad:
-            return self.fail(str(bad), param, ctx)
+        except ValueError as error:
+            return self.fail(str(error), param, ctx)
 
 
 class FleetNameType(click.ParamType):
@@ -42,9 +44,9 @@
 
 
 def voters_options(call):
-    """Whom to ask, of which fleet, for how long, and where the answer is kept."""
+    """Adds the options that name the voters, the fleet, the timeout and the output file."""
     for option in (
-        say.json_option,
+        console.json_option,
         click.option(
             "--seconds",
             type=click.FloatRange(0.1, 600),
@@ -65,7 +67,7 @@
 
 @click.group()
 def config():
-    """The configuration that is distributed to all fronts. Exit codes: 1 refused, 3 in doubt."""
+    """The configuration that is distributed to all gateways. Exit codes: 1 rejected, 3 in doubt."""
 
 
 @config.command()
@@ -73,24 +75,24 @@
 @click.argument("value", required=False)
 @click.option("--file", "path", type=click.Path(dir_okay=False), help="The value is this file's content.")
 @voters_options
-def put(key, value, path, voters, fleet, seconds, json_to):
+def put(key, value, path, voters, fleet, seconds, json_path):
     """Give KEY a value, everywhere."""
     if (value is None) == (path is None):
         raise click.UsageError("either VALUE or --file is wanted")
-    change(pb.Entry(key=key, value=_content(value, path)), voters, fleet, seconds, json_to)
+    propose_change(pb.Entry(key=key, value=_content(value, path)), voters, fleet, seconds, json_path)
 
 
 @config.command()
 @click.argument("key")
 @voters_options
-def delete(key, voters, fleet, seconds, json_to):
+def delete(key, voters, fleet, seconds, json_path):
     """Take KEY away, everywhere."""
-    change(pb.Entry(key=key, deleted=True), voters, fleet, seconds, json_to)
+    propose_change(pb.Entry(key=key, deleted=True), voters, fleet, seconds, json_path)
 
 
 @config.command()
 @voters_options
-def status(voters, fleet, seconds, json_to):
+def status(voters, fleet, seconds, json_path):
     """Show what is accepted, and what is in force everywhere."""
     try:
         with Client(fleet, voters, seconds) as client:
@@ -99,28 +101,30 @@
         raise click.ClickException(str(why)) from None
     figures = {field: getattr(found, field) for field in STATUS_FIELDS}
     figures["digest"] = f"{found.digest:016x}"
-    say.write_json(json_to, figures)
-    say.table(f"fleet {fleet}", [(name.replace("_", " "), value) for name, value in figures.items()])
+    console.write_json(json_path, figures)
+    console.print_table(
+        f"fleet {fleet}", [(name.replace("_", " "), value) for name, value in figures.items()]
+    )
 
 
-def change(entry, voters, fleet, seconds, json_to):
+def propose_change(entry, voters, fleet, seconds, json_path):
     """Proposes one entry until its outcome is known or the time is up."""
     if fault := fault_of_entry(entry):
-        end("refused", 0, fault, REFUSED, json_to)
+        exit_with("refused", 0, fault, REJECTED, json_path)
     try:
         with Client(fleet, voters, seconds) as client:
             proposed = client.propose([entry])
     except NoAnswerError as why:
-        end("in doubt", 0, f"it may have been made or not; {why}", IN_DOUBT, json_to)
+        exit_with("in doubt", 0, f"it may have been made or not; {why}", IN_DOUBT, json_path)
     if proposed.outcome == pb.Proposed.REFUSED:
-        end("refused", 0, proposed.reason, REFUSED, json_to)
-    say.write_json(json_to, {"outcome": "accepted", "version": proposed.version, "reason": ""})
+        exit_with("refused", 0, proposed.reason, REJECTED, json_path)
+    console.write_json(json_path, {"outcome": "accepted", "version": proposed.version, "reason": ""})
     click.echo(f"accepted: version {proposed.version}")
 
 
-def end(outcome, version, reason, code, json_to):
+def exit_with(outcome, version, reason, code, json_path):
     """One line on standard error, and the exit code."""
-    say.write_json(json_to, {"outcome": outcome, "version": version, "reason": reason})
+    console.write_json(json_path, {"outcome": outcome, "version": version, "reason": reason})
     click.echo(f"{outcome}: {reason}", err=True)
     raise SystemExit(code)
 
--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -1,11 +1,11 @@
-"""`load`: the load generator by itself."""
+"""`load`: the load generator alone."""
 
 from pathlib import Path
 
 import click
 
-from lichenquay.cli import say
-from lichenquay.cli.lab import KEYS, PLAIN, out_of
+from lichenquay.cli import console
+from lichenquay.cli.lab import RUN_FIGURES, USER_ERRORS, output_folder
 from lichenquay.config.reader import read_file
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.run import Workers, report_of
@@ -27,27 +27,30 @@
 @click.option("--rate", type=click.FloatRange(0.01, 1e6), help="Queries a second.")
 @click.option("--seconds", type=click.FloatRange(0.1, 86_400))
 @OUT
-@say.json_option
-@say.fails_plainly(*PLAIN)
-def run(target, world, trace, rate, seconds, out, json_to):
-    """Send a load to a front at TARGET (127.0.0.1:PORT)."""
+@console.json_option
+@console.reports_errors(*USER_ERRORS)
+def run(target, world, trace, rate, seconds, out, json_path):
+    """Send a load to a gateway at TARGET (127.0.0.1:PORT)."""
     host, _, port = target.rpartition(":")
     if not host.startswith("127.") or not port.isdigit():
         raise click.UsageError(f"TARGET: {target!r} is no loopback address with a port")
-    conf = read_file(world) if world else read_testbed("")
-    conf.load.trace = trace or conf.load.trace
-    conf.load.rate, conf.load.seconds = rate or conf.load.rate, seconds or conf.load.seconds
+    testbed = read_file(world) if world else read_testbed("")
+    testbed.load.trace = trace or testbed.load.trace
+    testbed.load.rate = rate or testbed.load.rate
+    testbed.load.seconds = seconds or testbed.load.seconds
     from lichenquay.testbed.trial import keep
 
-    out = out_of(out)
-    workers = Workers(conf, target, out)
+    out = output_folder(out)
+    workers = Workers(testbed, target, out)
     workers.start()
-    with say.progress("load") as done:
+    with console.progress("load") as done:
         kept = workers.go(done)
-    figures = {**report_of(kept, conf), "out": str(out)}
-    keep(out, conf, kept, figures)
-    say.write_json(json_to, figures)
-    say.table(f"load on {target}", [(k, figures.get(k)) for k in KEYS if k in figures])
+    figures = {**report_of(kept, testbed), "out": str(out)}
+    keep(out, testbed, kept, figures)
+    console.write_json(json_path, figures)
+    console.print_table(
+        f"load on {target}", [(name, figures[name]) for name in RUN_FIGURES if name in figures]
+    )
     if figures["void"]:
         click.echo(f"void: {figures['why_void']}")
     click.echo(f"kept in {out}")
@@ -59,23 +62,23 @@
 @click.option("--rate", type=click.FloatRange(100, 2000), default=400.0, show_default=True)
 @click.option("--stall-ms", type=click.FloatRange(50, 5000), default=500.0, show_default=True)
 @OUT
-@say.json_option
-@say.fails_plainly(*PLAIN)
-def stall(seconds, rate, stall_ms, out, json_to):
+@console.json_option
+@console.reports_errors(*USER_ERRORS)
+def stall(seconds, rate, stall_ms, out, json_path):
     """A deliberate stall, seen by an open loop and missed by a closed one of the same rate."""
     from lichenquay.load import proof
 
-    with say.progress("stall") as done:
-        found = proof.stall(out_of(out), rate, seconds, stall_ms, done)
-    say.write_json(json_to, found)
-    say.table(
+    with console.progress("stall") as done:
+        found = proof.stall(output_folder(out), rate, seconds, stall_ms, done)
+    console.write_json(json_path, found)
+    console.print_table(
         f"a stall of {stall_ms:g} ms at {rate:g} a second",
-        [(k, found["open"][k], found["closed"].get(k)) for k in found["open"]],
+        [(name, value, found["closed"].get(name)) for name, value in found["open"].items()],
         ("figure", "open loop", "closed loop"),
     )
-    seen = found["open"]["p999_ms"] > stall_ms / 2 > found["closed"]["p999_ms"]
-    click.echo("the open loop shows it, the closed loop misses it" if seen else "not shown")
-    raise SystemExit(not seen or found["open"]["void"])
+    is_shown = found["open"]["p999_ms"] > stall_ms / 2 > found["closed"]["p999_ms"]
+    click.echo("the open loop shows it, the closed loop misses it" if is_shown else "not shown")
+    raise SystemExit(not is_shown or found["open"]["void"])
 
 
 @load.command()
@@ -90,20 +93,20 @@
     help="Steps, queries a second.",
 )
 @OUT
-@say.json_option
-@say.fails_plainly(*PLAIN)
-def capacity(seconds, workers, rates, out, json_to):
+@console.json_option
+@console.reports_errors(*USER_ERRORS)
+def capacity(seconds, workers, rates, out, json_path):
     """The rate that the generator sustains against null servers, with its overhead."""
     from lichenquay.load import proof
 
     try:
-        rates = [float(r) for r in rates.split(",")]
+        rates = [float(rate) for rate in rates.split(",")]
     except ValueError:
         raise click.UsageError(f"--rates: not numbers: {rates!r}") from None
-    with say.progress("capacity") as done:
-        found = proof.capacity(out_of(out), rates, seconds, workers, progress=done)
-    say.write_json(json_to, found)
-    keys = (
+    with console.progress("capacity") as done:
+        found = proof.capacity(output_folder(out), rates, seconds, workers, progress=done)
+    console.write_json(json_path, found)
+    names = (
         "rate",
         "ok",
         "answered_per_s",
@@ -113,7 +116,7 @@
         "p99_ms",
         "generator_cpu_share",
     )
-    say.table("capacity", [[s[k] for k in keys] for s in found["steps"]], keys)
+    console.print_table("capacity", [[step[name] for name in names] for step in found["steps"]], names)
     click.echo(
         f"sustained: {found['sustained_per_s']:g} a second, lag p99 under {found['lag_bound_ms']:g} ms"
     )
@@ -121,37 +124,37 @@
 
 
 @load.command()
-@click.argument("a", type=click.Path(exists=True))
-@click.argument("b", type=click.Path(exists=True))
-@say.json_option
-def compare(a, b, json_to):
+@click.argument("first", metavar="A", type=click.Path(exists=True))
+@click.argument("second", metavar="B", type=click.Path(exists=True))
+@console.json_option
+def compare(first, second, json_path):
     """Set two runs, or two folders of runs, side by side, with bootstrap intervals of the difference."""
-    from lichenquay.load import compare as c
+    from lichenquay.load import compare as comparison
 
     try:
-        rows = c.compare(c.runs_in(a), c.runs_in(b))
-    except c.BadRun as why:
+        rows = comparison.compare(comparison.runs_in(first), comparison.runs_in(second))
+    except comparison.BadRun as why:
         raise click.ClickException(str(why)) from None
-    heads = ("metric", "a", "b", "b - a", "low", "high")
-    say.table(f"{a} (a) and {b} (b)", rows, heads)
-    say.write_json(json_to, [dict(zip(heads, r)) for r in rows])
+    headings = ("metric", "a", "b", "b - a", "low", "high")
+    console.print_table(f"{first} (a) and {second} (b)", rows, headings)
+    console.write_json(json_path, [dict(zip(headings, row, strict=True)) for row in rows])
 
 
 @load.command()
 @click.argument("source", type=click.Path())
 @click.argument("target", type=click.Path(), required=False)
 @click.option("--world", type=click.Path(), help="Settings: groups and tenants that the trace names.")
-@say.fails_plainly(*PLAIN)
+@console.reports_errors(*USER_ERRORS)
 def trace(source, target, world):
     """Check a trace; with TARGET, write it there as CSV or Parquet with all its columns."""
     from lichenquay.load.trace import read_trace, write_trace
 
-    conf = read_file(world) if world else read_testbed("")
-    plan = read_trace(source, conf, conf.seed)
+    testbed = read_file(world) if world else read_testbed("")
+    plan = read_trace(source, testbed, testbed.seed)
     if target:
         if Path(target).suffix not in (".csv", ".parquet", ".pq"):
             raise click.UsageError(f"TARGET: {target!r} is neither .csv nor .parquet")
         write_trace(target, plan)
-    click.echo(
-        f"{source}: {len(plan['at_ms'])} queries, {plan['at_ms'][-1] / 1000 if len(plan['at_ms']) else 0:g} s"
-    )
+    arrivals_ms = plan["at_ms"]
+    duration_s = arrivals_ms[-1] / 1000 if len(arrivals_ms) else 0
+    click.echo(f"{source}: {len(arrivals_ms)} queries, {duration_s:g} s")
--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -5,7 +5,7 @@
 
 import click
 
-from lichenquay.cli import say
+from lichenquay.cli import console
 from lichenquay.cli.config import config
 from lichenquay.cli.lab import demo, lab
 from lichenquay.cli.load import load
@@ -21,13 +21,13 @@
 @click.version_option(package_name=None, version="0.2.0.dev0", prog_name="lichenquay")
 def cli(log_file):
     """An admission controller and gateway for queries on a pool of engines."""
-    say.log_to(log_file)
+    console.configure_logging(log_file)
 
 
 @cli.command()
 @click.argument("config", type=click.Path())
 def front(config):
-    """Run a front on a configuration of the platform's form (JSON)."""
+    """Run a gateway on a configuration of the platform's form (JSON)."""
     os.execve(
         sys.executable,
         [sys.executable, "-m", "lichenquay.gateway"],
@@ -40,11 +40,11 @@
 @click.option(
     "--settings",
     is_flag=True,
-    help="It is a front's own settings (LICHENQUAY_SETTINGS) or a control process's, not a world.",
+    help="It is a gateway's own settings (LICHENQUAY_SETTINGS) or a control process's, not a testbed's.",
 )
-@say.fails_plainly(ConfigurationError)
+@console.reports_errors(ConfigurationError)
 def check(file, settings):
-    """Check a settings file: a world, own settings of a front or a control process, or a front's JSON."""
+    """Check a settings file: of a testbed, of a gateway or control process, or a gateway's JSON."""
     if str(file).endswith(".json"):
         from lichenquay.gateway.service import CannotStart, open_from, read_config
 
@@ -77,5 +77,6 @@
 cli.add_command(load)
 
 
-def main():
+def main() -> None:
+    """The entry point of the installed command."""
     cli(prog_name="lichenquay")
--- a/lichenquay/cli/scale.py
+++ b/lichenquay/cli/scale.py
@@ -1,4 +1,4 @@
-"""`lab scale`: many hollow fronts, publishers and relays on this machine, measured and audited.
+"""`lab scale`: many simulated gateways, publishers and relays on this machine, measured and audited.
 
 What it runs is imported when it is called, as that reaches over the whole tree.
 """
@@ -10,13 +10,13 @@
 
 import click
 
-from lichenquay.cli import say
+from lichenquay.cli import console
 from lichenquay.load.run import CannotRun
 from lichenquay.testbed.world import CannotStart
 
-ROLE_HEADS = ("role", "cpu_share", "kb", "bytes_per_s", "messages_per_s")
-PREDICTION_HEADS = ("metric", "predicted", "low", "high", "measured", "within")
-SCENARIO_HEADS = ("changes", "in_force_p50_ms", "in_force_p99_ms", "in_force_max_ms", "heal_s", "start_s")
+ROLE_HEADINGS = ("role", "cpu_share", "kb", "bytes_per_s", "messages_per_s")
+PREDICTION_HEADINGS = ("metric", "predicted", "low", "high", "measured", "within")
+SCENARIO_HEADINGS = ("changes", "in_force_p50_ms", "in_force_p99_ms", "in_force_max_ms", "heal_s", "start_s")
 
 
 @click.command()
@@ -44,9 +44,9 @@
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
-@say.json_option
-@say.fails_plainly(CannotStart, CannotRun)
-def scale(full, virtual, engine_sweep, fronts, engines, only, real_fronts, queries, seed, out, json_to):
+@console.json_option
+@console.reports_errors(CannotStart, CannotRun)
+def scale(full, virtual, engine_sweep, fronts, engines, only, real_fronts, queries, seed, out, json_path):
     """Hollow fronts, publishers and relays: what they cost by size, and changes in force amid faults."""
     from lichenquay.testbed.scale import plans
     from lichenquay.testbed.scale.engine_sweep import EngineSweep
@@ -60,7 +60,7 @@
         raise click.UsageError(f"--full: more than {plans.MIDDLE_SIZES[-1]} fronts are held out")
     folder = Path(out or tempfile.mkdtemp(prefix="lichenquay-scale-"))
     folder.mkdir(parents=True, exist_ok=True)
-    with say.progress("scale") as done:
+    with console.progress("scale") as done:
         if engine_sweep:
             figures = engine_figures_of(EngineSweep(folder, seed, done).run())
         elif virtual:
@@ -72,20 +72,20 @@
             if real_fronts is not None:
                 plan = replace(plan, real_fronts=real_fronts)
             figures = figures_of(Runner(with_scenarios(plan, only), folder, done).run())
-    keep(figures, folder, json_to)
-    tell(figures)
+    write_reports(figures, folder, json_path)
+    print_figures(figures)
     click.echo(f"kept in {folder}")
     raise SystemExit(bool(figures["broken_rules"]))
 
 
-def keep(figures, folder, json_to):
+def write_reports(figures, folder, json_path):
     """Figures as JSON, and the page of a run that has sizes."""
     from lichenquay.testbed.scale.report import write_page
 
     (folder / "report.json").write_text(json.dumps(figures, indent=1))
     if "sizes" in figures:
         write_page(folder / "report.html", figures)
-    say.write_json(json_to, figures)
+    console.write_json(json_path, figures)
 
 
 def with_scenarios(plan, only):
@@ -95,44 +95,48 @@
     return replace(plan, scenarios=[one for one in plan.scenarios if one.name in only])
 
 
-def tell(figures):
+def print_figures(figures):
     """The figures as tables."""
     if "roles" in figures:
         roles = [(role, *cost.values()) for role, cost in figures["roles"].items()]
-        say.table(f"{figures['fronts_hollow']} hollow fronts: of one member", roles, ROLE_HEADS)
+        console.print_table(f"{figures['fronts_hollow']} hollow fronts: of one member", roles, ROLE_HEADINGS)
     if "engine_sizes" in figures:
-        tell_engine_sizes(figures["engine_sizes"])
+        print_engine_sizes(figures["engine_sizes"])
     if "predicted" in figures:
         predicted = [
-            (name, *(f"{one[key]:.4g}" for key in ("value", "low", "high")), *outcome_of(figures, name))
+            (name, *(f"{one[key]:.4g}" for key in ("value", "low", "high")), *measured_cells(figures, name))
             for name, one in figures["predicted"].items()
         ]
-        say.table("predicted and measured, at the size that was held out", predicted, PREDICTION_HEADS)
+        console.print_table(
+            "predicted and measured, at the size that was held out", predicted, PREDICTION_HEADINGS
+        )
     for front in figures.get("real_fronts", ()):
-        say.table(f"real front {front['name']}", [*front.items()][1:5] + [*front["report"].items()])
+        console.print_table(f"real front {front['name']}", [*front.items()][1:5] + [*front["report"].items()])
     if "scenarios" in figures:
-        rows = [(name, *(one[key] for key in SCENARIO_HEADS)) for name, one in figures["scenarios"].items()]
-        say.table("scenarios", rows, ("scenario", *SCENARIO_HEADS))
+        rows = [
+            (name, *(one[key] for key in SCENARIO_HEADINGS)) for name, one in figures["scenarios"].items()
+        ]
+        console.print_table("scenarios", rows, ("scenario", *SCENARIO_HEADINGS))
     plain = [(name, value) for name, value in figures.items() if not isinstance(value, dict | list)]
     config = [(f"config.{name}", value) for name, value in figures.get("config", {}).items()]
-    say.table("all", plain + config)
+    console.print_table("all", plain + config)
     for line in figures["notes"]:
         click.echo(f"note: {line}")
     for line in figures["broken_rules"]:
         click.echo(f"broken: {line}")
 
 
-def tell_engine_sizes(sizes):
+def print_engine_sizes(sizes):
     """One column for each number of engines."""
     from lichenquay.testbed.scale.report import cell_text
 
     names = [name for name in sizes[0] if name != "engines"]
     rows = [(name, *(cell_text(one.get(name)) for one in sizes)) for name in names]
-    heads = ("of one member", *(str(one["engines"]) for one in sizes))
-    say.table("24 hollow fronts, by engines", rows, heads)
+    headings = ("of one member", *(str(one["engines"]) for one in sizes))
+    console.print_table("24 hollow fronts, by engines", rows, headings)
 
 
-def outcome_of(figures, name):
+def measured_cells(figures, name):
     """What was measured, and whether it lies within the interval."""
     measured = figures["measured"][name]
     return "-" if measured is None else f"{measured:.4g}", str(figures["prediction_holds"][name])
