--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -83,7 +83,7 @@
 
     def judge(self, now, tenant, front, estimate, work):
         return not Controller.beyond_share(
-            self.fronts[front], SimpleNamespace(beyond=None, tenant=self.tenants[tenant]), now
+            self.fronts[front], SimpleNamespace(over_quota=None, tenant=self.tenants[tenant]), now
         )
 
     def of(self, tenant, seconds):
