--- a/lichenquay/config/fleet_settings.py
+++ b/lichenquay/config/fleet_settings.py
@@ -3,7 +3,7 @@
 import hashlib
 import re
 
-from lichenquay.quota.account_settings import figures_of
+from lichenquay.quota.account_settings import account_terms
 
 MOST_FRONTS = 1024
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # bounded: every datagram carries some
@@ -115,7 +115,7 @@
 def figures(account):
     """As the ledger takes them. Errors: ValueError, in one line."""
     tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, lend_share = account_of(account)
-    return figures_of(tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, 1.0 - lend_share)
+    return account_terms(tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, 1.0 - lend_share)
 
 
 def fingerprint(fleet):
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -6,11 +6,11 @@
 from lichenquay.config.fleet_settings import USUAL_LEASE_MS, USUAL_TERM_MS, figures, names_of, voters_of
 from lichenquay.lease.group import Group
 from lichenquay.lease.settings import Settings as LeaseSettings
-from lichenquay.quota import ledger_records as ledger_kept
+from lichenquay.quota import ledger_records
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.escrow import Rights
-from lichenquay.quota.ledger import LedgerError
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.errors import LedgerError
+from lichenquay.quota.escrow import TokenEscrow
+from lichenquay.quota.ledger_leader import LedgerLeader
 
 LEDGER = "ledger"
 PREFIX = "owner/ledger/"  # of its sections in the folder
@@ -50,10 +50,10 @@
                 owner,
                 now_ms,
                 kept,
-                fold=ledger_kept.fold,
+                fold=ledger_records.fold,
                 told=self.told,
             )
-            self.keeper = Keeper(ledger_kept.Seat(self.group), self.figures, self.term_ms)
+            self.keeper = LedgerLeader(ledger_records.PiecewiseGroup(self.group), self.figures, self.term_ms)
         self.rights = self.new_rights()
         self.outbox, self.leaving, self.look_ms = [], False, now_ms
         self.asked_of, self.deaf_since_ms = rng.choice(self.voters), None
@@ -62,13 +62,13 @@
     def new_rights(self):
         # Risk: the first queries of a tenant that come to a front count as beyond quota. So a little is held everywhere.
         stocks = {f.tenant: f.bucket_us // (STOCKS * self.fronts) for f in self.figures}
-        return Rights(self.name, self.incarnation, stocks, self.term_ms, chance=self.rng)
+        return TokenEscrow(self.name, self.incarnation, stocks, self.term_ms, random=self.rng)
 
     def reborn(self, incarnation):
         """The front goes on as another one: what it held as the old one is not spent any more. Risk: debts are left behind."""
-        debts, self.incarnation = self.rights.debts, incarnation
+        debts, self.incarnation = self.rights.overruns_us, incarnation
         self.rights = self.new_rights()
-        self.rights.debts = debts
+        self.rights.overruns_us = debts
         if self.group is not None:
             self.group.incarnation = incarnation
 
@@ -79,8 +79,8 @@
 
     def take(self, now_ms, q, work_ms):
         """Whether the query is within its tenant's quota (credit included)."""
-        self.rights.pressed = self.pressed()
-        return self.rights.take(now_ms, q.tenant.name, work_ms, q)
+        self.rights.under_pressure = self.pressed()
+        return self.rights.reserve(now_ms, q.tenant.name, work_ms, q)
 
     # the host's calls
 
@@ -98,7 +98,7 @@
         if self.keeper and self.group.generation and now_ms >= self.keeper.due_ms:
             self.keeper.tick(now_ms)
         if now_ms >= self.rights.due_ms:
-            self.rights.pressed = self.pressed()
+            self.rights.under_pressure = self.pressed()
             self.rights.tick(now_ms)
         self.hand_over(now_ms)
 
@@ -150,7 +150,7 @@
                 or self.state_of(holder[0]) in (None, "cut", "left", "gone")
             )
             self.group.want(now_ms, away and not self.leaving and self.state_of(self.name) == "alive")
-        self.rights.keeper = self.keeper_now(now_ms, holder)
+        self.rights.leader = self.keeper_now(now_ms, holder)
 
     def keeper_now(self, now_ms, holder):
         """A voter knows the holder; any other front asks one voter after the other until one answers."""
@@ -175,16 +175,16 @@
 
     @property
     def over(self):
-        return self.leaving and self.rights.returned and not (self.group and self.group.generation)
+        return self.leaving and self.rights.is_returned and not (self.group and self.group.generation)
 
     # what is seen
 
     def conserved(self):
         """Risk: a fault of ours that makes rights out of nothing goes unseen."""
         try:
-            if self.keeper.made is None:
+            if self.keeper.committed is None:
                 return "not in office"
-            self.keeper.made.check()
+            self.keeper.committed.check()
         except LedgerError as bad:
             return str(bad)
         return "yes"
@@ -192,13 +192,13 @@
     def lines(self, now_ms):
         lines = [
             f"quota {t} {free:.1f} {spent:.1f} {owes:.1f} {limit:.1f}"
-            for t, (free, spent, owes, limit) in sorted(self.rights.seen(now_ms).items())
+            for t, (free, spent, owes, limit) in sorted(self.rights.status(now_ms).items())
         ]
-        known = self.rights.keeper or ("-", 0)
+        known = self.rights.leader or ("-", 0)
         lines += [
             f"keeper {known[0]} {known[1]}",
-            f"rights lapsed: {self.rights.lapses}",
-            f"quota messages that make no sense: {self.rights.senseless}",
+            f"rights lapsed: {self.rights.expiries}",
+            f"quota messages that make no sense: {self.rights.implausible_answers}",
         ]
         if self.group is not None:
             voter, claimant = self.group.voter, self.group.claimant
@@ -211,13 +211,13 @@
         if self.keeper and self.group.generation:
             lines += [
                 f"ledger {t} {' '.join(f'{v:.1f}' for v in seen)}"
-                for t, seen in sorted(self.keeper.seen().items())
+                for t, seen in sorted(self.keeper.status().items())
             ]
             lines += [
-                f"ledger records: {self.keeper.records}",
-                f"ledger in doubt: {self.keeper.doubts}",
+                f"ledger records: {self.keeper.records_committed}",
+                f"ledger in doubt: {self.keeper.uncertain_writes}",
                 f"ledger conserved: {self.conserved()}",
-                f"loans barred: {self.keeper.barred}",
-                f"ledger trouble: {self.keeper.trouble or 'none'}",
+                f"loans barred: {self.keeper.loans_barred}",
+                f"ledger trouble: {self.keeper.last_error or 'none'}",
             ]
         return lines
--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -24,7 +24,7 @@
     def finished(self, q, cost):
         """`cost`: (work in ms, memory in MB), None where engines do not tell."""
         if cost is None:
-            self.accounts.rights.drop(self.now_ms(), q)
+            self.accounts.rights.settle_at_estimate(self.now_ms(), q)
         else:
             self.accounts.rights.settle(self.now_ms(), q, cost[0])
 
@@ -39,4 +39,4 @@
         if all(s.outcome in domain.NEVER_EXECUTED for s in q.attempts):
             self.accounts.rights.settle(self.now_ms(), q, 0.0)
         else:
-            self.accounts.rights.drop(self.now_ms(), q)
+            self.accounts.rights.settle_at_estimate(self.now_ms(), q)
--- a/lichenquay/quota/__init__.py
+++ b/lichenquay/quota/__init__.py
@@ -1,1 +1,1 @@
-"""One account of each tenant's quota for all fronts of a fleet: ledger, its keeper, and the rights at each front."""
+"""One quota for each tenant in all gateways: a replicated ledger, tokens in escrow, and loans."""
--- a/lichenquay/quota/account_settings.py
+++ b/lichenquay/quota/account_settings.py
@@ -1,26 +1,46 @@
-"""What an installation says of a tenant's account, checked. Errors: ValueError, in one line."""
+"""The terms of a tenant's account, from the settings of an installation, validated."""
 
 from lichenquay.quota import quota_pb2 as pb
+from lichenquay.quota.errors import AccountTermsError
 
-MOST_NAME = 64  # bytes; an ask with the longest names still is one datagram
+MAX_TENANT_NAME_BYTES = 64  # with names of this length a token request still fits in one datagram
+MAX_AMOUNT_MS = 1e12
 
 
-def figures_of(tenant, rate_ms, bucket_ms, limit_ms=0.0, term_ms=60000.0, repay_share=0.5, lend_share=0.25):
-    """`rate_ms` of engine work a second, up to `bucket_ms`; loans up to `limit_ms`, for `term_ms`, repaid by
-    `repay_share` of what it accrues. It lends what is over `lend_share` of its bucket."""
+def account_terms(
+    tenant: str,
+    rate_ms: float,
+    bucket_ms: float,
+    limit_ms: float = 0.0,
+    term_ms: float = 60_000.0,
+    repay_share: float = 0.5,
+    lend_share: float = 0.25,
+) -> pb.Open:
+    """Checks the settings of an account and converts them to whole microseconds.
 
-    def must(holds, what):
-        if not holds:
-            raise ValueError(f"quota of {tenant!r}: {what}")
+    `rate_ms`: engine work that accrues in a second, up to `bucket_ms`.
+    `limit_ms`: the most that the tenant may owe; a loan is due after `term_ms`.
+    `repay_share`: the part of its accrual that repays its debts.
+    `lend_share`: the part of its bucket that it never lends.
+    Raises AccountTermsError.
+    """
 
-    must(0 < len(tenant.encode()) <= MOST_NAME, f"a name has 1 to {MOST_NAME} bytes")
-    for name, value in ("rate", rate_ms), ("bucket", bucket_ms), ("limit", limit_ms):
-        must(0 <= value < 1e12, f"{name} {value:g} is not from 0 to 1e12 ms")
-    must(0 < term_ms < 1e12, f"term {term_ms:g} is not over 0 ms")
-    must(0 < repay_share <= 1, f"repay share {repay_share:g} is not over 0, up to 1")
-    must(0 <= lend_share <= 1, f"lend share {lend_share:g} is not from 0 to 1")
-    paid = repay_share * rate_ms * term_ms / 1000
-    must(limit_ms <= paid, f"a limit of {limit_ms:g} ms cannot be repaid in its term: {paid:g} ms are")
+    def require(condition: bool, expectation: str) -> None:
+        if not condition:
+            raise AccountTermsError(f"quota of {tenant!r}: {expectation}")
+
+    name_bytes = len(tenant.encode())
+    require(0 < name_bytes <= MAX_TENANT_NAME_BYTES, f"a name has 1 to {MAX_TENANT_NAME_BYTES} bytes")
+    for name, value in (("rate", rate_ms), ("bucket", bucket_ms), ("limit", limit_ms)):
+        require(0 <= value < MAX_AMOUNT_MS, f"{name} {value:g} is not from 0 to 1e12 ms")
+    require(0 < term_ms < MAX_AMOUNT_MS, f"term {term_ms:g} is not over 0 ms")
+    require(0 < repay_share <= 1, f"repay share {repay_share:g} is not over 0, up to 1")
+    require(0 <= lend_share <= 1, f"lend share {lend_share:g} is not from 0 to 1")
+    repayable_ms = repay_share * rate_ms * term_ms / 1000
+    require(
+        limit_ms <= repayable_ms,
+        f"a limit of {limit_ms:g} ms cannot be repaid in its term: {repayable_ms:g} ms are",
+    )
     return pb.Open(
         tenant=tenant,
         rate_us=round(rate_ms * 1000),
--- /dev/null
+++ b/lichenquay/quota/errors.py
@@ -0,0 +1,20 @@
+"""The exceptions of this package."""
+
+
+class QuotaError(Exception):
+    """Base class of the errors of the quota package."""
+
+
+class AccountTermsError(QuotaError, ValueError):
+    """The settings of a tenant's account are not valid. The text is one line."""
+
+
+class LedgerError(QuotaError):
+    """A record or snapshot breaks an invariant of the ledger.
+
+    A lost or repeated message never causes this.
+    """
+
+
+class ImplausibleReportError(QuotaError):
+    """A gateway reports totals that exceed what it was granted."""
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -1,330 +1,328 @@
-"""A front's rights: what it may spend of each tenant's quota without asking anybody.
+"""A gateway's escrow tokens: what it may spend of each tenant's quota without asking anybody. No I/O.
 
-No I/O. `take` when a query comes, `settle` when its work is told; `heard`, `tick`, `due_ms`, `outbox` for its talk
-with the keeper, whom the host names (`keeper`: (name, generation), None: not known). Rights are in a book; they last
-`term_ms` from the sending of the last ask that was answered, by this front's clock. A book that lapsed is sealed:
-nothing is taken from it again, and the keeper is told its totals until the ledger has them. Amounts are whole
-microseconds of engine work, times milliseconds."""
+`reserve` when a query comes, `settle` when its work is known. `heard`, `tick`, `due_ms` and `outbox` are the
+exchange with the ledger's leader, which the host names (`leader`; None: not known).
 
-from lichenquay.admission.sliding_window import SlidingWindow
-from lichenquay.quota import quota_pb2 as pb
-
-MOST_ROWS = 8  # in one ask: a datagram of under 1,200 bytes
-ASKS_AT_ONCE = 4
-WINDOW_MS = 8000.0  # of queries that tell what is wanted
-AHEAD = 4  # this part of the window's work is held
-SENT = 64  # asks remembered
-
-
-def stocks_of(figures, fronts):
-    """What each of so many fronts holds of each tenant without any query: a quarter of the bucket for all of them.
-    Risk: more is missed where the queries come, less by the first ones of a front."""
-    return {f.tenant: f.bucket_us // (4 * fronts) for f in figures}
-
-
-class Mine:
-    """One tenant's in one book: totals, and what open queries have reserved."""
-
-    __slots__ = ("known", "spent", "returned", "reserved", "noted", "sealed_no", "asked_no", "heard_no")
+The tokens of an epoch expire together, `term_ms` after the sending of the last request that was answered, by
+this gateway's clock. An expired epoch is sealed: nothing is reserved from it any more, and its totals are
+reported until the ledger has them. Tokens are whole microseconds of engine work, times milliseconds.
+"""
 
-    def __init__(self, sealed_no=None):
-        self.known = self.spent = self.returned = self.reserved = 0
-        self.noted, self.sealed_no = (0, 0), sealed_no
-        self.asked_no = self.heard_no = (
-            0  # of the last ask for more, and of the last one whose answer tells of it
-        )
+from collections.abc import Hashable, Mapping
+from random import Random
+from typing import NamedTuple
 
-    @property
-    def free(self):
-        return self.known - self.spent - self.returned - self.reserved
-
-    def seal(self, no):
-        """What is not reserved goes back; what is follows when its work is told."""
-        self.sealed_no, self.returned = no, self.returned + self.free
-
-
-class Rights:
-    def __init__(self, name, incarnation, stocks, term_ms, period_ms=250.0, chance=None):
-        """`stocks`: of each tenant the work in microseconds that is held where no query comes, too."""
-        self.name, self.incarnation, self.stocks = name, incarnation, dict(stocks)
-        self.term_ms, self.period_ms, self.chance = term_ms, period_ms, chance
-        self.book, self.no, self.valid_ms = 1, 0, float("-inf")
-        self.rows, self.old, self.tickets, self.debts = {}, {}, {}, {}  # old: {(book, tenant): Mine}, sealed
-        self.demand = {t: SlidingWindow(WINDOW_MS / 16, 16) for t in self.stocks}
-        self.latest = {t: SlidingWindow(250.0, 4) for t in self.stocks}
-        self.largest, self.low = dict.fromkeys(self.stocks, 0), {}  # `low`: under it, an ask goes out at once
-        self.scarce, self.owing, self.credit, self.sent, self.turn = (
-            {},
-            {},
-            {},
-            {},
-            0,
-        )  # the first two: until when
-        self.pressed = self.leaving = False
-        self.outbox, self.due_ms, self.asked_ms = [], float("inf"), float("-inf")
-        self.lapses = self.senseless = 0
-        self._keeper = None
+from lichenquay.quota import quota_pb2 as pb
+from lichenquay.quota.escrow_demand import TenantDemand
+from lichenquay.quota.escrow_holding import EscrowHolding, HoldingKey, QueryReservation, ReportedTotals
+from lichenquay.quota.messages import LeaderAddress, OutgoingMessage
+from lichenquay.quota.token_requests import (
+    MAX_ROWS_AT_ONCE,
+    in_requests,
+    must_be_sent,
+    open_row,
+    sealed_row,
+    select_rows,
+)
+
+NEVER_MS = float("inf")
+LONG_AGO_MS = float("-inf")
+MAX_REQUESTS_REMEMBERED = 64  # with their sending times
+HINT_PERIODS = 10  # how long scarcity and debt count after the leader's last answer
+REQUESTS_PER_TERM = 4  # while there is nothing to request
+URGENT_REQUESTS_PER_PERIOD = 4
+
+
+class TenantStatus(NamedTuple):
+    """Of one tenant, in milliseconds of engine work: free and spent here; debt and limit in the fleet."""
+
+    free_ms: float
+    spent_ms: float
+    debt_ms: float
+    limit_ms: float
+
+
+class TokenEscrow:
+    """The tokens of one incarnation of a gateway."""
+
+    def __init__(
+        self,
+        gateway: str,
+        incarnation: int,
+        idle_stocks_us: Mapping[str, int],
+        term_ms: float,
+        period_ms: float = 250.0,
+        random: Random | None = None,
+    ):
+        """`idle_stocks_us`: by tenant, the tokens that are held even without queries.
+
+        `random`: jitter of requests.
+        """
+        self.gateway = gateway
+        self.incarnation = incarnation
+        self.term_ms = term_ms
+        self.period_ms = period_ms
+        self.random = random
+        self.epoch = 1
+        self.expires_at_ms = LONG_AGO_MS
+        self.holdings: dict[str, EscrowHolding] = {}
+        self.sealed_holdings: dict[HoldingKey, EscrowHolding] = {}
+        self.reservations: dict[Hashable, QueryReservation] = {}
+        self.overruns_us: dict[str, int] = {}  # work that no token has paid yet
+        self.demands = {tenant: TenantDemand(stock_us) for tenant, stock_us in idle_stocks_us.items()}
+        self.under_pressure = False  # no room for work beyond quota; reported to the leader
+        self.leaving = False
+        self.outbox: list[OutgoingMessage] = []
+        self.due_ms = NEVER_MS
+        self.expiries = 0
+        self.implausible_answers = 0
+        self.request_number = 0
+        self.request_sent_ms: dict[int, float] = {}
+        self._rotation = 0
+        self._last_request_ms = LONG_AGO_MS
+        self._leader: LeaderAddress | None = None
 
     @property
-    def keeper(self):
-        return self._keeper
-
-    @keeper.setter
-    def keeper(self, keeper):
-        """Who holds the ledger. Unknown: the front spends what it holds while that lasts."""
-        if keeper != self._keeper:
-            self._keeper = keeper
-            self.due_ms = float("-inf") if keeper else float("inf")
-
-    # queries
-
-    def take(self, now_ms, tenant, estimate_ms, ticket):
-        """Whether held rights cover a query; then its estimate is reserved until `settle` or `drop` of its ticket."""
-        self.lapse(now_ms)
-        if tenant not in self.stocks or self.leaving:
+    def leader(self) -> LeaderAddress | None:
+        """Who leads the ledger. While it is not known, the tokens held are spent until they expire."""
+        return self._leader
+
+    @leader.setter
+    def leader(self, leader: LeaderAddress | None) -> None:
+        if leader != self._leader:
+            self._leader = LeaderAddress(*leader) if leader else None
+            self.due_ms = LONG_AGO_MS if leader else NEVER_MS
+
+    # Queries.
+
+    def reserve(self, now_ms: float, tenant: str, estimate_ms: float, ticket: Hashable) -> bool:
+        """Whether the tokens held cover a query.
+
+        If so, its estimate is reserved until its ticket is settled.
+        """
+        self.expire_if_due(now_ms)
+        demand = self.demands.get(tenant)
+        if demand is None or self.leaving:
             return False
-        amount = max(1, round(estimate_ms * 1000))
-        self.demand[tenant].add(now_ms, amount)
-        self.latest[tenant].add(now_ms, amount)
-        self.largest[tenant] = max(amount, self.largest[tenant] * 7 // 8)
-        row = self.rows.get(tenant)
-        within = (
-            row is not None and now_ms < self.valid_ms and not self.debts.get(tenant) and row.free >= amount
+        amount_us = max(1, round(estimate_ms * 1000))
+        demand.record_query(now_ms, amount_us)
+        holding = self.holdings.get(tenant)
+        covered = (
+            holding is not None
+            and now_ms < self.expires_at_ms
+            and not self.overruns_us.get(tenant)
+            and holding.free_us >= amount_us
         )
-        if within:
-            row.reserved += amount
-            self.tickets[ticket] = tenant, row, amount
-        if not within or row.free < self.low.get(tenant, 0):
-            self.hurry(now_ms)
-        return within
-
-    def settle(self, now_ms, ticket, work_ms):
-        """The work told at a query's end: the rest comes back; work over the estimate is paid from what is held,
-        then by later grants. 0 for a query that no engine can have run. A ticket not known (beyond quota): nothing."""
-        self.lapse(now_ms)
-        tenant, row, amount = self.tickets.pop(ticket, (None, None, 0))
-        if row is None:
+        if covered:
+            holding.reserved_us += amount_us
+            self.reservations[ticket] = QueryReservation(tenant, holding, amount_us)
+        if not covered or holding.free_us < demand.low_water_us:
+            self._request_soon(now_ms)
+        return covered
+
+    def settle(self, now_ms: float, ticket: Hashable, work_ms: float) -> None:
+        """A query ended with this work; 0 for one that no engine can have run.
+
+        A ticket that is not known is ignored.
+
+        The rest of its estimate is free again. Work over the estimate is paid from what is held, then by
+        later grants.
+        """
+        self.expire_if_due(now_ms)
+        reservation = self.reservations.pop(ticket, None)
+        if reservation is None:
             return
-        work = max(0, round(work_ms * 1000))
-        row.reserved -= amount
-        paid = min(work, row.free)  # of a sealed row: what this query had reserved
-        row.spent += paid
-        if row.sealed_no is not None:
-            row.returned += row.free
-        if work > paid:
-            self.debts[tenant] = self.debts.get(tenant, 0) + work - paid
-            self.pay(tenant)
-            self.hurry(now_ms)
-
-    def drop(self, now_ms, ticket):
-        """A query that was killed, or whose client left, and that may have run: its work is never told. It costs its
-        estimate. Risk: who leaves early runs for nothing."""
-        amount = self.tickets.get(ticket, (None, None, 0))[2]
-        self.settle(now_ms, ticket, amount / 1000)
-
-    def pay(self, tenant):
-        row, debt = self.rows.get(tenant), self.debts.get(tenant, 0)
-        if row is not None and debt:
-            paid = min(debt, row.free)
-            row.spent += paid
-            self.debts[tenant] = debt - paid
-
-    # books
-
-    def lapse(self, now_ms):
-        """Risk: a front that was cut off or paused spends what the keeper has written off."""
-        if self.valid_ms != float("-inf") and now_ms >= self.valid_ms:
-            self.lapses += 1
-            self.seal()
-            if self._keeper:
-                self.hurry(now_ms)
-
-    def seal(self):
-        for tenant, row in self.rows.items():
-            row.seal(self.no)
-            self.old[self.book, tenant] = row
-        self.rows, self.valid_ms = {}, float("-inf")
-        self.book += 1
-
-    def return_all(self, now_ms):
-        """The front leaves in order: nothing is taken any more, all that no open query has reserved goes back. What is
-        granted after that pays debts alone. `leaving` is set back when it stays after all. Risk: a tenant overruns
-        at a front and its debt leaves with it."""
+        tenant = reservation.tenant
+        unpaid_us = reservation.holding.settle(reservation.amount_us, max(0, round(work_ms * 1000)))
+        if unpaid_us > 0:
+            self.overruns_us[tenant] = self.overruns_us.get(tenant, 0) + unpaid_us
+            self._pay_overrun(tenant)
+            self._request_soon(now_ms)
+
+    def settle_at_estimate(self, now_ms: float, ticket: Hashable) -> None:
+        """A query may have run and its work will never be known, as it failed or its client left.
+
+        Without this charge, clients that disconnect early would run for nothing.
+        """
+        reservation = self.reservations.get(ticket)
+        self.settle(now_ms, ticket, reservation.amount_us / 1000 if reservation else 0)
+
+    def _pay_overrun(self, tenant: str) -> None:
+        holding = self.holdings.get(tenant)
+        overrun_us = self.overruns_us.get(tenant, 0)
+        if holding is not None and overrun_us:
+            self.overruns_us[tenant] = overrun_us - holding.pay(overrun_us)
+
+    # Epochs.
+
+    def expire_if_due(self, now_ms: float) -> None:
+        """Seals the epoch once its term is over.
+
+        Otherwise a gateway that was cut off or paused would spend what the leader has written off.
+        """
+        if self.expires_at_ms != LONG_AGO_MS and now_ms >= self.expires_at_ms:
+            self.expiries += 1
+            self.seal_epoch()
+            if self._leader:
+                self._request_soon(now_ms)
+
+    def seal_epoch(self) -> None:
+        """Begins the next epoch, without tokens; of this one, only totals are reported."""
+        for tenant, holding in self.holdings.items():
+            holding.seal(self.request_number)
+            self.sealed_holdings[HoldingKey(self.epoch, tenant)] = holding
+        self.holdings = {}
+        self.expires_at_ms = LONG_AGO_MS
+        self.epoch += 1
+
+    def return_all(self, now_ms: float) -> None:
+        """Before a shutdown: nothing is reserved any more, and what no open query has reserved is returned.
+
+        Later grants pay overruns alone; without that, a tenant could overrun at a gateway and its debt would
+        end with the process. `leaving` is set back when the gateway stays after all.
+        """
         self.leaving = True
-        self.seal()
-        if self._keeper:
+        self.seal_epoch()
+        if self._leader:
             self.due_ms = now_ms
 
     @property
-    def returned(self):
+    def is_returned(self) -> bool:
         """After `return_all`: whether the ledger has all of it."""
-        return self.leaving and not (self.old or self.rows or self.tickets or any(self.debts.values()))
-
-    # talk with the keeper
-
-    def heard(self, now_ms, sender, answer):
-        """An answer. Totals only rise, so that one which is late, or comes twice, changes nothing."""
-        self.lapse(now_ms)
-        if (
-            (answer.front, answer.incarnation) != (self.name, self.incarnation)
-            or answer.book > self.book
-            or any(
-                r.tenant not in self.stocks
-                or not 0 < r.book <= answer.book
-                or r.spent_us + r.returned_us > r.granted_us
-                for r in answer.rows
-            )
-        ):
-            self.senseless += 1
+        unfinished = self.sealed_holdings or self.holdings or self.reservations
+        return self.leaving and not (unfinished or any(self.overruns_us.values()))
+
+    # Exchange with the ledger's leader.
+
+    def heard(self, now_ms: float, sender, answer: pb.Answer) -> None:
+        """The leader's answer. Totals only rise, so that a late or repeated answer changes nothing."""
+        self.expire_if_due(now_ms)
+        if not self._is_plausible(answer):
+            self.implausible_answers += 1
             return
-        current = answer.book == self.book
+        current = answer.book == self.epoch
         if current and answer.closed:
-            self.seal()
+            self.seal_epoch()
             current = False
         elif current:
-            self.valid_ms = max(self.valid_ms, self.sent.get(answer.no, float("-inf")) + self.term_ms)
-        for told in answer.rows:
-            if told.book == self.book and current:
-                self.granted(now_ms, answer.no, told)
-            elif told.book < self.book:
-                self.closed(answer.no, told)
-        self.lapse(now_ms)
-        if self.leaving and self.rows and not any(self.debts.values()):
-            self.seal()
-        if current and self.due_ms > now_ms + self.pace(now_ms):
-            self.due_ms = now_ms + self.pace(now_ms)
-
-    def granted(self, now_ms, no, told):
-        until_ms = now_ms + 10 * self.period_ms
-        self.scarce[told.tenant] = until_ms if told.scarce else now_ms
-        self.owing[told.tenant] = until_ms if told.owes_us else now_ms
-        self.credit[told.tenant] = told.owes_us / 1000, told.limit_us / 1000
-        row = self.rows.get(told.tenant) if told.gone else self.rows.setdefault(told.tenant, Mine())
-        if row is not None:
-            row.heard_no = max(row.heard_no, no)
-        if told.gone:
-            return
-        row.known = max(row.known, told.granted_us)
-        row.noted = max(row.noted, (told.spent_us, told.returned_us))
-        self.pay(told.tenant)
-
-    def closed(self, no, told):
-        """Of a sealed book. Risk: an answer from before the sealing says that a row is not there, and it was made
-        later."""
-        key = told.book, told.tenant
-        row = self.old.get(key)
-        if told.gone and row is not None and no > row.sealed_no:
-            del self.old[key]
-        elif not told.gone and row is None:  # granted to it when it was sealed already: all of it goes back
-            self.old[key] = Mine(self.no)
-
-    def target(self, now_ms, tenant):
-        """What it wants to hold for the queries that come here: a quarter of the window's work, the last second's,
-        or the largest of late. Risk: where queries begin to come, the window knows nothing of them for long."""
-        if not self.demand[tenant].count(now_ms):
-            return 0
-        return max(
-            int(self.demand[tenant].total(now_ms)) // AHEAD,
-            int(self.latest[tenant].total(now_ms)),
-            self.largest[tenant],
-        )
-
-    def lack(self, now_ms, tenant):
-        """What its queries of the last second took. Only this is borrowed for. Risk: a tenant borrows for queries that come no more,
-        and what it holds unspent keeps its debt from being repaid."""
-        return (
-            max(int(self.latest[tenant].total(now_ms)), self.largest[tenant])
-            if self.latest[tenant].count(now_ms)
-            else 0
+            sent_ms = self.request_sent_ms.get(answer.no, LONG_AGO_MS)
+            self.expires_at_ms = max(self.expires_at_ms, sent_ms + self.term_ms)
+        for granted in answer.rows:
+            if granted.book == self.epoch and current:
+                self.apply_grant(now_ms, answer.no, granted)
+            elif granted.book < self.epoch:
+                self._apply_sealed(answer.no, granted)
+        self.expire_if_due(now_ms)
+        if self.leaving and self.holdings and not any(self.overruns_us.values()):
+            self.seal_epoch()
+        if current and self.due_ms > now_ms + self._jittered_period_ms():
+            self.due_ms = now_ms + self._jittered_period_ms()
+
+    def _is_plausible(self, answer: pb.Answer) -> bool:
+        """Whether an answer is for this incarnation, and its rows are of epochs and tenants that it has."""
+        if (answer.front, answer.incarnation) != (self.gateway, self.incarnation):
+            return False
+        if answer.book > self.epoch:
+            return False
+        return all(
+            row.tenant in self.demands
+            and 0 < row.book <= answer.book
+            and row.spent_us + row.returned_us <= row.granted_us
+            for row in answer.rows
         )
 
-    def row_of(self, now_ms, tenant):
-        """What an ask says of a tenant: first, what is over goes back."""
-        row, need, lack = (
-            self.rows.setdefault(tenant, Mine()),
-            self.target(now_ms, tenant),
-            self.lack(now_ms, tenant),
-        )
-        # Risk: a front that wants nothing of what was scarce, or owing, asks nothing, and never hears that it is over. So both are for a time.
-        scarce, owing = (now_ms < told.get(tenant, now_ms) for told in (self.scarce, self.owing))
-        if self.leaving or owing:  # a debtor holds no more than it needs now
-            hold = keep = need = 0 if self.leaving else lack
+    def apply_grant(self, now_ms: float, request_number: int, granted: pb.Granted) -> None:
+        """The leader's totals of a holding of the current epoch."""
+        tenant = granted.tenant
+        self.demands[tenant].record_grant(now_ms, now_ms + HINT_PERIODS * self.period_ms, granted)
+        if granted.gone:
+            holding = self.holdings.get(tenant)
         else:
-            hold = 2 * need + (0 if scarce else self.stocks[tenant])
-            keep = need if scarce else hold
-        self.low[tenant] = need // 2
-        if row.free > keep * 3 // 2:
-            row.returned += row.free - keep
-        debt = self.debts.get(tenant, 0)
-        return pb.Row(
-            tenant=tenant,
-            book=self.book,
-            known_us=row.known,
-            spent_us=row.spent,
-            returned_us=row.returned,
-            upto_us=row.known + max(0, hold - row.free) + debt,
-            need_us=max(0, need - row.free) + debt,
-            lack_us=max(0, min(need, lack) - row.free) + debt,
-        )
-
-    def told(self, now_ms):
-        """What asks say: what queries lack, what is sealed, what the ledger has not noted; by turns if too many."""
-        rows = [self.row_of(now_ms, t) for t in self.stocks if not self.leaving or self.debts.get(t)]
-        # Risk: what was granted to an ask whose answer was lost is never known of, once nothing more is wanted.
-        rows = [
-            r
-            for r in rows
-            if r.upto_us > r.known_us
-            or self.rows[r.tenant].asked_no > self.rows[r.tenant].heard_no
-            or r.known_us
-            and (r.spent_us, r.returned_us) != self.rows[r.tenant].noted
-        ]
-        rows += [
-            pb.Row(tenant=t, book=b, known_us=m.known, spent_us=m.spent, returned_us=m.returned, sealed=True)
-            for (b, t), m in self.old.items()
-        ]
-        most = MOST_ROWS * ASKS_AT_ONCE
-        if len(rows) > most:
-            at, self.turn = self.turn % len(rows), self.turn + most // 2
-            rows = rows[at:] + rows[:at]
-            first = [r for r in rows if r.need_us][: most // 2]
-            rows = first + [r for r in rows if r not in first][: most - len(first)]
-        return rows
-
-    def tick(self, now_ms):
-        self.lapse(now_ms)
-        if self._keeper is None or now_ms < self.due_ms:
+            holding = self.holdings.setdefault(tenant, EscrowHolding())
+        if holding is not None:
+            holding.answered_at = max(holding.answered_at, request_number)
+        if granted.gone:
             return
-        self.asked_ms, rows = now_ms, self.told(now_ms)
-        for at in range(0, max(1, len(rows)), MOST_ROWS):
-            self.no += 1
-            for row in rows[at : at + MOST_ROWS]:
-                if row.book == self.book and row.upto_us > row.known_us:
-                    self.rows[row.tenant].asked_no = self.no
-            self.outbox.append(
-                (
-                    self._keeper[0],
-                    pb.Ask(book=self.book, no=self.no, pressed=self.pressed, rows=rows[at : at + MOST_ROWS]),
-                )
-            )
-            self.sent[self.no] = now_ms
-            self.sent.pop(self.no - SENT, None)
-        self.due_ms = now_ms + (self.pace(now_ms) if rows or self.leaving else self.term_ms / 4)
+        holding.granted_us = max(holding.granted_us, granted.granted_us)
+        totals = ReportedTotals(granted.spent_us, granted.returned_us)
+        holding.acknowledged = max(holding.acknowledged, totals)
+        self._pay_overrun(tenant)
+
+    def _apply_sealed(self, request_number: int, granted: pb.Granted) -> None:
+        key = HoldingKey(granted.book, granted.tenant)
+        holding = self.sealed_holdings.get(key)
+        if granted.gone:
+            # An answer to a request from before the sealing proves nothing: the entry may have been made
+            # later.
+            if holding is not None and request_number > holding.sealed_at:
+                del self.sealed_holdings[key]
+        elif holding is None:  # granted when the epoch was sealed already: all of it is returned
+            self.sealed_holdings[key] = EscrowHolding(self.request_number)
+
+    def tick(self, now_ms: float) -> None:
+        """Sends token requests when they are due."""
+        self.expire_if_due(now_ms)
+        if self._leader is None or now_ms < self.due_ms:
+            return
+        self._last_request_ms = now_ms
+        rows = self._rows_to_send(now_ms)
+        for request_rows in in_requests(rows):
+            self._send_request(now_ms, request_rows)
+        if rows or self.leaving:
+            self.due_ms = now_ms + self._jittered_period_ms()
+        else:
+            self.due_ms = now_ms + self.term_ms / REQUESTS_PER_TERM
+
+    def _send_request(self, now_ms: float, rows: list[pb.Row]) -> None:
+        self.request_number += 1
+        for row in rows:
+            if row.book == self.epoch and row.upto_us > row.known_us:
+                self.holdings[row.tenant].requested_at = self.request_number
+        request = pb.Ask(book=self.epoch, no=self.request_number, pressed=self.under_pressure, rows=rows)
+        self.outbox.append(OutgoingMessage(self._leader.name, request))
+        self.request_sent_ms[self.request_number] = now_ms
+        self.request_sent_ms.pop(self.request_number - MAX_REQUESTS_REMEMBERED, None)
+
+    def _rows_to_send(self, now_ms: float) -> list[pb.Row]:
+        """Needs, returns and totals that the ledger does not have yet; in turns if there are too many."""
+        rows = []
+        for tenant, demand in self.demands.items():
+            overrun_us = self.overruns_us.get(tenant, 0)
+            if self.leaving and not overrun_us:
+                continue
+            holding = self.holdings.setdefault(tenant, EscrowHolding())
+            key = HoldingKey(self.epoch, tenant)
+            row = open_row(now_ms, key, holding, demand, self.leaving, overrun_us)
+            if must_be_sent(row, holding):
+                rows.append(row)
+        rows += [sealed_row(key, holding) for key, holding in self.sealed_holdings.items()]
+        if len(rows) > MAX_ROWS_AT_ONCE:
+            rows = select_rows(rows, self._rotation)
+            self._rotation += MAX_ROWS_AT_ONCE // 2
+        return rows
 
-    def pace(self, now_ms):
-        return self.period_ms * (0.9 + 0.2 * self.chance.random() if self.chance else 1.0)
+    def _jittered_period_ms(self) -> float:
+        if self.random is None:
+            return self.period_ms
+        return self.period_ms * (0.9 + 0.2 * self.random.random())
 
-    def hurry(self, now_ms):
-        """An ask at once, but four a period at most."""
-        if self._keeper:
-            self.due_ms = min(self.due_ms, max(now_ms, self.asked_ms + self.period_ms / 4))
+    def _request_soon(self, now_ms: float) -> None:
+        """A request at once, but at most `URGENT_REQUESTS_PER_PERIOD`."""
+        if self._leader:
+            earliest_ms = self._last_request_ms + self.period_ms / URGENT_REQUESTS_PER_PERIOD
+            self.due_ms = min(self.due_ms, max(now_ms, earliest_ms))
 
-    # what is seen
+    # For operators.
 
-    def seen(self, now_ms):
-        """Of each tenant with rights here: what may be spent now and what was, here; what it owes and may owe, in the
-        fleet as last heard. In milliseconds."""
-        self.lapse(now_ms)
+    def status(self, now_ms: float) -> dict[str, TenantStatus]:
+        """Of each tenant with tokens here."""
+        self.expire_if_due(now_ms)
         return {
-            t: (r.free / 1000, r.spent / 1000, *self.credit.get(t, (0.0, 0.0))) for t, r in self.rows.items()
+            tenant: TenantStatus(
+                holding.free_us / 1000,
+                holding.spent_us / 1000,
+                self.demands[tenant].debt_ms,
+                self.demands[tenant].limit_ms,
+            )
+            for tenant, holding in self.holdings.items()
         }
--- /dev/null
+++ b/lichenquay/quota/ledger_invariants.py
@@ -0,0 +1,79 @@
+"""The invariants of the ledger, checked after every record in the tests and on loading.
+
+For each tenant:
+
+    issued + borrowed + collected = pool + held + spent + lent + repaid + written off + lost + overflowed
+    pool + held + receivable <= bucket size + debt
+"""
+
+from lichenquay.quota.errors import LedgerError
+from lichenquay.quota.ledger_state import LedgerState
+from lichenquay.quota.tenant_account import TenantAccount
+
+
+def check_invariants(ledger: LedgerState) -> None:
+    """Raises LedgerError that names the invariant which does not hold."""
+    _check_entries(ledger)
+    _check_loans(ledger)
+    for tenant, account in ledger.accounts.items():
+        _check_account(tenant, account)
+    accounts = ledger.accounts.values()
+    _require(
+        sum(account.lent_us for account in accounts) == sum(account.borrowed_us for account in accounts),
+        "lent and borrowed",
+    )
+    _require(
+        sum(account.collected_us for account in accounts) == sum(account.repaid_us for account in accounts),
+        "repaid and collected",
+    )
+
+
+def _check_entries(ledger: LedgerState) -> None:
+    held_us = dict.fromkeys(ledger.accounts, 0)
+    written_off_us = dict.fromkeys(ledger.accounts, 0)
+    for key, entries in ledger.epochs.items():
+        sums_us = written_off_us if key in ledger.expired else held_us
+        for tenant, entry in entries.items():
+            amounts_us = (entry.granted_us, entry.spent_us, entry.returned_us, entry.unsettled_us)
+            _require(min(amounts_us) >= 0, f"entry of {tenant} at {tuple(key)}")
+            sums_us[tenant] += entry.unsettled_us
+    for tenant, account in ledger.accounts.items():
+        sums_match = (account.held_us, account.written_off_us) == (held_us[tenant], written_off_us[tenant])
+        _require(sums_match, f"entries of {tenant}")
+
+
+def _check_loans(ledger: LedgerState) -> None:
+    receivable_us = dict.fromkeys(ledger.accounts, 0)
+    debt_us = dict.fromkeys(ledger.accounts, 0)
+    for loan in ledger.loans.values():
+        open_us = loan.amount_us - loan.repaid_us
+        valid = 0 <= loan.repaid_us < loan.amount_us and loan.lender != loan.borrower
+        _require(valid, f"loan {loan.id}")
+        receivable_us[loan.lender] += open_us
+        debt_us[loan.borrower] += open_us
+    for tenant, account in ledger.accounts.items():
+        sums_match = (account.receivable_us, account.debt_us) == (receivable_us[tenant], debt_us[tenant])
+        _require(sums_match, f"loans of {tenant}")
+
+
+def _check_account(tenant: str, account: TenantAccount) -> None:
+    _require(account.debt_us <= account.debt_ceiling_us, f"limit of {tenant}")
+    present_us = account.pool_us + account.held_us + account.receivable_us
+    _require(present_us <= account.capacity_ceiling_us + account.debt_us, f"bucket of {tenant}")
+    received_us = account.issued_us + account.borrowed_us + account.collected_us
+    accounted_us = (
+        account.pool_us
+        + account.held_us
+        + account.spent_us
+        + account.lent_us
+        + account.repaid_us
+        + account.written_off_us
+        + account.lost_us
+        + account.overflowed_us
+    )
+    _require(account.pool_us >= 0 and received_us == accounted_us, f"account of {tenant}")
+
+
+def _require(condition: bool, what: str) -> None:
+    if not condition:
+        raise LedgerError(f"not conserved: {what}")
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,294 +1,291 @@
-"""The keeper of the quota's ledger: at the front that holds the ledger's group, and at no other.
+"""The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
-No I/O: `heard` and `tick` bring time in, `outbox` takes answers out. What asks tell and want is gathered for a
-period, decided as one record, made by the group, and only then told. Two ledgers: `ahead` has what was decided,
-`made` what the group has made; they differ while a write is out. Where the end of a write is in doubt, the keeper is
-none until the group's next generation."""
+`heard` and `tick` bring time in, `outbox` takes answers out. Requests are gathered for a period, decided as
+one record, committed by the group, and only then answered. There are two ledgers: `speculative` has what was
+decided,
+`committed` what the group has committed; they differ while a write is pending. Where the result of a write
+is not known, this process does not lead until the group's next generation.
+"""
 
-from collections.abc import Callable
-from typing import Protocol
+from collections.abc import Callable, Iterable
+from typing import NamedTuple, Protocol
 
 from google.protobuf.message import DecodeError
 
 from lichenquay.lease.settings import DRIFT
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.ledger import Ledger, LedgerError, Senseless
+from lichenquay.quota.errors import ImplausibleReportError, LedgerError
+from lichenquay.quota.ledger import Ledger
+from lichenquay.quota.messages import OutgoingMessage
+from lichenquay.quota.pending_requests import GatewayRequest, PendingRequests, UsageReport, is_plausible
+from lichenquay.quota.tenant_account import EpochKey
+from lichenquay.quota.token_allocation import ChangeBatch, TokenAllocation, demands_of
 
-CHUNK = 4  # one ask is granted no more than this part of a bucket
-MOST_WORDS = 8192  # gathered in a period; what is over is asked again by its front
-ASKS_AT_ONCE = 8  # of a front in a period
-LOANS_AT_ONCE = 4  # of a tenant in a period, each from another lender
-ANY = 1 << 63  # no total is as large
+IDLE_PERIODS = 5  # between records while no gateway requests anything
+SCARCE_PERIODS = 10  # a tenant counts as scarce for so long after it was last short
 
 
-class Group(Protocol):
-    """What the keeper needs of the replicated group that the ledger is. `done(now_ms, ok)` is called once for each
-    write, later or within it: made (True), surely not (False), in doubt (None). Without it this process never keeps
-    again."""
+class ReplicatedGroup(Protocol):
+    """What the leader needs of the replicated group that stores the ledger."""
 
     generation: int
 
-    def holds(self, now_ms: float) -> bool: ...
-    def write(self, now_ms: float, record: bytes, done: Callable[[float, object], None]) -> None: ...
-    def snapshot(self) -> tuple: ...  # (state, records after it), in bytes: what the holder found and wrote
-
-
-def sense(ask):
-    """Whether a front can have said this."""
-    tenants = {(r.tenant, r.book) for r in ask.rows}
-    return (
-        bool(ask.book and ask.no)
-        and len(tenants) == len(ask.rows)
-        and all(
-            0 < r.book <= ask.book
-            and (r.book == ask.book or r.sealed)
-            and r.spent_us + r.returned_us <= r.known_us < ANY
-            and r.upto_us < ANY
-            and max(r.need_us, r.lack_us) < ANY
-            for r in ask.rows
-        )
-    )
-
-
-class Keeper:
-    def __init__(self, group, figures, term_ms, period_ms=200.0):
-        self.group, self.figures, self.term_ms, self.period_ms = group, list(figures), term_ms, period_ms
-        self.silence_ms = term_ms * (1 + DRIFT)  # then a front's rights have surely lapsed
-        self.outbox, self.due_ms = [], 0.0
-        self.doubted = None  # generation in which a write's end is in doubt: this front does not act in it
-        self.out = None  # the write whose end is not known, and its generation
-        self.senseless = self.crowded = self.stray = self.barred = self.records = self.doubts = 0
-        self.trouble = None  # why it is no keeper though its front holds the group
-        self.leave()
-
-    def leave(self):
-        self.made = self.ahead = self.generation = None
-        self.last, self.newest, self.fronts = {}, {}, {}
-        self.asks, self.words, self.answering, self.scarce = {}, [], [], {}
-
-    def in_office(self, now_ms):
-        if not self.group.holds(now_ms) or self.group.generation == self.doubted:
-            if self.made:
-                self.leave()
+    def holds(self, now_ms: float) -> bool:
+        """Whether this process holds the group's lease."""
+
+    def write(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
+        """Calls `done(now_ms, committed)` once, now or later.
+
+        `committed`: True, False (surely not), or None (not known). Without that call, this process never
+        leads again.
+        """
+
+    def snapshot(self) -> tuple[bytes, list[bytes]]:
+        """The state that the holder found, and the records after it."""
+
+
+class PendingWrite(NamedTuple):
+    """A write whose result is not known yet, and the generation that began it."""
+
+    record: pb.Record
+    generation: int
+
+
+class TenantLedgerStatus(NamedTuple):
+    """Of one tenant, in milliseconds of engine work."""
+
+    pool_ms: float
+    held_ms: float
+    spent_ms: float
+    debt_ms: float
+    limit_ms: float
+
+
+class LedgerLeader:
+    """Leads the ledger while its gateway holds the group."""
+
+    def __init__(
+        self, group: ReplicatedGroup, accounts: Iterable[pb.Open], term_ms: float, period_ms: float = 200.0
+    ):
+        """`accounts`: the terms of each tenant; `term_ms`: how long a gateway's tokens last."""
+        self.group = group
+        self.accounts = list(accounts)
+        self.period_ms = period_ms
+        self.expiry_ms = term_ms * (1 + DRIFT)  # after this silence a gateway's tokens have surely expired
+        self.outbox: list[OutgoingMessage] = []
+        self.due_ms = 0.0
+        self.uncertain_generation: int | None = None  # in which the result of a write is not known
+        self.pending_write: PendingWrite | None = None
+        self.last_error: str | None = None  # why it does not lead though its gateway holds the group
+        self.implausible_messages = 0
+        self.shed_requests = 0
+        self.misdirected_requests = 0
+        self.loans_barred = 0
+        self.records_committed = 0
+        self.uncertain_writes = 0
+        self.step_down()
+
+    # Leadership.
+
+    def step_down(self) -> None:
+        """Forgets all that belongs to one leadership term."""
+        self.committed: Ledger | None = None
+        self.speculative: Ledger | None = None
+        self.generation: int | None = None
+        self.pending = PendingRequests()
+        self.unanswered: list[GatewayRequest] = []
+        self.scarce_since_ms: dict[str, float] = {}
+
+    def is_leading(self, now_ms: float) -> bool:
+        """Whether this process may act now; a new term begins with what the group has committed."""
+        if not self.group.holds(now_ms) or self.group.generation == self.uncertain_generation:
+            if self.committed:
+                self.step_down()
             return False
-        if self.made is None or self.generation != self.group.generation:
-            self.leave()
-            if self.out:  # Risk: a record of an office that was left is made after the state was read
-                return False
-            self.generation = self.group.generation
-            try:
-                state, records = self.group.snapshot()
-                self.made, self.ahead = Ledger.load(state, records), Ledger.load(state, records)
-            except (LedgerError, DecodeError) as e:
-                # Risk: a ledger of a newer version, or a spoilt one, is begun anew and all loans are forgiven.
-                self.trouble, self.doubted = f"the quota's ledger cannot be read: {e}", self.generation
-                self.leave()
-                return False
-            self.office_ms = self.beat_ms = self.batch_ms = now_ms
+        if self.committed is None or self.generation != self.group.generation:
+            return self._begin_term(now_ms)
+        return True
+
+    def _begin_term(self, now_ms: float) -> bool:
+        self.step_down()
+        if self.pending_write:
+            # A record of an earlier term could be committed after the state was read.
+            return False
+        self.generation = self.group.generation
+        try:
+            state, records = self.group.snapshot()
+            self.committed = Ledger.load(state, records)
+            self.speculative = Ledger.load(state, records)
+        except (LedgerError, DecodeError) as error:
+            # A ledger of a newer version or a damaged one is left alone: a new one would forgive all loans.
+            self.last_error = f"the quota's ledger cannot be read: {error}"
+            self.uncertain_generation = self.generation
+            self.step_down()
+            return False
+        self.term_started_ms = now_ms
+        self.accrued_until_ms = now_ms
+        self.last_record_ms = now_ms
         return True
 
-    # what fronts say
+    # Requests of gateways.
 
-    def heard(self, now_ms, sender, ask):
-        """An ask. Totals count whenever they come; only asks of a front's newest book are granted and answered."""
-        if not self.in_office(now_ms):
-            self.stray += 1
+    def heard(self, now_ms: float, sender, request: pb.Ask) -> None:
+        """A token request of `sender`: (gateway, incarnation)."""
+        if not self.is_leading(now_ms):
+            self.misdirected_requests += 1
             return
-        if len(self.words) > MOST_WORDS:
-            self.crowded += 1
+        if self.pending.is_full:
+            self.shed_requests += 1
             return
-        if not sense(ask):
-            self.senseless += 1
+        if not is_plausible(request):
+            self.implausible_messages += 1
             return
-        name, incarnation = sender
-        self.last[name, incarnation, ask.book] = now_ms
-        self.words += [(name, incarnation, row) for row in ask.rows]
-        at = incarnation, ask.book, ask.no
-        newest = self.newest.get(name, at)
-        if at >= newest:
-            self.newest[name] = at
-            self.fronts[name] = now_ms, ask.pressed
-        asks = self.asks.setdefault(name, [])
-        if at[:2] >= newest[:2] and len(asks) < ASKS_AT_ONCE:
-            asks.append((incarnation, ask))
-            if any(r.need_us for r in ask.rows):
-                self.due_ms = min(self.due_ms, max(now_ms, self.batch_ms + self.period_ms / 2))
-            self.due_ms = min(self.due_ms, max(now_ms, self.batch_ms + self.period_ms))
-
-    def tick(self, now_ms):
+        gateway, incarnation = sender
+        if self.pending.add(now_ms, gateway, incarnation, request):
+            urgent = any(row.need_us for row in request.rows)
+            wait_ms = self.period_ms / 2 if urgent else self.period_ms
+            self.due_ms = min(self.due_ms, max(now_ms, self.last_record_ms + wait_ms))
+
+    def tick(self, now_ms: float) -> None:
+        """Commits what was gathered, or the passing of time."""
         self.due_ms = now_ms + self.period_ms
-        if not self.in_office(now_ms) or self.out:
+        if not self.is_leading(now_ms) or self.pending_write:
             return
-        if self.asks or self.words or now_ms >= self.batch_ms + 5 * self.period_ms:
-            self.batch(now_ms)
-
-    # one batch: decided on `ahead`, made by the group, applied to `made`, told
-
-    def batch(self, now_ms):
-        self.batch_ms, changes = now_ms, []
-        asks, words, self.asks, self.words = self.asks, self.words, {}, []
-        asks = {
-            name: [(i, a) for i, a in told if (i, a.book) >= self.newest[name][:2]]
-            for name, told in asks.items()
-        }
-
-        def do(change):
-            if change is not None:
-                self.ahead.change(change)
-                changes.append(change)
-            return change is not None
-
-        for figures in self.figures:
-            do(self.ahead.decide_open(figures))
-        elapsed, self.beat_ms = self.elapsed(now_ms)
-        do(self.ahead.decide_beat(elapsed))
-        for name, incarnation, row in words:
+        if self.pending or now_ms >= self.last_record_ms + IDLE_PERIODS * self.period_ms:
+            self.write_batch(now_ms)
+
+    # One batch: decided on the speculative ledger, committed by the group, then answered.
+
+    def write_batch(self, now_ms: float) -> None:
+        """Decides one record of changes and writes it; where nothing changes, answers at once."""
+        self.last_record_ms = now_ms
+        requests = self.pending.take_requests()
+        batch = ChangeBatch(self.speculative)
+        for terms in self.accounts:
+            batch.add(self.speculative.decide_account_terms(terms))
+        elapsed_ms = self._take_elapsed_ms(now_ms)
+        batch.add(self.speculative.decide_accrual(elapsed_ms))
+        self._add_usage(batch, self.pending.take_reports())
+        self._add_expiries(now_ms, batch)
+        self._allocate(now_ms, batch, requests, elapsed_ms)
+        self.pending.forget_before(now_ms - 2 * self.expiry_ms, self.speculative.epochs)
+        self.unanswered = requests
+        if batch.changes:
+            self._write(now_ms, batch.changes)
+        else:
+            self.answer_requests(now_ms)
+
+    def _take_elapsed_ms(self, now_ms: float) -> int:
+        """Whole milliseconds since the last accrual; the fraction is left for the next."""
+        elapsed_ms = int(now_ms - self.accrued_until_ms)
+        self.accrued_until_ms += elapsed_ms
+        return elapsed_ms
+
+    def _add_usage(self, batch: ChangeBatch, reports: Iterable[UsageReport]) -> None:
+        for report in reports:
             try:
-                do(self.ahead.decide_word(name, incarnation, row))
-            except Senseless:
-                self.senseless += 1
-        for key in [k for k in self.ahead.books if k not in self.ahead.lapsed]:
-            if now_ms >= self.last.get(key, self.office_ms) + self.silence_ms:
-                do(self.ahead.decide_lapse(*key))
-        self.share_out(now_ms, asks, elapsed, do)
-        self.forget(now_ms)
-        self.answering = [(name, *said) for name, told in asks.items() for said in told]
-        if not changes:
-            self.answer(now_ms)
-            return
-        record = pb.Record(no=self.made.no + 1, changes=changes)
-        self.ahead.no, self.out = record.no, (record, self.generation)
-        self.group.write(now_ms, record.SerializeToString(), lambda at_ms, ok: self.done(at_ms, record, ok))
-
-    def elapsed(self, now_ms):
-        """Whole milliseconds since the last beat, and when they ended."""
-        elapsed = int(now_ms - self.beat_ms)
-        return elapsed, self.beat_ms + elapsed
+                batch.add(self.speculative.decide_usage(*report))
+            except ImplausibleReportError:
+                self.implausible_messages += 1
+
+    def _add_expiries(self, now_ms: float, batch: ChangeBatch) -> None:
+        for key in [key for key in self.speculative.epochs if key not in self.speculative.expired]:
+            # A gateway that this term has not heard yet may have been heard by the leader before.
+            last_heard_ms = self.pending.last_heard_ms.get(key, self.term_started_ms)
+            if now_ms >= last_heard_ms + self.expiry_ms:
+                batch.add(self.speculative.decide_expiry(*key))
+
+    def _allocate(
+        self, now_ms: float, batch: ChangeBatch, requests: list[GatewayRequest], elapsed_ms: int
+    ) -> None:
+        allocation = TokenAllocation(batch, demands_of(self.speculative, requests))
+        allocation.grant_from_pools(elapsed_ms)
+        short = allocation.short
+        self._update_scarcity(now_ms, short, allocation.plentiful)
+        if not self.pending.is_fleet_under_pressure(now_ms - self.expiry_ms):
+            allocation.lend(short)
+            self.loans_barred += allocation.loans_barred
+
+    def _update_scarcity(self, now_ms: float, short: Iterable[str], plentiful: Iterable[str]) -> None:
+        oldest_ms = now_ms - SCARCE_PERIODS * self.period_ms
+        self.scarce_since_ms = {
+            tenant: since_ms
+            for tenant, since_ms in self.scarce_since_ms.items()
+            if since_ms > oldest_ms and tenant not in plentiful
+        }
+        self.scarce_since_ms |= dict.fromkeys(short, now_ms)
+
+    def _write(self, now_ms: float, changes: list[pb.Change]) -> None:
+        record = pb.Record(no=self.committed.record_number + 1, changes=changes)
+        self.speculative.record_number = record.no
+        self.pending_write = PendingWrite(record, self.generation)
+        self.group.write(
+            now_ms,
+            record.SerializeToString(),
+            lambda ended_ms, committed: self.on_write_ended(ended_ms, record, committed),
+        )
 
-    def done(self, now_ms, record, ok):
-        if not self.out or record is not self.out[0]:
+    def on_write_ended(self, now_ms: float, record: pb.Record, committed: bool | None) -> None:
+        """The group's answer to a write; see `ReplicatedGroup.write`."""
+        if not self.pending_write or record is not self.pending_write.record:
             return
-        generation, self.out = self.out[1], None
-        if not ok:
-            # Risk: what was decided may be made or not; whoever acts next must find out from the group.
-            self.doubts += 1
-            self.doubted = generation if ok is None else self.doubted
-            self.leave()
-        if self.made is None or self.generation != generation:
+        generation = self.pending_write.generation
+        self.pending_write = None
+        if not committed:
+            # Part of it may be committed or not; whoever leads next finds out from the group.
+            self.uncertain_writes += 1
+            if committed is None:
+                self.uncertain_generation = generation
+            self.step_down()
+        if self.committed is None or self.generation != generation:
             return
-        self.made.apply(record)
-        self.records += 1
-        if self.in_office(now_ms):
-            self.answer(now_ms)
-
-    def answer(self, now_ms):
-        answering, self.answering = self.answering, []
-        for name, incarnation, ask in answering:
-            out = pb.Answer(
-                front=name,
+        self.committed.apply(record)
+        self.records_committed += 1
+        if self.is_leading(now_ms):
+            self.answer_requests(now_ms)
+
+    def answer_requests(self, now_ms: float) -> None:
+        """Sends the committed totals to the gateways whose requests were decided."""
+        requests, self.unanswered = self.unanswered, []
+        for gateway, incarnation, request in requests:
+            answer = pb.Answer(
+                front=gateway,
                 incarnation=incarnation,
                 generation=self.generation,
-                book=ask.book,
-                no=ask.no,
-                closed=not self.made.may_grant(name, incarnation, ask.book),
+                book=request.book,
+                no=request.no,
+                closed=not self.committed.may_grant(gateway, incarnation, request.book),
+                rows=[self._granted(gateway, incarnation, row) for row in request.rows],
             )
-            for row in ask.rows:
-                have = self.made.books.get((name, incarnation, row.book), {}).get(row.tenant)
-                told, account = (
-                    out.rows.add(tenant=row.tenant, book=row.book),
-                    self.made.accounts.get(row.tenant),
-                )
-                told.gone, told.scarce = have is None, row.tenant in self.scarce
-                if account is not None:
-                    told.owes_us, told.limit_us = account.owes, account.figures.limit_us
-                if have is not None:
-                    told.granted_us, told.spent_us, told.returned_us = have.granted, have.spent, have.returned
-            self.outbox.append((name, out))
-
-    def forget(self, now_ms):
-        """Risk: fronts that come and go fill the memory."""
-        old = now_ms - 2 * self.silence_ms
-        self.last = {k: at for k, at in self.last.items() if at > old or k in self.ahead.books}
-        self.fronts = {n: f for n, f in self.fronts.items() if f[0] > old}
-
-    # who gets what
-
-    def share_out(self, now_ms, asks, elapsed, do):
-        wants = self.wanted(asks)
-        keep = {}  # what a debtor that asks keeps of this period, so that it never starves
-        for tenant in wants:
-            f = self.ahead.accounts[tenant].figures
-            if any(w.need for w in wants[tenant]):
-                keep[tenant] = f.rate_us * elapsed * (1000 - f.repay_permille) // 1000000
-        for tenant, rows in wants.items():
-            account = self.ahead.accounts[tenant]
-            while account.claims and (short := sum(w.need for w in rows) - account.pool) > 0:
-                if not do(self.ahead.decide_recall(tenant, short, keep)):
-                    break
-        for tenant, rows in wants.items():
-            self.portion(tenant, rows, "need", do)
-            if self.ahead.accounts[tenant].pool:
-                self.portion(tenant, rows, "want", do)
-            if self.ahead.accounts[tenant].pool:
-                self.scarce.pop(tenant, None)
-        short = [t for t, rows in wants.items() if any(w.need for w in rows)]
-        self.scarce = {t: at for t, at in self.scarce.items() if at > now_ms - 10 * self.period_ms}
-        self.scarce |= dict.fromkeys(short, now_ms)
-        pressed = [p for at, p in self.fronts.values() if at > now_ms - self.silence_ms]
-        if 2 * sum(pressed) >= len(pressed):
-            return
-        for tenant in short:
-            roomy = [w for w in wants[tenant] if w.lack and not w.pressed]
-            self.barred += bool(roomy) and self.ahead.overdue(tenant)
-            for _ in range(LOANS_AT_ONCE):
-                lacks = sum(w.lack for w in roomy)
-                if not lacks or not do(self.ahead.decide_loan(tenant, lacks)):
-                    break
-                self.portion(tenant, roomy, "lack", do)
-
-    def wanted(self, asks):
-        """What each front still wants, by tenant. Wants are totals: an ask that comes twice is granted once."""
-        out = {}
-        for name, incarnation, ask in [(name, *said) for name, told in asks.items() for said in told]:
-            for row in ask.rows:
-                account = self.ahead.accounts.get(row.tenant)
-                if account is None or row.book != ask.book or row.sealed:
-                    continue
-                have = self.ahead.books.get((name, incarnation, ask.book), {}).get(row.tenant)
-                granted = have.granted if have else 0
-                want = min(max(0, row.upto_us - granted), account.figures.bucket_us // CHUNK)
-                need = min(max(0, row.need_us - (granted - row.known_us)), want)
-                lack, key = min(row.lack_us, need), (name, incarnation, ask.book)
-                if want and self.ahead.may_grant(*key):
-                    w = out.setdefault(row.tenant, {}).setdefault(key, Want(key, ask.pressed))
-                    w.lack, w.need, w.want = max(w.lack, lack), max(w.need, need), max(w.want, want)
-        return {tenant: list(rows.values()) for tenant, rows in out.items()}
-
-    def portion(self, tenant, rows, what, do):
-        """All that is wanted, or of the pool as much as each wants of the whole."""
-        pool, total = self.ahead.accounts[tenant].pool, sum(getattr(w, what) for w in rows)
-        for w in rows:
-            amount = getattr(w, what)
-            part = amount if total <= pool else amount * pool // total
-            pool, total = pool - part, total - amount
-            if do(self.ahead.decide_grant(tenant, *w.key, part)):
-                w.lack, w.need, w.want = max(0, w.lack - part), max(0, w.need - part), w.want - part
-
-    # what is seen
-
-    def seen(self):
-        """Of each tenant: pool, held, spent, outstanding and limit, in milliseconds. Empty where this is no keeper."""
-        accounts = self.made.accounts if self.made else {}
+            self.outbox.append(OutgoingMessage(gateway, answer))
+
+    def _granted(self, gateway: str, incarnation: int, row: pb.Row) -> pb.Granted:
+        granted = pb.Granted(tenant=row.tenant, book=row.book)
+        entry = self.committed.epochs.get(EpochKey(gateway, incarnation, row.book), {}).get(row.tenant)
+        account = self.committed.accounts.get(row.tenant)
+        granted.gone = entry is None
+        granted.scarce = row.tenant in self.scarce_since_ms
+        if account is not None:
+            granted.owes_us = account.debt_us
+            granted.limit_us = account.terms.limit_us
+        if entry is not None:
+            granted.granted_us = entry.granted_us
+            granted.spent_us = entry.spent_us
+            granted.returned_us = entry.returned_us
+        return granted
+
+    # For operators.
+
+    def status(self) -> dict[str, TenantLedgerStatus]:
+        """By tenant; empty where this process does not lead."""
+        accounts = self.committed.accounts if self.committed else {}
         return {
-            t: tuple(v / 1000 for v in (a.pool, a.held, a.spent, a.owes, a.figures.limit_us))
-            for t, a in accounts.items()
+            tenant: TenantLedgerStatus(
+                account.pool_us / 1000,
+                account.held_us / 1000,
+                account.spent_us / 1000,
+                account.debt_us / 1000,
+                account.terms.limit_us / 1000,
+            )
+            for tenant, account in accounts.items()
         }
-
-
-class Want:
-    """What one front still wants of one tenant's rights; `need` is part of `want`, and `lack` of `need`."""
-
-    __slots__ = ("key", "pressed", "lack", "need", "want")
-
-    def __init__(self, key, pressed):
-        self.key, self.pressed, self.lack, self.need, self.want = key, pressed, 0, 0, 0
--- a/lichenquay/quota/ledger_records.py
+++ b/lichenquay/quota/ledger_records.py
@@ -1,78 +1,117 @@
-"""The ledger's records as a group keeps them: in pieces, as one record of the group is bounded and a batch of changes is not. No I/O.
+"""The ledger's records as a replicated group stores them, in pieces. No I/O.
 
-A record counts when all its pieces are there, one after the other. Pieces of a record whose rest never came (its keeper lost the group in
-between) are dropped by the first piece of the next: nobody was told of it. Errors: protobuf's DecodeError and LedgerError.
+A record of the group is bounded in size and a batch of changes is not, so a batch is stored as pieces. It
+counts once all its pieces are there, one after the other. Pieces of a record whose rest never came (its
+leader lost the group in between) are dropped by the first piece of the next record: no gateway was told of
+it. Errors: protobuf's DecodeError, and LedgerError.
 """
 
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.ledger import Ledger
 
-PIECE = 760  # bytes of data; with the rest, under the 800 of a group's record
+PIECE_BYTES = 760  # of data; with its header a piece stays under the 800 bytes of a group's record
+
+
+class AssembledRecords(NamedTuple):
+    """Complete records in order, and the pieces of the last one that is not complete yet."""
 
+    records: list[bytes]
+    incomplete: list[bytes]
 
-def split(record):
-    pieces = [record[at : at + PIECE] for at in range(0, len(record), PIECE)]
+
+def split(record: bytes) -> list[bytes]:
+    """The pieces of a record."""
+    chunks = [record[start : start + PIECE_BYTES] for start in range(0, len(record), PIECE_BYTES)]
     return [
-        pb.Part(index=i, count=len(pieces), data=data).SerializeToString() for i, data in enumerate(pieces)
+        pb.Part(index=index, count=len(chunks), data=chunk).SerializeToString()
+        for index, chunk in enumerate(chunks)
     ]
 
 
-def whole(parts):
-    """(records that are whole, in order; pieces of the last one that is not yet)."""
-    records, held = [], []
-    for raw in parts:
-        part = pb.Part.FromString(raw)
+def assemble(pieces: Iterable[bytes]) -> AssembledRecords:
+    """Joins pieces to records."""
+    records = []
+    incomplete = []
+    for piece in pieces:
+        part = pb.Part.FromString(piece)
         if part.index == 0:
-            held = []
-        if part.index != len(held):  # the rest of one whose first piece is not there: never told
-            held = []
+            incomplete = []
+        if part.index != len(incomplete):  # its first piece is missing, so no gateway was told of this record
+            incomplete = []
             continue
-        held.append(raw)
-        if len(held) == part.count:
-            records.append(b"".join(pb.Part.FromString(p).data for p in held))
-            held = []
-    return records, held
+        incomplete.append(piece)
+        if len(incomplete) == part.count:
+            records.append(b"".join(pb.Part.FromString(p).data for p in incomplete))
+            incomplete = []
+    return AssembledRecords(records, incomplete)
+
 
+def read(base: bytes, pieces: Iterable[bytes]) -> tuple[bytes, list[bytes]]:
+    """The snapshot in a group's base, and the complete records after it."""
+    stored = pb.Kept.FromString(base)
+    return stored.state, assemble([*stored.parts, *pieces]).records
 
-def read(base, parts):
-    """(state, whole records after it)."""
-    kept = pb.Kept.FromString(base)
-    return kept.state, whole([*kept.parts, *parts])[0]
 
+def fold_with(
+    base: bytes, pieces: Iterable[bytes], apply_records: Callable[[bytes, list[bytes]], bytes]
+) -> bytes:
+    """The base with these pieces folded in; `apply_records(snapshot, records)` gives the next snapshot."""
+    stored = pb.Kept.FromString(base)
+    records, incomplete = assemble([*stored.parts, *pieces])
+    state = apply_records(stored.state, records) if records else stored.state
+    return pb.Kept(state=state, parts=incomplete).SerializeToString()
 
-def fold(base, parts):
-    """The group's `fold`."""
-    kept = pb.Kept.FromString(base)
-    records, held = whole([*kept.parts, *parts])
-    return pb.Kept(
-        state=Ledger.load(kept.state, records).state() if records else kept.state, parts=held
-    ).SerializeToString()
 
+def fold(base: bytes, pieces: Iterable[bytes]) -> bytes:
+    """The `fold` of the ledger's group."""
+    return fold_with(base, pieces, lambda state, records: Ledger.load(state, records).state())
 
-class Seat:
-    """The group as the keeper needs it: a record is made when its last piece is."""
+
+class PiecewiseGroup:
+    """A replicated group whose records may be of any size: a record is committed when its last piece is."""
 
     def __init__(self, group):
+        """`group`: a `lease.group.Group`."""
         self.group = group
 
     @property
-    def generation(self):
+    def generation(self) -> int:
+        """The generation under which this process holds the group; 0: it does not."""
         return self.group.generation
 
-    def holds(self, now_ms):
+    def holds(self, now_ms: float) -> bool:
+        """Whether this process holds the group's lease."""
         return self.group.holds(now_ms)
 
-    def snapshot(self):
+    def snapshot(self) -> tuple[bytes, list[bytes]]:
+        """The snapshot, and the complete records after it."""
         return read(*self.group.state)
 
-    def write(self, now_ms, record, done):
-        parts, ends = split(record), []
+    def write(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
+        """Writes a record; `done(now_ms, committed)` is called once all its pieces have ended.
+
+        `committed`: True, False (surely not), or None (not known).
+        """
+        pieces = split(record)
+        results = []
+
+        def piece_ended(ended_ms: float, committed: bool | None) -> None:
+            results.append(committed)
+            if len(results) == len(pieces):
+                done(ended_ms, _result_of(results))
+
+        for piece in pieces:
+            self.group.write(now_ms, piece, piece_ended)
+
 
-        def ended(at_ms, ok):
-            ends.append(ok)
-            if len(ends) == len(parts):
-                # A record of which one piece was not taken can never be whole; one of which any is in doubt may be.
-                done(at_ms, True if all(ends) else False if False in ends else None)
+def _result_of(results: list[bool | None]) -> bool | None:
+    """A record of which one piece was rejected can never be complete.
 
-        for part in parts:
-            self.group.write(now_ms, part, ended)
+    One of which any is uncertain may be.
+    """
+    if all(results):
+        return True
+    return False if False in results else None
--- /dev/null
+++ b/lichenquay/quota/messages.py
@@ -0,0 +1,19 @@
+"""Records that the gateway's side and the leader's side of the quota protocol share."""
+
+from typing import NamedTuple
+
+from google.protobuf.message import Message
+
+
+class OutgoingMessage(NamedTuple):
+    """A message, and the name of the gateway that it is for."""
+
+    to: str
+    message: Message
+
+
+class LeaderAddress(NamedTuple):
+    """The gateway that leads the ledger, and the generation of the group under which it does."""
+
+    name: str
+    generation: int
--- /dev/null
+++ b/lichenquay/quota/pending_requests.py
@@ -0,0 +1,133 @@
+"""What gateways have told the ledger's leader since its last record, and how recently."""
+
+from collections.abc import Container
+from typing import NamedTuple
+
+from lichenquay.quota import quota_pb2 as pb
+from lichenquay.quota.tenant_account import EpochKey
+
+MAX_REPORTS = 8192  # in a period; gateways repeat what is over
+MAX_REQUESTS_PER_GATEWAY = 8  # in a period
+TOTAL_LIMIT_US = 1 << 63  # no valid total is as large
+
+
+class RequestOrder(NamedTuple):
+    """Orders the requests of one gateway."""
+
+    incarnation: int
+    epoch: int
+    number: int
+
+
+class PressureReport(NamedTuple):
+    """Whether a gateway had no room for work beyond quota, and when it said so."""
+
+    reported_ms: float
+    under_pressure: bool
+
+
+class GatewayRequest(NamedTuple):
+    """A token request with its sender."""
+
+    gateway: str
+    incarnation: int
+    request: pb.Ask
+
+
+class UsageReport(NamedTuple):
+    """A row of a token request with its sender."""
+
+    gateway: str
+    incarnation: int
+    row: pb.Row
+
+
+def is_plausible(request: pb.Ask) -> bool:
+    """Whether a gateway that works as designed can have sent this."""
+    if not (request.book and request.no):
+        return False
+    holdings = {(row.tenant, row.book) for row in request.rows}
+    return len(holdings) == len(request.rows) and all(_is_plausible_row(request, row) for row in request.rows)
+
+
+def _is_plausible_row(request: pb.Ask, row: pb.Row) -> bool:
+    return (
+        0 < row.book <= request.book
+        and (row.book == request.book or row.sealed)
+        and row.spent_us + row.returned_us <= row.known_us < TOTAL_LIMIT_US
+        and row.upto_us < TOTAL_LIMIT_US
+        and max(row.need_us, row.lack_us) < TOTAL_LIMIT_US
+    )
+
+
+class PendingRequests:
+    """Requests and usage reports of one leadership term."""
+
+    def __init__(self):
+        """Nothing was received yet."""
+        self.last_heard_ms: dict[EpochKey, float] = {}
+        self.newest: dict[str, RequestOrder] = {}
+        self.pressure: dict[str, PressureReport] = {}
+        self.requests: dict[str, list[GatewayRequest]] = {}
+        self.reports: list[UsageReport] = []
+
+    def __bool__(self):
+        """Whether there is anything for the next record."""
+        return bool(self.requests or self.reports)
+
+    @property
+    def is_full(self) -> bool:
+        """Whether further requests must wait for the next record."""
+        return len(self.reports) > MAX_REPORTS
+
+    def add(self, now_ms: float, gateway: str, incarnation: int, request: pb.Ask) -> bool:
+        """Adds a request that is plausible; whether it is to be answered.
+
+        Its totals count in any case; only requests of a gateway's newest epoch are granted and answered.
+        """
+        self.last_heard_ms[EpochKey(gateway, incarnation, request.book)] = now_ms
+        self.reports += [UsageReport(gateway, incarnation, row) for row in request.rows]
+        order = RequestOrder(incarnation, request.book, request.no)
+        newest = self.newest.get(gateway, order)
+        if order >= newest:
+            self.newest[gateway] = order
+            self.pressure[gateway] = PressureReport(now_ms, request.pressed)
+        requests = self.requests.setdefault(gateway, [])
+        if order[:2] < newest[:2] or len(requests) >= MAX_REQUESTS_PER_GATEWAY:
+            return False
+        requests.append(GatewayRequest(gateway, incarnation, request))
+        return True
+
+    def take_reports(self) -> list[UsageReport]:
+        """All usage reports, which are not pending any more."""
+        reports, self.reports = self.reports, []
+        return reports
+
+    def take_requests(self) -> list[GatewayRequest]:
+        """Those of each gateway's newest epoch, which are not pending any more."""
+        taken, self.requests = self.requests, {}
+        return [
+            request
+            for gateway, requests in taken.items()
+            for request in requests
+            if (request.incarnation, request.request.book) >= self.newest[gateway][:2]
+        ]
+
+    def forget_before(self, oldest_ms: float, open_epochs: Container[EpochKey]) -> None:
+        """Forgets gateways that were not heard since then.
+
+        Otherwise those that come and go would fill the memory.
+        """
+        self.last_heard_ms = {
+            key: heard_ms
+            for key, heard_ms in self.last_heard_ms.items()
+            if heard_ms > oldest_ms or key in open_epochs
+        }
+        self.pressure = {
+            gateway: report for gateway, report in self.pressure.items() if report.reported_ms > oldest_ms
+        }
+
+    def is_fleet_under_pressure(self, since_ms: float) -> bool:
+        """Whether at least half of the gateways heard since then have no room for work beyond quota."""
+        reports = [report for report in self.pressure.values() if report.reported_ms > since_ms]
+        return 2 * sum(report.under_pressure for report in reports) >= len(reports)
--- /dev/null
+++ b/lichenquay/quota/token_allocation.py
@@ -0,0 +1,168 @@
+"""Who gets which tokens in one batch of changes: grants from the pools, recalled loans, new loans."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import Enum
+
+from lichenquay.quota import quota_pb2 as pb
+from lichenquay.quota.ledger import Ledger
+from lichenquay.quota.pending_requests import GatewayRequest
+from lichenquay.quota.tenant_account import EpochKey
+
+GRANT_SHARE = 4  # one request is granted at most one part in so many of a bucket
+MAX_LOANS_AT_ONCE = 4  # of a tenant in a batch, each from another lender
+
+
+class ChangeBatch:
+    """Changes decided one after the other on a speculative ledger, to be committed as one record."""
+
+    def __init__(self, ledger: Ledger):
+        """`ledger`: the speculative one; each change is applied to it at once."""
+        self.ledger = ledger
+        self.changes: list[pb.Change] = []
+
+    def add(self, change: pb.Change | None) -> bool:
+        """Adds a change; False for None, where nothing was decided."""
+        if change is None:
+            return False
+        self.ledger.apply_change(change)
+        self.changes.append(change)
+        return True
+
+
+class DemandKind(Enum):
+    """Which part of a demand is served."""
+
+    REQUESTED = "requested_us"  # all, stock included
+    NEEDED = "needed_us"  # for the queries that come
+    BORROWABLE = "borrowable_us"  # for those of the last second; loans are for nothing else
+
+
+@dataclass(slots=True)
+class TokenDemand:
+    """What one gateway still wants of one tenant; each amount is part of the next one."""
+
+    key: EpochKey
+    under_pressure: bool
+    borrowable_us: int = 0
+    needed_us: int = 0
+    requested_us: int = 0
+
+    def amount_us(self, kind: DemandKind) -> int:
+        """The amount of this kind."""
+        return getattr(self, kind.value)
+
+    def raise_to(self, borrowable_us: int, needed_us: int, requested_us: int) -> None:
+        """Another request of the same gateway: amounts are totals, so the larger ones count."""
+        self.borrowable_us = max(self.borrowable_us, borrowable_us)
+        self.needed_us = max(self.needed_us, needed_us)
+        self.requested_us = max(self.requested_us, requested_us)
+
+    def reduce_by(self, granted_us: int) -> None:
+        """Tokens were granted."""
+        self.borrowable_us = max(0, self.borrowable_us - granted_us)
+        self.needed_us = max(0, self.needed_us - granted_us)
+        self.requested_us -= granted_us
+
+
+def demands_of(ledger: Ledger, requests: Iterable[GatewayRequest]) -> dict[str, list[TokenDemand]]:
+    """By tenant. Requests name the total that they want, so that one which comes twice is granted once."""
+    demands: dict[str, dict[EpochKey, TokenDemand]] = {}
+    for gateway, incarnation, request in requests:
+        key = EpochKey(gateway, incarnation, request.book)
+        if not ledger.may_grant(*key):
+            continue
+        for row in request.rows:
+            account = ledger.accounts.get(row.tenant)
+            if account is None or row.book != request.book or row.sealed:
+                continue
+            entry = ledger.epochs.get(key, {}).get(row.tenant)
+            granted_us = entry.granted_us if entry else 0
+            requested_us = min(max(0, row.upto_us - granted_us), account.terms.bucket_us // GRANT_SHARE)
+            if not requested_us:
+                continue
+            needed_us = min(max(0, row.need_us - (granted_us - row.known_us)), requested_us)
+            by_gateway = demands.setdefault(row.tenant, {})
+            demand = by_gateway.setdefault(key, TokenDemand(key, request.pressed))
+            demand.raise_to(min(row.lack_us, needed_us), needed_us, requested_us)
+    return {tenant: list(by_gateway.values()) for tenant, by_gateway in demands.items()}
+
+
+class TokenAllocation:
+    """One batch's allocation; its results are `short` and `plentiful` tenants and `loans_barred`."""
+
+    def __init__(self, batch: ChangeBatch, demands: dict[str, list[TokenDemand]]):
+        """`demands`: by tenant, as `demands_of` gives them."""
+        self.ledger = batch.ledger
+        self.batch = batch
+        self.demands = demands
+        self.plentiful: list[str] = []
+        self.loans_barred = 0
+
+    @property
+    def short(self) -> list[str]:
+        """Tenants whose queries lack tokens."""
+        return [
+            tenant for tenant, demands in self.demands.items() if any(demand.needed_us for demand in demands)
+        ]
+
+    def grant_from_pools(self, elapsed_ms: int) -> None:
+        """Serves needs, with recalled loans where a lender is short, and then stock.
+
+        `elapsed_ms`: accrued time.
+        """
+        retained_us = self._retained_by_debtors(elapsed_ms)
+        for tenant in self.demands:
+            self._recall_loans(tenant, retained_us)
+        for tenant in self.demands:
+            account = self.ledger.accounts[tenant]
+            self._divide_pool(tenant, self.demands[tenant], DemandKind.NEEDED)
+            if account.pool_us:
+                self._divide_pool(tenant, self.demands[tenant], DemandKind.REQUESTED)
+            if account.pool_us:
+                self.plentiful.append(tenant)
+
+    def _retained_by_debtors(self, elapsed_ms: int) -> dict[str, int]:
+        """What a debtor in need keeps of its accrual, so that recalled loans never starve it."""
+        retained_us = {}
+        for tenant in self.short:
+            terms = self.ledger.accounts[tenant].terms
+            retained_us[tenant] = terms.rate_us * elapsed_ms * (1000 - terms.repay_permille) // 1_000_000
+        return retained_us
+
+    def _recall_loans(self, tenant: str, retained_us: dict[str, int]) -> None:
+        account = self.ledger.accounts[tenant]
+        while account.receivable_us:
+            missing_us = sum(demand.needed_us for demand in self.demands[tenant]) - account.pool_us
+            if missing_us <= 0:
+                return
+            if not self.batch.add(self.ledger.decide_recall(tenant, missing_us, retained_us)):
+                return
+
+    def _divide_pool(self, tenant: str, demands: list[TokenDemand], kind: DemandKind) -> None:
+        """All that is demanded, or of the pool as much as each demands of the whole."""
+        pool_us = self.ledger.accounts[tenant].pool_us
+        total_us = sum(demand.amount_us(kind) for demand in demands)
+        for demand in demands:
+            amount_us = demand.amount_us(kind)
+            granted_us = amount_us if total_us <= pool_us else amount_us * pool_us // total_us
+            pool_us -= granted_us
+            total_us -= amount_us
+            if self.batch.add(self.ledger.decide_grant(tenant, *demand.key, granted_us)):
+                demand.reduce_by(granted_us)
+
+    def lend(self, tenants: Iterable[str]) -> None:
+        """Loans for these tenants, granted at once to gateways that have room for work beyond quota."""
+        for tenant in tenants:
+            demands = [
+                demand
+                for demand in self.demands[tenant]
+                if demand.borrowable_us and not demand.under_pressure
+            ]
+            if demands and self.ledger.is_overdue(tenant):
+                self.loans_barred += 1
+            for _ in range(MAX_LOANS_AT_ONCE):
+                missing_us = sum(demand.borrowable_us for demand in demands)
+                if not missing_us or not self.batch.add(self.ledger.decide_loan(tenant, missing_us)):
+                    break
+                self._divide_pool(tenant, demands, DemandKind.BORROWABLE)
--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -21,8 +21,9 @@
 from lichenquay.admission.domain import Tenant
 from lichenquay.admission.sliding_window import SlidingWindow
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.escrow import Rights, stocks_of
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.escrow import TokenEscrow
+from lichenquay.quota.escrow_demand import idle_stocks
+from lichenquay.quota.ledger_leader import LedgerLeader
 
 RATE, WORK_MS = 250.0, 20.0  # of each tenant: ms of work a second; mean of a query
 TERM_MS, PERIOD_MS, QUICKEST_MS = 5000.0, 250.0, 500.0
@@ -143,11 +144,13 @@
             )
             for t in TENANTS
         ]
-        self.keeper = Keeper(OneHolder(self.later), figures, TERM_MS, PERIOD_MS)
-        stocks = stocks_of(figures, FRONTS)
-        self.rights = [Rights(f"f{i}", 1, stocks, TERM_MS, PERIOD_MS, self.chance) for i in range(FRONTS)]
+        self.keeper = LedgerLeader(OneHolder(self.later), figures, TERM_MS, PERIOD_MS)
+        stocks = idle_stocks(figures, FRONTS)
+        self.rights = [
+            TokenEscrow(f"f{i}", 1, stocks, TERM_MS, PERIOD_MS, self.chance) for i in range(FRONTS)
+        ]
         for r in self.rights:
-            r.keeper = "f0", 1
+            r.leader = "f0", 1
         self.step()
         self.later.run(2000.0)  # fronts have been up for a while
         self.start = self.later.now
@@ -166,20 +169,20 @@
         if part is self.keeper:
             self.rights[int(to[1:])].heard(self.later.now, ("f0", 1), message)
         else:
-            self.keeper.heard(self.later.now, (part.name, 1), message)
+            self.keeper.heard(self.later.now, (part.gateway, 1), message)
 
     def judge(self, now, tenant, front, estimate, work):
         self.later.run(self.start + now)
         self.ticket += 1
         rights, ticket = self.rights[front], self.ticket
-        within = rights.take(self.later.now, tenant, estimate, ticket)
+        within = rights.reserve(self.later.now, tenant, estimate, ticket)
         if within:
             self.later(work, lambda: rights.settle(self.later.now, ticket, work))
         return within
 
     def of(self, tenant, seconds):
-        a = self.keeper.made.accounts[tenant]
-        return {"borrowed_ms": a.borrowed / 1000, "repaid_ms": a.repaid / 1000}
+        a = self.keeper.committed.accounts[tenant]
+        return {"borrowed_ms": a.borrowed_us / 1000, "repaid_ms": a.repaid_us / 1000}
 
 
 WAYS = {
--- a/lichenquay/testbed/scale/probes/lease.py
+++ b/lichenquay/testbed/scale/probes/lease.py
@@ -6,7 +6,7 @@
 
 from lichenquay.lease.group import Group, keep_all
 from lichenquay.lease.settings import Settings
-from lichenquay.quota.ledger_records import Seat
+from lichenquay.quota.ledger_records import PiecewiseGroup
 from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
 
@@ -67,7 +67,7 @@
         """Time until a record of so many bytes is made, in pieces where need be; None where that fails."""
         began, ended = self.net.now_ms, []
         with self.stopwatch.running():
-            Seat(self.group).write(
+            PiecewiseGroup(self.group).write(
                 began, self.rng.randbytes(size), lambda at_ms, ok: ended.append((at_ms, ok))
             )
         self.net.call(VOTERS[0], LAYER, "want", True)
--- a/lichenquay/testbed/scale/probes/quota.py
+++ b/lichenquay/testbed/scale/probes/quota.py
@@ -4,9 +4,10 @@
 from itertools import count
 from typing import Any
 
-from lichenquay.quota.account_settings import figures_of
-from lichenquay.quota.escrow import Rights, stocks_of
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.account_settings import account_terms
+from lichenquay.quota.escrow import TokenEscrow
+from lichenquay.quota.escrow_demand import idle_stocks
+from lichenquay.quota.ledger_leader import LedgerLeader
 from lichenquay.quota.ledger_records import split
 from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
@@ -26,7 +27,7 @@
 
     def __init__(self, net: FleetNet, figures: list[Any], stopwatch: Stopwatch):
         """`records`, `record_bytes` and `pieces` count what the group's voters would be sent."""
-        super().__init__(Keeper(self, figures, TERM_MS), stopwatch)
+        super().__init__(LedgerLeader(self, figures, TERM_MS), stopwatch)
         self.net, self.records, self.record_bytes, self.pieces = net, 0, 0, 0
 
     def holds(self, now_ms: float) -> bool:
@@ -55,7 +56,7 @@
     def take(self, now_ms: float, tenant: str, ticket: int) -> None:
         """A query comes."""
         with self.stopwatch.running():
-            self.part.take(now_ms, tenant, WORK_MS, ticket)
+            self.part.reserve(now_ms, tenant, WORK_MS, ticket)
 
     def settle(self, now_ms: float, ticket: int) -> None:
         """Its work is told."""
@@ -71,17 +72,17 @@
         self.net = FleetNet(f"quota/{fronts}/{tenants}/{seed}", Weather(delay_ms=(1.0, 5.0)))
         self.tenants = [f"tenant-{i:04d}" for i in range(tenants)]
         self.fronts = [f"front-{i:04d}" for i in range(fronts)]
-        figures = [figures_of(t, RATE_MS * fronts, BUCKET_MS * fronts) for t in self.tenants]
+        figures = [account_terms(t, RATE_MS * fronts, BUCKET_MS * fronts) for t in self.tenants]
         self.at_fronts, self.at_keeper, self.tickets = Stopwatch(), Stopwatch(), count(1)
-        stocks = stocks_of(figures, fronts)
+        stocks = idle_stocks(figures, fronts)
         self.net.host(KEEPER, lambda host: {LAYER: KeeperPart(self.net, figures, self.at_keeper)})
         for name in self.fronts:
             self.net.host(name, lambda host: {LAYER: self._rights(host, stocks)})
             self.net.at(self.net.rng.uniform(0, 1_000 / QUERIES_PER_S), self._query, name)
 
     def _rights(self, host: Host, stocks: dict[str, int]) -> RightsPart:
-        rights = Rights(host.name, host.incarnation, stocks, TERM_MS, chance=host.rng)
-        rights.keeper = KEEPER, KeeperPart.generation
+        rights = TokenEscrow(host.name, host.incarnation, stocks, TERM_MS, random=host.rng)
+        rights.leader = KEEPER, KeeperPart.generation
         return RightsPart(rights, self.at_fronts)
 
     def _query(self, front: str) -> None:
@@ -120,7 +121,7 @@
             "records": (keeper.records - records) / seconds,
             "record_bytes": (keeper.record_bytes - record_bytes) / seconds,
             "pieces": (keeper.pieces - pieces) / seconds,
-            "state": float(len(keeper.part.made.state())) if keeper.part.made else 0.0,
+            "state": float(len(keeper.part.committed.state())) if keeper.part.committed else 0.0,
         }
 
 
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -15,9 +15,10 @@
 from lichenquay.membership.member_table import Table, rank
 from lichenquay.membership.message_handling import Hearing
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.escrow import Rights
+from lichenquay.quota.escrow import TokenEscrow
 from lichenquay.quota.ledger import Ledger
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.ledger_leader import LedgerLeader
+from lichenquay.quota.tenant_account import EntryTotals
 
 RULES = {}
 
@@ -211,90 +212,92 @@
 @rule("quota: a grant counts twice")
 def _():
     """As if an answer told how much more there is, and not the total."""
-    real, tick = Rights.granted, Rights.tick
+    real, tick = TokenEscrow.apply_grant, TokenEscrow.tick
 
     def ticks(self, now_ms):
-        before = self.no
+        before = self.request_number
         tick(self, now_ms)
-        for no in range(before + 1, self.no + 1):
-            self.__dict__.setdefault("known_at", {})[no] = {t: r.known for t, r in self.rows.items()}
+        for number in range(before + 1, self.request_number + 1):
+            granted_us = {tenant: holding.granted_us for tenant, holding in self.holdings.items()}
+            self.__dict__.setdefault("granted_at", {})[number] = granted_us
 
-    def granted(self, now_ms, no, told):
-        row = self.rows.get(told.tenant)
-        more = told.granted_us - self.__dict__.get("known_at", {}).get(no, {}).get(told.tenant, 0)
-        known = (row.known if row else 0) + max(0, more)
-        real(self, now_ms, no, told)
-        if told.tenant in self.rows and not told.gone:
-            self.rows[told.tenant].known = known
+    def apply_grant(self, now_ms, number, granted):
+        tenant = granted.tenant
+        holding = self.holdings.get(tenant)
+        more_us = granted.granted_us - self.__dict__.get("granted_at", {}).get(number, {}).get(tenant, 0)
+        granted_us = (holding.granted_us if holding else 0) + max(0, more_us)
+        real(self, now_ms, number, granted)
+        if tenant in self.holdings and not granted.gone:
+            self.holdings[tenant].granted_us = granted_us
 
-    return [(Rights, "granted", granted), (Rights, "tick", ticks)]
+    return [(TokenEscrow, "apply_grant", apply_grant), (TokenEscrow, "tick", ticks)]
 
 
 @rule("quota: the last total counts, not the largest")
 def _():
-    def risen(have, row):
-        unheard = have.granted - row.known_us if row.sealed else 0
-        return row.spent_us, row.returned_us + unheard, have.sealed or row.sealed
+    def merged_totals(entry, row):
+        never_received_us = entry.granted_us - row.known_us if row.sealed else 0
+        return EntryTotals(row.spent_us, row.returned_us + never_received_us, entry.sealed or row.sealed)
 
-    return [(Ledger, "risen", staticmethod(risen))]
+    return [(Ledger, "merged_totals", staticmethod(merged_totals))]
 
 
 @rule("quota: what was written off is given back twice")
 def _():
-    real = Ledger.on_word
+    real = Ledger.apply_usage
 
-    def on_word(self, word):
-        key = word.front, word.incarnation, word.row.book
-        row = self.books.get(key, {}).get(word.row.tenant)
-        lapsed, before = key in self.lapsed, row and row.returned
-        real(self, word)
-        if row is not None and lapsed and row.returned > before:
-            account = self.accounts[word.row.tenant]
-            account.pool, account.issued = (
-                account.pool + row.returned - before,
-                account.issued + row.returned - before,
-            )
+    def apply_usage(self, report):
+        key = report.front, report.incarnation, report.row.book
+        entry = self.epochs.get(key, {}).get(report.row.tenant)
+        expired, before_us = key in self.expired, entry and entry.returned_us
+        real(self, report)
+        if entry is not None and expired and entry.returned_us > before_us:
+            account = self.accounts[report.row.tenant]
+            account.pool_us += entry.returned_us - before_us
+            account.issued_us += entry.returned_us - before_us
 
-    return [(Ledger, "on_word", on_word)]
+    return [(Ledger, "apply_usage", apply_usage)]
 
 
 @rule("quota: the term runs from the answer")
 def _():
-    real = Rights.heard
+    real = TokenEscrow.heard
 
     def heard(self, now_ms, sender, answer):
         real(self, now_ms, sender, answer)
-        if answer.book == self.book and answer.no in self.sent and self.rows and not answer.closed:
-            self.valid_ms = max(self.valid_ms, now_ms + self.term_ms)
+        known = answer.book == self.epoch and answer.no in self.request_sent_ms
+        if known and self.holdings and not answer.closed:
+            self.expires_at_ms = max(self.expires_at_ms, now_ms + self.term_ms)
 
-    return [(Rights, "heard", heard)]
+    return [(TokenEscrow, "heard", heard)]
 
 
 @rule("quota: spends after the term")
 def _():
-    def lapse(self, now_ms):
-        self.valid_ms = max(self.valid_ms, now_ms + 1) if self.valid_ms != float("-inf") else self.valid_ms
+    def expire_if_due(self, now_ms):
+        if self.expires_at_ms != float("-inf"):
+            self.expires_at_ms = max(self.expires_at_ms, now_ms + 1)
 
-    return [(Rights, "lapse", lapse)]
+    return [(TokenEscrow, "expire_if_due", expire_if_due)]
 
 
 @rule("quota: told before it is made")
 def _():
-    real = Keeper.batch
+    real = LedgerLeader.write_batch
 
-    def batch(self, now_ms):
+    def write_batch(self, now_ms):
         real(self, now_ms)
-        if self.out:
-            made, self.made = self.made, self.ahead
-            self.answer(now_ms)
-            self.made = made
+        if self.pending_write:
+            committed, self.committed = self.committed, self.speculative
+            self.answer_requests(now_ms)
+            self.committed = committed
 
-    return [(Keeper, "batch", batch)]
+    return [(LedgerLeader, "write_batch", write_batch)]
 
 
 @rule("quota: an answer to another incarnation counts")
 def _():
-    real = Rights.heard
+    real = TokenEscrow.heard
 
     def heard(self, now_ms, sender, answer):
         mine = pb.Answer()
@@ -302,54 +305,57 @@
         mine.incarnation = self.incarnation
         real(self, now_ms, sender, mine)
 
-    return [(Rights, "heard", heard)]
+    return [(TokenEscrow, "heard", heard)]
 
 
 @rule("quota: a closed book is granted to")
 def _():
-    real = Keeper.heard
+    real = LedgerLeader.heard
 
     def heard(self, now_ms, sender, ask):
-        self.newest.pop(sender[0], None)
+        self.pending.newest.pop(sender[0], None)
         real(self, now_ms, sender, ask)
 
-    return [(Ledger, "may_grant", lambda self, front, incarnation, book: True), (Keeper, "heard", heard)]
+    return [
+        (Ledger, "may_grant", lambda self, gateway, incarnation, epoch: True),
+        (LedgerLeader, "heard", heard),
+    ]
 
 
 @rule("quota: a new keeper does not wait")
 def _():
-    real = Keeper.batch
+    real = LedgerLeader.write_batch
 
-    def batch(self, now_ms):
-        self.office_ms = float("-inf")
+    def write_batch(self, now_ms):
+        self.term_started_ms = float("-inf")
         real(self, now_ms)
 
-    return [(Keeper, "batch", batch)]
+    return [(LedgerLeader, "write_batch", write_batch)]
 
 
 @rule("quota: a limit for each front")
 def _():
-    real, check = Ledger.on_open, Ledger.law
+    real = Ledger.apply_account_terms
 
-    def on_open(self, figures):
+    def apply_account_terms(self, terms):
         more = pb.Open()
-        more.CopyFrom(figures)
+        more.CopyFrom(terms)
         more.limit_us *= 3
         real(self, more)
 
-    return [(Ledger, "on_open", on_open), (Ledger, "law", staticmethod(check))]
+    return [(Ledger, "apply_account_terms", apply_account_terms)]
 
 
 @rule("quota: a repayment counts twice")
 def _():
-    real = Ledger.repaid
+    real = Ledger._repay_loan
 
-    def repaid(self, loan, amount):
+    def repay_loan(self, loan, amount_us):
         lender = self.accounts[loan.lender]
-        real(self, loan, amount)
-        lender.pool += amount
+        real(self, loan, amount_us)
+        lender.pool_us += amount_us
 
-    return [(Ledger, "repaid", repaid)]
+    return [(Ledger, "_repay_loan", repay_loan)]
 
 
 SEED = 12
--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -6,7 +6,8 @@
 from virtual_fleet import ACCOUNTS
 
 from lichenquay.membership.member_table import LEFT
-from lichenquay.quota.ledger import Ledger, LedgerError
+from lichenquay.quota.errors import LedgerError
+from lichenquay.quota.ledger import Ledger
 
 LIMITS = {a[0]: a[3] * 1000 for a in ACCOUNTS}
 FAST = 1.05  # no clock is faster
@@ -97,11 +98,11 @@
         seen[1] = watch.view.number
 
     def keeper(self, p):
-        made, old = p.fleet.accounts.keeper.made, getattr(p, "made_of", (None, 0))
-        if made is None or made is old[0] and made.no == old[1]:
+        made, old = p.fleet.accounts.keeper.committed, getattr(p, "made_of", (None, 0))
+        if made is None or made is old[0] and made.record_number == old[1]:
             return
         fresh = made is not old[0]
-        p.made_of = made, made.no
+        p.made_of = made, made.record_number
         try:
             made.check()
         except LedgerError as bad:
@@ -109,75 +110,77 @@
         state = made.state()
         digest = blake2b(state, digest_size=8).digest()
         self.must(
-            not fresh or made.no >= self.ledger.no,
+            not fresh or made.record_number >= self.ledger.record_number,
             "{} begins at record {}, {} was made",
             p.name,
-            made.no,
-            self.ledger.no,
+            made.record_number,
+            self.ledger.record_number,
         )
         self.must(
-            self.digests.setdefault(made.no, digest) == digest,
+            self.digests.setdefault(made.record_number, digest) == digest,
             "record {} is another one at {}",
-            made.no,
+            made.record_number,
             p.name,
         )
-        if made.no > self.ledger.no:
+        if made.record_number > self.ledger.record_number:
             self.learn(Ledger.load(state))
 
     def learn(self, ledger):
         """Another record was made."""
-        for key, rows in ledger.books.items():
+        for key, rows in ledger.epochs.items():
             for tenant, row in rows.items():
                 at = *key, tenant
                 before = self.rows.get(at)
                 if before:
                     risen = (
-                        row.granted - before.granted,
-                        row.spent - before.spent,
-                        row.returned - before.returned,
+                        row.granted_us - before.granted_us,
+                        row.spent_us - before.spent_us,
+                        row.returned_us - before.returned_us,
                     )
                     self.must(min(risen) >= 0, "totals of {} fall", at)
                 self.must(
-                    key not in self.lapsed or before and row.granted == before.granted,
+                    key not in self.lapsed or before and row.granted_us == before.granted_us,
                     "{} is granted to after it was written off",
                     at,
                 )
                 self.rows[at] = row
-        self.lapsed |= ledger.lapsed
+        self.lapsed |= ledger.expired
         for tenant, a in ledger.accounts.items():
             old = self.ledger.accounts.get(tenant)
-            self.must(a.owes <= LIMITS[tenant], "{} owes more than its limit", tenant)
-            self.must(old is None or a.spent >= old.spent, "the work of {} falls", tenant)
-            self.must(a.issued <= self.most(a), "more of {} is issued than its rate and bucket", tenant)
-            self.most_owed, self.lent = max(self.most_owed, a.owes), max(self.lent, a.lent)
-            self.repaid = max(self.repaid, a.repaid)
+            self.must(a.debt_us <= LIMITS[tenant], "{} owes more than its limit", tenant)
+            self.must(old is None or a.spent_us >= old.spent_us, "the work of {} falls", tenant)
+            self.must(a.issued_us <= self.most(a), "more of {} is issued than its rate and bucket", tenant)
+            self.most_owed, self.lent = max(self.most_owed, a.debt_us), max(self.lent, a.lent_us)
+            self.repaid = max(self.repaid, a.repaid_us)
         self.ledger = ledger
         self.truths()
 
     def most(self, account):
-        return account.figures.bucket_us + account.figures.rate_us * self.world.now * FAST / 1000
+        return account.terms.bucket_us + account.terms.rate_us * self.world.now * FAST / 1000
 
     def rights(self, p):
         rights = p.fleet.accounts.rights
         if not p.lives or p.lives[-1][1] is not rights:
-            rights.old = Kept(rights.old)
+            rights.sealed_holdings = Kept(rights.sealed_holdings)
             p.lives.append((rights.incarnation, rights))
-        for (book, tenant), mine in [((rights.book, t), m) for t, m in rights.rows.items()] + list(
-            rights.old.items()
+        for (book, tenant), mine in [((rights.epoch, t), m) for t, m in rights.holdings.items()] + list(
+            rights.sealed_holdings.items()
         ):
-            used = mine.spent + mine.reserved
-            least = min(mine.free, mine.spent, mine.reserved, mine.returned)
+            used = mine.spent_us + mine.reserved_us
+            least = min(mine.free_us, mine.spent_us, mine.reserved_us, mine.returned_us)
             self.must(least >= 0, "{} spends what it has not", p.name)
-            if mine.known or used:
+            if mine.granted_us or used:
                 row = self.rows.get((p.name, rights.incarnation, book, tenant))
-                self.must(row and mine.known <= row.granted, "{} holds what no record granted", p.name)
-                self.must(used <= row.granted - row.returned, "{} spends what went back", p.name)
+                self.must(
+                    row and mine.granted_us <= row.granted_us, "{} holds what no record granted", p.name
+                )
+                self.must(used <= row.granted_us - row.returned_us, "{} spends what went back", p.name)
 
     def took(self, p, tenant, within):
         self.within, self.beyond = self.within + within, self.beyond + (not within)
         if within:
             rights = p.fleet.accounts.rights
-            key = p.name, rights.incarnation, rights.book
+            key = p.name, rights.incarnation, rights.epoch
             self.must(key not in self.lapsed, "{} spends what was written off", key)
             self.must((*key, tenant) in self.rows, "{} spends what no record granted", key)
             self.truths()
@@ -187,18 +190,24 @@
         total = 0
         for p in self.world.all.values():
             for _, rights in p.lives:
-                rows = [m for t, m in rights.rows.items() if t == tenant]
-                rows += [m for (_, t), m in [*rights.old.items(), *rights.old.forgotten] if t == tenant]
-                total += sum(m.spent + (0 if told else m.reserved) for m in {id(m): m for m in rows}.values())
+                rows = [m for t, m in rights.holdings.items() if t == tenant]
+                rows += [
+                    m
+                    for (_, t), m in [*rights.sealed_holdings.items(), *rights.sealed_holdings.forgotten]
+                    if t == tenant
+                ]
+                total += sum(
+                    m.spent_us + (0 if told else m.reserved_us) for m in {id(m): m for m in rows}.values()
+                )
         return total
 
     def truths(self):
         for tenant, a in self.ledger.accounts.items():
             truth = self.truth(tenant)
-            granted = a.spent + a.held + a.written + a.lost
+            granted = a.spent_us + a.held_us + a.written_off_us + a.lost_us
             self.must(truth <= granted, "{}: taken as within quota, and not granted", tenant)
-            self.must(truth <= self.most(a) + a.owes, "{}: taken beyond rate, bucket and credit", tenant)
-            self.must(a.spent <= self.truth(tenant, True), "{}: counted as spent, and nobody did", tenant)
+            self.must(truth <= self.most(a) + a.debt_us, "{}: taken beyond rate, bucket and credit", tenant)
+            self.must(a.spent_us <= self.truth(tenant, True), "{}: counted as spent, and nobody did", tenant)
 
     # at rest
 
@@ -206,7 +215,7 @@
         """What has not come to rest, or None."""
         up = [p for p in self.world.all.values() if p.fleet is not None]
         holders = [p for p in up if p.fleet.accounts.group.holds(p.now_ms())]
-        if len(holders) != 1 or holders[0].fleet.accounts.keeper.made is None:
+        if len(holders) != 1 or holders[0].fleet.accounts.keeper.committed is None:
             return "no keeper in office"
         if len({p.fleet.watch.view.digest for p in up}) > 1:
             return f"views differ: {[(p.name, p.fleet.watch.members()) for p in up]}"
@@ -217,28 +226,35 @@
                 if states[q.name] not in (("alive",) if q.fleet is not None else ("left", "cut", "gone")):
                     return f"{p.name} holds {q.name} for {states[q.name]}"
             rights = p.fleet.accounts.rights
-            if p.fleet.left or rights.old or rights.tickets or any(rights.debts.values()):
+            if (
+                p.fleet.left
+                or rights.sealed_holdings
+                or rights.reservations
+                or any(rights.overruns_us.values())
+            ):
                 return f"{p.name}: {'leaves' if p.fleet.left else 'sealed books, open queries or debts'}"
-            if rights.keeper != (holders[0].name, group.generation):
-                return f"{p.name} takes {rights.keeper} for the keeper"
-            for tenant, mine in rights.rows.items():
-                row = self.ledger.books.get((p.name, rights.incarnation, rights.book), {}).get(tenant)
-                noted = (row.granted, row.spent, row.returned) if row else (0, 0, 0)
-                if noted != (mine.known, mine.spent, mine.returned):
+            if rights.leader != (holders[0].name, group.generation):
+                return f"{p.name} takes {rights.leader} for the keeper"
+            for tenant, mine in rights.holdings.items():
+                row = self.ledger.epochs.get((p.name, rights.incarnation, rights.epoch), {}).get(tenant)
+                noted = (row.granted_us, row.spent_us, row.returned_us) if row else (0, 0, 0)
+                if noted != (mine.granted_us, mine.spent_us, mine.returned_us):
                     return f"{p.name} and the ledger differ on {tenant}"
         if self.ledger.loans:
             return "loans are not repaid"
-        for key in self.ledger.books:
+        for key in self.ledger.epochs:
             f = self.world.all[key[0]].fleet
-            if key not in self.ledger.lapsed and not (
-                f and key[1:] == (f.incarnation, f.accounts.rights.book)
+            if key not in self.ledger.expired and not (
+                f and key[1:] == (f.incarnation, f.accounts.rights.epoch)
             ):
                 return f"book {key} is not closed"
         for p in self.world.all.values():
             for incarnation, rights in p.lives:
-                for (book, tenant), mine in rights.old.forgotten:
+                for (book, tenant), mine in rights.sealed_holdings.forgotten:
                     row = self.rows.get((p.name, incarnation, book, tenant))
                     self.must(
-                        mine.spent <= (row.granted if row else 0), "{} spent other than was noted", p.name
+                        mine.spent_us <= (row.granted_us if row else 0),
+                        "{} spent other than was noted",
+                        p.name,
                     )
         return None
--- a/tests/fleet/fleet_scenario.py
+++ b/tests/fleet/fleet_scenario.py
@@ -31,15 +31,15 @@
     p = keeper(world)
     if p is None:
         return
-    made, life, full = p.fleet.accounts.keeper.made, p.starts, others(world, p)[0]
+    made, life, full = p.fleet.accounts.keeper.committed, p.starts, others(world, p)[0]
     full.disk.how = "full"
-    no = made.no if made else 0
+    no = made.record_number if made else 0
 
     def look(times=0):
         if p.fleet is None or p.starts != life:
             return
-        now = p.fleet.accounts.keeper.made
-        if now is not None and now.no > no or times > 300:
+        now = p.fleet.accounts.keeper.committed
+        if now is not None and now.record_number > no or times > 300:
             p.kill()
             world.at(world.now + 30, lambda: setattr(full.disk, "how", "well"))
             world.at(world.now + back_ms, p.start)
--- a/tests/golden_quota_exchange.py
+++ b/tests/golden_quota_exchange.py
@@ -1,15 +1,15 @@
 """A scripted exchange of the quota protocol between three gateways, with every message and record as bytes.
 
-The clock, the network and the random source are deterministic, so that two revisions that behave the same produce
-the same transcript. `golden/quota/transcript.json` is the one of revision 0018238.
+The clock, the network and the random source are deterministic, so that two revisions that behave the same
+produce the same transcript. `golden/quota/transcript.json` is the one of revision 0018238.
 """
 
 from random import Random
 
 from lichenquay.quota import ledger_records
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.escrow import Rights
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.escrow import TokenEscrow
+from lichenquay.quota.ledger_leader import LedgerLeader
 
 TERM_MS = 2_000.0
 PERIOD_MS = 200.0
@@ -87,14 +87,14 @@
         """At 0 ms, before the first message."""
         self.random = Random(11)
         self.group = ReplicatedGroup()
-        self.leader = Keeper(self.group, ACCOUNTS, TERM_MS, PERIOD_MS)
+        self.leader = LedgerLeader(self.group, ACCOUNTS, TERM_MS, PERIOD_MS)
         stocks = {account.tenant: account.bucket_us // 12 for account in ACCOUNTS}
         self.escrows = {
-            name: Rights(name, 1, stocks, TERM_MS, PERIOD_MS, Random(index))
+            name: TokenEscrow(name, 1, stocks, TERM_MS, PERIOD_MS, Random(index))
             for index, name in enumerate(GATEWAYS)
         }
         for escrow in self.escrows.values():
-            escrow.keeper = LEADER, self.group.generation
+            escrow.leader = LEADER, self.group.generation
         self.messages = []
         self.ends = []
         self.admitted = 0
@@ -105,7 +105,7 @@
         for now_ms in range(0, END_MS, STEP_MS):
             self.group.complete_writes(now_ms)
             if now_ms == SNAPSHOT_MS:
-                self.state_with_expired_rows = self.leader.made.state()
+                self.state_with_expired_rows = self.leader.committed.state()
             self._send_queries(now_ms)
             for name, escrow in self.escrows.items():
                 if now_ms >= escrow.due_ms:
@@ -125,7 +125,7 @@
             if not from_ms <= now_ms < until_ms or self.random.random() >= rate * STEP_MS / 1_000:
                 continue
             ticket = (name, now_ms, tenant)
-            if self.escrows[name].take(now_ms, tenant, QUERY_MS, ticket):
+            if self.escrows[name].reserve(now_ms, tenant, QUERY_MS, ticket):
                 self.admitted += 1
                 work_ms = QUERY_MS * self.random.uniform(0.5, 1.5)
                 self.ends.append((now_ms + RUN_STEPS * STEP_MS, name, ticket, work_ms))
@@ -133,10 +133,7 @@
     def _deliver(self, now_ms, sender, part):
         outbox, part.outbox[:] = list(part.outbox), []
         for to, body in outbox:
-            if part is self.leader:
-                message = pb.Message(answer=body)
-            else:
-                message = pb.Message(ask=body)
+            message = pb.Message(answer=body) if part is self.leader else pb.Message(ask=body)
             self.messages.append(message.SerializeToString())
             if "gateway-2" in (sender, to) and CUT_FROM_MS <= now_ms < CUT_UNTIL_MS:
                 continue
@@ -159,9 +156,9 @@
             "records": [record.hex() for record in records],
             "base_after_half": base_after_half.hex(),
             "base_at_end": ledger_records.fold(base_after_half, pieces[half:]).hex(),
-            "state": self.leader.made.state().hex(),
+            "state": self.leader.committed.state().hex(),
             "state_with_expired_rows": self.state_with_expired_rows.hex(),
-            "accounts": amounts_of(self.leader.made),
+            "accounts": amounts_of(self.leader.committed),
             "large_record_pieces": [piece.hex() for piece in large_pieces],
             "base_amid_a_record": ledger_records.fold(b"", large_pieces[:2]).hex(),
         }
@@ -171,19 +168,19 @@
     """What a ledger says of each tenant."""
     return {
         tenant: {
-            "pool": account.pool,
-            "held": account.held,
-            "spent": account.spent,
-            "issued": account.issued,
-            "lent": account.lent,
-            "borrowed": account.borrowed,
-            "repaid": account.repaid,
-            "returned to the lender": account.given_back,
-            "written off": account.written,
-            "overflowed": account.spilled,
-            "lost": account.lost,
-            "outstanding": account.owes,
-            "limit": account.figures.limit_us,
+            "pool": account.pool_us,
+            "held": account.held_us,
+            "spent": account.spent_us,
+            "issued": account.issued_us,
+            "lent": account.lent_us,
+            "borrowed": account.borrowed_us,
+            "repaid": account.repaid_us,
+            "returned to the lender": account.collected_us,
+            "written off": account.written_off_us,
+            "overflowed": account.overflowed_us,
+            "lost": account.lost_us,
+            "outstanding": account.debt_us,
+            "limit": account.terms.limit_us,
         }
         for tenant, account in ledger.accounts.items()
     }
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -5,9 +5,10 @@
 from random import Random
 
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.escrow import Rights, stocks_of
+from lichenquay.quota.escrow import TokenEscrow
+from lichenquay.quota.escrow_demand import idle_stocks
 from lichenquay.quota.ledger import Ledger
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.ledger_leader import LedgerLeader
 
 TERM_MS, PERIOD_MS, STEP_MS = 2000.0, 200.0, 50.0
 
@@ -54,7 +55,7 @@
         self.world, self.generation, self.holder, self.out = world, 0, None, []
         self.log, self.kept, self.compacted = [], b"", 0
         self.audit = Ledger()  # all that was made, replayed
-        self.rows = {}  # of it, with those that it forgot since
+        self.entries = {}  # of it, with those that it forgot since
         self.states = {0: self.audit.state()}
         self.doubt = 0.0
         self.delay = lambda: 5.0
@@ -90,17 +91,17 @@
     def make(self, record):
         record = pb.Record.FromString(record)
         if any(change.HasField("loan") for change in record.changes):
-            ledger = Ledger.load(self.states[self.audit.no])
+            ledger = Ledger.load(self.states[self.audit.record_number])
             for change in record.changes:
                 self.world.audit_change(ledger, change)
-                ledger.change(change)
+                ledger.apply_change(change)
         must(self.audit.apply(record), "a record that was made before")
         self.audit.check()
         self.log.append(record.SerializeToString())
-        self.states[self.audit.no] = self.audit.state()
-        for key, rows in self.audit.books.items():
+        self.states[self.audit.record_number] = self.audit.state()
+        for key, rows in self.audit.epochs.items():
             for tenant, row in rows.items():
-                self.rows[*key, tenant] = row
+                self.entries[*key, tenant] = row
 
     def snapshot(self):
         """A state, and records of which some are in it already."""
@@ -149,11 +150,11 @@
             False,
             [],
         )
-        stocks = stocks_of(world.figures, world.count)
+        stocks = idle_stocks(world.figures, world.count)
         self.seat = Seat(world.group, self.name)
         self.keeper = world.make_keeper(self.seat, world.figures, TERM_MS, PERIOD_MS)
         self.rights = world.make_rights(self.name, self.incarnation, stocks, TERM_MS, PERIOD_MS, world.random)
-        self.rights.old = Kept()
+        self.rights.sealed_holdings = Kept()
         self.lives.append(self.rights)
         self.known = self.checked = None
 
@@ -180,7 +181,7 @@
         holder = self.world.group.holder
         if (holder, self.world.group.generation) != self.known:
             self.known = holder, self.world.group.generation
-            self.rights.keeper = self.known if holder else None
+            self.rights.leader = self.known if holder else None
         for part in (self.rights, self.keeper):
             if now >= part.due_ms:
                 part.tick(now)
@@ -192,7 +193,7 @@
 
 
 class World:
-    def __init__(self, seed=0, fronts=3, accounts=(), keeper=Keeper, rights=Rights, drift=0.024):
+    def __init__(self, seed=0, fronts=3, accounts=(), keeper=LedgerLeader, rights=TokenEscrow, drift=0.024):
         self.random, self.now, self.events, self.number, self.count = Random(seed), 0.0, [], 0, fronts
         self.figures, self.make_keeper, self.make_rights = list(accounts), keeper, rights
         self.lose = self.double = self.late = 0.0
@@ -255,16 +256,16 @@
             return None
         self.ticket += 1
         ticket, rights, now = self.ticket, front.rights, front.now_ms
-        within = rights.take(now, tenant, estimate_ms, ticket)
+        within = rights.reserve(now, tenant, estimate_ms, ticket)
         if within:
-            key = front.name, front.incarnation, rights.book
-            must(key not in self.group.audit.lapsed, f"{key} spends what was written off")
-            must(tenant in self.group.audit.books.get(key, {}), f"{key} spends what no record granted")
+            key = front.name, front.incarnation, rights.epoch
+            must(key not in self.group.audit.expired, f"{key} spends what was written off")
+            must(tenant in self.group.audit.epochs.get(key, {}), f"{key} spends what no record granted")
             work = estimate_ms if work_ms is None else work_ms
             end = (
                 (lambda t: rights.settle(t, ticket, work))
                 if ends == "settle"
-                else (lambda t: rights.drop(t, ticket))
+                else (lambda t: rights.settle_at_estimate(t, ticket))
             )
             self.at(runs_ms, lambda: front.rights is rights and front.call(end))
         counts = self.within if within else self.beyond
@@ -278,16 +279,14 @@
         if change.HasField("loan"):
             loan, to = change.loan, ledger.accounts[change.loan.borrower]
             ages = [x.age_ms for x in ledger.loans.values() if x.borrower == loan.borrower]
-            must(
-                max(ages, default=0) <= to.figures.term_ms, f"{loan.borrower} borrows while a loan is overdue"
-            )
-            must(to.owes + loan.amount_us <= to.figures.limit_us, f"{loan.borrower} borrows over its limit")
+            must(max(ages, default=0) <= to.terms.term_ms, f"{loan.borrower} borrows while a loan is overdue")
+            must(to.debt_us + loan.amount_us <= to.terms.limit_us, f"{loan.borrower} borrows over its limit")
 
     @staticmethod
-    def rows(life):
-        yield from (((life.book, t), r) for t, r in life.rows.items())
-        yield from life.old.items()
-        yield from life.old.forgotten
+    def holdings(life):
+        yield from (((life.epoch, t), r) for t, r in life.holdings.items())
+        yield from life.sealed_holdings.items()
+        yield from life.sealed_holdings.forgotten
 
     def audit(self):
         """`truth`: what fronts of all lives have spent and reserved, which no ledger knows in time."""
@@ -295,34 +294,34 @@
         truth = dict.fromkeys(ledger.accounts, 0)
         for f in self.fronts.values():
             for life in f.lives:
-                for (book, tenant), mine in self.rows(life):
-                    used = mine.spent + mine.reserved
-                    free = mine.known - used - mine.returned
+                for (book, tenant), mine in self.holdings(life):
+                    used = mine.spent_us + mine.reserved_us
+                    free = mine.granted_us - used - mine.returned_us
                     must(
-                        min(free, mine.spent, mine.reserved, mine.returned) >= 0,
+                        min(free, mine.spent_us, mine.reserved_us, mine.returned_us) >= 0,
                         f"{f.name} spends what it has not",
                     )
-                    row = self.group.rows.get((f.name, life.incarnation, book, tenant))
+                    row = self.group.entries.get((f.name, life.incarnation, book, tenant))
                     if used:
                         truth[tenant] += used
                     if row is not None:
-                        must(mine.known <= row.granted, f"{f.name} holds what no record granted")
-                        must(used <= row.granted - row.returned, f"{f.name} spends what went back")
-            made = f.keeper.made
-            if made is not None and f.checked != (id(made), made.no):
-                f.checked = id(made), made.no
+                        must(mine.granted_us <= row.granted_us, f"{f.name} holds what no record granted")
+                        must(used <= row.granted_us - row.returned_us, f"{f.name} spends what went back")
+            made = f.keeper.committed
+            if made is not None and f.checked != (id(made), made.record_number):
+                f.checked = id(made), made.record_number
                 must(
-                    made.state() == self.group.states.get(made.no),
+                    made.state() == self.group.states.get(made.record_number),
                     f"the keeper at {f.name} has another ledger",
                 )
         for tenant, a in ledger.accounts.items():
             must(
-                truth[tenant] <= a.spent + a.held + a.written + a.lost,
+                truth[tenant] <= a.spent_us + a.held_us + a.written_off_us + a.lost_us,
                 f"{tenant}: spent what was not granted",
             )
-            most = a.figures.bucket_us + a.figures.rate_us * self.now * 1.03 / 1000
-            must(a.issued <= most, f"{tenant}: more issued than its rate and bucket")
-            must(truth[tenant] <= most + a.owes, f"{tenant}: spent more than its rate, bucket and loans")
+            most = a.terms.bucket_us + a.terms.rate_us * self.now * 1.03 / 1000
+            must(a.issued_us <= most, f"{tenant}: more issued than its rate and bucket")
+            must(truth[tenant] <= most + a.debt_us, f"{tenant}: spent more than its rate, bucket and loans")
 
     def rest(self, within_ms):
         """No more faults, no more queries: all comes to rest. What fronts that live hold is what the ledger says."""
@@ -351,35 +350,36 @@
         for f in self.fronts.values():
             for life in f.lives:
                 told = {}  # a late answer may make an empty row again of one that is noted
-                for key, mine in life.old.forgotten:
-                    told[key] = max(mine.spent, told.get(key, 0))
+                for key, mine in life.sealed_holdings.forgotten:
+                    told[key] = max(mine.spent_us, told.get(key, 0))
                 for key, spent in told.items():
-                    row = self.group.rows.get((f.name, life.incarnation, *key))
+                    row = self.group.entries.get((f.name, life.incarnation, *key))
                     must(
-                        spent == (row.spent if row else 0),
+                        spent == (row.spent_us if row else 0),
                         f"{f.name} spent and told other than the ledger noted",
                     )
-            must(not f.rights.leaving or f.rights.returned, f"{f.name} has not left")
+            must(not f.rights.leaving or f.rights.is_returned, f"{f.name} has not left")
             must(
-                not f.rights.old and not f.rights.tickets,
+                not f.rights.sealed_holdings and not f.rights.reservations,
                 f"{f.name} has sealed books that the ledger does not note",
             )
-            must(not any(f.rights.debts.values()), f"{f.name} has debts")
-            for tenant, mine in f.rights.rows.items():
-                row = ledger.books.get((f.name, f.incarnation, f.rights.book), {}).get(tenant)
+            must(not any(f.rights.overruns_us.values()), f"{f.name} has debts")
+            for tenant, mine in f.rights.holdings.items():
+                row = ledger.epochs.get((f.name, f.incarnation, f.rights.epoch), {}).get(tenant)
                 must(
-                    (row.granted, row.spent, row.returned) == (mine.known, mine.spent, mine.returned)
+                    (row.granted_us, row.spent_us, row.returned_us)
+                    == (mine.granted_us, mine.spent_us, mine.returned_us)
                     if row
-                    else not mine.known,
+                    else not mine.granted_us,
                     f"{f.name} and the ledger differ on {tenant}",
                 )
-        for key in ledger.books:
+        for key in ledger.epochs:
             now = self.fronts[key[0]]
             must(
-                key in ledger.lapsed or key[1:] == (now.incarnation, now.rights.book),
+                key in ledger.expired or key[1:] == (now.incarnation, now.rights.epoch),
                 f"book {key} was not closed",
             )
             must(
-                key not in ledger.lapsed or key[1] < now.incarnation,
+                key not in ledger.expired or key[1] < now.incarnation,
                 f"book {key}: its front lives and has told",
             )
--- a/tests/test_fleet_tenants.py
+++ b/tests/test_fleet_tenants.py
@@ -25,7 +25,7 @@
     def settle(self, now_ms, q, work_ms):
         self.told.append(("settle", work_ms))
 
-    def drop(self, now_ms, q):
+    def settle_at_estimate(self, now_ms, q):
         self.told.append(("drop",))
 
 
--- a/tests/test_golden_migration.py
+++ b/tests/test_golden_migration.py
@@ -1,8 +1,8 @@
-"""The migration's messages and logs are the bytes that revision 0018238 wrote, and are read with the same meaning.
+"""The migration's messages and logs are the same bytes as those of revision 0018238.
 
-A fleet is upgraded one gateway at a time: coordinators of both revisions hand sessions over to each other, and each
-reads the log that the other wrote. `golden/migration/transcript.json` was written by that revision from the same
-script.
+A fleet is upgraded one gateway at a time: coordinators of both revisions hand sessions over to each other,
+and each reads the log that the other wrote. `golden/migration/transcript.json` was written by that revision
+from the same script.
 """
 
 import json
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("group", GROUPS)
 def test_a_stored_log_is_loaded_as_before(group):
-    """From the snapshot at the end, from the one amid with the records after it, and from the records alone."""
+    """From the last snapshot, from the one amid with the records after it, and from the records alone."""
     golden = GOLDEN["replica_groups"][group]
     records = [bytes.fromhex(record) for record in golden["records"]]
     state, none_left = ledger_records.read(bytes.fromhex(golden["base_at_end"]), [])
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -12,9 +12,12 @@
 from quota_world import STEP_MS, TERM_MS, Violation, World
 
 from lichenquay.quota import quota_pb2 as pb
-from lichenquay.quota.escrow import Mine, Rights
-from lichenquay.quota.ledger import Ledger, LedgerError
-from lichenquay.quota.ledger_leader import Keeper
+from lichenquay.quota.errors import LedgerError
+from lichenquay.quota.escrow import TokenEscrow
+from lichenquay.quota.escrow_holding import EscrowHolding
+from lichenquay.quota.ledger import Ledger
+from lichenquay.quota.ledger_leader import LedgerLeader
+from lichenquay.quota.tenant_account import EntryTotals
 
 REST_MS = 20000.0  # limit 150 at half of 20 a second, and one term
 
@@ -80,7 +83,7 @@
             1500.0, lambda: front.up and world.group.holder != front.name and (front.kill(), front.start())
         )
     elif kind == "pressed":
-        front.rights.pressed = not front.rights.pressed
+        front.rights.under_pressure = not front.rights.under_pressure
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -91,19 +94,32 @@
 
 def test_the_seeds_reach_what_they_are_for():
     """Loans, repayments, lapses, written-off rests that come back, doubts, bars: a run without them shows nothing."""
-    seen = dict.fromkeys(("borrowed", "given_back", "spilled", "lost", "lapses", "doubts", "barred"), 0)
+    seen = dict.fromkeys(
+        (
+            "borrowed_us",
+            "collected_us",
+            "overflowed_us",
+            "lost_us",
+            "expiries",
+            "uncertain_writes",
+            "loans_barred",
+        ),
+        0,
+    )
 
     def count(world):
         for account in world.group.audit.accounts.values():
-            for name in ("borrowed", "given_back"):
+            for name in ("borrowed_us", "collected_us"):
                 seen[name] += getattr(account, name)
-        seen["lapses"] += sum(life.lapses for f in world.fronts.values() for life in f.lives)
-        seen["doubts"] += sum(f.keeper.doubts for f in world.fronts.values())
-        seen["barred"] += sum(f.keeper.barred for f in world.fronts.values())
+        seen["expiries"] += sum(life.expiries for f in world.fronts.values() for life in f.lives)
+        seen["uncertain_writes"] += sum(f.keeper.uncertain_writes for f in world.fronts.values())
+        seen["loans_barred"] += sum(f.keeper.loans_barred for f in world.fronts.values())
 
     for seed in range(30, 36):
         count(chaos(seed, 20))
-    assert all(seen[n] for n in ("borrowed", "given_back", "lapses", "doubts", "barred")), seen
+    assert all(
+        seen[n] for n in ("borrowed_us", "collected_us", "expiries", "uncertain_writes", "loans_barred")
+    ), seen
 
 
 # one message changed
@@ -163,8 +179,8 @@
     broke, count, world = each_changed(part)
     assert not broke and count > 2400 // part, broke[:5]
     a = world.group.audit.accounts["a"]
-    assert a.borrowed and a.borrowed == a.repaid and world.group.audit.accounts["b"].given_back
-    assert any(life.lapses for life in world.fronts["f2"].lives)
+    assert a.borrowed_us and a.borrowed_us == a.repaid_us and world.group.audit.accounts["b"].collected_us
+    assert any(life.expiries for life in world.fronts["f2"].lives)
 
 
 def test_a_message_that_breaks_something_is_named():
@@ -182,100 +198,100 @@
 class Broken:
     """Each breaks one rule. `keeper`, `rights`: used instead; `ledger`: patched in."""
 
-    class EagerKeeper(Keeper):
+    class EagerKeeper(LedgerLeader):
         """Tells what was decided, not what was made."""
 
-        def batch(self, now_ms):
-            super().batch(now_ms)
-            if self.out:
-                self.made, made = self.ahead, self.made
-                self.answer(now_ms)
-                self.made = made
+        def write_batch(self, now_ms):
+            super().write_batch(now_ms)
+            if self.pending_write:
+                committed, self.committed = self.committed, self.speculative
+                self.answer_requests(now_ms)
+                self.committed = committed
 
-    class HastyKeeper(Keeper):
+    class HastyKeeper(LedgerLeader):
         """Writes a front off before its rights have lapsed."""
 
         def __init__(self, *args):
             super().__init__(*args)
-            self.silence_ms = 0.3 * TERM_MS
+            self.expiry_ms = 0.3 * TERM_MS
 
-    class NewKeeper(Keeper):
+    class NewKeeper(LedgerLeader):
         """Takes fronts that it has not heard for silent when it takes office."""
 
-        def in_office(self, now_ms):
-            holds = super().in_office(now_ms)
-            self.office_ms = float("-inf")
-            return holds
+        def is_leading(self, now_ms):
+            leads = super().is_leading(now_ms)
+            self.term_started_ms = float("-inf")
+            return leads
 
-    class BoldKeeper(Keeper):
+    class BoldKeeper(LedgerLeader):
         """Takes a write whose end is in doubt for made."""
 
-        def done(self, now_ms, record, ok):
-            super().done(now_ms, record, True)
+        def on_write_ended(self, now_ms, record, committed):
+            super().on_write_ended(now_ms, record, True)
 
-    class ForgetfulKeeper(Keeper):
+    class ForgetfulKeeper(LedgerLeader):
         """Takes what older incarnations say for the newest one's word."""
 
         def heard(self, now_ms, sender, ask):
-            newest = self.newest.get(sender[0], (0,))[0]
+            newest = self.pending.newest.get(sender[0], (0,))[0]
             super().heard(now_ms, (sender[0], max(newest, sender[1])), ask)
 
-    class AddingRights(Rights):
+    class AddingRights(TokenEscrow):
         """Takes totals for further grants."""
 
-        def granted(self, now_ms, no, told):
-            mine = self.rows.setdefault(told.tenant, Mine())
-            mine.known += told.granted_us
+        def apply_grant(self, now_ms, request_number, granted):
+            holding = self.holdings.setdefault(granted.tenant, EscrowHolding())
+            holding.granted_us += granted.granted_us
 
-    class LastingRights(Rights):
+    class LastingRights(TokenEscrow):
         """Spends what has lapsed."""
 
-        def lapse(self, now_ms):
-            self.valid_ms = max(self.valid_ms, now_ms + 1)
+        def expire_if_due(self, now_ms):
+            self.expires_at_ms = max(self.expires_at_ms, now_ms + 1)
 
-    class AnyonesRights(Rights):
+    class AnyonesRights(TokenEscrow):
         """Counts answers to older incarnations, and to other fronts."""
 
         def heard(self, now_ms, sender, answer):
-            answer.front, answer.incarnation = self.name, self.incarnation
+            answer.front, answer.incarnation = self.gateway, self.incarnation
             super().heard(now_ms, sender, answer)
 
-    class SameBookRights(Rights):
+    class SameBookRights(TokenEscrow):
         """Uses a book again that it has sealed."""
 
-        def seal(self):
-            super().seal()
-            self.book -= 1
+        def seal_epoch(self):
+            super().seal_epoch()
+            self.epoch -= 1
 
 
 def repeats(self, record):
     for change in record.changes:
-        self.change(change)
-    self.no = max(self.no, record.no)
+        self.apply_change(change)
+    self.record_number = max(self.record_number, record.no)
     return True
 
 
 def adds(have, row):
-    return max(have.spent, row.spent_us), have.returned + row.returned_us, row.sealed
+    return EntryTotals(max(have.spent_us, row.spent_us), have.returned_us + row.returned_us, row.sealed)
 
 
 def no_limit(self, borrower, amount_us):
-    lender = max((t for t in self.accounts if t != borrower), key=lambda t: self.accounts[t].spare)
-    amount = min(amount_us, self.accounts[lender].spare)
+    lender = max((t for t in self.accounts if t != borrower), key=lambda t: self.accounts[t].lendable_us)
+    amount = min(amount_us, self.accounts[lender].lendable_us)
     return (
-        pb.Change(loan=pb.Loan(id=self.loans_made + 1, lender=lender, borrower=borrower, amount_us=amount))
-        if amount > 0 and not self.accounts[borrower].pool
+        pb.Change(loan=pb.Loan(id=self.last_loan_id + 1, lender=lender, borrower=borrower, amount_us=amount))
+        if amount > 0 and not self.accounts[borrower].pool_us
         else None
     )
 
 
 def gives_back(self, lapse):
-    for tenant, row in self.books.get((lapse.front, lapse.incarnation, lapse.book), {}).items():
-        account, left = self.accounts[tenant], row.left
-        row.returned, account.held, account.pool = (
-            row.returned + left,
-            account.held - left,
-            account.pool + left,
+    for tenant, row in self.epochs.get((lapse.front, lapse.incarnation, lapse.book), {}).items():
+        account, left = self.accounts[tenant], row.unsettled_us
+        row.returned_us, account.held_us, account.pool_us = (
+            row.returned_us + left,
+            account.held_us - left,
+            account.pool_us + left,
         )
 
 
@@ -291,15 +307,15 @@
     "another's answer counted": dict(rights=Broken.AnyonesRights),
     "a sealed book used again": dict(rights=Broken.SameBookRights),
     "records and repayments not idempotent": dict(ledger=dict(apply=repeats)),
-    "returns added, not the larger total": dict(ledger=dict(risen=staticmethod(adds))),
+    "returns added, not the larger total": dict(ledger=dict(merged_totals=staticmethod(adds))),
     "limit not of the whole fleet": dict(ledger=dict(decide_loan=no_limit)),
-    "overdue does not bar": dict(ledger=dict(overdue=lambda self, tenant: False)),
-    "what a silent front held is given back": dict(ledger=dict(on_lapse=gives_back)),
+    "overdue does not bar": dict(ledger=dict(is_overdue=lambda self, tenant: False)),
+    "what a silent front held is given back": dict(ledger=dict(apply_expiry=gives_back)),
 }
 
 
 @contextmanager
-def broken(keeper=Keeper, rights=Rights, ledger=None):
+def broken(keeper=LedgerLeader, rights=TokenEscrow, ledger=None):
     make, use = World.__init__, {"keeper": keeper, "rights": rights}
     with (
         mock.patch.multiple(Ledger, **ledger or {"VERSION": 1}, create=True),
