--- /dev/null
+++ b/tests/quota_audit.py
@@ -0,0 +1,147 @@
+"""What must hold in a `quota_world` after every step, and at rest. It knows more than any gateway."""
+
+from quota_group import require
+
+FASTEST_CLOCK = 1.03
+SETTLING_MS = 500
+
+
+class ForgettingDict(dict):
+    """Sealed holdings of a gateway; what the gateway forgets is kept here for the audit."""
+
+    def __init__(self):
+        """Empty."""
+        super().__init__()
+        self.forgotten = []
+
+    def __delitem__(self, key):
+        """Forgets a holding."""
+        self.forgotten.append((key, self[key]))
+        super().__delitem__(key)
+
+
+def holdings_of(escrow):
+    """((epoch, tenant), holding) of all that a gateway's incarnation ever held; some may come twice."""
+    yield from (((escrow.epoch, tenant), holding) for tenant, holding in escrow.holdings.items())
+    yield from escrow.sealed_holdings.items()
+    yield from escrow.sealed_holdings.forgotten
+
+
+class Audit:
+    """The audit of one world."""
+
+    def __init__(self, world):
+        """`world`: a quota_world.World."""
+        self.world = world
+
+    def check_change(self, ledger, change):
+        """What a change may not do, by what was committed before it."""
+        if not change.HasField("loan"):
+            return
+        loan = change.loan
+        borrower = ledger.accounts[loan.borrower]
+        ages_ms = [other.age_ms for other in ledger.loans.values() if other.borrower == loan.borrower]
+        require(
+            max(ages_ms, default=0) <= borrower.terms.term_ms,
+            f"{loan.borrower} borrows while a loan is overdue",
+        )
+        require(
+            borrower.debt_us + loan.amount_us <= borrower.terms.limit_us,
+            f"{loan.borrower} borrows over its limit",
+        )
+
+    def check(self):
+        """After a step: nothing is spent that was not granted, and all leaders have the committed ledger."""
+        used_us = dict.fromkeys(self.world.group.ledger.accounts, 0)
+        for gateway in self.world.gateways.values():
+            for escrow in gateway.incarnations:
+                self._check_holdings(gateway, escrow, used_us)
+            self._check_leader(gateway)
+        for tenant, account in self.world.group.ledger.accounts.items():
+            self._check_account(tenant, account, used_us[tenant])
+
+    def _check_holdings(self, gateway, escrow, used_us):
+        for (epoch, tenant), holding in holdings_of(escrow):
+            holding_used_us = holding.spent_us + holding.reserved_us
+            free_us = holding.granted_us - holding_used_us - holding.returned_us
+            least_us = min(free_us, holding.spent_us, holding.reserved_us, holding.returned_us)
+            require(least_us >= 0, f"{gateway.name} spends what it does not have")
+            entry = self.world.group.entries.get((gateway.name, escrow.incarnation, epoch, tenant))
+            if holding_used_us:
+                used_us[tenant] += holding_used_us
+            if entry is not None:
+                require(
+                    holding.granted_us <= entry.granted_us, f"{gateway.name} holds what no record granted"
+                )
+                require(
+                    holding_used_us <= entry.granted_us - entry.returned_us,
+                    f"{gateway.name} spends what it returned",
+                )
+
+    def _check_leader(self, gateway):
+        ledger = gateway.leader.committed
+        if ledger is None or gateway.checked == (id(ledger), ledger.record_number):
+            return
+        gateway.checked = id(ledger), ledger.record_number
+        require(
+            ledger.state() == self.world.group.states.get(ledger.record_number),
+            f"the leader at {gateway.name} has another ledger",
+        )
+
+    def _check_account(self, tenant, account, used_us):
+        """`used_us`: spent and reserved by all incarnations of all gateways; no ledger knows it in time."""
+        counted_us = account.spent_us + account.held_us + account.written_off_us + account.lost_us
+        require(used_us <= counted_us, f"{tenant}: spent what was not granted")
+        accrued_us = account.terms.rate_us * self.world.now * FASTEST_CLOCK / 1000
+        most_us = account.terms.bucket_us + accrued_us
+        require(account.issued_us <= most_us, f"{tenant}: more issued than its rate and bucket")
+        require(used_us <= most_us + account.debt_us, f"{tenant}: spent more than its rate, bucket and loans")
+
+    def check_rest(self):
+        """No message under way, no loan, and gateways and ledger agree on every amount."""
+        ledger = self.world.group.ledger
+        settled = all(at_ms < self.world.now + SETTLING_MS for at_ms, _, _ in self.world.events)
+        require(settled, "a message is still under way")
+        require(not ledger.loans, "loans are not repaid in time")
+        for gateway in self.world.gateways.values():
+            for escrow in gateway.incarnations:
+                self._check_forgotten(gateway, escrow)
+            self._check_escrow_at_rest(gateway)
+        for key in ledger.epochs:
+            gateway = self.world.gateways[key.gateway]
+            present = (gateway.incarnation, gateway.escrow.epoch)
+            require(
+                key in ledger.expired or (key.incarnation, key.epoch) == present,
+                f"epoch {tuple(key)} was not closed",
+            )
+            require(
+                key not in ledger.expired or key.incarnation < gateway.incarnation,
+                f"epoch {tuple(key)}: its gateway runs and has reported",
+            )
+
+    def _check_forgotten(self, gateway, escrow):
+        spent_us = {}  # a late answer may make an empty holding again of one that was reported
+        for key, holding in escrow.sealed_holdings.forgotten:
+            spent_us[key] = max(holding.spent_us, spent_us.get(key, 0))
+        for key, amount_us in spent_us.items():
+            entry = self.world.group.entries.get((gateway.name, escrow.incarnation, *key))
+            recorded_us = entry.spent_us if entry else 0
+            require(
+                amount_us == recorded_us, f"{gateway.name} spent and reported other than the ledger recorded"
+            )
+
+    def _check_escrow_at_rest(self, gateway):
+        escrow = gateway.escrow
+        require(not escrow.leaving or escrow.is_returned, f"{gateway.name} has not left")
+        unsettled = escrow.sealed_holdings or escrow.reservations
+        require(not unsettled, f"{gateway.name} has sealed holdings that the ledger does not have")
+        require(not any(escrow.overruns_us.values()), f"{gateway.name} has overruns")
+        entries = self.world.group.ledger.epochs.get((gateway.name, gateway.incarnation, escrow.epoch), {})
+        for tenant, holding in escrow.holdings.items():
+            entry = entries.get(tenant)
+            if entry is None:
+                agrees = not holding.granted_us
+            else:
+                recorded = (entry.granted_us, entry.spent_us, entry.returned_us)
+                agrees = recorded == (holding.granted_us, holding.spent_us, holding.returned_us)
+            require(agrees, f"{gateway.name} and the ledger differ on {tenant}")
