--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -81,7 +81,7 @@
 
     def tick(self, now_ms: float) -> None:
         """Goes on with handovers, and sends again what was not answered."""
-        if not self.is_leader(now_ms):
+        if not self.is_leading(now_ms):
             self.handover_source.due_ms = now_ms + self.settings.tick_period_ms * IDLE_TICKS
             return
         self.handover_source.tick(now_ms)
@@ -124,7 +124,7 @@
         A session that was opened here by that name, and is still owned, is answered again: the client may not
         have received its id.
         """
-        if not self.is_leader(now_ms):
+        if not self.is_leading(now_ms):
             done(now_ms, NOT_LEADER)
             return
         if not are_valid_names(tenant, name):
@@ -174,7 +174,7 @@
 
         A query that is known is attached to, and not submitted again; see `resubmit_query`.
         """
-        if not self.is_leader(now_ms):
+        if not self.is_leading(now_ms):
             done(now_ms, NOT_LEADER)
             return
         found = self.find_session(tenant, session_id)
@@ -219,7 +219,7 @@
 
     def _answer_committed(self, answer: Answer, done: AnswerCallback, now_ms: float, committed: bool) -> None:
         # If the term has ended meanwhile, the next leader may be answering 'failed' already.
-        done(now_ms, answer if committed and self.is_leader(now_ms) else NOT_LEADER)
+        done(now_ms, answer if committed and self.is_leading(now_ms) else NOT_LEADER)
 
     def resubmit_query(
         self,
@@ -256,7 +256,7 @@
 
     def attach_query(self, now_ms: float, tenant: str, session_id: str, query_id: str) -> Answer:
         """A client asks again for an earlier query of its session."""
-        if not self.is_leader(now_ms):
+        if not self.is_leading(now_ms):
             return NOT_LEADER
         found = self.find_session(tenant, session_id)
         if isinstance(found, Answer):
@@ -290,7 +290,7 @@
         self, now_ms: float, tenant: str, session_id: str, decide: Callable[[], pb.Change | None]
     ) -> bool:
         recorded = (
-            self.is_leader(now_ms)
+            self.is_leading(now_ms)
             and not isinstance(self.find_session(tenant, session_id), Answer)
             and self.propose(decide())
         )
@@ -317,7 +317,7 @@
         if kind is None or not is_for_here or not is_intact(message):
             self.rejected_messages += 1
             return
-        if not self.is_leader(now_ms):
+        if not self.is_leading(now_ms):
             self.misdirected_messages += 1
             return
         if kind == "offer":
--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -322,7 +322,7 @@
             self.counters.handed_over += 1
 
     def _handed_over(self, session_id: str, now_ms: float, committed: bool) -> None:
-        if committed and self.coordinator.is_leader(now_ms):
+        if committed and self.coordinator.is_leading(now_ms):
             self.send_handovers(now_ms)
 
     def send_handovers(self, now_ms: float) -> None:
--- a/lichenquay/migration/session_log.py
+++ b/lichenquay/migration/session_log.py
@@ -4,10 +4,10 @@
 
     held -> frozen -> offered(target) -> handed over(target)        resumed: frozen or offered -> held
 
-`handed over` is the point of no return: from that record on this replica group never acts for that
-generation of the session. Handovers from one replica group to another are numbered, and the target's log has
-the numbers that it received: a handover that comes twice, or late by any time, is not accepted again, even
-if all else about the session is forgotten. Design: docs/design/migration.md.
+`handed over` is the point of no return: from that record on this replica group never acts for that generation
+of the session. Handovers from one replica group to another are numbered, and the target's log has the numbers
+that it received: a handover that comes twice, or late by any time, is not accepted again, even if all else
+about the session is forgotten. Design: docs/design/migration.md.
 """
 
 from typing import NamedTuple
--- a/lichenquay/migration/state_machine.py
+++ b/lichenquay/migration/state_machine.py
@@ -1,9 +1,8 @@
 """The state machine of one replica group: what may change its sessions.
 
-A replica group is a group of `lease` under the name of a gateway; whoever holds it acts for its sessions.
-The `decide_` methods look and return a `Change`, or None; they alter nothing. The group makes a `Record` of
-changes durable, and then
-`apply` brings it in.
+A replica group is a group of `lease` under the name of a gateway; whoever holds it acts for its sessions. The
+`decide_` methods look and return a `Change`, or None; they alter nothing. The group makes a `Record` of
+changes durable, and then `apply` brings it in.
 """
 
 from collections.abc import Iterable
--- a/lichenquay/quota/account_settings.py
+++ b/lichenquay/quota/account_settings.py
@@ -22,6 +22,7 @@
     `limit_ms`: the most that the tenant may owe; a loan is due after `term_ms`.
     `repay_share`: the part of its accrual that repays its debts.
     `lend_share`: the part of its bucket that it never lends.
+
     Raises AccountTermsError.
     """
 
--- a/lichenquay/quota/ledger.py
+++ b/lichenquay/quota/ledger.py
@@ -44,14 +44,13 @@
         entry = self.epochs.get(EpochKey(gateway, incarnation, row.book), {}).get(row.tenant)
         if entry is None:
             return None
-        too_much = ImplausibleReportError(f"{gateway} reports more than it was granted of {row.tenant}")
         if row.spent_us + row.returned_us > row.known_us or row.known_us > entry.granted_us:
-            raise too_much
+            raise _implausible(gateway, row)
         merged = self.merged_totals(entry, row)
-        if tuple(merged) == (entry.spent_us, entry.returned_us, entry.sealed):
+        if merged == (entry.spent_us, entry.returned_us, entry.sealed):
             return None
         if merged.spent_us + merged.returned_us > entry.granted_us:
-            raise too_much
+            raise _implausible(gateway, row)
         reported = pb.Row(
             tenant=row.tenant,
             book=row.book,
@@ -144,3 +143,7 @@
             ledger.apply(record if isinstance(record, pb.Record) else pb.Record.FromString(record))
         ledger.check()
         return ledger
+
+
+def _implausible(gateway: str, row: pb.Row) -> ImplausibleReportError:
+    return ImplausibleReportError(f"{gateway} reports more than it was granted of {row.tenant}")
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,17 +1,16 @@
 """The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
 `heard` and `tick` bring time in, `outbox` takes answers out. Requests are gathered for a period, decided as
-one record, committed by the group, and only then answered. There are two ledgers: `speculative` has what was
-decided,
-`committed` what the group has committed; they differ while a write is pending. Where the result of a write
-is not known, this process does not lead until the group's next generation.
+one record, committed by the group, and only then answered. See `lease.leadership` for the two ledgers,
+committed and speculative.
 """
 
-from collections.abc import Callable, Iterable
-from typing import NamedTuple, Protocol
+from collections.abc import Iterable
+from typing import NamedTuple
 
 from google.protobuf.message import DecodeError
 
+from lichenquay.lease.leadership import Leader, ReplicatedGroup
 from lichenquay.lease.settings import DRIFT
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import ImplausibleReportError, LedgerError
@@ -25,25 +24,6 @@
 SCARCE_PERIODS = 10  # a tenant counts as scarce for so long after it was last short
 
 
-class ReplicatedGroup(Protocol):
-    """What the leader needs of the replicated group that stores the ledger."""
-
-    generation: int
-
-    def holds(self, now_ms: float) -> bool:
-        """Whether this process holds the group's lease."""
-
-    def write(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
-        """Calls `done(now_ms, committed)` once, now or later.
-
-        `committed`: True, False (surely not), or None (not known). Without that call, this process never
-        leads again.
-        """
-
-    def snapshot(self) -> tuple[bytes, list[bytes]]:
-        """The state that the holder found, and the records after it."""
-
-
 class PendingWrite(NamedTuple):
     """A write whose result is not known yet, and the generation that began it."""
 
@@ -61,71 +41,46 @@
     limit_ms: float
 
 
-class LedgerLeader:
+class LedgerLeader(Leader[Ledger]):
     """Leads the ledger while its gateway holds the group."""
 
+    load_errors = (LedgerError, DecodeError)
+
     def __init__(
         self, group: ReplicatedGroup, accounts: Iterable[pb.Open], term_ms: float, period_ms: float = 200.0
     ):
         """`accounts`: the terms of each tenant; `term_ms`: how long a gateway's tokens last."""
-        self.group = group
+        super().__init__(group, "the quota's ledger")
         self.accounts = list(accounts)
         self.period_ms = period_ms
         self.expiry_ms = term_ms * (1 + DRIFT)  # after this silence a gateway's tokens have surely expired
         self.outbox: list[OutgoingMessage] = []
         self.due_ms = 0.0
-        self.uncertain_generation: int | None = None  # in which the result of a write is not known
-        self.pending_write: PendingWrite | None = None
-        self.last_error: str | None = None  # why it does not lead though its gateway holds the group
+        self.accrued_until_ms = 0.0
+        self.last_record_ms = 0.0
         self.implausible_messages = 0
         self.shed_requests = 0
         self.misdirected_requests = 0
         self.loans_barred = 0
         self.records_committed = 0
-        self.uncertain_writes = 0
-        self.step_down()
+        self.forget_term(0.0)
 
     # Leadership.
 
-    def step_down(self) -> None:
-        """Forgets all that belongs to one leadership term."""
-        self.committed: Ledger | None = None
-        self.speculative: Ledger | None = None
-        self.generation: int | None = None
+    def load(self, state: bytes, records: list[bytes]) -> Ledger:
+        """The ledger of a snapshot and the records after it."""
+        return Ledger.load(state, records)
+
+    def forget_term(self, now_ms: float) -> None:
+        """Forgets requests and who was short of tokens."""
         self.pending = PendingRequests()
         self.unanswered: list[GatewayRequest] = []
         self.scarce_since_ms: dict[str, float] = {}
 
-    def is_leading(self, now_ms: float) -> bool:
-        """Whether this process may act now; a new term begins with what the group has committed."""
-        if not self.group.holds(now_ms) or self.group.generation == self.uncertain_generation:
-            if self.committed:
-                self.step_down()
-            return False
-        if self.committed is None or self.generation != self.group.generation:
-            return self._begin_term(now_ms)
-        return True
-
-    def _begin_term(self, now_ms: float) -> bool:
-        self.step_down()
-        if self.pending_write:
-            # A record of an earlier term could be committed after the state was read.
-            return False
-        self.generation = self.group.generation
-        try:
-            state, records = self.group.snapshot()
-            self.committed = Ledger.load(state, records)
-            self.speculative = Ledger.load(state, records)
-        except (LedgerError, DecodeError) as error:
-            # A ledger of a newer version or a damaged one is left alone: a new one would forgive all loans.
-            self.last_error = f"the quota's ledger cannot be read: {error}"
-            self.uncertain_generation = self.generation
-            self.step_down()
-            return False
-        self.term_started_ms = now_ms
+    def on_term_started(self, now_ms: float) -> None:
+        """Time without a leader is not accrued."""
         self.accrued_until_ms = now_ms
         self.last_record_ms = now_ms
-        return True
 
     # Requests of gateways.
 
@@ -232,11 +187,7 @@
         generation = self.pending_write.generation
         self.pending_write = None
         if not committed:
-            # Part of it may be committed or not; whoever leads next finds out from the group.
-            self.uncertain_writes += 1
-            if committed is None:
-                self.uncertain_generation = generation
-            self.step_down()
+            self.step_down_after_write(now_ms, committed, generation)
         if self.committed is None or self.generation != generation:
             return
         self.committed.apply(record)
--- a/lichenquay/quota/tenant_account.py
+++ b/lichenquay/quota/tenant_account.py
@@ -22,7 +22,7 @@
     `overflowed_us`: returned from an expired epoch when the bucket was full again.
     `lost_us`: written off, and its escrow entries forgotten.
     `collected_us`: repayments received as a lender.
-    The remainders are thousandths of a microsecond, carried to the next accrual.
+    `accrual_remainder`, `repayment_remainder`: thousandths of a microsecond, carried to the next accrual.
     """
 
     terms: pb.Open
--- a/tests/golden_migration_exchange.py
+++ b/tests/golden_migration_exchange.py
@@ -1,8 +1,7 @@
 """A scripted exchange of the migration protocol between three replica groups, as bytes.
 
 The clock and the network are deterministic, so that two revisions that behave the same produce the same
-transcript.
-`golden/migration/transcript.json` is the one of revision 0018238.
+transcript. `golden/migration/transcript.json` is the one of revision 0018238.
 """
 
 from lichenquay.migration import replica_group_state
--- a/tests/test_golden_quota.py
+++ b/tests/test_golden_quota.py
@@ -1,8 +1,8 @@
 """The quota's messages and ledger are the same bytes as those of revision 0018238.
 
-A fleet is upgraded one gateway at a time: leaders and gateways of both revisions talk to each other, and
-each reads the ledger that the other wrote. `golden/quota/transcript.json` was written by that revision from
-the same script.
+A fleet is upgraded one gateway at a time: leaders and gateways of both revisions talk to each other, and each
+reads the ledger that the other wrote. `golden/quota/transcript.json` was written by that revision from the
+same script.
 """
 
 import json
