--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -22,6 +22,7 @@
 from typing import NamedTuple
 
 from lichenquay.migration import migration_pb2 as pb
+from lichenquay.migration.handover_pacing import Backoffs, ByteBudget
 from lichenquay.migration.session import Session, SessionState
 from lichenquay.migration.target_selection import (
     LeavingPhase,
@@ -32,9 +33,7 @@
 )
 
 NEVER_MS = float("inf")
-MAX_BACKOFF_DOUBLINGS = 8
 IDLE_TICKS = 10  # tick periods between two ticks while nothing is to be handed over
-BURST_S = 0.25  # of the byte budget that may be saved up
 
 
 @dataclass
@@ -51,13 +50,6 @@
     offered_to: set[str] = field(default_factory=set)
 
 
-class Backoff(NamedTuple):
-    """A session or replica group that is not to be tried before that time."""
-
-    not_before_ms: float = 0
-    failures: int = 0
-
-
 class Repetition(NamedTuple):
     """When a handover is sent next, and the wait after that."""
 
@@ -94,9 +86,8 @@
         """Forgets what is not on record and belongs to one term."""
         self.attempts: dict[str, HandoverAttempt] = {}  # by session id
         self.repetitions: dict[str, Repetition] = {}  # by session id
-        self.backoffs: dict[str, Backoff] = {}  # by session id or replica group
-        self.budget_bytes = 0.0
-        self.budget_updated_ms: float | None = None
+        self.backoffs = Backoffs(self.settings)
+        self.budget = ByteBudget(self.settings.bytes_per_s)
         self.due_ms = 0.0
 
     # The host's calls.
@@ -161,11 +152,7 @@
             self._start_handovers(now_ms)
         self.send_handovers(now_ms)
         self.coordinator.handover_target.expire_reservations(now_ms)
-        self.backoffs = {
-            name: backoff
-            for name, backoff in self.backoffs.items()
-            if now_ms < backoff.not_before_ms + 2 * self.settings.max_backoff_ms
-        }
+        self.backoffs.forget_old(now_ms)
 
     def _advance_phase(self, now_ms: float) -> None:
         if self.phase is not LeavingPhase.ANNOUNCED:
@@ -195,30 +182,29 @@
     # Offers.
 
     def _select_target(self, now_ms: float, session: Session, excluded: Collection[str] = ()) -> str | None:
-        backing_off = {name for name, backoff in self.backoffs.items() if now_ms < backoff.not_before_ms}
         return select_target(
             session.session_id,
             session.max_size_bytes,
             self.engine_zones.get(session.engine, ""),
             self.members,
-            backing_off | set(excluded) | {self.coordinator.replica_group},
+            self.backoffs.waiting(now_ms) | set(excluded) | {self.coordinator.replica_group},
         )
 
     def _start_handovers(self, now_ms: float) -> None:
-        self._update_budget(now_ms)
+        self.budget.refill(now_ms)
         sessions = self.coordinator.speculative.sessions.values()
         under_way = sum(
             1 for session in sessions if session.state != SessionState.HELD and not session.is_tombstone
         )
         held = [session for session in sessions if session.state == SessionState.HELD]
         for session in handover_order(held):
-            if under_way >= self.settings.max_concurrent or self.budget_bytes < 0:
+            if under_way >= self.settings.max_concurrent or self.budget.is_exhausted:
                 return
-            if now_ms < self.backoffs.get(session.session_id, Backoff()).not_before_ms:
+            if self.backoffs.is_waiting(now_ms, session.session_id):
                 continue
             if self._start_handover(now_ms, session):
                 under_way += 1
-                self.budget_bytes -= session.max_size_bytes
+                self.budget.spend(session.max_size_bytes)
 
     def _start_handover(self, now_ms: float, session: Session) -> bool:
         target = self._select_target(now_ms, session)
@@ -230,14 +216,6 @@
         self._offer(now_ms, session.session_id, target)
         return True
 
-    def _update_budget(self, now_ms: float) -> None:
-        if self.budget_updated_ms is not None:
-            elapsed_s = (now_ms - self.budget_updated_ms) / 1000
-            added_bytes = elapsed_s * self.settings.bytes_per_s
-            most_bytes = self.settings.bytes_per_s * BURST_S
-            self.budget_bytes = min(most_bytes, self.budget_bytes + added_bytes)
-        self.budget_updated_ms = now_ms
-
     def _offer(self, now_ms: float, session_id: str, target: str) -> bool:
         change = self.coordinator.speculative.decide_offer(session_id, target)
         if not self.coordinator.propose(change):
@@ -260,7 +238,7 @@
             del self.attempts[session_id]
             return
         if now_ms >= attempt.started_ms + self.settings.max_freeze_ms:
-            self._back_off(now_ms, session_id)
+            self.backoffs.add_failure(now_ms, session_id)
             self._resume(session_id)
             return
         is_committed = committed is not None and (committed.state, committed.target) == (
@@ -278,11 +256,11 @@
         self.coordinator.send(attempt.target, offer=offer)
 
     def _offer_elsewhere(self, now_ms: float, session_id: str, attempt: HandoverAttempt) -> None:
-        self._back_off(now_ms, attempt.target)
+        self.backoffs.add_failure(now_ms, attempt.target)
         session = self.coordinator.speculative.sessions[session_id]
         target = self._select_target(now_ms, session, attempt.offered_to)
         if target is None or not self._offer(now_ms, session_id, target):
-            self._back_off(now_ms, session_id)
+            self.backoffs.add_failure(now_ms, session_id)
             self._resume(session_id)
 
     def _resume(self, session_id: str) -> None:
@@ -290,12 +268,6 @@
         if self.coordinator.propose(self.coordinator.speculative.decide_resume(session_id)):
             self.counters.resumed += 1
 
-    def _back_off(self, now_ms: float, name: str) -> None:
-        failures = self.backoffs.get(name, Backoff()).failures
-        doubled_ms = self.settings.backoff_ms * 2 ** min(failures, MAX_BACKOFF_DOUBLINGS)
-        wait_ms = min(self.settings.max_backoff_ms, doubled_ms)
-        self.backoffs[name] = Backoff(now_ms + wait_ms, failures + 1)
-
     # Answers of targets.
 
     def on_room(self, now_ms: float, message: pb.Message, room: pb.Room) -> None:
@@ -315,7 +287,7 @@
         if not room.yes:
             self._offer_elsewhere(now_ms, room.id, attempt)
             return
-        self.backoffs.pop(attempt.target, None)
+        self.backoffs.clear(attempt.target)
         change = self.coordinator.speculative.decide_hand_over(room.id, attempt.target)
         if self.coordinator.propose(change, partial(self._handed_over, room.id)):
             del self.attempts[room.id]
--- a/lichenquay/quota/ledger_records.py
+++ b/lichenquay/quota/ledger_records.py
@@ -2,8 +2,8 @@
 
 A record of the group is bounded in size and a batch of changes is not, so a batch is stored as pieces. It
 counts once all its pieces are there, one after the other. Pieces of a record whose rest never came (its
-leader lost the group in between) are dropped by the first piece of the next record: no gateway was told of
-it. Errors: protobuf's DecodeError, and LedgerError.
+leader lost the group in between) are dropped by the first piece of the next record: no gateway was answered
+by it. Errors: protobuf's DecodeError, and LedgerError.
 """
 
 from collections.abc import Callable, Iterable
@@ -39,7 +39,9 @@
         part = pb.Part.FromString(piece)
         if part.index == 0:
             incomplete = []
-        if part.index != len(incomplete):  # its first piece is missing, so no gateway was told of this record
+        if part.index != len(
+            incomplete
+        ):  # its first piece is missing: no gateway was answered by this record
             incomplete = []
             continue
         incomplete.append(piece)
--- a/lichenquay/quota/pending_requests.py
+++ b/lichenquay/quota/pending_requests.py
@@ -1,4 +1,4 @@
-"""What gateways have told the ledger's leader since its last record, and how recently."""
+"""What gateways have requested and reported since the leader's last record, and how recently."""
 
 from collections.abc import Container
 from typing import NamedTuple
@@ -114,7 +114,7 @@
         ]
 
     def forget_before(self, oldest_ms: float, open_epochs: Container[EpochKey]) -> None:
-        """Forgets gateways that were not heard since then.
+        """Forgets gateways without any request since then.
 
         Otherwise those that come and go would fill the memory.
         """
@@ -128,6 +128,6 @@
         }
 
     def is_fleet_under_pressure(self, since_ms: float) -> bool:
-        """Whether at least half of the gateways heard since then have no room for work beyond quota."""
+        """Whether at least half of the gateways seen since then have no room for work beyond quota."""
         reports = [report for report in self.pressure.values() if report.reported_ms > since_ms]
         return 2 * sum(report.under_pressure for report in reports) >= len(reports)
--- a/lichenquay/quota/token_allocation.py
+++ b/lichenquay/quota/token_allocation.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class TokenDemand:
-    """What one gateway still wants of one tenant; each amount is part of the next one."""
+    """What one gateway still demands of one tenant; each amount is part of the next one."""
 
     key: EpochKey
     under_pressure: bool
