--- a/tests/migration_audit.py
+++ b/tests/migration_audit.py
@@ -15,6 +15,9 @@
         self.evicted = set()
         self.submissions = {}  # query id: how often it was submitted
         self.moved = 0
+        self.allowed = 0  # submissions
+        self.frozen_at_ms = {}  # by session id
+        self.freeze_durations_ms = []  # of handovers, until they are accepted
 
     def record_committed(self, record):
         """Counts the changes of a record, and checks who owns each session then."""
@@ -24,8 +27,12 @@
                 self.opened[change.opened.id] = change.opened.tenant
             elif kind == "dropped":
                 self.evicted.add(change.dropped.id)
+            elif kind == "frozen":
+                self.frozen_at_ms[change.frozen.id] = self.world.now
             elif kind == "accepted":
                 self.moved += 1
+                frozen_at_ms = self.frozen_at_ms[change.accepted.session.id]
+                self.freeze_durations_ms.append(self.world.now - frozen_at_ms)
         for session_id in self.opened:
             self._check_owners(session_id)
 
@@ -62,6 +69,7 @@
         is_on_record = query_id in session.queries
         require(not mutating or is_on_record, f"{query_id} is submitted before it is on record")
         require(session.tenant == tenant, f"{session_id} is not of {tenant}")
+        self.allowed += 1
 
     def count_submission(self, query_id, mutating):
         """A query reaches its engine."""
