--- a/lichenquay/config/fleet_settings.py
+++ b/lichenquay/config/fleet_settings.py
@@ -4,7 +4,7 @@
 import re
 from typing import NamedTuple
 
-from lichenquay.quota.account_settings import figures_of
+from lichenquay.quota.account_settings import account_terms
 
 MAX_GATEWAYS = 1024
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # short, as every datagram carries some
@@ -88,7 +88,7 @@
 def ledger_account(account):
     """An account as the ledger takes it. Errors: ValueError, in one line."""
     quota = quota_account(account)
-    return figures_of(
+    return account_terms(
         quota.tenant,
         quota.rate_ms,
         quota.bucket_ms,
