--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,7 +1,7 @@
 """The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
 `heard` and `tick` bring time in, `outbox` takes answers out. Requests are gathered for a period, decided as
-one record, committed by the group, and only then answered. See `lease.leadership` for the two ledgers,
+one record, committed by the group, and only then answered. See `lease.leadership_term` for the two ledgers,
 committed and speculative.
 """
 
