--- /dev/null
+++ b/tests/storage_golden.py
@@ -0,0 +1,67 @@
+"""Scripted histories of a folder: every version with the format of revision 0018238 writes the same bytes."""
+
+from storage_real import make
+
+from lichenquay.storage.incarnation import next_incarnation
+
+FLEET = "fleet-golden"
+NAME = "front-1"
+MAX_BYTES = 64 << 10
+CLOCKS_MS = (1_700_000_000_000, 1_600_000_000_000)  # the second start finds a clock that was set back
+
+
+def write_incarnation(path):
+    """Two starts of one process; the incarnations that it was given."""
+    numbers = []
+    for unix_ms in CLOCKS_MS:
+        store = make(path, NAME, FLEET, MAX_BYTES)
+        numbers.append(next_incarnation(store, unix_ms)[0])
+        store.close()
+    return numbers
+
+
+def write_generations(path):
+    """Changes over several generations and two starts: sections put, replaced, deleted and empty."""
+    store = make(path, NAME, FLEET, MAX_BYTES)
+    for step in range(8):
+        store.append({f"owner/ledger/record/{step}": bytes([step]) * 5 * step, "last": b"%d" % step})
+        store.append({f"owner/ledger/record/{step - 3}": None, "empty": b""})
+        (store.compact if step in (2, 5) else store.flush)(0.0)
+    store.close()
+    store = make(path, NAME, FLEET, MAX_BYTES)
+    for step in range(3):
+        store.append({"name with ü": b"\x00\xff%d" % step})
+        store.flush(0.0)
+    store.close()
+
+
+def write_torn(path):
+    """As `write_generations`, and the first bytes of a record that power loss cut off."""
+    write_generations(path)
+    newest = max(path.glob("*.journal"))
+    with open(newest, "ab") as journal:
+        journal.write(b"\x00\x00\x00\x20\x00\x00\x00")
+
+
+HISTORIES = {"incarnation": write_incarnation, "generations": write_generations, "torn": write_torn}
+
+
+def files_of(path):
+    """{name: bytes} of a folder."""
+    return {file.name: file.read_bytes() for file in sorted(path.iterdir())}
+
+
+def meaning_of(path):
+    """What the store reads in a folder, as plain data. Reading writes a new generation: give it a copy."""
+    store = make(path, NAME, FLEET, MAX_BYTES)
+    meaning = {
+        "sections": {key: value.hex() for key, value in sorted(store.state.items())},
+        "number": store.number,
+        "generation": store.generation,
+        "left_out": [line.partition(":")[0] for line in store.left_out],
+        "left_bytes": store.left_bytes,
+        "files": sorted(files_of(path)),
+    }
+    meaning["incarnation"] = next_incarnation(store, 1000)[0]
+    store.close()
+    return meaning
