--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -66,7 +66,7 @@
 
 
 class Voter:
-    """One voter. Its group gives `send(name, body)` and `store(changes)`, and calls `on_stored`, late or never."""
+    """One voter. Its group gives `send(name, body)` and `store(changes)`, calls `on_stored`."""
 
     def __init__(self, rng, settings, now_ms, sections, is_new_disk, fold, send, store):
         """`sections`: what the folder has of this group. `rng` gives the recovery nonce of a lost folder."""
--- a/tests/lease_audit.py
+++ b/tests/lease_audit.py
@@ -1,190 +1,213 @@
-"""What must be true of a group after every step, whatever happens; and a world of such groups to try it on."""
+"""The invariants of a lease group, checked after every step, and a world of such groups to check them in."""
 
 from random import Random
 
-from virtual import World
+from lease_world import World
 
+from lichenquay.lease.durable_state import PROMISE_SECTION, STATE_SECTION
 from lichenquay.lease.group import LeaseGroup
 from lichenquay.lease.lease_pb2 import Promise, State
+from lichenquay.lease.messages import MessageKind
 from lichenquay.lease.phases import LeaseEvent
 from lichenquay.lease.settings import LeaseSettings
 
-QUICK = LeaseSettings(lease_ms=1000, heartbeat_ms=200, retry_ms=50, backoff_ms=100, max_records=8)
-SIZE = 8  # of a record: its number
+FAST_SETTINGS = LeaseSettings(lease_ms=1000, heartbeat_ms=200, retry_ms=50, backoff_ms=100, max_records=8)
+NUMBER_BYTES = 8  # of a record: its number; padding follows
 
 
 class InvariantError(AssertionError):
     """An invariant does not hold."""
 
 
-def demand(true, what):
-    if not true:
-        raise InvariantError(what)
+def require(condition, description):
+    """Raises InvariantError unless the condition holds."""
+    if not condition:
+        raise InvariantError(description)
 
 
 class Audit:
-    """Knows all that was written, all answers, and every state that a holder was given."""
+    """Knows all records that were appended, all results, and every state that a holder began with."""
 
     def __init__(self):
-        self.next, self.answers, self.made, self.never = 0, {}, [], set()
-        self.promised, self.held, self.answered, self.taken = {}, [], {}, []
-
-    def record(self, pad=0):
-        self.next += 1
-        self.answers[self.next] = []
-        return self.next.to_bytes(SIZE, "big") + bytes(pad)
-
-    def done(self, number, part, ok):
-        self.answers[number].append(ok)
-        demand(len(self.answers[number]) == 1, f"record {number}: answered twice, {self.answers[number]}")
-        if ok is True:
-            self.made.append(number)
-            self.right(part, f"record {number} said to be made")
-        elif ok is False:
-            self.never.add(number)
-
-    def right(self, part, when):
-        """The holder's state: no record twice, none that was refused, all that were made and in that order."""
-        base, records = part.state
-        whole = [int.from_bytes(r[:SIZE], "big") for r in [*split(base), *records]]
-        demand(len(set(whole)) == len(whole), f"{when}: a record twice in {whole}")
-        demand(not self.never & set(whole), f"{when}: a refused record in {whole}")
-        made = set(self.made)
-        demand(
-            [n for n in whole if n in made] == self.made,
-            f"{when}: {whole} lacks some of {self.made} or their order",
+        """Nothing has happened yet."""
+        self.last_number = 0
+        self.results = {}  # of each record, by number
+        self.committed = []  # numbers of records, in order
+        self.refused = set()  # numbers of records
+        self.promised = {}  # name -> (lost folders, generation)
+        self.held_generations = []
+        self.acknowledged = {}  # name -> (lost folders, (generation, index))
+        self.inherited = []  # numbers of the records that the latest holder began with
+
+    def new_record(self, padding=0):
+        """The next record."""
+        self.last_number += 1
+        self.results[self.last_number] = []
+        return self.last_number.to_bytes(NUMBER_BYTES, "big") + bytes(padding)
+
+    def record_result(self, number, group, result):
+        """Each record has one result; a committed one is in its holder's state."""
+        self.results[number].append(result)
+        has_one = len(self.results[number]) == 1
+        require(has_one, f"record {number}: answered twice, {self.results[number]}")
+        if result is True:
+            self.committed.append(number)
+            self.check_state(group, f"record {number} reported as committed")
+        elif result is False:
+            self.refused.add(number)
+
+    def check_state(self, group, when):
+        """No record is there twice, none that was refused, all that are committed and in that order."""
+        numbers = numbers_of(*group.state)
+        require(len(set(numbers)) == len(numbers), f"{when}: a record twice in {numbers}")
+        require(not self.refused & set(numbers), f"{when}: a refused record in {numbers}")
+        committed = set(self.committed)
+        require(
+            [number for number in numbers if number in committed] == self.committed,
+            f"{when}: {numbers} lacks some of {self.committed} or their order",
         )
-        return whole
-
-    def on_lease_event(self, part, event, generation):
-        """No generation is held twice, and each holder begins with what the one before had."""
-        if event is LeaseEvent.HOLDS:
-            demand(generation not in self.held, f"generation {generation} held twice")
-            self.held.append(generation)
-            whole = self.right(part, f"{part.name} holds {generation}")
-            # What one holder began with, in doubt or not, is the beginning for all later ones.
-            demand(
-                whole[: len(self.taken)] == self.taken,
-                f"{part.name} holds {generation} with {whole}, one before with {self.taken}",
-            )
-            self.taken = whole
-
-    def step(self, processes, local):
-        """processes: things with name, kept, part; local(process) its clock now."""
+        return numbers
+
+    def on_lease_event(self, group, event, generation):
+        """No generation is held twice, and each holder begins with what the one before began with."""
+        if event is not LeaseEvent.HOLDS:
+            return
+        require(generation not in self.held_generations, f"generation {generation} held twice")
+        self.held_generations.append(generation)
+        numbers = self.check_state(group, f"{group.name} holds {generation}")
+        # What one holder began with, in doubt or not, is the beginning for all later ones.
+        require(
+            numbers[: len(self.inherited)] == self.inherited,
+            f"{group.name} holds {generation} with {numbers}, one before with {self.inherited}",
+        )
+        self.inherited = numbers
+
+    def check_world(self, world):
+        """One process holds at most; no disk goes back behind a promise or an acknowledged position."""
         holders = [
-            (p.name, p.part.generation) for p in processes if p.part is not None and p.part.holds(local(p))
+            (process.name, process.group.generation)
+            for process in world.processes.values()
+            if process.group is not None and process.group.holds(process.local(world.now_ms))
         ]
-        demand(len(holders) <= 1, f"two hold at once: {holders}")
-        for p in processes:
-            is_, (lost, was) = promise_of(p.kept), self.promised.get(p.name, (0, 0))
-            demand(is_ >= was or lost != p.lost, f"{p.name}: generation {was}, then {is_} on its disk")
-            self.promised[p.name] = p.lost, is_
-            if p.name in self.answered:
-                has, said = position_of(p.kept), self._answered(p)
-                demand(has >= said, f"{p.name} answered for {said}, its disk has {has}")
-
-    def spoken(self, p, to, message):
+        require(len(holders) <= 1, f"two hold at once: {holders}")
+        for process in world.processes.values():
+            self._check_disk(process)
+
+    def _check_disk(self, process):
+        name = process.name
+        generation = promised_generation(process.sections)
+        lost_folders, before = self.promised.get(name, (0, 0))
+        is_monotonic = generation >= before or lost_folders != process.lost_folders
+        require(is_monotonic, f"{name}: generation {before}, then {generation} on its disk")
+        self.promised[name] = process.lost_folders, generation
+        if name in self.acknowledged:
+            stored = stored_position(process.sections)
+            acknowledged = self._acknowledged_position(process)
+            require(stored >= acknowledged, f"{name} answered for {acknowledged}, its disk has {stored}")
+
+    def check_message(self, process, to, message):
         """What a voter says is on its disk first."""
-        kind = message.WhichOneof("body")
-        if kind == "grant":
-            demand(
-                promise_of(p.kept) >= message.grant.generation,
-                f"{p.name} grants {message.grant.generation} before its disk has it",
-            )
-        if kind == "ack":
-            said = message.ack.position.label, message.ack.position.index
-            demand(
-                position_of(p.kept) >= said,
-                f"{p.name} answers for {said}, its disk has {position_of(p.kept)}",
-            )
-            self.answered[p.name] = p.lost, max(said, self._answered(p))
-
-    def _answered(self, p):
-        lost, said = self.answered.get(p.name, (0, (0, 0)))
-        return said if lost == p.lost else (0, 0)
-
-
-def promise_of(kept):
-    return Promise.FromString(kept.get("promise", b"")).generation
-
-
-def position_of(kept):
-    position = State.FromString(kept.get("state", b"")).position
+        kind = MessageKind(message.WhichOneof("body"))
+        if kind is MessageKind.ACQUIRE_GRANT:
+            check_grant(process.name, message.grant, process.sections)
+        if kind is MessageKind.APPEND_REPLY:
+            position = check_append_reply(process.name, message.ack, process.sections)
+            latest = max(position, self._acknowledged_position(process))
+            self.acknowledged[process.name] = process.lost_folders, latest
+
+    def _acknowledged_position(self, process):
+        lost_folders, position = self.acknowledged.get(process.name, (0, (0, 0)))
+        return position if lost_folders == process.lost_folders else (0, 0)
+
+
+def check_grant(name, grant, sections):
+    """A voter's promise is on its disk before it grants."""
+    is_stored = promised_generation(sections) >= grant.generation
+    require(is_stored, f"{name} grants {grant.generation} before its disk has it")
+
+
+def check_append_reply(name, reply, sections):
+    """The position of a reply, which is on the voter's disk."""
+    position = reply.position.label, reply.position.index
+    stored = stored_position(sections)
+    require(stored >= position, f"{name} answers for {position}, its disk has {stored}")
+    return position
+
+
+def promised_generation(sections):
+    """The generation that a voter promised, as its sections have it."""
+    return Promise.FromString(sections.get(PROMISE_SECTION, b"")).generation
+
+
+def stored_position(sections):
+    """(generation, index) of a voter's log, as its sections have it."""
+    position = State.FromString(sections.get(STATE_SECTION, b"")).position
     return position.label, position.index
 
 
 def fold(base, records):
-    return base + b"".join(len(r).to_bytes(2, "big") + r for r in records)
+    """The base is all records, each behind its length."""
+    return base + b"".join(len(record).to_bytes(2, "big") + record for record in records)
+
 
+def split_base(base):
+    """The records of a base that `fold` made."""
+    offset = 0
+    while offset < len(base):
+        size = int.from_bytes(base[offset : offset + 2], "big")
+        yield base[offset + 2 : offset + 2 + size]
+        offset += 2 + size
 
-def split(base):
-    at = 0
-    while at < len(base):
-        size = int.from_bytes(base[at : at + 2], "big")
-        yield base[at + 2 : at + 2 + size]
-        at += 2 + size
 
+def numbers_of(base, records):
+    """The numbers of all records of a state."""
+    return [int.from_bytes(record[:NUMBER_BYTES], "big") for record in [*split_base(base), *records]]
 
-def group_of(
-    audit, name, incarnation, voters, now_ms, kept, seed=0, settings=QUICK, is_new_disk=False, kind=LeaseGroup
+
+def make_world(
+    voters, seed=0, settings=FAST_SETTINGS, others=(), is_new_disk=True, group_class=LeaseGroup, **network
 ):
-    made = []
-    part = kind(
-        "g",
-        name,
-        incarnation,
-        voters,
-        Random(f"{seed}/{name}/{incarnation}"),
-        settings,
-        now_ms,
-        dict(kept),
-        is_new_disk=is_new_disk,
-        fold=fold,
-        on_lease_event=lambda now, event: audit.on_lease_event(made[0], event, made[0].generation),
-    )
-    made.append(part)
-    return part
-
-
-def world_of(voters, seed=0, settings=QUICK, more=(), fresh=True, kind=LeaseGroup, **net):
-    """(world, audit): processes that all want the group; `more` are no voters."""
+    """(world, audit): processes that are all candidates; `others` are no voters."""
     audit = Audit()
 
-    def make(p, local_ms):
-        part = group_of(
-            audit,
-            p.name,
-            p.incarnation,
+    def make(process, local_ms):
+        group = group_class(
+            "g",
+            process.name,
+            process.incarnation,
             voters,
-            local_ms,
-            p.kept,
-            seed,
+            Random(f"{seed}/{process.name}/{process.incarnation}"),
             settings,
-            is_new_disk=fresh and not p.lost,
-            kind=kind,
+            local_ms,
+            dict(process.sections),
+            is_new_disk=is_new_disk and not process.lost_folders,
+            fold=fold,
+            on_lease_event=lambda now_ms, event: audit.on_lease_event(group, event, group.generation),
         )
-        part.set_candidate(local_ms, True)
-        return part
+        group.set_candidate(local_ms, True)
+        return group
 
-    world = World([*voters, *more], make, seed, **net)
-    world.heeds.append(audit.spoken)
-    world.checks.append(lambda w: audit.step(w.all.values(), lambda p: p.local(w.now)))
+    world = World([*voters, *others], make, seed, **network)
+    world.send_checks.append(audit.check_message)
+    world.checks.append(audit.check_world)
     return world, audit
 
 
-def write(world, audit, name, pad=0):
-    """One record by whoever thinks that it holds."""
+def append_record(world, audit, name, padding=0):
+    """One record by a process, if it takes itself for the holder."""
 
-    def what(part, local_ms):
-        if part.holds(local_ms):
-            record = audit.record(pad)
-            number = audit.next
-            part.append(local_ms, record, lambda now, ok: audit.done(number, part, ok))
+    def append(group, local_ms):
+        if group.holds(local_ms):
+            record = audit.new_record(padding)
+            number = audit.last_number
+            group.append(local_ms, record, lambda now_ms, ok: audit.record_result(number, group, ok))
 
-    world.call(name, what)
+    world.call(name, append)
 
 
-def holder(world):
-    return next(
-        (p.name for p in world.all.values() if p.part is not None and p.part.holds(p.local(world.now))), None
-    )
+def holder_of(world):
+    """The name of the process that holds now, or None."""
+    for process in world.processes.values():
+        if process.group is not None and process.group.holds(process.local(world.now_ms)):
+            return process.name
+    return None
--- a/tests/lease_broken.py
+++ b/tests/lease_broken.py
@@ -191,15 +191,15 @@
     return new
 
 
-# Tried too, and found by nothing in the short form, as other rules cover for them or the case is rare: half a log
-# labelled with the new generation, append requests answered while a promise is written, grants of another
-# acquisition, any release notice taken for the holder's.
+# Tried too, and found by nothing in the short form, as other rules cover for them or the case is rare:
+# half a log labelled with the new generation, append requests answered while a promise is written, grants
+# of another acquisition, any release notice taken for the holder's.
 rule((Voter, "_is_outdated", always(False)), (Voter, "_reply_to_append", of_any_generation))(
     "no fence by generation"
 )
 rule((Voter, "__init__", then(no_wait_at_start)))("no wait after the voter's own start")
-rule((Voter, "_reply_to_append", then(no_wait_after_answer)))("no wait after an answer to the holder")
-rule((LeaseGroup, "_request_store", without_promise))("promise not stored")
+rule((Voter, "_reply_to_append", then(no_wait_after_answer)))("no wait after a reply to the holder")
+rule((LeaseGroup, "_request_store", without_promise))("a promise not stored")
 rule(
     (Voter, "_write", before_disk),
     (Voter, "handle", knows_time),
@@ -208,13 +208,15 @@
         "on_stored",
         lambda old: lambda self, now_ms, is_stored: old(self, now_ms, is_stored) if self.is_writing else None,
     ),
-)("answers before the disk did")
-rule((Leadership, "on_append_reply", then(from_answer)))("lease counted from the answer")
-rule((Leadership, "on_append_reply", then(any_append)))("an old round's answer counted for the latest")
-rule((Leadership, "_take_log_of", first_grant))("state of the first grant")
-rule((Leadership, "_commit", committed_at_one))("record made at one voter")
-rule((Voter, "_matches", numbers_only), (Voter, "_with_records", with_gap))("gap accepted")
+)("replies before the disk did")
+rule((Leadership, "on_append_reply", then(from_answer)))("the lease counted from the reply")
+rule((Leadership, "on_append_reply", then(any_append)))(
+    "a reply to an old append request counted for the latest"
+)
+rule((Leadership, "_take_log_of", first_grant))("the log of the first grant taken")
+rule((Leadership, "_commit", committed_at_one))("a record committed by one voter")
+rule((Voter, "_matches", numbers_only), (Voter, "_with_records", with_gap))("a gap accepted")
 rule((Voter, "_is_newer", always(True)))("an old offer taken")
-rule((Leadership, "_commit", acts_at_once))("acts before a majority keeps the state")
+rule((Leadership, "_commit", acts_at_once))("acts before a majority has the log")
 rule((Voter, "__init__", always_new_disk))("a voter without its folder votes")
-rule((Leadership, "release", releases_early))("the end said before the last record is made")
+rule((Leadership, "release", releases_early))("a release announced before the last record is committed")
--- a/tests/lease_explore.py
+++ b/tests/lease_explore.py
@@ -1,331 +1,444 @@
 """All interleavings of a small group on the real decision code: breadth first, each state once.
 
-A state is each process (as pickled), the folders, the messages under way, and what is left of the budget. From it:
-any message under way comes (and with `doubles` stays under way too); a disk answers (well, or with `fails` not); with
-`claims`, `writes`, `crashes` and `leaves` a process claims, writes, stops and starts with its folder, gives up; with
-`steps` time goes on by `step` of a lease for all, at each one's rate, and what is due is done (renewals, asking
-again). A message that never comes is a lost one: that needs no step; `cut` links (from, to) take nothing.
+A state is each process (pickled), the sections on the disks, the messages under way, and what is left of
+the budget. From a state: any message under way arrives (and with `duplicates` stays under way too); a disk
+answers (well, or with `disk_failures` not); with `acquisitions`, `appends`, `crashes` and `releases` a
+process acquires the lease, appends, stops and starts with its folder, releases; with `steps` time goes on
+by `step` of a lease for all, at each one's rate, and what is due is done. A message that never arrives is
+a lost one, which needs no step; `cut_links` (from, to) carry nothing.
 """
 
 import copyreg
 import pickle
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, replace
-
-from lease_audit import QUICK, InvariantError, demand, fold, position_of, promise_of, split
+from typing import NamedTuple
+
+from lease_audit import (
+    FAST_SETTINGS,
+    InvariantError,
+    check_append_reply,
+    check_grant,
+    fold,
+    numbers_of,
+    promised_generation,
+    require,
+)
+from lease_world import apply_changes
 
 from lichenquay.lease import lease_pb2
 from lichenquay.lease.group import LeaseGroup
 from lichenquay.lease.lease_pb2 import Message
-from lichenquay.lease.phases import Phase
+from lichenquay.lease.messages import MessageKind
+from lichenquay.lease.phases import LeaseEvent, Phase
 
-RATES = {"a": 0.95, "b": 1.05, "c": 1.05}
+NAMES = "abc"
+CLOCK_RATES = {"a": 0.95, "b": 1.05, "c": 1.05}
+RECORD = (1).to_bytes(8, "big")
+RESULT = "result"  # of an append, among what a node was notified of
 
 
-def wire(kind, data):
-    return getattr(lease_pb2, kind).FromString(data)
+def _from_wire(class_name, data):
+    return getattr(lease_pb2, class_name).FromString(data)
 
 
-def bare(message):
-    return wire, (type(message).__name__, message.SerializeToString())
+def _reduce_message(message):
+    return _from_wire, (type(message).__name__, message.SerializeToString())
 
 
-for one in ("Promise", "Claim", "Whole", "Position"):
-    copyreg.pickle(getattr(lease_pb2, one), bare)
+for _class_name in ("Promise", "Claim", "Whole", "Position"):
+    copyreg.pickle(getattr(lease_pb2, _class_name), _reduce_message)
 
 
 class Counter:
-    """Chance without chance: the n-th number drawn by a process in its incarnation."""
+    """In place of random numbers: the n-th number drawn by a process in its incarnation."""
 
     def __init__(self, start):
-        self.at = start
+        """`start`: below the first number."""
+        self.last = start
 
     def getrandbits(self, bits):
-        self.at += 1
-        return self.at
+        """The next number."""
+        self.last += 1
+        return self.last
 
     def uniform(self, low, high):
+        """The lowest."""
         return low
 
 
 class Node:
-    """One process; what it tells is read and emptied after each step."""
-
-    def __init__(self, kind, name, incarnation, now_ms, kept):
-        self.said, self.incarnation = [], incarnation
-        chance = Counter((ord(name) << 32) + (incarnation << 16))
-        self.group = kind(
+    """One process; what it is notified of is read and emptied after each step."""
+
+    def __init__(self, group_class, name, incarnation, now_ms, sections):
+        """A process with the sections of its folder."""
+        self.notices = []
+        self.incarnation = incarnation
+        counter = Counter((ord(name) << 32) + (incarnation << 16))
+        self.group = group_class(
             "g",
             name,
             incarnation,
-            "abc",
-            chance,
-            QUICK,
+            NAMES,
+            counter,
+            FAST_SETTINGS,
             now_ms,
-            kept,
+            sections,
             is_new_disk=True,
             fold=fold,
-            on_lease_event=self.told,
+            on_lease_event=self.on_lease_event,
         )
 
-    def told(self, now_ms, what):
-        self.said.append((what, self.group.state))
+    def on_lease_event(self, now_ms, event):
+        """Remembers the event, and the state at that time."""
+        self.notices.append((event, self.group.state))
 
-    def done(self, now_ms, ok):
-        self.said.append(("done", ok))
+    def on_result(self, now_ms, result):
+        """Remembers the result of an append."""
+        self.notices.append((RESULT, result))
 
 
 @dataclass(frozen=True)
 class Budget:
-    claims: tuple = ()  # who claims, in this order
-    writes: int = 0
+    """What may still happen."""
+
+    acquisitions: tuple = ()  # names, in this order
+    appends: int = 0
     crashes: int = 0
     steps: int = 0
-    doubles: int = 0
-    fails: int = 0
-    leaves: int = 0
-    step: float = 0.6
-    cut: tuple = ()
-    slow_disks: bool = False  # else a disk answers within the step
+    duplicates: int = 0
+    disk_failures: int = 0
+    releases: int = 0
+    step: float = 0.6  # of a lease
+    cut_links: tuple = ()
+    has_slow_disks: bool = False  # else a disk answers within the step
+
+
+class Packet(NamedTuple):
+    """A message under way."""
+
+    sender: tuple  # (name, incarnation)
+    to: str
+    data: bytes
+
+
+class DiskWrite(NamedTuple):
+    """A store request under way."""
+
+    name: str
+    number: int
+    changes: tuple
+
+
+class StepResult(NamedTuple):
+    """What a step of one process leads to."""
+
+    node: bytes
+    packets: frozenset
+    writes: tuple
+    notices: list
+
+
+class Move(NamedTuple):
+    """What may happen next; `append_number` of the message, where that is an append request."""
+
+    name: str
+    make: Callable
+    append_number: int = 0
 
 
 @dataclass(frozen=True)
 class State:
+    """Everything at one moment."""
+
     nodes: tuple  # of (name, pickled Node)
-    kept: tuple  # of (name, sorted items)
-    disks: tuple  # of (name, number, changes), under way
-    net: frozenset  # of (sender, to, bytes)
+    disks: tuple  # of (name, sorted sections)
+    writes: tuple  # of DiskWrite
+    packets: frozenset
     budget: Budget
     time: int = 0
-    asked: int = 0
-    made: tuple = ()
+    appended: int = 0
+    committed: tuple = ()
 
-    def local(self, name):
-        """A process's clock."""
-        return self.time * self.budget.step * QUICK.lease_ms * RATES[name]
+    def local_ms(self, name):
+        """The time by a process's clock."""
+        return self.time * self.budget.step * FAST_SETTINGS.lease_ms * CLOCK_RATES[name]
 
+    def spend(self, **less):
+        """This state with one less of each of these in the budget."""
+        left = {name: getattr(self.budget, name) - number for name, number in less.items()}
+        return replace(self, budget=replace(self.budget, **left))
 
-class Explorer:
-    """kind: the class under test. explore() gives the number of states; InvariantError carries the way to it in `way`."""
 
-    def __init__(self, budget, kind=LeaseGroup, begin=""):
-        self.budget, self.kind, self.begin = budget, kind, begin
-        self.memory, self._holds = {}, {}
+class Explorer:
+    """explore() gives the number of states; an InvariantError carries the way to it in `way`."""
+
+    def __init__(self, budget, group_class=LeaseGroup, begin=""):
+        """`begin`: the names that get the lease before the exploration, in this order."""
+        self.budget = budget
+        self.group_class = group_class
+        self.begin = begin
+        self.is_complete = False
+        self.done = []
+        self._results = {}
+        self._holds = {}
 
     def start(self):
-        nodes = {n: Node(self.kind, n, 1, 0.0, {}) for n in "abc"}
-        s = State(
-            tuple((n, pickled(nodes[n])) for n in "abc"),
-            tuple((n, ()) for n in "abc"),
-            (),
-            frozenset(),
-            self.budget,
-        )
+        """The first state."""
+        nodes = tuple((name, dump(Node(self.group_class, name, 1, 0.0, {}))) for name in NAMES)
+        disks = tuple((name, ()) for name in NAMES)
+        state = State(nodes, disks, (), frozenset(), Budget())
         for name in self.begin:
-            # Before the exploration: it claims, and all goes well.
-            s = self.act(replace(s, budget=Budget()), name, claim, claim)
-            while s.net:
-                m = min(s.net)
-                s = self.act(
-                    replace(s, net=s.net - {m}),
-                    m[1],
-                    m,
-                    lambda n, now: n.group.heard(now, m[0], Message.FromString(m[2])),
-                )
-            demand(self.holds(dict(s.nodes)[name], 0), f"{name} does not hold")
-        return replace(s, budget=self.budget)
-
-    def explore(self, most):
+            state = self.act(state, name, acquire, acquire)
+            while state.packets:
+                packet = min(state.packets)
+                state = self.receive(replace(state, packets=state.packets - {packet}), packet)
+            require(self.holds(dict(state.nodes)[name], 0), f"{name} does not hold")
+        return replace(state, budget=self.budget)
+
+    def explore(self, max_states):
+        """Visits every state, or as many; `is_complete` says which."""
         first = self.start()
-        came, line, self.whole = {first: None}, deque([first]), True
-        while line:
-            if len(came) >= most:
-                self.whole = False
+        origins = {first: None}
+        queue = deque([first])
+        self.is_complete = True
+        while queue:
+            if len(origins) >= max_states:
+                self.is_complete = False
                 break
-            state = line.popleft()
-            for what, move in self.moves(state):
+            state = queue.popleft()
+            for move in self.moves(state):
                 try:
-                    new = move()
-                except InvariantError as fault:
-                    fault.way = [*way(came, state), what]
+                    new = move.make()
+                except InvariantError as error:
+                    error.way = [*way_to(origins, state), move.name]
                     raise
-                if new is not None and new not in came:
-                    came[new] = (state, what)
-                    line.append(new)
-        return len(came)
+                if new is not None and new not in origins:
+                    origins[new] = (state, move.name)
+                    queue.append(new)
+        return len(origins)
 
     def follow(self, names):
-        """One way only: the moves of these names, of messages that of the latest round; what cannot be done is left
-        out."""
-        s, self.done = self.start(), []
+        """One way only: the moves of these names, of messages that of the latest append request.
+
+        What cannot be done is left out; `done` has the rest.
+        """
+        state = self.start()
+        self.done = []
         for name in names:
-            moves = [(latest, move()) for what, move, latest in self.named(s) if what == name]
-            new = max((m for m in moves if m[1] is not None), key=lambda m: m[0], default=(0, None))[1]
-            if new is not None:
-                s = new
+            made = [(move.append_number, move.make()) for move in self.moves(state) if move.name == name]
+            possible = [(number, new) for number, new in made if new is not None]
+            if possible:
+                _, state = max(possible, key=lambda numbered: numbered[0])
                 self.done.append(name)
 
-    def named(self, s):
-        numbers = [Message.FromString(m[2]).round.number for m in s.net]
-        for at, (what, move) in enumerate(self.moves(s)):
-            yield what, move, numbers[at] if at < len(numbers) and not s.budget.doubles else 0
-
-    def moves(self, s):
-        b = s.budget
-        for m in s.net:
-            sender, to, data = m
-            text = f"{to} hears {Message.FromString(data).WhichOneof('body')} of {sender[0]}"
-
-            def hear(n, now, m=m):
-                n.group.heard(now, m[0], Message.FromString(m[2]))
-
-            yield text, lambda m=m, hear=hear: self.act(replace(s, net=s.net - {m}), m[1], m, hear)
-            if b.doubles:
-                less = replace(s, budget=replace(b, doubles=b.doubles - 1))
-                yield text + ", and it stays", lambda m=m, hear=hear, less=less: self.act(less, m[1], m, hear)
-        for disk in s.disks:
-            yield f"{disk[0]}'s disk", lambda d=disk: self.disk(s, d, True)
-            if b.fails:
-                yield (
-                    f"{disk[0]}'s disk fails",
-                    lambda d=disk: self.disk(replace(s, budget=replace(b, fails=b.fails - 1)), d, False),
-                )
-        if b.claims:
-            less = replace(s, budget=replace(b, claims=b.claims[1:]))
-            yield f"{b.claims[0]} claims", lambda: self.act(less, b.claims[0], claim, claim)
-        if b.steps:
-            yield "time", lambda: self.time(replace(s, budget=replace(b, steps=b.steps - 1), time=s.time + 1))
-        for name in "abc":
-            if b.crashes:
-                less = replace(s, budget=replace(b, crashes=b.crashes - 1))
-                yield f"{name} stops and starts", lambda n=name, less=less: self.crash(less, n)
-            if b.writes:
-                less = replace(s, budget=replace(b, writes=b.writes - 1), asked=s.asked + 1)
-                yield f"{name} writes", lambda n=name, less=less: self.act(less, n, write, write)
-            if b.leaves:
-                less = replace(s, budget=replace(b, leaves=b.leaves - 1))
-                yield f"{name} gives up", lambda n=name, less=less: self.act(less, n, leave, leave)
-
-    def act(self, s, name, key, what):
+    def moves(self, state):
+        """All that may happen next."""
+        for packet in state.packets:
+            yield from self._packet_moves(state, packet)
+        for write in state.writes:
+            yield from self._disk_moves(state, write)
+        budget = state.budget
+        if budget.acquisitions:
+            name = budget.acquisitions[0]
+            less = replace(state, budget=replace(budget, acquisitions=budget.acquisitions[1:]))
+            yield Move(f"{name} acquires", lambda: self.act(less, name, acquire, acquire))
+        if budget.steps:
+            later = replace(state.spend(steps=1), time=state.time + 1)
+            yield Move("time", lambda: self.pass_time(later))
+        for name in NAMES:
+            yield from self._process_moves(state, name)
+
+    def _packet_moves(self, state, packet):
+        message = Message.FromString(packet.data)
+        kind = MessageKind(message.WhichOneof("body")).name.lower()
+        number = 0 if state.budget.duplicates else message.round.number
+        text = f"{packet.to} receives {kind} from {packet.sender[0]}"
+        without = replace(state, packets=state.packets - {packet})
+        yield Move(text, lambda: self.receive(without, packet), number)
+        if state.budget.duplicates:
+            less = state.spend(duplicates=1)
+            yield Move(text + ", and it stays", lambda: self.receive(less, packet))
+
+    def _disk_moves(self, state, write):
+        yield Move(f"{write.name}'s disk", lambda: self.answer_write(state, write, True))
+        if state.budget.disk_failures:
+            less = state.spend(disk_failures=1)
+            yield Move(f"{write.name}'s disk fails", lambda: self.answer_write(less, write, False))
+
+    def _process_moves(self, state, name):
+        if state.budget.crashes:
+            crashed = state.spend(crashes=1)
+            yield Move(f"{name} stops and starts", lambda: self.restart(crashed, name))
+        if state.budget.appends:
+            appended = replace(state.spend(appends=1), appended=state.appended + 1)
+            yield Move(f"{name} appends", lambda: self.act(appended, name, append, append))
+        if state.budget.releases:
+            released = state.spend(releases=1)
+            yield Move(f"{name} releases", lambda: self.act(released, name, release, release))
+
+    def receive(self, state, packet):
+        """A message arrives."""
+
+        def take(node, now_ms):
+            node.group.heard(now_ms, packet.sender, Message.FromString(packet.data))
+
+        return self.act(state, packet.to, packet, take)
+
+    def act(self, state, name, key, action):
         """One step of one process; the same step from the same state is taken from memory."""
-        now = s.local(name)
-        data = dict(s.nodes)[name]
-        key = data, now, key
-        if key not in self.memory:
+        now_ms = state.local_ms(name)
+        data = dict(state.nodes)[name]
+        key = data, now_ms, key
+        if key not in self._results:
             node = pickle.loads(data)
-            self.memory[key] = None if what(node, now) is False else self.taken(name, node)
-        return self.memory[key] and self.after(s, name, *self.memory[key])
+            is_possible = action(node, now_ms) is not False
+            self._results[key] = self.take_result(name, node) if is_possible else None
+        result = self._results[key]
+        return result and self.after(state, name, result)
 
-    def taken(self, name, node):
-        """(node pickled, messages, stores, told): taken out of the node."""
+    def take_result(self, name, node):
+        """Takes out of a node what it wants to send and store and what it was notified of."""
         group = node.group
-        sent = frozenset(((name, node.incarnation), to, m.SerializeToString()) for to, m in group.outbox)
-        disks, said = tuple((name, no, tuple(c.items())) for no, c in group.store_requests), node.said
-        group.outbox, group.store_requests, node.said = [], [], []
+        sender = name, node.incarnation
+        packets = frozenset(Packet(sender, to, message.SerializeToString()) for to, message in group.outbox)
+        writes = tuple(
+            DiskWrite(name, number, tuple(changes.items())) for number, changes in group.store_requests
+        )
+        notices = node.notices
+        group.outbox = []
+        group.store_requests = []
+        node.notices = []
         group.leadership.counts = dict.fromkeys(group.leadership.counts, 0)
         group.voter.counts = dict.fromkeys(group.voter.counts, 0)
-        return pickled(node), sent, disks, said
-
-    def after(self, s, name, node, sent, disks, said):
-        made, kept = s.made, dict(dict(s.kept)[name])
-        for _, _, data in sent:
-            m = Message.FromString(data)
-            if m.WhichOneof("body") == "grant":
-                demand(
-                    promise_of(kept) >= m.grant.generation,
-                    f"{name} grants {m.grant.generation} before its disk has it",
-                )
-            elif m.WhichOneof("body") == "ack":
-                at = m.ack.position.label, m.ack.position.index
-                demand(position_of(kept) >= at, f"{name} answers for {at}, its disk has {position_of(kept)}")
-        for what, it in said:
-            if what == "done" and it is True:
-                made += (s.asked,)
-            if what == "holds":
-                has = records(it)
-                demand(
-                    [r for r in has if r in made] == list(made), f"{name} holds with {has}, made is {made}"
-                )
-        nodes = tuple((n, node if n == name else p) for n, p in s.nodes)
-        net = s.net | {m for m in sent if (m[0][0], m[1]) not in s.budget.cut}
-        new = replace(s, nodes=nodes, net=net, disks=s.disks + disks, made=made)
+        return StepResult(dump(node), packets, writes, notices)
+
+    def after(self, state, name, result):
+        """The state after a step, with the invariants checked."""
+        sections = dict(dict(state.disks)[name])
+        for packet in result.packets:
+            message = Message.FromString(packet.data)
+            kind = MessageKind(message.WhichOneof("body"))
+            if kind is MessageKind.ACQUIRE_GRANT:
+                check_grant(name, message.grant, sections)
+            elif kind is MessageKind.APPEND_REPLY:
+                check_append_reply(name, message.ack, sections)
+        committed = self._committed_after(state, name, result.notices)
+        nodes = tuple((other, result.node if other == name else node) for other, node in state.nodes)
+        arriving = {p for p in result.packets if (p.sender[0], p.to) not in state.budget.cut_links}
+        new = replace(
+            state,
+            nodes=nodes,
+            packets=state.packets | arriving,
+            writes=state.writes + result.writes,
+            committed=committed,
+        )
         self.check(new)
-        if disks and not s.budget.slow_disks:
-            return self.disk(new, disks[-1], True)
+        if result.writes and not state.budget.has_slow_disks:
+            return self.answer_write(new, result.writes[-1], True)
         return new
 
-    def disk(self, s, disk, ok):
-        name, number, changes = disk
-        kept = dict(s.kept)
-        if ok:
-            there = dict(kept[name])
-            for key, value in changes:
-                there.pop(key, None) if value is None else there.__setitem__(key, value)
-            was, now = promise_of(dict(kept[name])), promise_of(there)
-            demand(now >= was, f"{name}: generation {was}, then {now} on its disk")
-            kept[name] = tuple(sorted(there.items()))
-        s = replace(s, kept=tuple(kept.items()), disks=tuple(d for d in s.disks if d != disk))
-        return self.act(s, name, (number, ok), lambda n, now: n.group.on_stored(now, number, ok))
-
-    def crash(self, s, name):
-        node = pickle.loads(dict(s.nodes)[name])
-        now = s.local(name)
-        new = Node(self.kind, name, node.incarnation + 1, now, dict(dict(s.kept)[name]))
-        return self.after(
-            replace(s, disks=tuple(d for d in s.disks if d[0] != name)), name, *self.taken(name, new)
-        )
-
-    def time(self, s):
-        for name in "abc":
-            s = self.act(s, name, tick, tick)
-        return s
-
-    def check(self, s):
-        holders = [n for n, p in s.nodes if self.holds(p, s.local(n))]
-        demand(len(holders) <= 1, f"two hold at once: {holders}")
-
-    def holds(self, data, now):
-        key = data, now
+    def _committed_after(self, state, name, notices):
+        committed = state.committed
+        for what, value in notices:
+            if what == RESULT and value is True:
+                committed += (state.appended,)
+            if what == LeaseEvent.HOLDS:
+                numbers = numbers_of(*value)
+                require(
+                    [number for number in numbers if number in committed] == list(committed),
+                    f"{name} holds with {numbers}, committed is {committed}",
+                )
+        return committed
+
+    def answer_write(self, state, write, is_stored):
+        """A disk answers."""
+        disks = dict(state.disks)
+        if is_stored:
+            sections = dict(disks[write.name])
+            before = promised_generation(sections)
+            apply_changes(sections, dict(write.changes))
+            now = promised_generation(sections)
+            require(now >= before, f"{write.name}: generation {before}, then {now} on its disk")
+            disks[write.name] = tuple(sorted(sections.items()))
+        left = tuple(other for other in state.writes if other != write)
+        state = replace(state, disks=tuple(disks.items()), writes=left)
+
+        def take(node, now_ms):
+            node.group.on_stored(now_ms, write.number, is_stored)
+
+        return self.act(state, write.name, (write.number, is_stored), take)
+
+    def restart(self, state, name):
+        """A process stops, and starts with its folder."""
+        incarnation = pickle.loads(dict(state.nodes)[name]).incarnation + 1
+        sections = dict(dict(state.disks)[name])
+        node = Node(self.group_class, name, incarnation, state.local_ms(name), sections)
+        left = tuple(write for write in state.writes if write.name != name)
+        return self.after(replace(state, writes=left), name, self.take_result(name, node))
+
+    def pass_time(self, state):
+        """What is due after a step of time is done by all."""
+        for name in NAMES:
+            state = self.act(state, name, tick, tick)
+        return state
+
+    def check(self, state):
+        """One process holds at most."""
+        holders = [name for name, node in state.nodes if self.holds(node, state.local_ms(name))]
+        require(len(holders) <= 1, f"two hold at once: {holders}")
+
+    def holds(self, data, now_ms):
+        """Whether a pickled node holds the lease."""
+        key = data, now_ms
         if key not in self._holds:
-            self._holds[key] = pickle.loads(data).group.holds(now)
+            self._holds[key] = pickle.loads(data).group.holds(now_ms)
         return self._holds[key]
 
 
-def pickled(node):
+def dump(node):
+    """A node as bytes."""
     return pickle.dumps(node, 5)
 
 
-def way(came, state):
-    steps = []
-    while came[state] is not None:
-        state, what = came[state]
-        steps.append(what)
-    return steps[::-1]
+def way_to(origins, state):
+    """The names of the moves that lead to a state."""
+    names = []
+    while origins[state] is not None:
+        state, name = origins[state]
+        names.append(name)
+    return names[::-1]
 
 
-def records(state):
-    base, after = state
-    return [int.from_bytes(r, "big") for r in [*split(base), *after]]
+# Actions of one process; False: not possible now.
 
 
-def claim(node, now):
+def acquire(node, now_ms):
+    """Starts an acquisition."""
     if node.group.leadership.phase is not Phase.IDLE:
         return False
-    node.group.leadership.acquire(now)
-    node.group._settle(now)
+    node.group.leadership.acquire(now_ms)
+    node.group._settle(now_ms)
+    return True
 
 
-def tick(node, now):
-    node.group.tick(now)
+def tick(node, now_ms):
+    """Does what is due."""
+    node.group.tick(now_ms)
 
 
-def write(node, now):
-    if not node.group.holds(now):
+def append(node, now_ms):
+    """Appends a record."""
+    if not node.group.holds(now_ms):
         return False
-    node.group.append(now, (1).to_bytes(8, "big"), node.done)
+    node.group.append(now_ms, RECORD, node.on_result)
+    return True
 
 
-def leave(node, now):
-    if not node.group.holds(now):
+def release(node, now_ms):
+    """Releases the lease."""
+    if not node.group.holds(now_ms):
         return False
-    node.group.release(now)
+    node.group.release(now_ms)
+    return True
--- a/tests/lease_faults.py
+++ b/tests/lease_faults.py
@@ -3,127 +3,189 @@
 from dataclasses import replace
 from random import Random
 
-from lease_audit import QUICK, SIZE, demand, holder, world_of, write
+from lease_audit import FAST_SETTINGS, NUMBER_BYTES, append_record, holder_of, make_world, require
+from lease_world import DiskMode
 
-FAULTS = ("kill", "folder", "pause", "cut", "one_way", "disk", "leave", "loss", "slow")
-REST_MS = 15 * QUICK.lease_ms  # after the last fault: somebody holds, and a record is made
+# The order of the faults decides what each seed plays.
+FAULTS = ("kill", "lose_folder", "pause", "cut", "cut_one_way", "disk", "release", "loss", "slow_links")
+MAX_RECOVERY_MS = (
+    15 * FAST_SETTINGS.lease_ms
+)  # after the last fault: somebody holds, and a record is committed
+VOTERS = "abcde"
+OTHERS = "xyz"
 
 
-def kinds(seed):
-    """Of a schedule: how many voters, how many others, how much more than its number a record may have."""
-    return {"voters": (3, 5, 3, 2)[seed % 4], "more": seed % 3, "pad": (0, 0, 300)[seed % 3]}
+def shape_of(seed):
+    """Of a schedule: the number of voters and of other processes, and the padding of its records."""
+    return {"voters": (3, 5, 3, 2)[seed % 4], "others": seed % 3, "padding": (0, 0, 300)[seed % 3]}
 
 
-def schedule(seed, voters=3, more=0, last_ms=30_000, faults=14, pad=0, **how):
-    """Runs one; returns its audit, and how long it took to come to rest. Broken where something does not hold."""
+def run_schedule(seed, voters=3, others=0, last_ms=30_000, faults=14, padding=0, **more):
+    """Runs one; returns its audit, and the time it took to recover. Raises InvariantError."""
     rng = Random(f"faults/{seed}")
-    names, others = "abcde"[:voters], "xyz"[:more]
-    everyone = [*names, *others]
-    net = {
+    voter_names = VOTERS[:voters]
+    names = [*voter_names, *OTHERS[:others]]
+    network = {
         "loss": rng.choice((0, 0.05, 0.2)),
-        "double": rng.choice((0, 0.1)),
-        "late": rng.choice((0, 0.05, 0.4)),
-        "delay": rng.choice(((0.2, 8), (0.2, 8), (1, 250))),
+        "duplication": rng.choice((0, 0.1)),
+        "lateness": rng.choice((0, 0.05, 0.4)),
+        "delay_ms": rng.choice(((0.2, 8), (0.2, 8), (1, 250))),
     }
-    # Where a round takes one record, what a voter lacks comes in many.
-    settings = replace(QUICK, max_append_bytes=rng.choice((800, SIZE))) if not pad else QUICK
-    world, audit = world_of(names, seed, settings, more=others, **net, **how)
-    for name in everyone:
-        world.at(rng.uniform(0, 300), lambda n=name: world.start(n))
-    at = 0
-    while at < last_ms:
-        at += rng.expovariate(1 / rng.choice((20, 150)))
-        world.at(at, lambda n=rng.choice(everyone): write(world, audit, n, rng.randrange(pad + 1)))
+    settings = FAST_SETTINGS
+    if not padding:
+        # Where an append request takes one record, what a voter lacks comes in many.
+        settings = replace(FAST_SETTINGS, max_append_bytes=rng.choice((800, NUMBER_BYTES)))
+    world, audit = make_world(voter_names, seed, settings, OTHERS[:others], **network, **more)
+    for name in names:
+        world.at(rng.uniform(0, 300), lambda name=name: world.start(name))
+    at_ms = 0
+    while at_ms < last_ms:
+        at_ms += rng.expovariate(1 / rng.choice((20, 150)))
+        name = rng.choice(names)
+        world.at(at_ms, lambda name=name: append_record(world, audit, name, rng.randrange(padding + 1)))
+    injector = FaultInjector(world, audit, rng, names, voter_names)
     for _ in range(faults):
-        _fault(world, audit, rng, rng.choice(FAULTS), rng.uniform(500, last_ms - 3000), everyone, names)
+        fault = rng.choice(FAULTS)
+        injector.schedule(fault, rng.uniform(500, last_ms - 3000))
     world.run(last_ms)
-    _mend(world, everyone)
-    return audit, _rest(world, audit, everyone)
-
-
-def _fault(world, audit, rng, what, at, everyone, voters):
-    name, other = rng.sample(everyone, 2) if len(everyone) > 1 else everyone * 2
-    much = rng.choice((50, 900, 2500))
-
-    def kill(folder=True):
-        p = world.all[name]
-        if p.part is None:
+    repair(world, names)
+    return audit, recovery_ms(world, audit, names)
+
+
+class FaultInjector:
+    """Schedules faults in a world."""
+
+    def __init__(self, world, audit, rng, names, voters):
+        """`voters`: those of the names that vote."""
+        self.world = world
+        self.audit = audit
+        self.rng = rng
+        self.names = names
+        self.voters = voters
+
+    def schedule(self, fault, at_ms):
+        """Draws who is hit and for how long."""
+        name, other = self.rng.sample(self.names, 2) if len(self.names) > 1 else self.names * 2
+        duration_ms = self.rng.choice((50, 900, 2500))
+        action = getattr(self, fault)
+        self.world.at(at_ms, lambda: action(name, other, duration_ms))
+
+    def kill(self, name, other, duration_ms, keeps_folder=True):
+        """A process stops, and starts again."""
+        world = self.world
+        process = world.processes[name]
+        if process.group is None:
             return
-        if not folder:
-            # Fewer than a majority may be without their state at a time: that is what is assumed.
-            blank = [
-                n
-                for n in voters
-                if n != name and (world.all[n].part is None or world.all[n].part.voter.is_recovering)
-            ]
-            folder = name not in voters or len(blank) >= (len(voters) - 1) // 2
+        if not keeps_folder:
+            keeps_folder = not self._may_lose_folder(name)
         world.kill(name)
-        if not folder:
-            p.kept, p.lost = {}, p.lost + 1
-        world.at(world.now + much, lambda: world.start(name) if p.part is None else None)
-
-    def cut(*links):
-        world.cut.update(links)
-        world.at(world.now + much, lambda: world.cut.difference_update(links))
-
-    def disk(how):
-        for n in rng.choice(([name], everyone)):
-            world.all[n].disk = how
-            world.at(world.now + much, lambda n=n: setattr(world.all[n], "disk", "well"))
-
-    def slow():
-        links = rng.choice(([(name, other)], [(name, n) for n in everyone], [(n, name) for n in everyone]))
-        world.slow.update(dict.fromkeys(links, 0.7 * QUICK.lease_ms))
-        world.at(world.now + 3 * much, lambda: [world.slow.pop(link, None) for link in links])
-
-    def leave():
-        write(world, audit, name)
-        world.call(name, lambda part, ms: part.release(ms))
-        world.at(world.now + much, lambda: world.call(name, lambda part, ms: part.set_candidate(ms, True)))
-
-    def loss():
-        before, world.loss = world.loss, 0.6
-        world.at(world.now + much, lambda: setattr(world, "loss", before))
-
-    all_ = [(name, n) for n in everyone]
-    world.at(
-        at,
-        {
-            "kill": kill,
-            "folder": lambda: kill(False),
-            "pause": lambda: world.pause(name, much),
-            "cut": lambda: cut(*all_, *[(b, a) for a, b in all_]),
-            "leave": leave,
-            "loss": loss,
-            "slow": slow,
-            "one_way": lambda: cut(*rng.choice([all_, [(name, other)], [(b, a) for a, b in all_]])),
-            "disk": lambda: disk(rng.choice(("full", "unsure", "slow"))),
-        }[what],
-    )
-
-
-def _mend(world, everyone):
-    world.cut.clear()
-    world.slow.clear()
-    world.loss = world.double = world.late = 0
-    world.delay = 0.2, 8
-    for name in everyone:
-        p = world.all[name]
-        p.disk, p.paused_until = "well", min(p.paused_until, world.now)
-        if p.part is None:
+        if not keeps_folder:
+            process.sections = {}
+            process.lost_folders += 1
+        world.at(world.now_ms + duration_ms, lambda: world.start(name) if process.group is None else None)
+
+    def _may_lose_folder(self, name):
+        """Fewer than a majority may be without their log at a time: that is what is assumed."""
+        groups = [self.world.processes[voter].group for voter in self.voters if voter != name]
+        without_log = [group for group in groups if group is None or group.voter.is_recovering]
+        return name in self.voters and len(without_log) < (len(self.voters) - 1) // 2
+
+    def lose_folder(self, name, other, duration_ms):
+        """A process stops, and starts again without its folder."""
+        self.kill(name, other, duration_ms, keeps_folder=False)
+
+    def pause(self, name, other, duration_ms):
+        """A process is paused."""
+        self.world.pause(name, duration_ms)
+
+    def _cut(self, links, duration_ms):
+        world = self.world
+        world.cut_links.update(links)
+        world.at(world.now_ms + duration_ms, lambda: world.cut_links.difference_update(links))
+
+    def _links_from(self, name):
+        return [(name, peer) for peer in self.names]
+
+    def cut(self, name, other, duration_ms):
+        """A process is cut off from all."""
+        outgoing = self._links_from(name)
+        self._cut([*outgoing, *[(to, sender) for sender, to in outgoing]], duration_ms)
+
+    def cut_one_way(self, name, other, duration_ms):
+        """Links that work one way."""
+        outgoing = self._links_from(name)
+        incoming = [(to, sender) for sender, to in outgoing]
+        self._cut(self.rng.choice([outgoing, [(name, other)], incoming]), duration_ms)
+
+    def disk(self, name, other, duration_ms):
+        """One disk, or all, are full, slow, or report writes as failed."""
+        mode = self.rng.choice((DiskMode.FULL, DiskMode.UNSURE, DiskMode.SLOW))
+        for hit in self.rng.choice(([name], self.names)):
+            process = self.world.processes[hit]
+            process.disk = mode
+            self.world.at(
+                self.world.now_ms + duration_ms,
+                lambda process=process: setattr(process, "disk", DiskMode.WELL),
+            )
+
+    def slow_links(self, name, other, duration_ms):
+        """Links with a delay of most of a lease."""
+        world = self.world
+        incoming = [(peer, name) for peer in self.names]
+        links = self.rng.choice(([(name, other)], self._links_from(name), incoming))
+        world.slow_links.update(dict.fromkeys(links, 0.7 * FAST_SETTINGS.lease_ms))
+        world.at(
+            world.now_ms + 3 * duration_ms,
+            lambda: [world.slow_links.pop(link, None) for link in links],
+        )
+
+    def release(self, name, other, duration_ms):
+        """A process releases the lease behind a record, and is a candidate again later."""
+        world = self.world
+        append_record(world, self.audit, name)
+        world.call(name, lambda group, local_ms: group.release(local_ms))
+        world.at(
+            world.now_ms + duration_ms,
+            lambda: world.call(name, lambda group, local_ms: group.set_candidate(local_ms, True)),
+        )
+
+    def loss(self, name, other, duration_ms):
+        """More than half of all messages are lost."""
+        world = self.world
+        before = world.loss
+        world.loss = 0.6
+        world.at(world.now_ms + duration_ms, lambda: setattr(world, "loss", before))
+
+
+def repair(world, names):
+    """Ends all faults."""
+    world.cut_links.clear()
+    world.slow_links.clear()
+    world.loss = 0
+    world.duplication = 0
+    world.lateness = 0
+    world.delay_ms = (0.2, 8)
+    for name in names:
+        process = world.processes[name]
+        process.disk = DiskMode.WELL
+        process.paused_until_ms = min(process.paused_until_ms, world.now_ms)
+        if process.group is None:
             world.start(name)
-        world.call(name, lambda part, ms: part.set_candidate(ms, True))
-
-
-def _rest(world, audit, everyone):
-    begun, made = world.now, len(audit.made)
-    while len(audit.made) == made and world.now < begun + REST_MS:
-        for name in everyone:
-            write(world, audit, name)
-        world.run(world.now + 50)
-    demand(
-        len(audit.made) > made,
-        f"no record made in {REST_MS} ms after the last fault; held by {holder(world)}",
+        world.call(name, lambda group, local_ms: group.set_candidate(local_ms, True))
+
+
+def recovery_ms(world, audit, names):
+    """The time until a record is committed; then three quiet leases, in which nothing may go wrong."""
+    begun_ms = world.now_ms
+    committed = len(audit.committed)
+    while len(audit.committed) == committed and world.now_ms < begun_ms + MAX_RECOVERY_MS:
+        for name in names:
+            append_record(world, audit, name)
+        world.run(world.now_ms + 50)
+    require(
+        len(audit.committed) > committed,
+        f"no record committed in {MAX_RECOVERY_MS} ms after the last fault; held by {holder_of(world)}",
     )
-    world.run(world.now + 3 * QUICK.lease_ms)
-    return world.now - begun - 3 * QUICK.lease_ms
+    quiet_ms = 3 * FAST_SETTINGS.lease_ms
+    world.run(world.now_ms + quiet_ms)
+    return world.now_ms - begun_ms - quiet_ms
--- a/tests/lease_mutation.py
+++ b/tests/lease_mutation.py
@@ -1,237 +1,274 @@
-"""One scenario on a group, recorded; then once more for every message in it and every mutation of that one.
+"""One scenario on a group, recorded; then once more for every message in it and every mutation of that
+message.
 
-The scenario: claim, write, renew, a process stops and starts, another claims, a folder is lost and its state comes
-back in pieces, the holder gives up and another takes over. All chance is a process's own, so that a run differs only
-by its mutation.
+The scenario: a process acquires the lease and appends, stops and starts; another acquires it; a folder is
+lost and its log comes back in chunks; the holder releases and another takes over. All chance is a
+process's own, so that a run differs only by its mutation.
 
-Fields whose neighbour would be a lie that no receiver can tell from truth (the assumption 'nobody forges messages')
-are left out:
+Left out are changes that no receiver can tell from truth (the assumption 'nobody forges messages'):
 
-- `Grant.whole` and `Grant.position` together lowered: a position alone is found out by its mark; both as of an older
-  state are not.
-- `Ack` of a round with that round's own number, token, and a position that the holder knows: the voter's word for its
-  disk is all there is.
-- `Blank.birth` as the voter's own number: it is the voter's own word.
+- `Grant.whole` and `Grant.position` lowered together: a position alone is found out by its digest; both as
+  of an older log are not.
+- `Ack` of an append request with that request's own number, token, and a position that the leader knows:
+  the voter's word for its disk is all there is.
+- `Blank.birth` as the voter's own nonce: it is the voter's own word.
 
-No mutation of one field gives any of these: a position carries a digest of its parts and of the records, a round and
-a claim a number drawn by chance that its answer must bring back. So every single field is tried.
+No mutation of one field gives any of these: a position carries a digest of its parts and of the records,
+an append request and an acquire request carry a random number that the reply must bring back. So every
+single field is tried.
 """
 
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
 from google.protobuf.message import DecodeError
-from lease_audit import QUICK, InvariantError, demand, holder, world_of, write
+from lease_audit import FAST_SETTINGS, InvariantError, append_record, holder_of, make_world, require
 
 from lichenquay.lease.lease_pb2 import Message
 
-EDGES = {
-    "uint64": (0, 1, 2**32, 2**64 - 1),
-    "fixed64": (0, 2**64 - 1),
-    "uint32": (0, 2**32 - 1),
-    "fixed32": (0, 2**32 - 1),
-}
-WHOLE = (
-    "lost",
-    "doubled",
-    "late past the next",
-    "late past the incarnation",
-    "swapped with the next",
-    "to another",
-    "cut off",
-    "flipped",
-)
 NAMES = "abc"
+UINT32_MAX = 2**32 - 1
+UINT64_MAX = 2**64 - 1
+DELAY_MS = 2.2  # of a message that arrives changed; others take 2 to 2.5
+BEHIND_NEXT_MS = 3
+
+
+class Transfer(NamedTuple):
+    """One message of the scenario, with what delivers it."""
+
+    world: object
+    sender: tuple  # (name, incarnation)
+    to: str
+    message: Message
+    deliver: Callable
+    held_back: list  # deliveries to be made behind the next message
+
+
+class Mutation(NamedTuple):
+    """A change of one message."""
+
+    name: str
+    apply: Callable
+
+
+class Violation(NamedTuple):
+    """What a mutation broke."""
+
+    message: str
+    mutation: str
+    error: str
+
+
+@dataclass
+class MutationRun:
+    """What was tried and what it broke."""
+
+    messages: int
+    mutants: int
+    violations: list
 
 
-def scenario(seed, at=None, change=None):
-    """Runs it with the `at`-th message changed; gives (messages sent, audit). InvariantError (also: did not come to rest)
-    with its cause."""
-    world, audit = world_of(NAMES, seed, delay=(2, 2.5), drift=0.02)
-    sent, held = [], []
+def play_scenario(seed, mutated=None, apply=None):
+    """Plays it with the `mutated`-th message changed; gives the messages sent, as (sender, to, message).
+
+    Raises InvariantError, also where no record is committed in time.
+    """
+    world, audit = make_world(NAMES, seed, delay_ms=(2, 2.5), drift=0.02)
+    sent = []
+    held_back = []
 
     def on_send(sender, to, message, deliver):
         number = len(sent)
         sent.append((sender, to, message))
-        if held and number > at:
-            # The one that was held back goes behind this one.
-            world.at(world.now + 3, held.pop())
-        if number == at:
-            change(world, sender, to, message, deliver, held)
+        if held_back and number > mutated:
+            world.at(world.now_ms + BEHIND_NEXT_MS, held_back.pop())
+        if number == mutated:
+            apply(Transfer(world, sender, to, message, deliver, held_back))
             return True
         return False
 
     world.on_send = on_send
     for name in NAMES:
         world.start(name)
-    first = rest(world, audit)
-    busy(world, audit, 3, pad=500)
+    first = run_until_committed(world, audit)
+    append_records(world, audit, 3, padding=500)
     world.kill(first)
-    second = rest(world, audit, 8)
-    busy(world, audit, 4)
+    second = run_until_committed(world, audit)
+    append_records(world, audit, 4)
     world.start(first)
-    world.run(world.now + QUICK.expiry_wait_ms)
-    lost = next(n for n in NAMES if n not in (second, first))
+    world.run(world.now_ms + FAST_SETTINGS.expiry_wait_ms)
+    lost = next(name for name in NAMES if name not in (second, first))
     world.kill(lost)
-    world.start(lost, folder=False)
-    world.run(world.now + 2 * QUICK.expiry_wait_ms)
-    demand(
-        world.all[lost].part.voter.recovery_nonce is None, f"{lost} has no state after its folder was lost"
-    )
-    who = holder(world) or rest(world, audit)
-    world.call(who, lambda part, ms: part.release(ms))
-    rest(world, audit)
-    busy(world, audit, 2)
-    return sent, audit
-
-
-def rest(world, audit, leases=8):
-    """Somebody holds, and a record is made."""
-    made, until = len(audit.made), world.now + leases * QUICK.lease_ms
-    while len(audit.made) == made and world.now < until:
+    world.start(lost, has_folder=False)
+    world.run(world.now_ms + 2 * FAST_SETTINGS.expiry_wait_ms)
+    is_back = not world.processes[lost].group.voter.is_recovering
+    require(is_back, f"{lost} has no log after its folder was lost")
+    holder = holder_of(world) or run_until_committed(world, audit)
+    world.call(holder, lambda group, local_ms: group.release(local_ms))
+    run_until_committed(world, audit)
+    append_records(world, audit, 2)
+    return sent
+
+
+def run_until_committed(world, audit, max_leases=8):
+    """Until somebody holds and a record is committed; the holder."""
+    committed = len(audit.committed)
+    until_ms = world.now_ms + max_leases * FAST_SETTINGS.lease_ms
+    while len(audit.committed) == committed and world.now_ms < until_ms:
         for name in NAMES:
-            write(world, audit, name)
-        world.run(world.now + 20)
-    demand(len(audit.made) > made, f"not at rest after {leases} leases; held by {holder(world)}")
-    return holder(world)
+            append_record(world, audit, name)
+        world.run(world.now_ms + 20)
+    is_committed = len(audit.committed) > committed
+    require(is_committed, f"nothing committed after {max_leases} leases; held by {holder_of(world)}")
+    return holder_of(world)
 
 
-def busy(world, audit, writes, pad=0):
-    for _ in range(writes):
+def append_records(world, audit, number, padding=0):
+    """Records by whoever holds, 40 ms apart."""
+    for _ in range(number):
         for name in NAMES:
-            write(world, audit, name, pad)
-        world.run(world.now + 40)
+            append_record(world, audit, name, padding)
+        world.run(world.now_ms + 40)
 
 
-def mutations(message):
-    """(name, change) for all that can become of a message."""
-    for name in WHOLE:
-        yield name, WAYS[name.split()[0]](name)
-    for path, field, value in fields(message):
-        for other in others(field, value):
-            yield f"{'.'.join(path)} = {other!r:.40}", changed(path, other)
+def mutations_of(message):
+    """All that can become of a message."""
+    yield from TRANSFER_MUTATIONS
+    for path, field, value in fields_of(message):
+        for other in other_values(field, value):
+            yield Mutation(f"{'.'.join(path)} = {other!r:.40}", change_field(path, other))
 
 
-def fields(message, path=()):
-    """Every field of a message, also those that are not set."""
-    for f in message.DESCRIPTOR.fields:
-        if f.message_type and f.containing_oneof and message.WhichOneof("body") != f.name:
+def fields_of(message, path=()):
+    """(path, descriptor, value) of every field of a message, also of those that are not set."""
+    for field in message.DESCRIPTOR.fields:
+        if field.message_type and field.containing_oneof and message.WhichOneof("body") != field.name:
             continue
-        if f.message_type:
-            yield from fields(getattr(message, f.name), (*path, f.name))
+        if field.message_type:
+            yield from fields_of(getattr(message, field.name), (*path, field.name))
         else:
-            yield (*path, f.name), f, getattr(message, f.name)
-
+            yield (*path, field.name), field, getattr(message, field.name)
 
-KINDS = {4: "uint64", 6: "fixed64", 13: "uint32", 7: "fixed32"}  # protobuf's numbers of types
 
-
-def others(field, value):
+def other_values(field, value):
+    """Values that a field may have instead."""
     if field.name == "records":
-        return (
-            [list(value)[:-1], list(value)[1:], [*value, b"more"], [*value, *value]] if value else [[b"more"]]
-        )
+        if not value:
+            return [[b"more"]]
+        return [list(value)[:-1], list(value)[1:], [*value, b"more"], [*value, *value]]
     if field.type == field.TYPE_STRING:
         return ["", value + "x"]
     if field.type == field.TYPE_BYTES:
         return [b"", value + b"x", value[:-1]]
     if field.type == field.TYPE_DOUBLE:
         return [0.0, -1.0, value + 1, 1e300, float("nan"), float("inf")]
-    kind = KINDS[field.type]
-    most = 2 ** (32 if kind.endswith("32") else 64) - 1
-    return sorted({v for v in (value - 1, value + 1, *EDGES[kind]) if 0 <= v <= most and v != value})
-
-
-def changed(path, value):
-    def change(world, sender, to, message, deliver, held):
-        new = Message.FromString(message.SerializeToString())
-        inner = new
+    edges = {
+        field.TYPE_UINT64: (0, 1, UINT32_MAX + 1, UINT64_MAX),
+        field.TYPE_FIXED64: (0, UINT64_MAX),
+        field.TYPE_UINT32: (0, UINT32_MAX),
+        field.TYPE_FIXED32: (0, UINT32_MAX),
+    }[field.type]
+    largest = UINT32_MAX if field.type in (field.TYPE_UINT32, field.TYPE_FIXED32) else UINT64_MAX
+    candidates = {value - 1, value + 1, *edges}
+    return sorted(other for other in candidates if 0 <= other <= largest and other != value)
+
+
+def change_field(path, value):
+    """Delivers a message with one field changed."""
+
+    def apply(transfer):
+        changed = Message.FromString(transfer.message.SerializeToString())
+        owner = changed
         for name in path[:-1]:
-            inner = getattr(inner, name)
+            owner = getattr(owner, name)
         if isinstance(value, list):
-            del getattr(inner, path[-1])[:]
-            getattr(inner, path[-1]).extend(value)
+            del getattr(owner, path[-1])[:]
+            getattr(owner, path[-1]).extend(value)
         else:
-            setattr(inner, path[-1], value)
-        world.at(world.now + 2.2, lambda: deliver(data=new.SerializeToString()))
-
-    return change
+            setattr(owner, path[-1], value)
+        data = changed.SerializeToString()
+        transfer.world.at(transfer.world.now_ms + DELAY_MS, lambda: transfer.deliver(data=data))
 
+    return apply
 
-def _lost(name):
-    return lambda world, sender, to, message, deliver, held: None
 
+def lose(transfer):
+    """It never arrives."""
 
-def _doubled(name):
-    def change(world, sender, to, message, deliver, held):
-        world.at(world.now + 2.2, deliver)
-        world.at(world.now + 2.7, deliver)
 
-    return change
+def double(transfer):
+    """It arrives twice."""
+    world = transfer.world
+    world.at(world.now_ms + DELAY_MS, transfer.deliver)
+    world.at(world.now_ms + DELAY_MS + 0.5, transfer.deliver)
 
 
-def _late(name):
-    def change(world, sender, to, message, deliver, held):
-        # Past the next round of the same two, or past all that these incarnations do.
-        world.at(
-            world.now + (QUICK.heartbeat_ms + 20 if name.endswith("next") else 2.5 * QUICK.expiry_wait_ms),
-            deliver,
-        )
+def delay_past_next(transfer):
+    """It arrives behind the next heartbeat of the same two."""
+    world = transfer.world
+    world.at(world.now_ms + FAST_SETTINGS.heartbeat_ms + 20, transfer.deliver)
 
-    return change
 
+def delay_past_incarnation(transfer):
+    """It arrives behind all that these incarnations do."""
+    world = transfer.world
+    world.at(world.now_ms + 2.5 * FAST_SETTINGS.expiry_wait_ms, transfer.deliver)
 
-def _swapped(name):
-    return lambda world, sender, to, message, deliver, held: held.append(deliver)
 
+def swap_with_next(transfer):
+    """It arrives behind the next message."""
+    transfer.held_back.append(transfer.deliver)
 
-def _to(name):
-    def change(world, sender, to, message, deliver, held):
-        other = next(n for n in NAMES if n not in (to, sender[0]))
-        world.at(world.now + 2.2, lambda: deliver(to=other))
 
-    return change
+def misdeliver(transfer):
+    """It arrives at another process."""
+    world = transfer.world
+    other = next(name for name in NAMES if name not in (transfer.to, transfer.sender[0]))
+    world.at(world.now_ms + DELAY_MS, lambda: transfer.deliver(to=other))
 
 
-def _damaged(name):
-    """What the envelope's checksum finds is lost; read all the same, it must not throw anything but what says that it
-    cannot be read."""
+def damage(cut_off):
+    """The envelope's checksum finds it, so it is lost; reading it must raise nothing but DecodeError."""
 
-    def change(world, sender, to, message, deliver, held):
-        data = message.SerializeToString()
-        for at in range(len(data)):
+    def apply(transfer):
+        data = transfer.message.SerializeToString()
+        for offset in range(len(data)):
+            flipped = data[:offset] + bytes([data[offset] ^ 0x10]) + data[offset + 1 :]
             try:
-                flipped = data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :]
-                Message.FromString(data[:at] if name == "cut off" else flipped)
+                Message.FromString(data[:offset] if cut_off else flipped)
             except DecodeError:
-                pass
-
-    return change
-
-
-WAYS = {
-    "lost": _lost,
-    "doubled": _doubled,
-    "late": _late,
-    "swapped": _swapped,
-    "to": _to,
-    "cut": _damaged,
-    "flipped": _damaged,
-}
-
-
-def run(seed, take=None, first=False):
-    """(messages, mutants, faults): all of them, or those of which `take(n)` is true. A fault: (message, mutation,
-    what)."""
-    sent, _ = scenario(seed)
-    mutants, faults, no = 0, [], 0
-    for at, (sender, to, message) in enumerate(sent):
-        for name, change in mutations(message):
-            no += 1
-            if take and not take(no):
                 continue
-            mutants += 1
+
+    return apply
+
+
+TRANSFER_MUTATIONS = (
+    Mutation("lost", lose),
+    Mutation("doubled", double),
+    Mutation("late past the next", delay_past_next),
+    Mutation("late past the incarnation", delay_past_incarnation),
+    Mutation("swapped with the next", swap_with_next),
+    Mutation("to another", misdeliver),
+    Mutation("cut off", damage(cut_off=True)),
+    Mutation("flipped", damage(cut_off=False)),
+)
+
+
+def run_mutants(seed, is_chosen=None):
+    """Plays the scenario once for each mutation, or for those of which `is_chosen(number)` is true."""
+    sent = play_scenario(seed)
+    run = MutationRun(len(sent), 0, [])
+    number = 0
+    for place, (sender, to, message) in enumerate(sent):
+        for mutation in mutations_of(message):
+            number += 1
+            if is_chosen and not is_chosen(number):
+                continue
+            run.mutants += 1
             try:
-                scenario(seed, at, change)
-            except (InvariantError, AssertionError) as fault:
-                faults.append((f"{at}: {sender[0]} to {to}, {message.WhichOneof('body')}", name, str(fault)))
-                if first:
-                    return len(sent), mutants, faults
-    return len(sent), mutants, faults
+                play_scenario(seed, place, mutation.apply)
+            except (InvariantError, AssertionError) as error:
+                text = f"{place}: {sender[0]} to {to}, {message.WhichOneof('body')}"
+                run.violations.append(Violation(text, mutation.name, str(error)))
+    return run
--- a/tests/lease_transcript.py
+++ b/tests/lease_transcript.py
@@ -6,7 +6,7 @@
 
 from random import Random
 
-from lease_audit import QUICK, fold, holder, world_of, write
+from lease_audit import FAST_SETTINGS, append_record, fold, holder_of, make_world
 from storage_golden import FLEET, NAME
 from storage_real import make
 
@@ -116,41 +116,43 @@
     Three voters found the group; records are written; the holder stops; another takes over; a voter loses its
     folder and fetches the whole state; the holder gives the group up.
     """
-    world, audit = world_of(NAMES, SEED, delay=(2, 2.5), drift=0.02, kind=recording_group(transcript))
+    world, audit = make_world(
+        NAMES, SEED, delay_ms=(2, 2.5), drift=0.02, group_class=recording_group(transcript)
+    )
     for name in NAMES:
         world.start(name)
     _run_until_held(world)
-    _write_records(world, audit, 6, pad=220)
-    first = holder(world)
+    _write_records(world, audit, 6, padding=220)
+    first = holder_of(world)
     world.kill(first)
     _run_until_held(world)
-    _write_records(world, audit, 6, pad=3)
-    second = holder(world)
+    _write_records(world, audit, 6, padding=3)
+    second = holder_of(world)
     world.start(first)
-    world.run(world.now + QUICK.expiry_wait_ms)
+    world.run(world.now_ms + FAST_SETTINGS.expiry_wait_ms)
     lost = next(name for name in NAMES if name not in (first, second))
     world.kill(lost)
-    world.run(world.now + 20)
-    world.start(lost, folder=False)
-    world.run(world.now + 2 * QUICK.expiry_wait_ms)
+    world.run(world.now_ms + 20)
+    world.start(lost, has_folder=False)
+    world.run(world.now_ms + 2 * FAST_SETTINGS.expiry_wait_ms)
     _run_until_held(world)
-    second = holder(world)
-    world.call(second, lambda part, now_ms: part.release(now_ms))
-    world.run(world.now + QUICK.backoff_ms)
+    second = holder_of(world)
+    world.call(second, lambda group, now_ms: group.release(now_ms))
+    world.run(world.now_ms + FAST_SETTINGS.backoff_ms)
     _run_until_held(world)
     _write_records(world, audit, 2)
-    return {name: encoded_changes(process.kept) for name, process in sorted(world.all.items())}
+    return {name: encoded_changes(process.sections) for name, process in sorted(world.processes.items())}
 
 
 def _run_until_held(world):
-    assert world.run(world.now + 8 * QUICK.lease_ms, lambda: holder(world))
+    assert world.run(world.now_ms + 8 * FAST_SETTINGS.lease_ms, lambda: holder_of(world))
 
 
-def _write_records(world, audit, number, pad=0):
+def _write_records(world, audit, number, padding=0):
     for _ in range(number):
         for name in NAMES:
-            write(world, audit, name, pad)
-        world.run(world.now + 20)
+            append_record(world, audit, name, padding)
+        world.run(world.now_ms + 20)
 
 
 def replay(life, messages):
@@ -163,7 +165,7 @@
         life["incarnation"],
         NAMES,
         Random(f"{SEED}/{life['name']}/{life['incarnation']}"),
-        QUICK,
+        FAST_SETTINGS,
         life["now_ms"],
         sections,
         is_new_disk=life["fresh"],
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,194 +1,250 @@
-"""One owner at a time: what a group does in the plain cases, its bounds, and what it refuses."""
+"""A lease group in the plain cases, its bounds, and what it refuses."""
 
 from random import Random
 
 import pytest
-from lease_audit import QUICK, fold, holder, position_of, split, world_of, write
+from lease_audit import (
+    FAST_SETTINGS,
+    append_record,
+    fold,
+    holder_of,
+    make_world,
+    numbers_of,
+    stored_position,
+)
+from lease_world import DiskMode, apply_changes
 
 from lichenquay.lease.durable_state import changes_between, load
+from lichenquay.lease.errors import InvalidGroupError, RecordSizeError
 from lichenquay.lease.group import LeaseGroup
 from lichenquay.lease.lease_pb2 import Message
 from lichenquay.lease.log import LogPosition, ReplicatedLog
 
+LEASE_MS = FAST_SETTINGS.lease_ms
 
-def begun(seed=1, voters="abc", **more):
-    world, audit = world_of(voters, seed, **more)
-    for name in world.all:
+
+def world_with_holder(seed=1, voters="abc", **more):
+    """A world whose processes have all started, one of which holds."""
+    world, audit = make_world(voters, seed, **more)
+    for name in world.processes:
         world.start(name)
-    assert world.run(3000, lambda: holder(world))
+    assert world.run(3000, lambda: holder_of(world))
     return world, audit
 
 
-def writes(world, audit, many, pad=0):
-    for _ in range(many):
-        for name in world.all:
-            write(world, audit, name, pad)
-        world.run(world.now + 30)
+def append_records(world, audit, number, padding=0):
+    """Records by whoever holds, 30 ms apart."""
+    for _ in range(number):
+        for name in world.processes:
+            append_record(world, audit, name, padding)
+        world.run(world.now_ms + 30)
+
+
+def release(world, name):
+    """A process releases the lease."""
+    world.call(name, lambda group, local_ms: group.release(local_ms))
 
 
 @pytest.mark.parametrize("voters", ["a", "ab", "abc", "abcde"])
-def test_one_holds_and_its_records_are_made_once_and_in_order(voters):
-    world, audit = begun(voters=voters)
-    writes(world, audit, 30)
-    assert audit.made == list(range(1, 31)) and len(audit.held) == 1
-    part = world.all[holder(world)].part
-    base, records = part.state
-    assert [int.from_bytes(r, "big") for r in [*split(base), *records]] == audit.made
-    assert part.holder == (part.name, part.generation) and len(records) <= QUICK.max_records
-    others = [p.part for p in world.all.values() if p.part is not part]
-    assert all(
-        o.holder == (part.name, part.generation) and o.state is None and o.generation == 0 for o in others
-    )
+def test_one_holds_and_its_records_are_committed_once_and_in_order(voters):
+    """The others know the holder, and have no state."""
+    world, audit = world_with_holder(voters=voters)
+    append_records(world, audit, 30)
+    assert audit.committed == list(range(1, 31))
+    assert len(audit.held_generations) == 1
+    group = world.processes[holder_of(world)].group
+    base, records = group.state
+    assert numbers_of(base, records) == audit.committed
+    assert group.holder == (group.name, group.generation)
+    assert len(records) <= FAST_SETTINGS.max_records
+    others = [process.group for process in world.processes.values() if process.group is not group]
+    for other in others:
+        assert other.holder == (group.name, group.generation)
+        assert other.state is None
+        assert other.generation == 0
 
 
 def test_another_takes_over_when_the_holder_dies_and_not_before_its_lease_is_over():
-    world, audit = begun()
-    writes(world, audit, 5)
-    first, died = holder(world), world.now
+    """Within three leases; once the first is back, all disks have the same log."""
+    world, audit = world_with_holder()
+    append_records(world, audit, 5)
+    first = holder_of(world)
+    died_ms = world.now_ms
     world.kill(first)
-    assert not world.run(died + QUICK.lease_ms / 1.05 - QUICK.heartbeat_ms / 0.95 - 10, lambda: holder(world))
-    assert world.run(died + 3 * QUICK.lease_ms, lambda: holder(world))
-    writes(world, audit, 5)
-    assert len(audit.made) == 10
+    earliest_ms = died_ms + LEASE_MS / 1.05 - FAST_SETTINGS.heartbeat_ms / 0.95 - 10
+    assert not world.run(earliest_ms, lambda: holder_of(world))
+    assert world.run(died_ms + 3 * LEASE_MS, lambda: holder_of(world))
+    append_records(world, audit, 5)
+    assert len(audit.committed) == 10
     world.start(first)
-    world.run(world.now + QUICK.expiry_wait_ms + 1000)
-    assert {position_of(p.kept) for p in world.all.values()} == {(audit.held[-1], 10)}
-
-
-def test_given_up_in_order_it_is_taken_at_once_after_the_last_record():
-    world, audit = begun()
-    first = holder(world)
-    write(world, audit, first)
-    world.call(first, lambda part, ms: part.release(ms))
-    assert holder(world) == first  # the record is under way
-    begin = world.now
-    assert world.run(begin + 5000, lambda: holder(world) not in (None, first))
-    assert audit.made == [1] and world.now - begin < 2 * QUICK.backoff_ms
-    assert not world.all[first].part.is_candidate
-
-
-def test_a_voter_without_its_folder_abstains_until_it_has_the_state_again():
-    world, audit = begun()
-    writes(world, audit, 40, pad=500)
-    lost = next(n for n in "abc" if n != holder(world))
+    world.run(world.now_ms + FAST_SETTINGS.expiry_wait_ms + 1000)
+    positions = {stored_position(process.sections) for process in world.processes.values()}
+    assert positions == {(audit.held_generations[-1], 10)}
+
+
+def test_a_released_lease_is_acquired_at_once_after_the_last_record():
+    """The holder holds until its record is committed, and is no candidate afterwards."""
+    world, audit = world_with_holder()
+    first = holder_of(world)
+    append_record(world, audit, first)
+    release(world, first)
+    assert holder_of(world) == first  # the record is pending
+    begin_ms = world.now_ms
+    assert world.run(begin_ms + 5000, lambda: holder_of(world) not in (None, first))
+    assert audit.committed == [1]
+    assert world.now_ms - begin_ms < 2 * FAST_SETTINGS.backoff_ms
+    assert not world.processes[first].group.is_candidate
+
+
+def test_a_voter_without_its_folder_abstains_until_it_has_the_log_again():
+    """It writes nothing for a lease, then has the whole log within two more."""
+    world, audit = world_with_holder()
+    append_records(world, audit, 40, padding=500)
+    lost = next(name for name in "abc" if name != holder_of(world))
     world.kill(lost)
-    world.start(lost, folder=False)
-    voter = world.all[lost].part.voter
-    world.run(world.now + QUICK.lease_ms)
-    assert voter.is_recovering and not world.all[lost].kept
-    assert world.run(world.now + 2 * QUICK.lease_ms, lambda: not voter.is_recovering)
-    assert position_of(world.all[lost].kept) == (audit.held[-1], 40)
-
-
-def test_a_group_whose_folders_are_all_new_is_founded_by_all_its_voters_alone():
-    world, audit = world_of("abc", 3, fresh=False)
+    world.start(lost, has_folder=False)
+    voter = world.processes[lost].group.voter
+    world.run(world.now_ms + LEASE_MS)
+    assert voter.is_recovering
+    assert not world.processes[lost].sections
+    assert world.run(world.now_ms + 2 * LEASE_MS, lambda: not voter.is_recovering)
+    assert stored_position(world.processes[lost].sections) == (audit.held_generations[-1], 40)
+
+
+def test_a_group_whose_folders_may_all_be_lost_is_bootstrapped_by_all_its_voters_alone():
+    """Two of three do not suffice."""
+    world, audit = make_world("abc", 3, is_new_disk=False)
     for name in "ab":
         world.start(name)
-    assert not world.run(10_000, lambda: holder(world))
+    assert not world.run(10_000, lambda: holder_of(world))
     world.start("c")
-    assert world.run(20_000, lambda: holder(world))
-    writes(world, audit, 3)
-    assert len(audit.made) == 3
+    assert world.run(20_000, lambda: holder_of(world))
+    append_records(world, audit, 3)
+    assert len(audit.committed) == 3
 
 
 def test_two_of_three_folders_lost_is_a_standstill_that_loses_nothing():
-    world, audit = begun()
-    writes(world, audit, 3)
+    """Nobody holds until enough folders are back."""
+    world, audit = world_with_holder()
+    append_records(world, audit, 3)
     for name in "abc":
         world.kill(name)
-    for name, folder in zip("abc", (True, False, False)):
-        world.start(name, folder=folder)
-    assert not world.run(world.now + 20_000, lambda: holder(world))
+    for name, has_folder in {"a": True, "b": False, "c": False}.items():
+        world.start(name, has_folder=has_folder)
+    assert not world.run(world.now_ms + 20_000, lambda: holder_of(world))
 
 
 def test_a_process_that_is_no_voter_can_hold():
-    world, audit = begun(more="x")
+    """It has nothing on its disk."""
+    world, audit = world_with_holder(others="x")
     for name in "abc":
-        world.call(name, lambda part, ms: part.set_candidate(ms, False))
-    first = holder(world)
+        world.call(name, lambda group, local_ms: group.set_candidate(local_ms, False))
+    first = holder_of(world)
     if first != "x":
-        writes(world, audit, 20, pad=700)
-        world.call(first, lambda part, ms: part.release(ms))
-        assert world.run(world.now + 5000, lambda: holder(world) == "x")
-    writes(world, audit, 5)
-    assert world.all["x"].kept == {} and audit.made[-1] == audit.next
+        append_records(world, audit, 20, padding=700)
+        release(world, first)
+        assert world.run(world.now_ms + 5000, lambda: holder_of(world) == "x")
+    append_records(world, audit, 5)
+    assert world.processes["x"].sections == {}
+    assert audit.committed[-1] == audit.last_number
 
 
 def test_a_holder_paused_past_its_lease_does_not_hold_and_says_so():
-    world, audit = begun()
-    first = holder(world)
-    write(world, audit, first)
-    world.pause(first, 5 * QUICK.lease_ms)
-    world.run(world.now + 4.9 * QUICK.lease_ms)
-    assert holder(world) not in (None, first)
-    world.run(world.now + QUICK.lease_ms)
-    assert audit.answers[1] == [None] and len(audit.held) >= 2
-
-
-def test_a_full_disk_grants_nothing_and_heals():
-    world, audit = begun()
+    """Its pending record is in doubt."""
+    world, audit = world_with_holder()
+    first = holder_of(world)
+    append_record(world, audit, first)
+    world.pause(first, 5 * LEASE_MS)
+    world.run(world.now_ms + 4.9 * LEASE_MS)
+    assert holder_of(world) not in (None, first)
+    world.run(world.now_ms + LEASE_MS)
+    assert audit.results[1] == [None]
+    assert len(audit.held_generations) >= 2
+
+
+def test_a_full_disk_grants_nothing_and_recovers():
+    """The holder renews its lease, and commits nothing until there is room."""
+    world, audit = world_with_holder()
     for name in "abc":
-        world.all[name].disk = "full"
-    writes(world, audit, 10)
-    assert audit.made == [] and holder(world)  # it renews, and makes no record
+        world.processes[name].disk = DiskMode.FULL
+    append_records(world, audit, 10)
+    assert audit.committed == []
+    assert holder_of(world)
     for name in "abc":
-        world.all[name].disk = "well"
-    world.run(world.now + 1000)
-    assert len(audit.made) == 10
-
-
-def test_bounds_of_records_state_and_what_is_under_way():
-    world, audit = begun()
-    first = world.all[holder(world)]
-    ms = first.local(world.now)
-    with pytest.raises(ValueError, match="a record of 801 bytes; from 1 to 800 fit"):
-        first.part.append(ms, bytes(801), print)
-    got = []
-    for _ in range(QUICK.max_pending_records + 5):
-        first.part.append(ms, b"12345678", lambda now, ok: got.append(ok))
-    assert got == [False] * 5
-    big = []
+        world.processes[name].disk = DiskMode.WELL
+    world.run(world.now_ms + 1000)
+    assert len(audit.committed) == 10
+
+
+def test_bounds_of_records_state_and_what_is_pending():
+    """What passes a bound is refused, and the disk holds no more than the state's bound twice."""
+    world, _ = world_with_holder()
+    first = world.processes[holder_of(world)]
+    local_ms = first.local(world.now_ms)
+    with pytest.raises(RecordSizeError, match="a record of 801 bytes; from 1 to 800 fit"):
+        first.group.append(local_ms, bytes(801), print)
+    small_results = []
+    for _ in range(FAST_SETTINGS.max_pending_records + 5):
+        first.group.append(local_ms, b"12345678", lambda now_ms, result: small_results.append(result))
+    assert small_results == [False] * 5
+    large_results = []
     for _ in range(400):
-        world.call(first.name, lambda part, ms: part.append(ms, bytes(800), lambda now, ok: big.append(ok)))
-        world.run(world.now + 20)
-    assert False in big and sum(len(b) for b in first.kept.values()) < 2 * QUICK.max_state_bytes
-    with pytest.raises(ValueError, match="group g: voters need names of their own"):
-        LeaseGroup("g", "a", 1, ["a", "a"], Random(1), QUICK, 0.0, {})
+        world.call(
+            first.name,
+            lambda group, local_ms: group.append(
+                local_ms, bytes(800), lambda now_ms, result: large_results.append(result)
+            ),
+        )
+        world.run(world.now_ms + 20)
+    assert False in large_results
+    stored_bytes = sum(len(value) for value in first.sections.values())
+    assert stored_bytes < 2 * FAST_SETTINGS.max_state_bytes
+
+
+def test_voters_need_names_of_their_own():
+    """An error of the caller."""
+    with pytest.raises(InvalidGroupError, match="group g: voters need names of their own"):
+        LeaseGroup("g", "a", 1, ["a", "a"], Random(1), FAST_SETTINGS, 0.0, {})
 
 
 def test_no_message_is_over_1100_bytes():
-    world, audit = world_of("abc", 5, more="x", loss=0.1)
+    """Also with large records, a fetch of the log and lost messages."""
+    world, audit = make_world("abc", 5, others="x", loss=0.1)
     sizes = []
-    world.heeds.append(lambda p, to, message: sizes.append(len(message.SerializeToString())))
-    for name in world.all:
+    world.send_checks.append(lambda process, to, message: sizes.append(len(message.SerializeToString())))
+    for name in world.processes:
         world.start(name)
     world.run(3000)
-    writes(world, audit, 60, pad=792)
-    world.kill(holder(world))
-    world.run(world.now + 10_000)
+    append_records(world, audit, 60, padding=792)
+    world.kill(holder_of(world))
+    world.run(world.now_ms + 10_000)
     assert 900 < max(sizes) <= 1100
 
 
 def test_foreign_and_empty_messages_are_counted_and_dropped():
-    group = LeaseGroup("g", "a", 1, "abc", Random(1), QUICK, 0.0, {}, is_new_disk=True)
+    """Of another group, and without a body."""
+    group = LeaseGroup("g", "a", 1, "abc", Random(1), FAST_SETTINGS, 0.0, {}, is_new_disk=True)
     group.heard(1.0, ("b", 1), Message(group="h", claim={"generation": 1}))
     group.heard(1.0, ("b", 1), Message(group="g"))
-    assert group.foreign_messages == 2 and not group.outbox and not group.store_requests
+    assert group.foreign_messages == 2
+    assert not group.outbox
+    assert not group.store_requests
 
 
-def test_what_is_kept_comes_back_whole_or_not_at_all():
-    log, kept = ReplicatedLog(), {}
+def test_what_is_stored_comes_back_whole_or_not_at_all():
+    """Any section that is changed, but for the base of an empty log, makes all of them unusable."""
+    log = ReplicatedLog()
+    sections = {}
     for number in range(30):
-        new = log.copy()
-        new.append(bytes([number]))
-        if len(new.records) > 8:
-            new.fold(fold, 4)
-        for key, value in changes_between(log, new).items():
-            kept.pop(key, None) if value is None else kept.__setitem__(key, value)
-        log = new
-        assert load(kept).log.position == log.position
-        assert len(kept) == 2 + len(log.records) or log.base == b""
-    for key in kept:
+        longer = log.copy()
+        longer.append(bytes([number]))
+        if len(longer.records) > 8:
+            longer.fold(fold, 4)
+        apply_changes(sections, changes_between(log, longer))
+        log = longer
+        assert load(sections).log.position == log.position
+        assert len(sections) == 2 + len(log.records) or log.base == b""
+    for key in sections:
         if key != "base":
-            assert load({**kept, key: b"\xff" + kept[key]}) is None
+            assert load({**sections, key: b"\xff" + sections[key]}) is None
     assert LogPosition.from_wire(log.position.to_wire()) == log.position
