--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -16,9 +16,9 @@
 from lichenquay.membership.failure_detector import Settings as MembersSettings
 from lichenquay.membership.failure_detector import Watch
 from lichenquay.quota import quota_pb2
-from lichenquay.storage.incarnation import section
+from lichenquay.storage.incarnation import incarnation_change
 from lichenquay.storage.store import DurableStore
-from lichenquay.storage.writer import Writer
+from lichenquay.storage.writer import StoreWriter
 
 FOLDER_MOST = 16 << 20  # bytes that a front's folder may take
 KINDS = {MEMBERS: members_pb2.Message, OWNER: lease_pb2.Message, QUOTA: quota_pb2.Message}
@@ -39,7 +39,7 @@
         unix_ms=unix_now_ms,
         log=None,
         folder=DurableStore,
-        writer=Writer,
+        writer=StoreWriter,
         distribution=None,
         apply_to=None,
     ):
@@ -144,7 +144,7 @@
                 self.reactor.callLater(0, self.risen, False)
             else:
                 self.writer.store(
-                    section(self.rising), lambda kept: self.reactor.callLater(0, self.risen, kept)
+                    incarnation_change(self.rising), lambda kept: self.reactor.callLater(0, self.risen, kept)
                 )
 
     def risen(self, kept):
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -16,10 +16,10 @@
 
 from lichenquay.config.fleet_settings import address_of
 from lichenquay.fleet.message_envelope import OWNER
+from lichenquay.storage.errors import UnusableStoreError
 from lichenquay.storage.incarnation import next_incarnation
-from lichenquay.storage.recovery import UnusableStoreError
 from lichenquay.storage.store import DurableStore
-from lichenquay.storage.writer import Writer
+from lichenquay.storage.writer import StoreWriter
 
 CLOSE_MS = 500.0  # for what the disk still has to do at the end
 LEAST_WAIT_MS = 1.0  # between two turns of the timer; risk: a part that is always due takes all turns
@@ -66,7 +66,7 @@
     now_ms: Callable = boot_ms
     unix_ms: Callable = unix_now_ms
     folder: Callable = DurableStore
-    writer: Callable = Writer
+    writer: Callable = StoreWriter
 
 
 class Host:
@@ -115,7 +115,7 @@
             return
         self.incarnation, kept = next_incarnation(self.folder, now, self.now_ms())
         if not kept:
-            self.log.warning("incarnation not kept", incarnation=self.incarnation, why=self.folder.trouble)
+            self.log.warning("incarnation not kept", incarnation=self.incarnation, why=self.folder.last_error)
 
     def start_writer(self):
         """The folder is the writer's thread's from now on."""
@@ -132,7 +132,7 @@
 
         A folder that could not be read yet is as good as lost: a voter without promises asks the others.
         """
-        if not self.folder.opened:
+        if not self.folder.is_open:
             return {}
         return {
             key.removeprefix(self.prefix): value
@@ -231,4 +231,4 @@
         if self.writer is None:
             return []
         counts = [f"folder {what}: {number:.0f}" for what, number in self.writer.counts.items()]
-        return [*counts, f"folder trouble: {self.writer.trouble or 'none'}"]
+        return [*counts, f"folder trouble: {self.writer.last_error or 'none'}"]
--- a/lichenquay/storage/__init__.py
+++ b/lichenquay/storage/__init__.py
@@ -1,5 +1,4 @@
-"""Records of bytes on disk that survive, for one process: checksummed, fsynced with their folder, two generations,
-one lock.
+"""Durable storage of named sections for one process: checksummed, fsynced, two generations, one lock.
 
 Options weighed, states and what is lost when: docs/design/storage.md.
 """
--- /dev/null
+++ b/lichenquay/storage/file_names.py
@@ -0,0 +1,54 @@
+"""The names of a store's files."""
+
+import re
+from typing import NamedTuple
+
+from lichenquay.storage.record_format import FileKind
+
+LAST_GENERATION = 10**12 - 1
+LOCK_NAME = "lock"
+SET_ASIDE_PREFIX = "bad."
+NEW_SUFFIX = ".new"
+_PATTERN = re.compile(r"(bad\.)?(\d{12})\.(snapshot|journal)(\.new)?")
+_WORDS = {FileKind.SNAPSHOT: "snapshot", FileKind.JOURNAL: "journal"}
+_KINDS = {word: kind for kind, word in _WORDS.items()}
+
+
+class StoreFile(NamedTuple):
+    """A name in a store's folder that has the form of a store's file."""
+
+    name: str
+    is_set_aside: bool
+    generation: int
+    kind: FileKind
+    is_new: bool  # still being written
+
+    @property
+    def is_readable(self) -> bool:
+        """Whether recovery may read it."""
+        return not self.is_set_aside and not self.is_new
+
+
+def file_name(generation: int, kind: FileKind) -> str:
+    """The name of a whole file."""
+    return f"{generation:012d}.{_WORDS[kind]}"
+
+
+def new_file_name(generation: int, kind: FileKind) -> str:
+    """The name of a file that is being written."""
+    return file_name(generation, kind) + NEW_SUFFIX
+
+
+def set_aside_name(generation: int, kind: FileKind) -> str:
+    """The name of a damaged file that is kept for an operator."""
+    return SET_ASIDE_PREFIX + file_name(generation, kind)
+
+
+def store_files(names) -> list[StoreFile]:
+    """The names that have the form of a store's file, in their order."""
+    matches = ((name, _PATTERN.fullmatch(name)) for name in sorted(names))
+    return [
+        StoreFile(name, bool(match[1]), int(match[2]), _KINDS[match[3]], bool(match[4]))
+        for name, match in matches
+        if match
+    ]
--- /dev/null
+++ b/lichenquay/storage/generations.py
@@ -0,0 +1,229 @@
+"""The generations of a store on disk: each is a whole snapshot and the journal of the changes after it."""
+
+import errno
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+from os.path import join
+
+from lichenquay.storage import record_format
+from lichenquay.storage.directory import StoreDirectory
+from lichenquay.storage.errors import UnusableStoreError
+from lichenquay.storage.file_names import (
+    LAST_GENERATION,
+    file_name,
+    new_file_name,
+    set_aside_name,
+    store_files,
+)
+from lichenquay.storage.file_system import (
+    NEW_FILE_FLAGS,
+    FileIdentity,
+    attempt,
+    close_quietly,
+    is_identical,
+    sync_directory,
+)
+from lichenquay.storage.record_format import FileHeader, FileKind
+from lichenquay.storage.recovery import Recovery
+
+RETAINED_GENERATIONS = 2
+MAX_SET_ASIDE_FILES = 3
+WRITE_BYTES = 256 << 10  # at a time
+
+
+@dataclass
+class OpenFile:
+    """A file that was written, and is still open."""
+
+    descriptor: int
+    size: int
+
+
+@dataclass(frozen=True)
+class ExpectedFile:
+    """A name, and the file that it has to refer to."""
+
+    path: str
+    identity: FileIdentity
+
+
+class Generations:
+    """Writes the generations of one store."""
+
+    def __init__(self, file_system, directory: StoreDirectory, fleet: str, process_name: str):
+        """Nothing is known of the files yet."""
+        self.file_system = file_system
+        self.directory = directory
+        self.fleet = fleet
+        self.process_name = process_name
+        self.current = 0  # generation of the latest journal
+        self.highest = 0  # that is known of
+        self.damaged_files = set()  # names, to be set aside
+        self._retained = []
+        self._journal = None
+        self._seed = 0
+        self._expected_files = []
+
+    def adopt(self, recovery: Recovery) -> None:
+        """Goes on from what recovery found."""
+        self.highest = recovery.highest_generation
+        self._retained = recovery.generations[-RETAINED_GENERATIONS:]
+        self.damaged_files = recovery.damaged_files
+
+    @property
+    def has_journal(self) -> bool:
+        """Whether changes can be added to a journal."""
+        return self._journal is not None
+
+    @property
+    def journal_size(self) -> int:
+        """Bytes in the journal."""
+        return self._journal.size
+
+    def begin(self, state: dict[str, bytes], base_number: int, pending: Iterable[tuple[int, bytes]]) -> None:
+        """A new generation: a whole snapshot of `state`, and a journal with the pending (number, payload).
+
+        `base_number`: of the last record in `state`. No file gets its name before all of its bytes are on
+        disk.
+        """
+        if self.highest >= LAST_GENERATION:
+            raise UnusableStoreError(f"folder {self.directory.path}: no generation is left")
+        self.close_journal()
+        self.directory.sync_parent()
+        self.highest += 1
+        generation = self.highest
+        header = FileHeader(FileKind.SNAPSHOT, generation, base_number, self.fleet, self.process_name)
+        encoded = record_format.encode_header(replace(header, kind=FileKind.JOURNAL))
+        journal_parts = [encoded.data, *record_format.encode_journal_records(encoded.seed, pending)]
+        made = []  # paths to remove after a failure
+        journal = None
+        try:
+            journal = self._write_file(new_file_name(generation, FileKind.JOURNAL), journal_parts, made)
+            snapshot_parts = record_format.encode_snapshot(header, state)
+            snapshot = self._write_file(new_file_name(generation, FileKind.SNAPSHOT), snapshot_parts, made)
+            try:
+                identities = {
+                    FileKind.SNAPSHOT: self.file_system.fstat(snapshot.descriptor),
+                    FileKind.JOURNAL: self.file_system.fstat(journal.descriptor),
+                }
+            finally:
+                close_quietly(self.file_system, snapshot.descriptor)
+            self._publish(generation, identities, made)
+        except BaseException:
+            if journal is not None:
+                close_quietly(self.file_system, journal.descriptor)
+            for path in made:
+                attempt(self.file_system.unlink, path)
+            raise
+        self._journal = journal
+        self._seed = encoded.seed
+        self.current = generation
+        self._retained = [*self._retained, generation][-RETAINED_GENERATIONS:]
+        self._remove_old_files()
+
+    def _publish(self, generation, identities, made):
+        """Gives the new files their names, the journal first."""
+        for kind in (FileKind.JOURNAL, FileKind.SNAPSHOT):
+            path = self._path(file_name(generation, kind))
+            made.append(path)
+            self.file_system.rename(self._path(new_file_name(generation, kind)), path)
+        sync_directory(self.file_system, self.directory.path)
+        self._expected_files = [
+            ExpectedFile(self._path(file_name(generation, kind)), identity)
+            for kind, identity in identities.items()
+        ]
+        self._expected_files.append(ExpectedFile(self.directory.lock_path, self.directory.lock_identity()))
+        self._check_files()
+
+    def append(self, pending: Iterable[tuple[int, bytes]]) -> None:
+        """Adds the pending (number, payload) to the journal; they are on disk when this returns."""
+        data = b"".join(record_format.encode_journal_records(self._seed, pending))
+        self._write_all(self._journal.descriptor, data)
+        self.file_system.fsync(self._journal.descriptor)
+        self._check_files()
+        self._journal.size += len(data)
+
+    def close_journal(self) -> None:
+        """The journal is written no more."""
+        if self._journal is not None:
+            close_quietly(self.file_system, self._journal.descriptor)
+        self._journal = None
+
+    def _path(self, name):
+        return join(self.directory.path, name)
+
+    def _check_files(self):
+        """A folder that was removed or replaced takes writes and fsyncs of its open files as before.
+
+        No restart would find them.
+        """
+        for expected in self._expected_files:
+            if not is_identical(self.file_system, expected.path, expected.identity):
+                raise OSError(errno.ENOENT, f"{expected.path} is gone or replaced")
+
+    def _write_file(self, name, parts, made):
+        """A new file with these bytes, on disk and still open."""
+        path = self._path(name)
+        made.append(path)
+        descriptor = self.file_system.open(path, NEW_FILE_FLAGS)
+        try:
+            size = self._write_parts(descriptor, parts)
+            self.file_system.fsync(descriptor)
+        except BaseException:
+            close_quietly(self.file_system, descriptor)
+            raise
+        return OpenFile(descriptor, size)
+
+    def _write_parts(self, descriptor, parts):
+        """Writes the parts in large pieces; the size of all."""
+        written = 0
+        piece = []
+        piece_size = 0
+        for part in parts:
+            piece.append(part)
+            piece_size += len(part)
+            if piece_size >= WRITE_BYTES:
+                self._write_all(descriptor, b"".join(piece))
+                written += piece_size
+                piece = []
+                piece_size = 0
+        self._write_all(descriptor, b"".join(piece))
+        return written + piece_size
+
+    def _write_all(self, descriptor, data):
+        offset = 0
+        while offset < len(data):
+            written = self.file_system.write(descriptor, data[offset:])
+            if written <= 0:
+                raise OSError(errno.EIO, "nothing was written")
+            offset += written
+
+    def _remove_old_files(self):
+        """Removes older generations, and sets damaged files aside, the newest few.
+
+        A failure here costs room on the disk and nothing else.
+        """
+        try:
+            files = store_files(self.file_system.listdir(self.directory.path))
+            for file in files:
+                if not file.is_set_aside and not self._is_retained(file):
+                    self._remove(file)
+            if self.damaged_files or any(file.is_set_aside for file in files):
+                names = store_files(self.file_system.listdir(self.directory.path))
+                set_aside = [file.name for file in names if file.is_set_aside]
+                for name in set_aside[:-MAX_SET_ASIDE_FILES]:
+                    attempt(self.file_system.unlink, self._path(name))
+        except OSError:
+            return
+        self.damaged_files = set()
+
+    def _is_retained(self, file):
+        is_damaged = file.name in self.damaged_files
+        return file.generation in self._retained and not file.is_new and not is_damaged
+
+    def _remove(self, file):
+        if file.name in self.damaged_files:
+            target = self._path(set_aside_name(file.generation, file.kind))
+            attempt(self.file_system.rename, self._path(file.name), target)
+        else:
+            attempt(self.file_system.unlink, self._path(file.name))
--- a/lichenquay/storage/record_format.py
+++ b/lichenquay/storage/record_format.py
@@ -1,176 +1,251 @@
-"""The form of a folder's files: a header, then framed records. No I/O, no clocks.
+"""The format of a store's files: a header, then framed records. No I/O, no clocks.
 
-Header: magic, version, its own size, CRC32C; then kind, generation, base (the number of the last record before this
-file), the fleet's name and the front's. The first 16 bytes and what the CRC32C covers stay as they are in every
-version, so that a newer version is told from a flipped bit. A record's CRC32C starts from its header's: a record of
-another file is none here.
+Header: magic, version, its own size, CRC32C; then kind, generation, base (the number of the last record
+before this file), the fleet's name and the process's. The first 16 bytes and what the CRC32C covers stay
+as they are in every version, so that a newer version is told from a flipped bit. A record's CRC32C starts
+from its header's: a record of another file is none here.
 """
 
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
+from enum import IntEnum
 from struct import Struct
+from typing import NamedTuple
 
 import google_crc32c
 
+from lichenquay.storage.errors import CorruptRecordError, InvalidChangeError, NewerFormatError
+
 MAGIC = b"LQfolder"
 VERSION = 1
-SNAPSHOT, JOURNAL = 1, 2  # kinds of files
-CHANGE, END = 1, 2  # kinds of records
-MOST_HEADER = 2048  # bytes
-MOST_KEY = 1024  # bytes of a section's key
-MOST_NAME = 255  # bytes of the fleet's name, and of the front's
-_FIRST = Struct(">8sHHI")
-_REST = Struct(">BQQBB")
+MAX_HEADER_BYTES = 2048
+MAX_KEY_BYTES = 1024
+MAX_NAME_BYTES = 255  # of the fleet's name, and of the process's
+_HEADER_START = Struct(">8sHHI")
+_HEADER_REST = Struct(">BQQBB")
+_CHECKSUM_BYTES = 4  # at the end of the header's start
 _FRAME = Struct(">IQBI")
 _KEY = Struct(">BH")
 _SIZE = Struct(">I")
-_PUT, _DELETE = 1, 2
-FRAME_SIZE = _FRAME.size
+_PUT = 1
+_DELETE = 2
+FRAME_BYTES = _FRAME.size
+
+Changes = dict[str, bytes | None]
+
+
+class FileKind(IntEnum):
+    """The kinds of files."""
 
+    SNAPSHOT = 1
+    JOURNAL = 2
 
-class Unreadable(ValueError):
-    """Cut off, flipped or never ours. The text says which."""
 
+class RecordKind(IntEnum):
+    """The kinds of records."""
 
-class Newer(ValueError):
-    """A whole header of a version that this one does not know."""
+    CHANGE = 1
+    END = 2
 
 
 @dataclass(frozen=True)
-class Header:
+class FileHeader:
+    """`base_number`: of the last record before this file."""
+
     kind: int
     generation: int
-    base: int
+    base_number: int
     fleet: str
-    name: str
+    process_name: str
 
 
-@dataclass
-class Journal:
-    """`changes` in order, all whole records up to the first that is not; `why` it ended early, or None."""
-
-    header: Header
-    changes: list = field(default_factory=list)
-    left_bytes: int = 0
-    why: str | None = None
-
-
-def header_bytes(header):
-    """The header and the seed of its records' checksums."""
-    fleet, name = header.fleet.encode(), header.name.encode()
-    if max(len(fleet), len(name)) > MOST_NAME:
-        raise ValueError(f"a name of over {MOST_NAME} bytes")
-    rest = _REST.pack(header.kind, header.generation, header.base, len(fleet), len(name)) + fleet + name
-    size = _FIRST.size + len(rest)
-    seed = _header_sum(_FIRST.pack(MAGIC, VERSION, size, 0), rest)
-    return _FIRST.pack(MAGIC, VERSION, size, seed) + rest, seed
-
-
-def read_header(data):
-    """(header, its size, the seed), or Unreadable, or Newer."""
-    if len(data) < _FIRST.size:
-        raise Unreadable("empty" if not data else "cut off in its header")
-    magic, version, size, seed = _FIRST.unpack_from(data)
-    if magic != MAGIC:
-        raise Unreadable("not a file of this form")
-    if not _FIRST.size <= size <= MOST_HEADER:
-        raise Unreadable(f"a header of {size} bytes")
-    if size > len(data):
-        raise Unreadable("cut off in its header")
-    rest = bytes(data[_FIRST.size : size])
-    if _header_sum(bytes(data[: _FIRST.size]), rest) != seed:
-        raise Unreadable("its header's checksum is wrong")
-    if version > VERSION:
-        raise Newer(f"version {version}, this program reads up to {VERSION}")
-    if version < 1 or len(rest) < _REST.size:
-        raise Unreadable("a header of no known version")
-    kind, generation, base, fleet, name = _REST.unpack_from(rest)
-    names = rest[_REST.size :]
-    if len(names) != fleet + name:
-        raise Unreadable("a header that does not add up")
-    try:
-        return Header(kind, generation, base, names[:fleet].decode(), names[fleet:].decode()), size, seed
-    except UnicodeDecodeError:
-        raise Unreadable("names that are no text") from None
+class ReadHeader(NamedTuple):
+    """A header as read, its size in the file, and the seed of its records' checksums."""
+
+    header: FileHeader
+    size: int
+    seed: int
 
 
-def _header_sum(first, rest):
-    return google_crc32c.extend(google_crc32c.value(first[: _FIRST.size - 4]), rest)
+class Record(NamedTuple):
+    """One record of a file."""
+
+    number: int
+    kind: int
+    payload: bytes
 
 
-def frame(seed, number, kind, payload):
-    """One record: length, number, kind, CRC32C of these and of the payload."""
-    return _FRAME.pack(len(payload), number, kind, _sum(seed, number, kind, payload)) + payload
+class RecordRun(NamedTuple):
+    """The intact records of a file, where the last one ends, and why no more follow (None: no bytes do)."""
 
+    records: list[Record]
+    end: int
+    reason: str | None
 
-def _sum(seed, number, kind, payload):
-    return google_crc32c.extend(seed, _FRAME.pack(len(payload), number, kind, 0) + payload)
 
+class SnapshotContent(NamedTuple):
+    """What a whole snapshot says."""
 
-def read_records(data, start, seed, first):
-    """([(number, kind, payload)], where the last whole one ends, why it stopped there or None).
+    header: FileHeader
+    state: dict[str, bytes]
 
-    Risk: a hostile length. None is followed past what is there, so memory is bounded by `data`."""
-    records, at, number = [], start, first
-    while at < len(data):
-        if len(data) - at < _FRAME.size:
-            return records, at, "cut off"
-        length, its_number, kind, check = _FRAME.unpack_from(data, at)
-        if its_number != number:
-            return records, at, f"a number where {number} should be"
-        if length > len(data) - at - _FRAME.size:
-            return records, at, "cut off"
-        payload = bytes(data[at + _FRAME.size : at + _FRAME.size + length])
-        if _sum(seed, number, kind, payload) != check:
-            return records, at, "its checksum is wrong"
-        records.append((number, kind, payload))
-        at += _FRAME.size + length
+
+@dataclass
+class JournalContent:
+    """`changes` of all intact records up to the first that is not; `reason` why it ended early, or None."""
+
+    header: FileHeader
+    changes: list[Changes] = field(default_factory=list)
+    skipped_bytes: int = 0
+    reason: str | None = None
+
+
+class EncodedHeader(NamedTuple):
+    """The bytes of a header, and the seed of its records' checksums."""
+
+    data: bytes
+    seed: int
+
+
+def encode_header(header: FileHeader) -> EncodedHeader:
+    """The bytes of a header; InvalidChangeError for a name that is too long."""
+    fleet = header.fleet.encode()
+    process_name = header.process_name.encode()
+    if max(len(fleet), len(process_name)) > MAX_NAME_BYTES:
+        raise InvalidChangeError(f"a name of over {MAX_NAME_BYTES} bytes")
+    fixed = _HEADER_REST.pack(
+        header.kind, header.generation, header.base_number, len(fleet), len(process_name)
+    )
+    rest = fixed + fleet + process_name
+    size = _HEADER_START.size + len(rest)
+    seed = _header_checksum(_HEADER_START.pack(MAGIC, VERSION, size, 0), rest)
+    return EncodedHeader(_HEADER_START.pack(MAGIC, VERSION, size, seed) + rest, seed)
+
+
+def read_header(data: bytes) -> ReadHeader:
+    """The header of a file; CorruptRecordError or NewerFormatError."""
+    if len(data) < _HEADER_START.size:
+        raise CorruptRecordError("empty" if not data else "cut off in its header")
+    magic, version, size, seed = _HEADER_START.unpack_from(data)
+    if magic != MAGIC:
+        raise CorruptRecordError("not a file of this form")
+    if not _HEADER_START.size <= size <= MAX_HEADER_BYTES:
+        raise CorruptRecordError(f"a header of {size} bytes")
+    if size > len(data):
+        raise CorruptRecordError("cut off in its header")
+    rest = bytes(data[_HEADER_START.size : size])
+    if _header_checksum(bytes(data[: _HEADER_START.size]), rest) != seed:
+        raise CorruptRecordError("its header's checksum is wrong")
+    if version > VERSION:
+        raise NewerFormatError(f"version {version}, this program reads up to {VERSION}")
+    if version < 1 or len(rest) < _HEADER_REST.size:
+        raise CorruptRecordError("a header of no known version")
+    return ReadHeader(_decode_header(rest), size, seed)
+
+
+def _decode_header(rest):
+    kind, generation, base_number, fleet_size, name_size = _HEADER_REST.unpack_from(rest)
+    names = rest[_HEADER_REST.size :]
+    if len(names) != fleet_size + name_size:
+        raise CorruptRecordError("a header that does not add up")
+    try:
+        fleet = names[:fleet_size].decode()
+        process_name = names[fleet_size:].decode()
+    except UnicodeDecodeError:
+        raise CorruptRecordError("names that are no text") from None
+    return FileHeader(kind, generation, base_number, fleet, process_name)
+
+
+def _header_checksum(start, rest):
+    return google_crc32c.extend(google_crc32c.value(start[: _HEADER_START.size - _CHECKSUM_BYTES]), rest)
+
+
+def encode_record(seed: int, record: Record) -> bytes:
+    """One record: length, number, kind, CRC32C of these and of the payload; payload."""
+    checksum = _record_checksum(seed, record)
+    return _FRAME.pack(len(record.payload), record.number, record.kind, checksum) + record.payload
+
+
+def _record_checksum(seed, record):
+    frame = _FRAME.pack(len(record.payload), record.number, record.kind, 0)
+    return google_crc32c.extend(seed, frame + record.payload)
+
+
+def read_records(data: bytes, start: int, seed: int, first_number: int) -> RecordRun:
+    """The intact records from the offset `start` on.
+
+    A length is never followed past the end of `data`, so a hostile one takes no memory.
+    """
+    records = []
+    offset = start
+    number = first_number
+    while offset < len(data):
+        if len(data) - offset < FRAME_BYTES:
+            return RecordRun(records, offset, "cut off")
+        length, found_number, kind, checksum = _FRAME.unpack_from(data, offset)
+        if found_number != number:
+            return RecordRun(records, offset, f"a number where {number} should be")
+        if length > len(data) - offset - FRAME_BYTES:
+            return RecordRun(records, offset, "cut off")
+        end = offset + FRAME_BYTES + length
+        record = Record(number, kind, bytes(data[offset + FRAME_BYTES : end]))
+        if _record_checksum(seed, record) != checksum:
+            return RecordRun(records, offset, "its checksum is wrong")
+        records.append(record)
+        offset = end
         number += 1
-    return records, at, None
+    return RecordRun(records, offset, None)
 
 
-def changes_bytes(changes):
-    """`changes`: key -> bytes, or None to delete it. One record's payload."""
+def encode_changes(changes: Changes) -> bytes:
+    """The payload of one record; None deletes a key. InvalidChangeError for a key that does not fit."""
     parts = []
     for key, value in changes.items():
         name = key.encode()
-        if not 1 <= len(name) <= MOST_KEY:
-            raise ValueError(f"a key of {len(name)} bytes")
+        if not 1 <= len(name) <= MAX_KEY_BYTES:
+            raise InvalidChangeError(f"a key of {len(name)} bytes")
         parts.append(_KEY.pack(_DELETE if value is None else _PUT, len(name)) + name)
         if value is not None:
             parts.append(_SIZE.pack(len(value)) + value)
     return b"".join(parts)
 
 
-def read_changes(payload):
-    """The changes of a record, or Unreadable."""
-    changes, at = {}, 0
-    while at < len(payload):
-        if len(payload) - at < _KEY.size:
-            raise Unreadable("a change that is cut off")
-        what, length = _KEY.unpack_from(payload, at)
-        at += _KEY.size
-        name = payload[at : at + length]
-        at += length
-        if what not in (_PUT, _DELETE) or len(name) != length or not 1 <= length <= MOST_KEY:
-            raise Unreadable("a change that makes no sense")
+def read_changes(payload: bytes) -> Changes:
+    """The changes of a record's payload, or CorruptRecordError."""
+    changes = {}
+    offset = 0
+    while offset < len(payload):
+        if len(payload) - offset < _KEY.size:
+            raise CorruptRecordError("a change that is cut off")
+        action, length = _KEY.unpack_from(payload, offset)
+        offset += _KEY.size
+        name = payload[offset : offset + length]
+        offset += length
+        if action not in (_PUT, _DELETE) or len(name) != length or not 1 <= length <= MAX_KEY_BYTES:
+            raise CorruptRecordError("a change that makes no sense")
         value = None
-        if what == _PUT:
-            if len(payload) - at < _SIZE.size:
-                raise Unreadable("a change that is cut off")
-            (size,) = _SIZE.unpack_from(payload, at)
-            at += _SIZE.size
-            value = payload[at : at + size]
-            at += size
-            if len(value) != size:
-                raise Unreadable("a change that is cut off")
+        if action == _PUT:
+            value = _read_value(payload, offset)
+            offset += _SIZE.size + len(value)
         try:
             changes[name.decode()] = value
         except UnicodeDecodeError:
-            raise Unreadable("a key that is no text") from None
+            raise CorruptRecordError("a key that is no text") from None
     return changes
 
 
-def apply(state, changes):
+def _read_value(payload, offset):
+    if len(payload) - offset < _SIZE.size:
+        raise CorruptRecordError("a change that is cut off")
+    (size,) = _SIZE.unpack_from(payload, offset)
+    value = payload[offset + _SIZE.size : offset + _SIZE.size + size]
+    if len(value) != size:
+        raise CorruptRecordError("a change that is cut off")
+    return value
+
+
+def apply_changes(state: dict[str, bytes], changes: Changes) -> None:
+    """Changes a state; None deletes a key."""
     for key, value in changes.items():
         if value is None:
             state.pop(key, None)
@@ -178,63 +253,70 @@
             state[key] = value
 
 
-def section_size(key, value):
+def section_size(key: str, value: bytes) -> int:
     """Bytes that a section takes in a snapshot, with its frame."""
-    return FRAME_SIZE + _KEY.size + len(key.encode()) + _SIZE.size + len(value)
+    return FRAME_BYTES + _KEY.size + len(key.encode()) + _SIZE.size + len(value)
 
 
-def state_size(state):
+def state_size(state: dict[str, bytes]) -> int:
     """Bytes that all sections take in a snapshot."""
     return sum(section_size(key, value) for key, value in state.items())
 
 
-def change_frames(seed, changes):
-    """The frames of [(number, ..., payload)] in a journal with that seed."""
-    return [frame(seed, number, CHANGE, payload) for number, *_, payload in changes]
-
-
-def snapshot_parts(header, state):
+def encode_snapshot(header: FileHeader, state: dict[str, bytes]) -> Iterator[bytes]:
     """A whole snapshot, piece by piece: a record for each section and one that says how many there were."""
-    first, seed = header_bytes(header)
+    first, seed = encode_header(header)
     yield first
     number = 0
     for number, (key, value) in enumerate(state.items(), 1):
-        yield frame(seed, number, CHANGE, changes_bytes({key: value}))
-    yield frame(seed, number + 1, END, _SIZE.pack(number))
+        yield encode_record(seed, Record(number, RecordKind.CHANGE, encode_changes({key: value})))
+    yield encode_record(seed, Record(number + 1, RecordKind.END, _SIZE.pack(number)))
+
 
+def encode_journal_records(seed: int, numbered_payloads: Iterable[tuple[int, bytes]]) -> list[bytes]:
+    """The records of changes, as (number, payload), in a journal with that seed."""
+    return [
+        encode_record(seed, Record(number, RecordKind.CHANGE, payload))
+        for number, payload in numbered_payloads
+    ]
 
-def read_snapshot(data):
-    """(header, state), or Unreadable, or Newer. A snapshot is whole or nothing."""
+
+def read_snapshot(data: bytes) -> SnapshotContent:
+    """A snapshot, which is whole or nothing; CorruptRecordError or NewerFormatError."""
     header, size, seed = read_header(data)
-    if header.kind != SNAPSHOT:
-        raise Unreadable("not a snapshot")
-    records, _, why = read_records(data, size, seed, 1)
-    if why:
-        raise Unreadable(f"after record {len(records)}: {why}")
-    if not records or records[-1][1] != END or records[-1][2] != _SIZE.pack(len(records) - 1):
-        raise Unreadable("it has no end")
+    if header.kind != FileKind.SNAPSHOT:
+        raise CorruptRecordError("not a snapshot")
+    records, _, reason = read_records(data, size, seed, 1)
+    if reason:
+        raise CorruptRecordError(f"after record {len(records)}: {reason}")
+    if not records or not _is_end_of(records[-1], len(records) - 1):
+        raise CorruptRecordError("it has no end")
     state = {}
-    for number, kind, payload in records[:-1]:
-        if kind != CHANGE:
-            raise Unreadable(f"record {number} of kind {kind}")
-        apply(state, read_changes(payload))
-    return header, state
+    for record in records[:-1]:
+        if record.kind != RecordKind.CHANGE:
+            raise CorruptRecordError(f"record {record.number} of kind {record.kind}")
+        apply_changes(state, read_changes(record.payload))
+    return SnapshotContent(header, state)
+
+
+def _is_end_of(record, number):
+    return record.kind == RecordKind.END and record.payload == _SIZE.pack(number)
 
 
-def read_journal(data):
-    """A Journal, or Unreadable (its header), or Newer."""
+def read_journal(data: bytes) -> JournalContent:
+    """A journal as far as it is intact; CorruptRecordError (its header) or NewerFormatError."""
     header, size, seed = read_header(data)
-    if header.kind != JOURNAL:
-        raise Unreadable("not a journal")
-    records, end, why = read_records(data, size, seed, header.base + 1)
-    journal = Journal(header, left_bytes=len(data) - end, why=why)
-    for at, (_, kind, payload) in enumerate(records):
+    if header.kind != FileKind.JOURNAL:
+        raise CorruptRecordError("not a journal")
+    records, end, reason = read_records(data, size, seed, header.base_number + 1)
+    journal = JournalContent(header, skipped_bytes=len(data) - end, reason=reason)
+    for place, record in enumerate(records):
         try:
-            if kind != CHANGE:
-                raise Unreadable(f"a record of kind {kind}")
-            journal.changes.append(read_changes(payload))
-        except Unreadable as wrong:
-            journal.why = str(wrong)
-            journal.left_bytes += sum(FRAME_SIZE + len(p) for _, _, p in records[at:])
+            if record.kind != RecordKind.CHANGE:
+                raise CorruptRecordError(f"a record of kind {record.kind}")
+            journal.changes.append(read_changes(record.payload))
+        except CorruptRecordError as error:
+            journal.reason = str(error)
+            journal.skipped_bytes += sum(FRAME_BYTES + len(left.payload) for left in records[place:])
             break
     return journal
--- a/lichenquay/storage/recovery.py
+++ b/lichenquay/storage/recovery.py
@@ -1,157 +1,166 @@
-"""What a folder's files say, taken together: the newest good snapshot, then the journals that follow it without a
-gap."""
+"""What a store's files say together: the newest intact snapshot, then the journals that follow it."""
 
 import errno
-import re
 from dataclasses import dataclass, field
 from os.path import join
 
 from lichenquay.storage import record_format
-from lichenquay.storage.disk import READ
+from lichenquay.storage.errors import CorruptRecordError, NewerFormatError, UnusableStoreError
+from lichenquay.storage.file_names import file_name, store_files
+from lichenquay.storage.file_system import READ_FLAGS, close_quietly
+from lichenquay.storage.record_format import FileKind
 
-MOST_FILE = 64 << 20  # bytes read of one file; a store makes none as large
-MOST_LOOKED_AT = 4096  # generations, newest first
-MOST_SAID = 8  # lines on what was left out
-OURS = re.compile(r"(bad\.)?(\d{12})\.(snapshot|journal)(\.new)?")
-LAST_GENERATION = 10**12 - 1
-KINDS = {"snapshot": record_format.SNAPSHOT, "journal": record_format.JOURNAL}
-
-
-class UnusableStoreError(Exception):
-    """A folder that this front must not use. One line."""
+MAX_FILE_BYTES = 64 << 20  # read of one file; a store makes none as large
+READ_BYTES = 1 << 20  # at a time
+MAX_GENERATIONS_READ = 4096  # newest first
+MAX_SKIPPED_LINES = 8
 
 
 @dataclass
 class Recovery:
-    """`number`: of the last record in `state`. `generations`: the ones that `state` came from, ascending. `highest`:
-    of any good file. `bad`: files left out in part or whole; `left_out`: a line on each, the first few; `left_bytes`
-    in all."""
-
-    state: dict = field(default_factory=dict)
-    number: int = 0
-    generations: list = field(default_factory=list)
-    highest: int = 0
-    bad: set = field(default_factory=set)
-    left_out: list = field(default_factory=list)
-    left_bytes: int = 0
-    bears_errors: bool = False
-    unreadable: bool = False  # some bytes, and that was borne
-
-    def leave_out(self, name, why, size):
-        self.bad.add(name)
-        self.left_bytes += size
-        if len(self.left_out) < MOST_SAID:
-            self.left_out.append(f"{name}: {why}")
-
-
-def file_name(generation, kind, new=False):
-    return f"{generation:012d}.{kind}" + (".new" if new else "")
-
-
-def ours(names):
-    """[(name, is bad, generation, kind, is new)] of the names that have our form."""
-    found = ((name, OURS.fullmatch(name)) for name in sorted(names))
-    return [(name, bool(m[1]), int(m[2]), m[3], bool(m[4])) for name, m in found if m]
-
-
-def recover(os, path, fleet, name, bears_errors=False):
-    """A Recovery. UnusableStoreError: some file is another fleet's or front's, or of a newer version. OSError: the folder cannot
-    be read now.
-
-    bears_errors: a file that the disk cannot read (EIO) is a damaged one. Risk: a disk that fails as a whole for a
-    while would cost the newest generation; so the first tries bear none."""
-    recovered = Recovery(bears_errors=bears_errors)
-    headers = _headers(os, path, fleet, name, recovered)
-    for generation in sorted((g for g, kind in headers if kind == "snapshot"), reverse=True):
-        its = file_name(generation, "snapshot")
-        data = _content(os, path, its, MOST_FILE, recovered)
+    """What recovery found."""
+
+    tolerates_errors: bool = False
+    state: dict[str, bytes] = field(default_factory=dict)
+    number: int = 0  # of the last record in `state`
+    generations: list[int] = field(default_factory=list)  # that `state` came from, ascending
+    highest_generation: int = 0  # of any file with an intact header
+    damaged_files: set[str] = field(default_factory=set)  # skipped in part or whole
+    skipped_files: list[str] = field(default_factory=list)  # a line on each, the first few
+    skipped_bytes: int = 0
+    has_read_errors: bool = False  # and they were tolerated
+
+    def skip(self, name: str, reason: str, size: int) -> None:
+        """Takes down that a file was skipped, in part or whole."""
+        self.damaged_files.add(name)
+        self.skipped_bytes += size
+        if len(self.skipped_files) < MAX_SKIPPED_LINES:
+            self.skipped_files.append(f"{name}: {reason}")
+
+
+def recover(file_system, path: str, fleet: str, process_name: str, tolerates_errors=False) -> Recovery:
+    """Reads the files of a store.
+
+    `tolerates_errors`: a file that the disk cannot read (EIO) counts as damaged. A disk that fails as a
+    whole for a while would cost the newest generation that way, so the first attempts tolerate none.
+
+    Raises UnusableStoreError where some file is of another fleet or process or of a newer version, OSError
+    where the folder cannot be read now.
+    """
+    return _Reader(file_system, path, Recovery(tolerates_errors)).read(fleet, process_name)
+
+
+class _Reader:
+    def __init__(self, file_system, path, recovery):
+        self.file_system = file_system
+        self.path = path
+        self.recovery = recovery
+
+    def read(self, fleet, process_name):
+        recovery = self.recovery
+        headers = self._read_headers(fleet, process_name)
+        self._read_newest_snapshot(headers)
+        first = recovery.generations[0] if recovery.generations else 0
+        for generation, kind in sorted(headers):
+            if kind is FileKind.JOURNAL and generation >= first:
+                self._read_journal(generation, headers[generation, kind])
+        if recovery.has_read_errors and not recovery.generations:
+            raise OSError(errno.EIO, "nothing of it can be read")
+        return recovery
+
+    def _read_headers(self, fleet, process_name):
+        """{(generation, kind): header} of the files with an intact header.
+
+        All are read before anything is changed, so that a refused folder stays as it is.
+        """
+        headers = {}
+        files = [file for file in store_files(self.file_system.listdir(self.path)) if file.is_readable]
+        newest = sorted({file.generation for file in files})[-MAX_GENERATIONS_READ:]
+        for file in files:
+            if file.generation not in newest:
+                continue
+            header = self._read_header(file)
+            if header is None:
+                continue
+            if header.fleet != fleet:
+                raise UnusableStoreError(f"folder {self.path} is of fleet {header.fleet!r}, not {fleet!r}")
+            if header.process_name != process_name:
+                raise UnusableStoreError(
+                    f"folder {self.path} is of front {header.process_name!r}, not {process_name!r}"
+                )
+            headers[file.generation, file.kind] = header
+            self.recovery.highest_generation = max(self.recovery.highest_generation, file.generation)
+        return headers
+
+    def _read_header(self, file):
+        """The header of a file; None where it is damaged or another file's."""
+        data = self._content(file.name, record_format.MAX_HEADER_BYTES)
+        try:
+            header = record_format.read_header(data).header
+            if (header.kind, header.generation) != (file.kind, file.generation):
+                raise CorruptRecordError("it has another file's header")
+        except NewerFormatError as error:
+            raise UnusableStoreError(f"folder {self.path}: {file.name} is of {error}") from None
+        except CorruptRecordError as error:
+            self.recovery.skip(file.name, str(error), len(data))
+            return None
+        return header
+
+    def _read_newest_snapshot(self, headers):
+        snapshots = [generation for generation, kind in headers if kind is FileKind.SNAPSHOT]
+        for generation in sorted(snapshots, reverse=True):
+            name = file_name(generation, FileKind.SNAPSHOT)
+            data = self._content(name, MAX_FILE_BYTES)
+            try:
+                snapshot = record_format.read_snapshot(data)
+            except CorruptRecordError as error:
+                self.recovery.skip(name, str(error), len(data))
+                continue
+            self.recovery.state = snapshot.state
+            self.recovery.number = snapshot.header.base_number
+            self.recovery.generations = [generation]
+            return
+
+    def _read_journal(self, generation, header):
+        """A journal that does not begin where the state ends belongs to another past, and is skipped."""
+        recovery = self.recovery
+        name = file_name(generation, FileKind.JOURNAL)
+        data = self._content(name, MAX_FILE_BYTES)
+        if header.base_number != recovery.number:
+            reason = f"it follows record {header.base_number}, the state ends at {recovery.number}"
+            recovery.skip(name, reason, len(data))
+            return
         try:
-            header, recovered.state = record_format.read_snapshot(data)
-        except record_format.Unreadable as why:
-            recovered.leave_out(its, str(why), len(data))
-            continue
-        recovered.number, recovered.generations = header.base, [generation]
-        break
-    first = recovered.generations[0] if recovered.generations else 0
-    for generation in sorted(g for g, kind in headers if kind == "journal" and g >= first):
-        _follow(os, path, generation, headers[generation, "journal"], recovered)
-    if recovered.unreadable and not recovered.generations:
-        raise OSError(errno.EIO, "nothing of it can be read")
-    return recovered
-
-
-def _headers(os, path, fleet, name, recovered):
-    """{(generation, kind): header} of the files with a whole header. All are looked at before anything is changed."""
-    headers = {}
-    files = [f for f in ours(os.listdir(path)) if not f[1] and not f[4]]
-    newest = sorted({f[2] for f in files})[-MOST_LOOKED_AT:]
-    for its, _, generation, kind, _ in files:
-        if generation not in newest:
-            continue
-        data = _content(os, path, its, record_format.MOST_HEADER, recovered)
+            journal = record_format.read_journal(data)
+        except CorruptRecordError as error:
+            recovery.skip(name, str(error), len(data))
+            return
+        for changes in journal.changes:
+            record_format.apply_changes(recovery.state, changes)
+        recovery.number += len(journal.changes)
+        if generation not in recovery.generations:
+            recovery.generations.append(generation)
+        if journal.reason:
+            reason = f"{journal.skipped_bytes} bytes after record {recovery.number}: {journal.reason}"
+            recovery.skip(name, reason, journal.skipped_bytes)
+
+    def _content(self, name, max_bytes):
+        """Up to `max_bytes` of a file. Where errors are tolerated, what cannot be read counts as cut off."""
+        parts = []
+        descriptor = None
         try:
-            header, _, _ = record_format.read_header(data)
-            if (header.kind, header.generation) != (KINDS[kind], generation):
-                raise record_format.Unreadable("it has another file's header")
-        except record_format.Newer as why:
-            raise UnusableStoreError(f"folder {path}: {its} is of {why}") from None
-        except record_format.Unreadable as why:
-            recovered.leave_out(its, str(why), len(data))
-            continue
-        if header.fleet != fleet:
-            raise UnusableStoreError(f"folder {path} is of fleet {header.fleet!r}, not {fleet!r}")
-        if header.name != name:
-            raise UnusableStoreError(f"folder {path} is of front {header.name!r}, not {name!r}")
-        headers[generation, kind] = header
-        recovered.highest = max(recovered.highest, generation)
-    return headers
-
-
-def _follow(os, path, generation, header, recovered):
-    """Risk: a journal that does not begin where the state ends belongs to another past; taking it would mix the
-    two."""
-    its = file_name(generation, "journal")
-    data = _content(os, path, its, MOST_FILE, recovered)
-    if header.base != recovered.number:
-        recovered.leave_out(
-            its, f"it follows record {header.base}, the state ends at {recovered.number}", len(data)
-        )
-        return
-    try:
-        journal = record_format.read_journal(data)
-    except record_format.Unreadable as why:
-        recovered.leave_out(its, str(why), len(data))
-        return
-    for changes in journal.changes:
-        record_format.apply(recovered.state, changes)
-    recovered.number += len(journal.changes)
-    if generation not in recovered.generations:
-        recovered.generations.append(generation)
-    if journal.why:
-        why = f"{journal.left_bytes} bytes after record {recovered.number}: {journal.why}"
-        recovered.leave_out(its, why, journal.left_bytes)
-
-
-def _content(os, path, name, most, recovered):
-    """Up to `most` bytes of a file. Where errors are to be borne, what the disk cannot read counts as cut off."""
-    parts, fd = [], None
-    try:
-        fd = os.open(join(path, name), READ)
-        while most > 0 and (part := os.read(fd, min(most, 1 << 20))):
-            parts.append(part)
-            most -= len(part)
-    except OSError as why:
-        if why.errno != errno.EISDIR and not (why.errno == errno.EIO and recovered.bears_errors):
-            raise
-        recovered.unreadable = recovered.unreadable or why.errno == errno.EIO
-    finally:
-        if fd is not None:
-            _close(os, fd)
-    return b"".join(parts)
-
-
-def _close(os, fd):
-    try:
-        os.close(fd)
-    except OSError:  # what was read was read
-        pass
+            descriptor = self.file_system.open(join(self.path, name), READ_FLAGS)
+            while max_bytes > 0:
+                part = self.file_system.read(descriptor, min(max_bytes, READ_BYTES))
+                if not part:
+                    break
+                parts.append(part)
+                max_bytes -= len(part)
+        except OSError as error:
+            is_tolerated = error.errno == errno.EIO and self.recovery.tolerates_errors
+            if error.errno != errno.EISDIR and not is_tolerated:
+                raise
+            self.recovery.has_read_errors = self.recovery.has_read_errors or error.errno == errno.EIO
+        finally:
+            close_quietly(self.file_system, descriptor)
+        return b"".join(parts)
--- a/lichenquay/storage/writer.py
+++ b/lichenquay/storage/writer.py
@@ -1,229 +1,303 @@
-"""A thread that writes a folder, so that its host never waits for a disk. Times: milliseconds of the host's monotonic
-clock."""
+"""A thread that writes a store, so that its host never waits for a disk.
+
+Times are milliseconds of the host's monotonic clock.
+"""
 
 import threading
 from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
 
 import structlog
 
-from lichenquay.storage.store import NotStored
+from lichenquay.storage.errors import NotStoredError
+from lichenquay.storage.record_format import Changes
 
-MOST_QUEUED = 1024  # stores
-SAY_EACH_MS = 60_000.0  # at most one line of a kind
+MAX_QUEUED_WRITES = 1024
+LOG_INTERVAL_MS = 60_000.0  # at most one line of a kind
+CHANGE_OVERHEAD_BYTES = 32  # of a section in the queue, at most
+MAX_UTF8_BYTES = 4  # of a character
 
 
-class _Seldom:
-    """True once in SAY_EACH_MS, and how often it was asked since."""
+class RateLimit:
+    """Allows one log line in LOG_INTERVAL_MS, and counts what happened since."""
 
     def __init__(self):
-        self.last_ms, self.since = None, 0
+        """Allows the first at once."""
+        self.last_ms = None
+        self.since = 0
 
-    def asks(self, now_ms, number=1):
-        self.since += number
-        if self.last_ms is not None and now_ms - self.last_ms < SAY_EACH_MS:
+    def count(self, now_ms):
+        """Counts one more event: how many since the last line if a line may be written now, else 0."""
+        self.since += 1
+        if self.last_ms is not None and now_ms - self.last_ms < LOG_INTERVAL_MS:
             return 0
-        self.last_ms, since, self.since = now_ms, self.since, 0
+        self.last_ms = now_ms
+        since = self.since
+        self.since = 0
         return since
 
 
-class _Store:
-    __slots__ = ("changes", "done", "size", "ok", "settled")
+@dataclass(eq=False, slots=True)
+class QueuedWrite:
+    """One `store` of the host. `is_stored`: None until the writer's thread is done with it."""
+
+    changes: Changes
+    on_result: Callable[[bool], None]
+    size_bytes: int
+    is_stored: bool | None = None
+    is_answered: bool = False
 
-    def __init__(self, changes, done, size):
-        self.changes, self.done, self.size, self.ok, self.settled = changes, done, size, None, False
 
+class StoreWriter:
+    """Writes the changes of its host in a thread of its own.
 
-class Writer:
-    """`store(changes, done)`: done(True) when it is on disk, done(False) when that is not known; each exactly once,
-    in the order in which stores were queued, in the thread that `call(f, *args)` brings f to. All methods are for
-    that thread.
+    `store(changes, on_result)`: on_result(True) when they are on disk, on_result(False) when that is not
+    known; each exactly once, in the order of the calls, in the host's thread. All methods are for that
+    thread.
+    """
 
-    folder: from now on this thread's alone. now_ms: a function that any thread may call. opened(state): called once,
-    where the folder could not be read at the start, when it has been: what a process kept of old is then known, later
-    than it began."""
+    def __init__(self, store, call_in_host, now_ms, on_open=None, log=None, max_queued=MAX_QUEUED_WRITES):
+        """`store`: from now on the writer's thread's alone.
 
-    def __init__(self, folder, call, now_ms, opened=None, log=None, most_queued=MOST_QUEUED):
-        self._folder, self._call, self._now_ms, self._opened = folder, call, now_ms, opened
-        self._log = (log or structlog.get_logger()).bind(member=folder.name)
-        self._most_queued, self._most_bytes = most_queued, folder.most_batch
+        `call_in_host(function, *arguments)` brings a call to the host's thread. `now_ms`: a function that
+        any thread may call. `on_open(state)`: called once, where the store could not be read at the start,
+        when it has been.
+        """
+        self._store = store
+        self._call_in_host = call_in_host
+        self._now_ms = now_ms
+        self._on_open = on_open
+        self._log = (log or structlog.get_logger()).bind(member=store.name)
+        self._max_queued = max_queued
+        self._max_queued_bytes = store.max_batch_bytes
         self._changed = threading.Condition()
-        self._queue, self._queued_bytes, self._closing = deque(), 0, False
-        self._open_stores = deque()  # of the caller's thread alone: what has not been told its end
+        self._queue = deque()
+        self._queued_bytes = 0
+        self._is_closing = False
+        self._unanswered = deque()  # of the host's thread alone
         self._busy_since_ms = None
-        self._known = self._told_opened = folder.opened  # of the caller's thread; of the writer's
-        self._full, self._refused = _Seldom(), _Seldom()
-        self._said_ms, self._unsaid, self._was_trouble = -SAY_EACH_MS, 0, False
-        self.counts = dict(
-            stored=0, failed=0, refused=0, full=0, early=0, batches=0, failures=0, healed=0, longest_ms=0.0
-        )
-        self.trouble = folder.trouble  # one line, or None
-        if folder.left_out:
+        self._is_open = store.is_open  # of the host's thread
+        self._has_reported_open = store.is_open  # of the writer's thread
+        self._queue_full_limit = RateLimit()
+        self._rejected_limit = RateLimit()
+        self._reported_failure_ms = -LOG_INTERVAL_MS
+        self._unreported_failures = 0
+        self._was_failing = False
+        self.counts = {
+            "stored": 0,
+            "failed": 0,
+            "rejected": 0,
+            "queue_full": 0,
+            "before_open": 0,
+            "batches": 0,
+            "failures": 0,
+            "recovered": 0,
+            "longest_write_ms": 0.0,
+        }
+        self.last_error = store.last_error  # one line, or None
+        if store.skipped_files:
             self._log.warning(
                 "folder: files left out",
-                files=folder.left_out,
-                bytes=folder.left_bytes,
-                generation=folder.generation,
+                files=store.skipped_files,
+                bytes=store.skipped_bytes,
+                generation=store.generation,
             )
-        if folder.trouble:
-            self._say_trouble(now_ms())
+        if store.last_error:
+            self._report_failure(now_ms())
         self._thread = threading.Thread(target=self._run, name="folder-writer", daemon=True)
         self._thread.start()
 
-    def store(self, changes, done):
-        """Risk: a disk that stalls while stores come on. The queue is bounded; what does not fit is done(False) at
-        once. Risk: a store over sections that nobody has read yet. It is done(False) until `opened` was told."""
-        if not self._known:
-            self.counts["early"] += 1
-            done(False)
+    def store(self, changes: Changes, on_result: Callable[[bool], None]) -> None:
+        """Queues changes. The queue is bounded, also while a disk stalls: what does not fit has its result
+        at once.
+
+        So do changes of sections that nobody could read yet.
+        """
+        if not self._is_open:
+            self.counts["before_open"] += 1
+            on_result(False)
             return
-        size = sum(len(key) * 4 + len(value or b"") + 32 for key, value in changes.items())
+        size_bytes = sum(
+            len(key) * MAX_UTF8_BYTES + len(value or b"") + CHANGE_OVERHEAD_BYTES
+            for key, value in changes.items()
+        )
+        if not self._enqueue(QueuedWrite(dict(changes), on_result, size_bytes)):
+            self.counts["queue_full"] += 1
+            self._report_queue_full()
+            on_result(False)
+
+    def _enqueue(self, write):
         with self._changed:
-            fits = (
-                not self._closing
-                and len(self._queue) < self._most_queued
-                and (self._queued_bytes + size <= self._most_bytes or not self._queue)
-            )
-            if fits:
-                one = _Store(dict(changes), done, size)
-                self._open_stores.append(one)
-                self._queue.append(one)
-                self._queued_bytes += size
-                self._changed.notify()
-        if not fits:
-            self.counts["full"] += 1
-            now_ms = self._now_ms()
-            if not self._closing and (times := self._full.asks(now_ms)):
-                self._log.warning(
-                    "folder: takes no more stores", not_taken=times, stalled_ms=round(self.stalled(now_ms))
-                )
-            done(False)
-
-    def stalled(self, now_ms):
-        """How long the disk has been at what it is doing; 0 if it is at nothing."""
-        since = self._busy_since_ms
-        return 0.0 if since is None else max(0.0, now_ms - since)
-
-    def queued(self):
-        return len(self._open_stores)
-
-    def close(self, within_ms):
-        """Writes what is queued, and ends; True if all of that was done in time. What was not is done(False)."""
+            has_room = len(self._queue) < self._max_queued
+            has_bytes = self._queued_bytes + write.size_bytes <= self._max_queued_bytes or not self._queue
+            if self._is_closing or not has_room or not has_bytes:
+                return False
+            self._unanswered.append(write)
+            self._queue.append(write)
+            self._queued_bytes += write.size_bytes
+            self._changed.notify()
+            return True
+
+    def _report_queue_full(self):
+        now_ms = self._now_ms()
+        if self._is_closing:
+            return
+        times = self._queue_full_limit.count(now_ms)
+        if times:
+            stalled_ms = round(self.stalled_ms(now_ms))
+            self._log.warning("folder: write queue is full", not_taken=times, stalled_ms=stalled_ms)
+
+    def stalled_ms(self, now_ms: float) -> float:
+        """How long the disk has been at its present write; 0 if there is none."""
+        since_ms = self._busy_since_ms
+        return 0.0 if since_ms is None else max(0.0, now_ms - since_ms)
+
+    def queued_writes(self) -> int:
+        """How many writes have no result yet."""
+        return len(self._unanswered)
+
+    def close(self, timeout_ms: float) -> bool:
+        """Writes what is queued, and ends; True if all was done in time. The rest is on_result(False)."""
         with self._changed:
-            self._closing = True
+            self._is_closing = True
             self._changed.notify()
-        self._thread.join(within_ms / 1000)
+        self._thread.join(timeout_ms / 1000)
         with self._changed:
             self._queue.clear()
-        self._settle([s for s in self._open_stores])
+        self._answer(list(self._unanswered))
         return not self._thread.is_alive()
 
-    def _settle(self, stores):
-        for one in stores:
-            if not one.settled:
-                one.settled = True
+    def _answer(self, writes):
+        for write in writes:
+            if not write.is_answered:
+                write.is_answered = True
                 try:
-                    one.done(one.ok is True)
-                except Exception:  # Risk: the fault of one's host leaves the others untold.
-                    self._log.exception("folder: error in what a store is told to")
-        while self._open_stores and self._open_stores[0].settled:
-            self._open_stores.popleft()
+                    write.on_result(write.is_stored is True)
+                except Exception:  # an error of one callback must not leave the others without their result
+                    self._log.exception("folder: error in the callback of a write")
+        while self._unanswered and self._unanswered[0].is_answered:
+            self._unanswered.popleft()
 
-    def _tell_opened(self, state):
-        self._known = True
-        if self._opened:
-            self._opened(state)
+    def _report_open(self, state):
+        self._is_open = True
+        if self._on_open:
+            self._on_open(state)
 
     # From here on: the writer's thread.
 
     def _run(self):
         try:
-            while self._turn():
+            while self._write_next_batch():
                 pass
         finally:
-            self._folder.close()
+            self._store.close()
 
-    def _turn(self):
-        """Waits for stores or for the time to heal, and does it. False: there is nothing more to do."""
-        with self._changed:
-            while not self._queue and not self._closing:
-                wait_ms = self._folder.due_ms - self._now_ms() if self._folder.trouble else None
-                if wait_ms is not None and wait_ms <= 0:
-                    break
-                self._changed.wait(None if wait_ms is None else wait_ms / 1000)
-            if self._closing and not self._queue:
-                return False
-            batch, size = [], 0
-            while self._queue and (not batch or size + self._queue[0].size <= self._most_bytes):
-                one = self._queue.popleft()
-                size += one.size
-                batch.append(one)
-            self._queued_bytes -= size
-        began_ms = self._busy_since_ms = self._now_ms()
+    def _write_next_batch(self):
+        """Waits for writes or for the time to retry, and does it. False: there is nothing more to do."""
+        batch = self._take_batch()
+        if batch is None:
+            return False
+        began_ms = self._now_ms()
+        self._busy_since_ms = began_ms
         try:
             self._write(batch, began_ms)
-        except Exception:  # Risk: an error of ours ends the thread, and every store after it is silent.
+        except Exception:  # an error of ours must not end the thread, and every later write with it
             self._log.exception("folder: error in the writer")
-        for one in batch:
-            one.ok = one.ok is True
+        for write in batch:
+            write.is_stored = write.is_stored is True
         ended_ms = self._now_ms()
         self._busy_since_ms = None
         self._account(batch, began_ms, ended_ms)
         if batch:
-            self._call(self._settle, batch)
+            self._call_in_host(self._answer, batch)
         return True
 
+    def _take_batch(self):
+        """The next writes, none where it is time to retry; None: the writer ends."""
+        with self._changed:
+            while not self._queue and not self._is_closing:
+                wait_ms = self._store.due_ms - self._now_ms() if self._store.last_error else None
+                if wait_ms is not None and wait_ms <= 0:
+                    break
+                self._changed.wait(None if wait_ms is None else wait_ms / 1000)
+            if self._is_closing and not self._queue:
+                return None
+            batch = []
+            size_bytes = 0
+            while self._queue:
+                next_bytes = size_bytes + self._queue[0].size_bytes
+                if batch and next_bytes > self._max_queued_bytes:
+                    break
+                size_bytes = next_bytes
+                batch.append(self._queue.popleft())
+            self._queued_bytes -= size_bytes
+            return batch
+
     def _write(self, batch, now_ms):
-        folder = self._folder
-        if folder.trouble and not folder.heal(now_ms):
+        store = self._store
+        if store.last_error and not store.retry(now_ms):
             return
         taken = []
-        for one in batch:
+        for write in batch:
             try:
-                folder.append(one.changes)
-                taken.append(one)
-            except NotStored:
-                pass
-            except Exception as why:  # TooMuch; or keys and values that make no sense, which fail alone
-                self.counts["refused"] += 1
-                if times := self._refused.asks(now_ms):
-                    self._log.warning("folder: a store refused", why=str(why), times=times)
+                store.append(write.changes)
+                taken.append(write)
+            except NotStoredError:
+                continue
+            except Exception as error:  # beyond the capacity, or no valid change: it fails alone
+                self._count_rejected(now_ms, error)
+        if not taken:
+            return
         try:
-            if taken:
-                folder.flush(now_ms)
-                for one in taken:
-                    one.ok = True
-        except NotStored:
-            pass
+            store.flush(now_ms)
+        except NotStoredError:
+            return
+        for write in taken:
+            write.is_stored = True
+
+    def _count_rejected(self, now_ms, error):
+        self.counts["rejected"] += 1
+        times = self._rejected_limit.count(now_ms)
+        if times:
+            self._log.warning("folder: change rejected", why=str(error), times=times)
 
     def _account(self, batch, began_ms, ended_ms):
-        folder, counts = self._folder, self.counts
-        stored = sum(one.ok for one in batch)
+        store = self._store
+        counts = self.counts
+        stored = sum(write.is_stored for write in batch)
         counts["stored"] += stored
         counts["failed"] += len(batch) - stored
         counts["batches"] += stored > 0
-        counts["failures"] = folder.failures
-        counts["longest_ms"] = max(counts["longest_ms"], ended_ms - began_ms)
-        self.trouble = folder.trouble
-        if folder.opened and not self._told_opened:
-            self._told_opened = True
-            self._call(self._tell_opened, dict(folder.state))
-        if folder.trouble:
-            self._unsaid += len(batch) - stored
-            self._say_trouble(ended_ms)
-        elif self._was_trouble:
-            self._was_trouble = False
-            counts["healed"] += 1
-            self._log.info("folder: stores again", generation=folder.generation, not_stored=self._unsaid)
-            self._said_ms, self._unsaid = -SAY_EACH_MS + ended_ms, 0
-
-    def _say_trouble(self, now_ms):
-        """One line when it begins and one a minute while it lasts."""
-        if not self._was_trouble or now_ms - self._said_ms >= SAY_EACH_MS:
+        counts["failures"] = store.failures
+        counts["longest_write_ms"] = max(counts["longest_write_ms"], ended_ms - began_ms)
+        self.last_error = store.last_error
+        if store.is_open and not self._has_reported_open:
+            self._has_reported_open = True
+            self._call_in_host(self._report_open, dict(store.state))
+        if store.last_error:
+            self._unreported_failures += len(batch) - stored
+            self._report_failure(ended_ms)
+        elif self._was_failing:
+            self._report_recovery(ended_ms)
+
+    def _report_recovery(self, now_ms):
+        self._was_failing = False
+        self.counts["recovered"] += 1
+        self._log.info(
+            "folder: stores again", generation=self._store.generation, not_stored=self._unreported_failures
+        )
+        self._reported_failure_ms = -LOG_INTERVAL_MS + now_ms
+        self._unreported_failures = 0
+
+    def _report_failure(self, now_ms):
+        """One line when it begins and one in LOG_INTERVAL_MS while it lasts."""
+        if not self._was_failing or now_ms - self._reported_failure_ms >= LOG_INTERVAL_MS:
             self._log.warning(
                 "folder: does not store",
-                why=self._folder.trouble,
-                generation=self._folder.generation,
-                not_stored=self._unsaid,
+                why=self._store.last_error,
+                generation=self._store.generation,
+                not_stored=self._unreported_failures,
             )
-            self._said_ms = now_ms
-        self._was_trouble = True
+            self._reported_failure_ms = now_ms
+        self._was_failing = True
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -39,7 +39,7 @@
         self.network = Network(reactor, Impairment(f"{spec.shape.seed}/{name}"))
         self.host.post = LabPost(self.host.post, self.network)
         self.disk = FaultyOs()
-        self.host.new_folder = partial(DurableStore, os=self.disk)
+        self.host.new_folder = partial(DurableStore, file_system=self.disk)
 
     def start(self):
         """Opens folder and socket, and takes part; a fault ends the process with one line."""
--- a/lichenquay/testbed/scale/faulty_disk.py
+++ b/lichenquay/testbed/scale/faulty_disk.py
@@ -3,10 +3,10 @@
 import errno
 import time
 
-from lichenquay.storage.disk import RealOs
+from lichenquay.storage.file_system import FileSystem
 
 
-class FaultyOs(RealOs):
+class FaultyOs(FileSystem):
     """The system's calls; while `full`, nothing can be written, and each fsync takes `delay_ms` longer."""
 
     def __init__(self):
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -104,7 +104,7 @@
     """As lichenquay.storage's, of a Disk."""
 
     def __init__(self, disk):
-        self.disk, self.state, self.opened, self.trouble, self.incarnation = (
+        self.disk, self.state, self.is_open, self.last_error, self.incarnation = (
             disk,
             dict(disk.state),
             True,
@@ -128,7 +128,7 @@
     """As lichenquay.storage's: stores one after the other, each told its end in the host's turn."""
 
     def __init__(self, reactor, folder):
-        self.reactor, self.disk, self.folder, self.counts, self.trouble = (
+        self.reactor, self.disk, self.folder, self.counts, self.last_error = (
             reactor,
             folder.disk,
             folder,
--- a/tests/lease_transcript.py
+++ b/tests/lease_transcript.py
@@ -8,7 +8,7 @@
 
 from lease_audit import FAST_SETTINGS, append_record, fold, holder_of, make_world
 from storage_golden import FLEET, NAME
-from storage_real import make
+from storage_real import open_store
 
 from lichenquay.lease.durable_state import load
 from lichenquay.lease.group import LeaseGroup
@@ -202,7 +202,7 @@
 
 def write_voter_folder(path, life):
     """The folder of a process that is a voter: its incarnation, then every store that its group got."""
-    store = make(path, NAME, FLEET, FOLDER_BYTES)
+    store = open_store(path, NAME, FLEET, FOLDER_BYTES)
     next_incarnation(store, life["incarnation"])
     asked = {}
     for method, _, arguments, _, stores, _ in life["calls"]:
@@ -218,7 +218,7 @@
 
 def voter_folder_of(path):
     """The sections of the group in a process's folder."""
-    store = make(path, NAME, FLEET, FOLDER_BYTES)
+    store = open_store(path, NAME, FLEET, FOLDER_BYTES)
     store.close()
     return {
         key.removeprefix(GROUP_PREFIX): value
--- a/tests/storage_golden.py
+++ b/tests/storage_golden.py
@@ -1,6 +1,6 @@
 """Scripted histories of a folder: every version with the format of revision 0018238 writes the same bytes."""
 
-from storage_real import make
+from storage_real import open_store
 
 from lichenquay.storage.incarnation import next_incarnation
 
@@ -14,7 +14,7 @@
     """Two starts of one process; the incarnations that it was given."""
     numbers = []
     for unix_ms in CLOCKS_MS:
-        store = make(path, NAME, FLEET, MAX_BYTES)
+        store = open_store(path, NAME, FLEET, MAX_BYTES)
         numbers.append(next_incarnation(store, unix_ms)[0])
         store.close()
     return numbers
@@ -22,13 +22,13 @@
 
 def write_generations(path):
     """Changes over several generations and two starts: sections put, replaced, deleted and empty."""
-    store = make(path, NAME, FLEET, MAX_BYTES)
+    store = open_store(path, NAME, FLEET, MAX_BYTES)
     for step in range(8):
         store.append({f"owner/ledger/record/{step}": bytes([step]) * 5 * step, "last": b"%d" % step})
         store.append({f"owner/ledger/record/{step - 3}": None, "empty": b""})
         (store.compact if step in (2, 5) else store.flush)(0.0)
     store.close()
-    store = make(path, NAME, FLEET, MAX_BYTES)
+    store = open_store(path, NAME, FLEET, MAX_BYTES)
     for step in range(3):
         store.append({"name with ü": b"\x00\xff%d" % step})
         store.flush(0.0)
@@ -53,13 +53,13 @@
 
 def meaning_of(path):
     """What the store reads in a folder, as plain data. Reading writes a new generation: give it a copy."""
-    store = make(path, NAME, FLEET, MAX_BYTES)
+    store = open_store(path, NAME, FLEET, MAX_BYTES)
     meaning = {
         "sections": {key: value.hex() for key, value in sorted(store.state.items())},
         "number": store.number,
         "generation": store.generation,
-        "left_out": [line.partition(":")[0] for line in store.left_out],
-        "left_bytes": store.left_bytes,
+        "left_out": [line.partition(":")[0] for line in store.skipped_files],
+        "left_bytes": store.skipped_bytes,
         "files": sorted(files_of(path)),
     }
     meaning["incarnation"] = next_incarnation(store, 1000)[0]
--- a/tests/storage_measure.py
+++ b/tests/storage_measure.py
@@ -1,4 +1,4 @@
-"""Times of a folder on this machine's disk, not a test: python tests/storage_measure.py FOLDER."""
+"""Times of a store on this machine's disk, not a test: python tests/storage_measure.py FOLDER."""
 
 import queue
 import sys
@@ -8,86 +8,108 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 from lichenquay.storage.store import DurableStore  # noqa: E402
-from lichenquay.storage.writer import Writer  # noqa: E402
+from lichenquay.storage.writer import StoreWriter  # noqa: E402
 
-MOST = 64 << 20
+MAX_BYTES = 64 << 20
+SECTION_BYTES = 200
 
 
 def now_ms():
+    """The monotonic clock."""
     return time.monotonic() * 1000
 
 
-def said(name, times_ms):
-    times_ms.sort()
-    at = [times_ms[min(len(times_ms) - 1, int(len(times_ms) * q))] for q in (0.5, 0.99)]
-    print(f"{name}: p50 {at[0]:.3f} ms, p99 {at[1]:.3f} ms, most {times_ms[-1]:.3f} ms, of {len(times_ms)}")
+def open_store(path):
+    """A store with much room."""
+    return DurableStore(path, "fleet", "front", MAX_BYTES)
 
 
-def one_by_one(path, number=2000):
-    folder, times_ms = DurableStore(path / "one", "fleet", "front", MOST), []
-    for i in range(number):
-        began_ms = now_ms()
-        folder.append({f"k{i % 100}": b"%d" % i + bytes(200)})
-        folder.flush(began_ms)
-        times_ms.append(now_ms() - began_ms)
-    said("store and fsync, 200 bytes", times_ms)
-    folder.close()
+def print_times(name, times_ms):
+    """Median, 99th percentile and maximum."""
+    times_ms = sorted(times_ms)
+    count = len(times_ms)
+    p50_ms = times_ms[count // 2]
+    p99_ms = times_ms[min(count - 1, int(count * 0.99))]
+    print(f"{name}: p50 {p50_ms:.3f} ms, p99 {p99_ms:.3f} ms, most {times_ms[-1]:.3f} ms, of {count}")
 
 
-def snapshots(path, sections, number=30):
-    folder, times_ms = DurableStore(path / f"many{sections}", "fleet", "front", MOST), []
-    for i in range(sections):
-        folder.append({f"k{i}": bytes(200)})
-    folder.flush(0.0)
+def measure_flushes(path, number=2000):
+    """One record and one fsync at a time."""
+    store = open_store(path / "one")
+    times_ms = []
+    for step in range(number):
+        began_ms = now_ms()
+        store.append({f"k{step % 100}": b"%d" % step + bytes(SECTION_BYTES)})
+        store.flush(began_ms)
+        times_ms.append(now_ms() - began_ms)
+    print_times(f"store and fsync, {SECTION_BYTES} bytes", times_ms)
+    store.close()
+
+
+def measure_generations(path, sections, number=30):
+    """New generations of a state with many sections, and its opening."""
+    path = path / f"many{sections}"
+    store = open_store(path)
+    for section in range(sections):
+        store.append({f"k{section}": bytes(SECTION_BYTES)})
+    store.flush(0.0)
+    times_ms = []
     for _ in range(number):
         began_ms = now_ms()
-        folder.compact(began_ms)
+        store.compact(began_ms)
         times_ms.append(now_ms() - began_ms)
-    said(f"new generation of {sections} sections", times_ms)
-    folder.close()
+    print_times(f"new generation of {sections} sections", times_ms)
+    store.close()
     began_ms = now_ms()
-    DurableStore(path / f"many{sections}", "fleet", "front", MOST).close()
-    print(f"opening with {sections} sections, a new generation included: {now_ms() - began_ms:.1f} ms")
+    open_store(path).close()
+    took_ms = now_ms() - began_ms
+    print(f"opening with {sections} sections, a new generation included: {took_ms:.1f} ms")
+
+
+def measure_writer(path, concurrency, number=4000):
+    """`concurrency` writes are open at any time: the next goes out as one has its result."""
+    calls = queue.SimpleQueue()
+    result_times_ms = []
+    call_times_ms = []
+    writer = StoreWriter(
+        open_store(path / f"by{concurrency}"),
+        lambda function, *arguments: calls.put((function, arguments)),
+        now_ms,
+    )
+    remaining = number
 
+    def write_next():
+        nonlocal remaining
+        if not remaining:
+            return
+        remaining -= 1
+        began_ms = now_ms()
 
-def written(path, at_once, number=4000):
-    """`at_once` stores are open at any time: the next goes out as one is told."""
-    calls, times_ms, in_store_ms = queue.SimpleQueue(), [], []
-    writer = Writer(
-        DurableStore(path / f"by{at_once}", "fleet", "front", MOST), lambda f, *a: calls.put((f, a)), now_ms
-    )
-    left = number
-
-    def go():
-        nonlocal left
-        if left:
-            left -= 1
-            began_ms = now_ms()
-            writer.store(
-                {f"k{left % 100}": bytes(200)}, lambda ok: (times_ms.append(now_ms() - began_ms), go())
-            )
-            in_store_ms.append(now_ms() - began_ms)
+        def on_result(is_stored):
+            result_times_ms.append(now_ms() - began_ms)
+            write_next()
+
+        writer.store({f"k{remaining % 100}": bytes(SECTION_BYTES)}, on_result)
+        call_times_ms.append(now_ms() - began_ms)
 
     began_ms = now_ms()
-    for _ in range(at_once):
-        go()
-    while len(times_ms) < number:
-        f, args = calls.get()
-        f(*args)
-    took_ms = now_ms() - began_ms
-    batches = writer.counts["batches"]
-    print(
-        f"writer, {at_once} open: {number / took_ms * 1000:.0f} stores/s, {number / max(batches, 1):.1f} a fsync"
-    )
-    said("  until told", times_ms)
-    said("  the host's thread in store()", in_store_ms)
+    for _ in range(concurrency):
+        write_next()
+    while len(result_times_ms) < number:
+        function, arguments = calls.get()
+        function(*arguments)
+    per_second = number / (now_ms() - began_ms) * 1000
+    per_fsync = number / max(writer.counts["batches"], 1)
+    print(f"writer, {concurrency} open: {per_second:.0f} stores/s, {per_fsync:.1f} a fsync")
+    print_times("  until the result", result_times_ms)
+    print_times("  the host's thread in store()", call_times_ms)
     writer.close(5000)
 
 
 if __name__ == "__main__":
-    with tempfile.TemporaryDirectory(dir=sys.argv[1]) as where:
-        one_by_one(Path(where))
+    with tempfile.TemporaryDirectory(dir=sys.argv[1]) as scratch:
+        measure_flushes(Path(scratch))
         for sections in (10, 1000, 10_000):
-            snapshots(Path(where), sections)
-        for at_once in (1, 16, 256):
-            written(Path(where), at_once)
+            measure_generations(Path(scratch), sections)
+        for concurrency in (1, 16, 256):
+            measure_writer(Path(scratch), concurrency)
--- a/tests/storage_real.py
+++ b/tests/storage_real.py
@@ -1,25 +1,27 @@
-"""What the tests of a folder on a real disk have in common."""
+"""What the tests of a store on a real disk have in common."""
 
 import os
 
 from lichenquay.storage.store import DurableStore
 
-MOST = 1 << 20
+MAX_BYTES = 1 << 20
 
 
-def make(path, name="front", fleet="fleet", most=MOST, **more):
-    return DurableStore(path, fleet, name, most, **more)
+def open_store(path, name="front", fleet="fleet", max_bytes=MAX_BYTES, **more):
+    """A store at a path."""
+    return DurableStore(path, fleet, name, max_bytes, **more)
 
 
-def filled(path, number=5):
-    """A closed folder with two generations: `number` records, half of them before the newest snapshot."""
-    folder = make(path)
-    for i in range(number):
-        folder.append({f"k{i % 3}": b"%d" % i, "last": b"%d" % i})
-        (folder.compact if i == number // 2 else folder.flush)(0.0)
-    folder.close()
-    return folder
+def write_two_generations(path, number=5):
+    """A closed store with two generations: `number` records, half of them before the newest snapshot."""
+    store = open_store(path)
+    for step in range(number):
+        store.append({f"k{step % 3}": b"%d" % step, "last": b"%d" % step})
+        (store.compact if step == number // 2 else store.flush)(0.0)
+    store.close()
+    return store
 
 
-def names(path):
+def names_in(path):
+    """The names in a folder, sorted."""
     return sorted(os.listdir(path))
--- a/tests/storage_sim.py
+++ b/tests/storage_sim.py
@@ -1,243 +1,366 @@
-"""A disk in memory that fails, tears and loses power as told, behind the calls of lichenquay.storage.disk."""
+"""A disk in memory that fails, tears and loses power on demand, behind the calls of `storage.file_system`."""
 
 import errno
-import os as real
+import os
+from dataclasses import dataclass
+from enum import Enum
 from os.path import basename, dirname
 
-from lichenquay.storage.disk import Place
+from lichenquay.storage.file_system import FileIdentity
+from lichenquay.storage.record_format import apply_changes
+
+ROOT_NODE = 1
+DISK_NODE = 2
+FIRST_FREE_NODE = 3
+FIRST_DESCRIPTOR = 101
 
 
 class PowerOff(BaseException):
     """The process is no more."""
 
 
+class WriteState(Enum):
+    """What became of a write."""
+
+    DIRTY = "in the page cache"
+    DURABLE = "on disk"
+    LOST = "dropped by a failed fsync"
+
+
+class Survival(Enum):
+    """How much of what no fsync has made durable is there after a power loss, be it of names or of bytes."""
+
+    NONE = "none"
+    SOME = "some"
+    ALL = "all"
+
+
+@dataclass
+class Write:
+    """Bytes that were written to a file."""
+
+    offset: int
+    data: bytes
+    state: WriteState = WriteState.DIRTY
+
+    def copy(self):
+        """The same write, to be changed on its own."""
+        return Write(self.offset, self.data, self.state)
+
+
 class File:
-    def __init__(self):
-        self.writes = []  # [offset, bytes, state]; dirty, durable, or lost (by a failed fsync)
+    """A file, as the writes that it had."""
+
+    def __init__(self, writes=()):
+        """`writes`: in their order."""
+        self.writes = list(writes)
 
     def copy(self):
-        out = File()
-        out.writes = [list(write) for write in self.writes]
-        return out
+        """The same file on another disk."""
+        return File(write.copy() for write in self.writes)
 
-    def content(self, taken=lambda write: write[1]):
-        size = max((at + len(data) for at, data, _ in self.writes), default=0)
-        out = bytearray(size)
+    def content(self, surviving=lambda write: write.data):
+        """The bytes, where `surviving(write)` is left of each write."""
+        content = bytearray(max((write.offset + len(write.data) for write in self.writes), default=0))
         end = 0
         for write in self.writes:
-            data = taken(write)
-            out[write[0] : write[0] + len(data)] = data
+            data = surviving(write)
+            content[write.offset : write.offset + len(data)] = data
             if data:
-                end = max(end, write[0] + len(data))
-        return bytes(out[:end])
+                end = max(end, write.offset + len(data))
+        return bytes(content[:end])
+
+    def settle(self, state):
+        """What is dirty has become `state`."""
+        for write in self.writes:
+            if write.state is WriteState.DIRTY:
+                write.state = state
 
 
-class Dir:
-    def __init__(self):
-        self.now, self.durable, self.ops = {}, {}, []
+@dataclass(frozen=True)
+class SetName:
+    """A name refers to a node."""
+
+    name: str
+    node: int
+
+    def apply(self, entries):
+        """Changes the entries of a directory."""
+        entries[self.name] = self.node
 
-    def copy(self):
-        out = Dir()
-        out.now, out.durable, out.ops = dict(self.now), dict(self.durable), list(self.ops)
-        return out
 
-    def do(self, op):
-        self.ops.append(op)
-        apply_op(self.now, op)
+@dataclass(frozen=True)
+class DeleteName:
+    """A name is no more."""
 
+    name: str
 
-def apply_op(entries, op):
-    what, name, *more = op
-    if what == "set":
-        entries[name] = more[0]
-    elif what == "del":
-        entries.pop(name, None)
-    else:
-        entries.pop(name, None)
-        entries[more[0]] = more[1]
+    def apply(self, entries):
+        """Changes the entries of a directory."""
+        entries.pop(self.name, None)
+
+
+@dataclass(frozen=True)
+class RenameNode:
+    """A node has another name."""
+
+    old: str
+    new: str
+    node: int
+
+    def apply(self, entries):
+        """Changes the entries of a directory."""
+        entries.pop(self.old, None)
+        entries[self.new] = self.node
+
+
+class Directory:
+    """A directory: its entries as seen, those on disk, and the changes since."""
+
+    def __init__(self, current=(), durable=(), changes=()):
+        """`current` and `durable`: {name: node}."""
+        self.current = dict(current)
+        self.durable = dict(durable)
+        self.changes = list(changes)
+
+    def copy(self):
+        """The same directory on another disk."""
+        return Directory(self.current, self.durable, self.changes)
+
+    def change(self, change):
+        """Changes the entries; not on disk yet."""
+        self.changes.append(change)
+        change.apply(self.current)
+
+    def sync(self):
+        """The entries are on disk."""
+        self.durable = dict(self.current)
+        self.changes = []
 
 
 class Disk:
+    """What is on a disk and in its page cache."""
+
     def __init__(self):
-        self.nodes, self.next, self.locks = {1: Dir(), 2: Dir()}, 3, {}
-        self.nodes[1].now["disk"] = self.nodes[1].durable["disk"] = 2
+        """An empty disk under /disk."""
+        root = Directory({"disk": DISK_NODE}, {"disk": DISK_NODE})
+        self.nodes = {ROOT_NODE: root, DISK_NODE: Directory()}
+        self.next_node = FIRST_FREE_NODE
+        self.locks = {}
 
     def find(self, path):
-        at = 1
-        for part in [p for p in path.split("/") if p]:
-            node = self.nodes[at]
-            if not isinstance(node, Dir):
+        """The node of a path."""
+        number = ROOT_NODE
+        for part in [part for part in path.split("/") if part]:
+            node = self.nodes[number]
+            if not isinstance(node, Directory):
                 raise OSError(errno.ENOTDIR, "not a directory")
-            if part not in node.now:
+            if part not in node.current:
                 raise OSError(errno.ENOENT, "no such file")
-            at = node.now[part]
-        return at
+            number = node.current[part]
+        return number
+
+    def directory_of(self, path):
+        """The directory that has the name of a path."""
+        return self.nodes[self.find(dirname(path))]
 
     def add(self, path, node):
-        number, self.next = self.next, self.next + 1
+        """A new node under a path; its number."""
+        number = self.next_node
+        self.next_node += 1
         self.nodes[number] = node
-        self.nodes[self.find(dirname(path))].do(("set", basename(path), number))
+        self.directory_of(path).change(SetName(basename(path), number))
         return number
 
     def after_kill(self):
         """The process is gone, the machine runs on."""
-        out = Disk()
-        out.nodes, out.next = {number: node.copy() for number, node in self.nodes.items()}, self.next
-        return out
-
-    def after_power_loss(self, rng, mode):
-        """mode: none, all or some of what no fsync has made durable, be it of names or of bytes."""
-        out = self.after_kill()
-        for node in out.nodes.values():
-            if isinstance(node, Dir):
+        disk = Disk()
+        disk.nodes = {number: node.copy() for number, node in self.nodes.items()}
+        disk.next_node = self.next_node
+        return disk
+
+    def after_power_loss(self, rng, survival):
+        """What a restart of the machine finds."""
+        disk = self.after_kill()
+        for number, node in disk.nodes.items():
+            if isinstance(node, Directory):
                 entries = dict(node.durable)
-                for op in node.ops:
-                    if mode == "all" or mode == "some" and rng.random() < 0.5:
-                        apply_op(entries, op)
-                node.now, node.durable, node.ops = entries, dict(entries), []
+                for change in node.changes:
+                    if survival is Survival.ALL or survival is Survival.SOME and rng.random() < 0.5:
+                        change.apply(entries)
+                disk.nodes[number] = Directory(entries, entries)
             else:
-                data = node.content(lambda write: lose(write, rng, mode))
-                node.writes = [[0, data, "durable"]] if data else []
-        return out
+                data = node.content(lambda write: surviving_bytes(write, rng, survival))
+                node.writes = [Write(0, data, WriteState.DURABLE)] if data else []
+        return disk
 
 
-def lose(write, rng, mode):
-    if write[2] == "durable" or mode == "all":
-        return write[1]
-    if mode == "none":
+def surviving_bytes(write, rng, survival):
+    """What is left of a write after a power loss."""
+    if write.state is WriteState.DURABLE or survival is Survival.ALL:
+        return write.data
+    if survival is Survival.NONE:
         return b""
-    return write[1][: rng.choice((0, rng.randrange(len(write[1]) + 1), len(write[1])))]
+    return write.data[: rng.choice((0, rng.randrange(len(write.data) + 1), len(write.data)))]
+
 
+@dataclass
+class OpenDescriptor:
+    """An open file of a process."""
 
-class SimOs:
-    """One process's calls. crash_at: PowerOff instead of that call. fails(n, name): an errno or None, asked before
-    each call. most: bytes that one write takes (short writes)."""
+    node: int
+    offset: int = 0
 
-    def __init__(self, disk, crash_at=None, fails=None, most=None):
-        self.disk, self.crash_at, self.fails, self.most = disk, crash_at, fails, most
-        self.calls, self.fds, self.next = [], {}, 100
 
-    def _step(self, name, *args):
+class SimulatedFileSystem:
+    """One process's calls.
+
+    crash_at: PowerOff instead of that call. fails(number, name): an errno or None, asked before each call.
+    max_write_bytes: that one write takes (short writes).
+    """
+
+    def __init__(self, disk, crash_at=None, fails=None, max_write_bytes=None):
+        """A process that has nothing open."""
+        self.disk = disk
+        self.crash_at = crash_at
+        self.fails = fails
+        self.max_write_bytes = max_write_bytes
+        self.calls = []
+        self.descriptors = {}
+        self.next_descriptor = FIRST_DESCRIPTOR
+
+    def _begin(self, name, *arguments):
         if len(self.calls) == self.crash_at:
-            raise PowerOff()
-        self.calls.append((name, *args))
-        number = self.fails(len(self.calls) - 1, name) if self.fails else None
-        if number and name == "fsync":
-            for write in getattr(self.disk.nodes[self.fds[args[0]][0]], "writes", ()):
-                if write[2] == "dirty":
-                    write[2] = "lost"
-        if number:
-            raise OSError(number, real.strerror(number))
+            raise PowerOff
+        self.calls.append((name, *arguments))
+        error_number = self.fails(len(self.calls) - 1, name) if self.fails else None
+        if not error_number:
+            return
+        if name == "fsync":
+            node = self.disk.nodes[self.descriptors[arguments[0]].node]
+            if isinstance(node, File):
+                node.settle(WriteState.LOST)
+        raise OSError(error_number, os.strerror(error_number))
 
     def open(self, path, flags):
-        self._step("open", path)
+        """As FileSystem's."""
+        self._begin("open", path)
         try:
-            node = self.disk.find(path)
-            if flags & real.O_TRUNC:
-                self.disk.nodes[node].writes = []
+            number = self.disk.find(path)
+            if flags & os.O_TRUNC:
+                self.disk.nodes[number].writes = []
         except FileNotFoundError:
-            if not flags & real.O_CREAT:
+            if not flags & os.O_CREAT:
                 raise
-            node = self.disk.add(path, File())
-        self.next += 1
-        self.fds[self.next] = [node, 0]
-        return self.next
-
-    def read(self, fd, size):
-        self._step("read", fd)
-        node, at = self.fds[fd]
-        data = self.disk.nodes[node].content()[at : at + size]
-        self.fds[fd][1] += len(data)
+            number = self.disk.add(path, File())
+        descriptor = self.next_descriptor
+        self.next_descriptor += 1
+        self.descriptors[descriptor] = OpenDescriptor(number)
+        return descriptor
+
+    def read(self, descriptor, size):
+        """As FileSystem's."""
+        self._begin("read", descriptor)
+        opened = self.descriptors[descriptor]
+        data = self.disk.nodes[opened.node].content()[opened.offset : opened.offset + size]
+        opened.offset += len(data)
         return data
 
-    def write(self, fd, data):
-        self._step("write", fd)
-        data = bytes(data[: self.most])
-        node, at = self.fds[fd]
-        self.disk.nodes[node].writes.append([at, data, "dirty"])
-        self.fds[fd][1] += len(data)
+    def write(self, descriptor, data):
+        """As FileSystem's."""
+        self._begin("write", descriptor)
+        data = bytes(data[: self.max_write_bytes])
+        opened = self.descriptors[descriptor]
+        self.disk.nodes[opened.node].writes.append(Write(opened.offset, data))
+        opened.offset += len(data)
         return len(data)
 
-    def fsync(self, fd):
-        self._step("fsync", fd)
-        node = self.disk.nodes[self.fds[fd][0]]
-        if isinstance(node, Dir):
-            node.durable, node.ops = dict(node.now), []
+    def fsync(self, descriptor):
+        """As FileSystem's."""
+        self._begin("fsync", descriptor)
+        node = self.disk.nodes[self.descriptors[descriptor].node]
+        if isinstance(node, Directory):
+            node.sync()
         else:
-            for write in node.writes:
-                if write[2] == "dirty":
-                    write[2] = "durable"
+            node.settle(WriteState.DURABLE)
 
-    def close(self, fd):
-        failed = None
+    def close(self, descriptor):
+        """As FileSystem's; on Linux a close that fails has closed."""
         try:
-            self._step("close", fd)
-        except OSError as why:  # on Linux a close that fails has closed
-            failed = why
-        node = self.fds.pop(fd)[0]
-        if self.disk.locks.get(node) == (id(self), fd):
+            self._begin("close", descriptor)
+        except OSError:
+            self._forget(descriptor)
+            raise
+        self._forget(descriptor)
+
+    def _forget(self, descriptor):
+        node = self.descriptors.pop(descriptor).node
+        if self.disk.locks.get(node) == (id(self), descriptor):
             del self.disk.locks[node]
-        if failed:
-            raise failed
 
     def rename(self, old, new):
-        self._step("rename", old, new)
+        """As FileSystem's, within a directory."""
+        self._begin("rename", old, new)
         node = self.disk.find(old)
-        self.disk.nodes[self.disk.find(dirname(old))].do(("ren", basename(old), basename(new), node))
+        self.disk.directory_of(old).change(RenameNode(basename(old), basename(new), node))
 
     def unlink(self, path):
-        self._step("unlink", path)
+        """As FileSystem's."""
+        self._begin("unlink", path)
         self.disk.find(path)
-        self.disk.nodes[self.disk.find(dirname(path))].do(("del", basename(path)))
+        self.disk.directory_of(path).change(DeleteName(basename(path)))
 
     def mkdir(self, path):
-        self._step("mkdir", path)
-        self.disk.add(path, Dir())
+        """As FileSystem's."""
+        self._begin("mkdir", path)
+        self.disk.add(path, Directory())
 
     def listdir(self, path):
-        self._step("listdir", path)
-        return list(self.disk.nodes[self.disk.find(path)].now)
+        """As FileSystem's."""
+        self._begin("listdir", path)
+        return list(self.disk.nodes[self.disk.find(path)].current)
 
     def stat(self, path):
-        self._step("stat", path)
+        """As FileSystem's."""
+        self._begin("stat", path)
         node = self.disk.find(path)
-        return Place(1, node, isinstance(self.disk.nodes[node], Dir))
-
-    def fstat(self, fd):
-        self._step("fstat", fd)
-        return Place(1, self.fds[fd][0], False)
-
-    def flock(self, fd):
-        self._step("flock", fd)
-        node = self.fds[fd][0]
-        if self.disk.locks.get(node, (id(self), fd)) != (id(self), fd):
+        return FileIdentity(1, node, isinstance(self.disk.nodes[node], Directory))
+
+    def fstat(self, descriptor):
+        """As FileSystem's."""
+        self._begin("fstat", descriptor)
+        return FileIdentity(1, self.descriptors[descriptor].node, False)
+
+    def flock(self, descriptor):
+        """As FileSystem's."""
+        self._begin("flock", descriptor)
+        node = self.descriptors[descriptor].node
+        owner = (id(self), descriptor)
+        if self.disk.locks.get(node, owner) != owner:
             raise BlockingIOError(errno.EAGAIN, "locked")
-        self.disk.locks[node] = (id(self), fd)
+        self.disk.locks[node] = owner
 
 
-class Model:
-    """What may be found: after a success that alone; since then, what was stored and any prefix of one try's
-    records."""
+class AllowedStates:
+    """The states that may be found: the last one stored, and any prefix of the records tried since."""
 
     def __init__(self):
-        self.sure = {}
-        self.may = [{}]
+        """Nothing was stored."""
+        self.states = [{}]
 
-    def tries(self, state, batch):
-        """Before a flush of `batch` on `state`."""
+    def begin_attempt(self, state, batch):
+        """Before a flush of `batch` on `state`; the state after it."""
         state = dict(state)
-        self.may.append(dict(state))
+        self.states.append(dict(state))
         for changes in batch:
-            for key, value in changes.items():
-                if value is None:
-                    state.pop(key, None)
-                else:
-                    state[key] = value
-            self.may.append(dict(state))
+            apply_changes(state, changes)
+            self.states.append(dict(state))
         return state
 
-    def stored(self, state):
-        self.sure, self.may = dict(state), [dict(state)]
+    def record_stored(self, state):
+        """The flush succeeded."""
+        self.states = [dict(state)]
 
     def check(self, state):
-        assert dict(state) in self.may, (sorted(state), [sorted(m) for m in self.may])
+        """Whether a state may be found."""
+        assert dict(state) in self.states, (sorted(state), [sorted(known) for known in self.states])
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -1,4 +1,4 @@
-"""A folder of real processes on a real disk: killed, full, gone."""
+"""A store of real processes on a real disk: killed, full, gone."""
 
 import os
 import random
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 import pytest
-from storage_real import make, names
+from storage_real import names_in, open_store
 
-from lichenquay.storage.disk import RealOs
+from lichenquay.storage.errors import NotStoredError
+from lichenquay.storage.file_system import FileSystem
 from lichenquay.storage.incarnation import next_incarnation
-from lichenquay.storage.store import NotStored
 
 ROOT = Path(__file__).parent.parent
 KILLS = 20 * int(os.environ.get("LICHENQUAY_FOLDER_RUNS", "1"))
@@ -34,42 +34,60 @@
 
 
 def state_after(number):
+    """What the child has stored with its n-th record."""
     state = {"n": b"%d" % number} if number else {}
-    for n in range(max(1, number - 6), number + 1):
-        state["k%d" % (n % 7)] = b"%d" % n + bytes(n % 900)
+    for earlier in range(max(1, number - 6), number + 1):
+        state[f"k{earlier % 7}"] = b"%d" % earlier + bytes(earlier % 900)
     return state
 
 
+def kill_a_writer(path, rng):
+    """Starts a process that stores, and kills it at a random moment; the last record that it reported."""
+    child = subprocess.Popen([sys.executable, "-c", WRITER, path], cwd=ROOT, stdout=subprocess.PIPE)
+    lines = rng.choice((0, 1, 1, 30, 100))
+    reported = [child.stdout.readline() for _ in range(lines)]
+    time.sleep(rng.random() * (0.004 if lines else 0.2))
+    child.kill()
+    reported += child.communicate()[0].split()
+    return max((int(line) for line in reported if line.strip()), default=0)
+
+
+def add_torn_tail(path, rng):
+    """Some bytes behind the newest journal, as a power loss leaves them."""
+    newest = max([name for name in names_in(path) if name.endswith("journal")], default=None)
+    if newest:
+        with open(path / newest, "ab") as out:
+            out.write(rng.randbytes(rng.randrange(1, 40)))
+
+
 def test_killed_anywhere(tmp_path):
-    """SIGKILL at chance moments, each life on the folder of the last: all that was told as stored is there, and no part
-    of a record; a third of the times some bytes of torn tail come on top, as a power loss leaves them."""
+    """SIGKILL at random moments, each life on the folder of the last.
+
+    All that was reported as stored is there, and no part of a record.
+    """
     rng = random.Random(1)
-    path, told, generations = tmp_path / "f", 0, 0
+    path = tmp_path / "f"
+    stored = 0
+    generation = 0
     for kill in range(KILLS):
-        child = subprocess.Popen([sys.executable, "-c", WRITER, path], cwd=ROOT, stdout=subprocess.PIPE)
-        lines = rng.choice((0, 1, 1, 30, 100))
-        for _ in range(lines):
-            child.stdout.readline()
-        time.sleep(rng.random() * (0.004 if lines else 0.2))
-        child.kill()
-        lines = child.communicate()[0].split()
-        told = max([told, *map(int, lines)])
+        stored = max(stored, kill_a_writer(path, rng))
         if kill % 3 == 0 and path.exists():
-            newest = max([n for n in names(path) if n.endswith("journal")], default=None)
-            if newest:
-                with open(path / newest, "ab") as out:
-                    out.write(rng.randbytes(rng.randrange(1, 40)))
-        folder = make(path, most=64 << 10)
-        found = int(folder.state.get("n", b"0"))
-        assert told <= found and dict(folder.state) == state_after(found)
-        told, generations = found, folder.generation
-        folder.close()
-    assert told > 100 and generations > KILLS
+            add_torn_tail(path, rng)
+        store = open_store(path, max_bytes=64 << 10)
+        found = int(store.state.get("n", b"0"))
+        assert stored <= found
+        assert dict(store.state) == state_after(found)
+        stored = found
+        generation = store.generation
+        store.close()
+    assert stored > 100
+    assert generation > KILLS
 
 
 FULL = """
-import resource, signal, sys
-from lichenquay.storage.store import DurableStore, NotStored
+import os, resource, signal, sys
+from lichenquay.storage.errors import NotStoredError
+from lichenquay.storage.store import DurableStore
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 f = DurableStore(sys.argv[1], "fleet", "front", 4 << 20)
 resource.setrlimit(resource.RLIMIT_FSIZE, (20_000, resource.RLIM_INFINITY))
@@ -79,11 +97,11 @@
     try:
         f.flush(1e5 * refused)
         stored += 1
-    except NotStored as why:
+    except NotStoredError as why:
         refused += 1
         assert "File too large" in str(why), why
 resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
-print(stored, f.state["n"].decode(), f.heal(1e6), f.trouble, sorted(__import__("os").listdir(sys.argv[1])))
+print(stored, f.state["n"].decode(), f.retry(1e6), f.last_error, sorted(os.listdir(sys.argv[1])))
 if len(sys.argv) > 2:
     f.append({"n": b"healed"})
     f.flush(1e6)
@@ -92,90 +110,101 @@
 
 @pytest.mark.parametrize("more", [[], ["heal"]])
 def test_files_that_may_not_grow(tmp_path, more):
-    out = subprocess.run(
+    """What was refused is not there, and the store recovers once they may."""
+    child = subprocess.run(
         [sys.executable, "-c", FULL, tmp_path / "f", *more], cwd=ROOT, capture_output=True, text=True
     )
-    assert out.returncode == 0, out.stderr
-    stored, last, healed, trouble, *_ = out.stdout.split()
-    assert int(stored) > 20 and int(last) == int(stored) - 1 and (healed, trouble) == ("True", "None")
-    assert ".new" not in out.stdout
-    found = make(tmp_path / "f", most=4 << 20)
-    assert found.state["n"] == (b"healed" if more else last.encode()) and not found.left_out
-
-
-class FullOs(RealOs):
-    """Writes go to /dev/full while `full`: the kernel's own ENOSPC."""
-
-    full = False
-
-    def write(self, fd, data):
-        if not self.full:
-            return super().write(fd, data)
+    assert child.returncode == 0, child.stderr
+    stored, last, has_recovered, last_error, *_ = child.stdout.split()
+    assert int(stored) > 20
+    assert int(last) == int(stored) - 1
+    assert (has_recovered, last_error) == ("True", "None")
+    assert ".new" not in child.stdout
+    store = open_store(tmp_path / "f", max_bytes=4 << 20)
+    assert store.state["n"] == (b"healed" if more else last.encode())
+    assert not store.skipped_files
+
+
+class FullFileSystem(FileSystem):
+    """Writes go to /dev/full while `is_full`: the kernel's own ENOSPC."""
+
+    is_full = False
+
+    def write(self, descriptor, data):
+        """Fails on demand."""
+        if not self.is_full:
+            return super().write(descriptor, data)
         with open("/dev/full", "wb", buffering=0) as device:
             return device.write(data)
 
 
 def test_disk_full_and_free_again(tmp_path):
-    os_ = FullOs()
-    folder = make(tmp_path / "f", os=os_)
-    os_.full = True
-    folder.append({"a": b"1"})
-    with pytest.raises(NotStored, match="No space left on device"):
-        folder.flush(0.0)
-    os_.full = False
-    folder.append({"a": b"2"})
-    with pytest.raises(NotStored):
-        folder.flush(100.0)
-    folder.append({"a": b"3"})
-    folder.flush(300.0)
-    folder.close()
-    assert make(tmp_path / "f").state == {"a": b"3"}
+    """Refused without a call until the next attempt is due."""
+    file_system = FullFileSystem()
+    store = open_store(tmp_path / "f", file_system=file_system)
+    file_system.is_full = True
+    store.append({"a": b"1"})
+    with pytest.raises(NotStoredError, match="No space left on device"):
+        store.flush(0.0)
+    file_system.is_full = False
+    store.append({"a": b"2"})
+    with pytest.raises(NotStoredError):
+        store.flush(100.0)
+    store.append({"a": b"3"})
+    store.flush(300.0)
+    store.close()
+    assert open_store(tmp_path / "f").state == {"a": b"3"}
 
 
 def test_full_at_the_start(tmp_path):
-    """No refusal: the front runs on without its folder, and has it when there is room."""
-    os_ = FullOs()
-    os_.full = True
-    folder = make(tmp_path / "f", os=os_)
-    assert "No space" in folder.trouble and not folder.sure
-    assert next_incarnation(folder, 5000) == (5000, False)
-    os_.full = False
-    assert folder.heal(folder.due_ms) and folder.sure
+    """No refusal: the process runs on without its folder, and has it when there is room."""
+    file_system = FullFileSystem()
+    file_system.is_full = True
+    store = open_store(tmp_path / "f", file_system=file_system)
+    assert "No space" in store.last_error
+    assert not store.is_durable
+    assert next_incarnation(store, 5000) == (5000, False)
+    file_system.is_full = False
+    assert store.retry(store.due_ms)
+    assert store.is_durable
 
 
 @pytest.mark.parametrize("what", ["all", "files", "replaced"])
 def test_folder_gone_while_it_is_used(tmp_path, what):
+    """The next attempt writes it anew, from memory."""
     path = tmp_path / "f"
-    folder = make(path)
-    folder.append({"a": b"1"})
-    folder.flush(0.0)
+    store = open_store(path)
+    store.append({"a": b"1"})
+    store.flush(0.0)
     if what == "files":
-        for name in names(path):
+        for name in names_in(path):
             (path / name).unlink()
     else:
         shutil.move(path, tmp_path / "moved")
         if what == "replaced":
             path.mkdir()
-    folder.append({"a": b"2"})
-    with pytest.raises(NotStored, match="is gone"):
-        folder.flush(1.0)
-    folder.append({"b": b"3"})
-    folder.flush(1000.0)
-    folder.close()
-    assert make(path).state == {"a": b"1", "b": b"3"}
+    store.append({"a": b"2"})
+    with pytest.raises(NotStoredError, match="is gone"):
+        store.flush(1.0)
+    store.append({"b": b"3"})
+    store.flush(1000.0)
+    store.close()
+    assert open_store(path).state == {"a": b"1", "b": b"3"}
 
 
 def test_folder_replaced_by_one_that_another_process_wrote(tmp_path):
+    """Nothing is written into it."""
     path = tmp_path / "f"
-    folder = make(path)
+    store = open_store(path)
     shutil.move(path, tmp_path / "moved")
-    other = make(path)
+    other = open_store(path)
     other.append({"a": b"other"})
     other.compact(0.0)
     other.close()
-    folder.append({"a": b"1"})
-    with pytest.raises(NotStored, match="gone or replaced"):
-        folder.flush(0.0)
-    assert not folder.heal(1000.0) and "another process has written it meanwhile" in folder.trouble
-    folder.close()
-    assert make(path).state == {"a": b"other"}
+    store.append({"a": b"1"})
+    with pytest.raises(NotStoredError, match="gone or replaced"):
+        store.flush(0.0)
+    assert not store.retry(1000.0)
+    assert "another process has written it meanwhile" in store.last_error
+    store.close()
+    assert open_store(path).state == {"a": b"other"}
--- a/tests/test_storage_record_format.py
+++ b/tests/test_storage_record_format.py
@@ -1,31 +1,52 @@
-"""The form of a folder's files against hostile bytes."""
+"""The format of a store's files against damaged and hostile bytes."""
 
 import struct
 import tracemalloc
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichenquay.storage import record_format
-
-HEADER = record_format.Header(record_format.JOURNAL, 7, 40, "fleet", "front")
+from lichenquay.storage.errors import CorruptRecordError, NewerFormatError
+from lichenquay.storage.record_format import (
+    FileHeader,
+    FileKind,
+    Record,
+    RecordKind,
+    encode_changes,
+    encode_header,
+    encode_record,
+    encode_snapshot,
+    read_changes,
+    read_journal,
+    read_snapshot,
+)
+
+HEADER = FileHeader(FileKind.JOURNAL, 7, 40, "fleet", "front")
+FIRST_NUMBER = HEADER.base_number + 1
 CHANGES = [{"a": b"1"}, {"b": bytes(300), "a": None}, {"c": b"x" * 20, "d": b""}]
 
 
-def journal_bytes(number=len(CHANGES)):
-    first, seed = record_format.header_bytes(HEADER)
-    return first + b"".join(
-        record_format.frame(seed, 41 + i, record_format.CHANGE, record_format.changes_bytes(c))
-        for i, c in enumerate(CHANGES[:number])
-    )
+def journal_records(seed, changes=CHANGES):
+    """The records of a journal, one for each change."""
+    return [
+        encode_record(seed, Record(number, RecordKind.CHANGE, encode_changes(change)))
+        for number, change in enumerate(changes, FIRST_NUMBER)
+    ]
+
+
+def journal_bytes(number=None):
+    """A journal with the first changes, or with all."""
+    first, seed = encode_header(HEADER)
+    return first + b"".join(journal_records(seed, CHANGES[:number]))
 
 
 def read_either(data):
-    """Every reader; what a journal gives must be a beginning of what was written, whatever became of the bytes."""
-    for read in (record_format.read_snapshot, record_format.read_journal):
+    """What each reader finds, if anything."""
+    for read in (read_snapshot, read_journal):
         try:
             found = read(data)
-        except (record_format.Unreadable, record_format.Newer):
+        except (CorruptRecordError, NewerFormatError):
             continue
         yield found
 
@@ -33,86 +54,86 @@
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=400))
 def test_noise_is_nothing(data):
+    """As a file, behind a header, and as the payload of a record."""
     assert not list(read_either(data))
-    first, seed = record_format.header_bytes(HEADER)
-    journal = record_format.read_journal(first + data)
-    assert journal.changes == [] and (journal.why or not data) and journal.left_bytes == len(data)
+    first, _ = encode_header(HEADER)
+    journal = read_journal(first + data)
+    assert journal.changes == []
+    assert journal.reason or not data
+    assert journal.skipped_bytes == len(data)
     try:
-        record_format.read_changes(data)
-    except record_format.Unreadable:
-        pass
+        changes = read_changes(data)
+    except CorruptRecordError:
+        return
+    assert isinstance(changes, dict)
 
 
 @settings(max_examples=600, deadline=None)
 @given(st.data())
-def test_flips_and_cuts_never_make_a_fact(data):
+def test_flips_and_cuts_never_add_a_change(data):
+    """What is read is a beginning of what was written, and said to be cut short unless it is all there."""
     whole = journal_bytes()
-    bytes_ = bytearray(whole)
-    for at in data.draw(st.lists(st.integers(0, 8 * len(whole) - 1), max_size=3, unique=True)):
-        bytes_[at // 8] ^= 1 << at % 8
-    del bytes_[data.draw(st.integers(0, len(bytes_))) :]
-    bytes_ += data.draw(st.binary(max_size=30))
-    for found in read_either(bytes(bytes_)):
-        assert found.header == HEADER and found.changes == CHANGES[: len(found.changes)]
-        assert found.why or bytes(bytes_) == journal_bytes(len(found.changes))
+    damaged = bytearray(whole)
+    for bit in data.draw(st.lists(st.integers(0, 8 * len(whole) - 1), max_size=3, unique=True)):
+        damaged[bit // 8] ^= 1 << bit % 8
+    del damaged[data.draw(st.integers(0, len(damaged))) :]
+    damaged += data.draw(st.binary(max_size=30))
+    for found in read_either(bytes(damaged)):
+        assert found.header == HEADER
+        assert found.changes == CHANGES[: len(found.changes)]
+        assert found.reason or bytes(damaged) == journal_bytes(len(found.changes))
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=60), st.integers(0, 255), st.integers(0, 2**64 - 1))
-def test_whole_records_with_hostile_content(payload, kind, number):
+def test_intact_records_with_hostile_content(payload, kind, number):
     """Checksums are no defence against who can make them: no exception, and nothing that does not parse."""
-    first, seed = record_format.header_bytes(HEADER)
-    journal = record_format.read_journal(
-        first
-        + record_format.frame(seed, 41, kind, payload)
-        + record_format.frame(seed, number, kind, payload)
-    )
-    assert len(journal.changes) <= 2 and (kind == record_format.CHANGE or not journal.changes)
+    first, seed = encode_header(HEADER)
+    records = [Record(FIRST_NUMBER, kind, payload), Record(number, kind, payload)]
+    journal = read_journal(first + b"".join(encode_record(seed, record) for record in records))
+    assert len(journal.changes) <= 2
+    assert kind == RecordKind.CHANGE or not journal.changes
 
 
 def test_a_hostile_length_takes_no_memory():
-    first, seed = record_format.header_bytes(HEADER)
+    """A record that says it has 4 GiB."""
+    first, _ = encode_header(HEADER)
     tracemalloc.start()
-    journal = record_format.read_journal(first + struct.pack(">IQBI", 2**32 - 1, 41, 1, 0) + bytes(1000))
+    journal = read_journal(first + struct.pack(">IQBI", 2**32 - 1, FIRST_NUMBER, 1, 0) + bytes(1000))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
-    assert journal.why == "cut off" and peak < 100_000
+    assert journal.reason == "cut off"
+    assert peak < 100_000
 
 
 def test_a_record_of_another_file_is_none_here():
-    first, _ = record_format.header_bytes(HEADER)
-    _, other = record_format.header_bytes(
-        record_format.Header(record_format.JOURNAL, 8, 40, "fleet", "front")
-    )
-    journal = record_format.read_journal(
-        first + record_format.frame(other, 41, record_format.CHANGE, record_format.changes_bytes({"a": b"1"}))
-    )
-    assert not journal.changes and journal.why == "its checksum is wrong"
-
-
-def test_a_record_out_of_its_order_ends_the_journal():
-    """A block that the disk put elsewhere is whole, and still no next record."""
-    first, seed = record_format.header_bytes(HEADER)
-    frames = [
-        record_format.frame(seed, 41 + i, record_format.CHANGE, record_format.changes_bytes(c))
-        for i, c in enumerate(CHANGES)
-    ]
-    for order in ((0, 2), (0, 0, 1), (0, 2, 1), (1, 2)):
-        journal = record_format.read_journal(first + b"".join(frames[i] for i in order))
-        assert journal.changes == (CHANGES[:1] if order[0] == 0 else []) and "where" in journal.why
+    """Its checksum starts from another header's."""
+    first, _ = encode_header(HEADER)
+    _, other_seed = encode_header(FileHeader(FileKind.JOURNAL, 8, 40, "fleet", "front"))
+    journal = read_journal(first + journal_records(other_seed)[0])
+    assert not journal.changes
+    assert journal.reason == "its checksum is wrong"
+
+
+@pytest.mark.parametrize("order", [(0, 2), (0, 0, 1), (0, 2, 1), (1, 2)])
+def test_a_record_out_of_its_order_ends_the_journal(order):
+    """A block that the disk put elsewhere is intact, and still not the next record."""
+    first, seed = encode_header(HEADER)
+    records = journal_records(seed)
+    journal = read_journal(first + b"".join(records[place] for place in order))
+    assert journal.changes == (CHANGES[:1] if order[0] == 0 else [])
+    assert "where" in journal.reason
 
 
 def test_a_snapshot_is_whole_or_nothing():
-    state = {f"k{i}": b"%d" % i for i in range(5)}
-    header = record_format.Header(record_format.SNAPSHOT, 7, 40, "fleet", "front")
-    parts = list(record_format.snapshot_parts(header, state))
+    """Cut anywhere, with more behind it, or with a part missing, it is no snapshot."""
+    state = {f"k{number}": b"%d" % number for number in range(5)}
+    header = FileHeader(FileKind.SNAPSHOT, 7, 40, "fleet", "front")
+    parts = list(encode_snapshot(header, state))
     whole = b"".join(parts)
-    assert record_format.read_snapshot(whole) == (header, state)
-    wrong = [whole[:i] for i in range(len(whole))] + [whole + b"\0", whole + parts[-1]]
-    wrong += [b"".join(parts[:i] + parts[i + 1 :]) for i in range(len(parts))]
+    assert read_snapshot(whole) == (header, state)
+    wrong = [whole[:size] for size in range(len(whole))] + [whole + b"\0", whole + parts[-1]]
+    wrong += [b"".join(parts[:place] + parts[place + 1 :]) for place in range(len(parts))]
     for data in wrong:
-        try:
-            record_format.read_snapshot(data)
-        except record_format.Unreadable:
-            continue
-        raise AssertionError(f"{len(data)} bytes of {len(whole)} were taken for a snapshot")
+        with pytest.raises(CorruptRecordError):
+            read_snapshot(data)
--- a/tests/test_storage_writer.py
+++ b/tests/test_storage_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes a folder: order, batches, bounds, a disk that stalls or fails, an end in time."""
+"""The thread that writes a store: order, batches, bounds, a disk that stalls or fails, an end in time."""
 
 import errno
 import queue
@@ -10,309 +10,382 @@
 from pathlib import Path
 
 import pytest
+from storage_real import MAX_BYTES, open_store
 from structlog.testing import CapturingLogger
 
-from lichenquay.storage.disk import RealOs
-from lichenquay.storage.store import DurableStore
-from lichenquay.storage.writer import Writer
+from lichenquay.storage.file_system import FileSystem
+from lichenquay.storage.writer import StoreWriter
 
-MOST = 1 << 20
+ROOT = Path(__file__).parent.parent
+ERROR_TEXT = "made to fail"
 
 
-class HeldOs(RealOs):
-    """fsync waits while `held` is cleared; `fails`: the errno that writes raise."""
+class HeldFileSystem(FileSystem):
+    """fsync waits while `is_free` is cleared; `write_error`: the errno that writes raise."""
 
     def __init__(self):
-        self.free, self.at_fsync, self.fails, self.fsyncs = threading.Event(), threading.Event(), None, 0
-        self.free.set()
+        """Nothing waits or fails."""
+        self.is_free = threading.Event()
+        self.is_at_fsync = threading.Event()
+        self.write_error = None
+        self.fsyncs = 0
+        self.is_free.set()
+
+    def write(self, descriptor, data):
+        """Fails on demand."""
+        if self.write_error:
+            raise OSError(self.write_error, ERROR_TEXT)
+        return super().write(descriptor, data)
+
+    def fsync(self, descriptor):
+        """Waits on demand."""
+        self.fsyncs += 1
+        self.is_at_fsync.set()
+        self.is_free.wait(20)
+        super().fsync(descriptor)
 
-    def write(self, fd, data):
-        if self.fails:
-            raise OSError(self.fails, "told to fail")
-        return super().write(fd, data)
+    def hold(self):
+        """From now on fsync waits."""
+        self.is_free.clear()
+        self.is_at_fsync.clear()
 
-    def fsync(self, fd):
-        self.fsyncs += 1
-        self.at_fsync.set()
-        self.free.wait(20)
-        super().fsync(fd)
 
+class UnreadableFileSystem(HeldFileSystem):
+    """Cannot list a directory at first."""
 
-class Host:
-    """Stands in for the reactor: what the thread calls waits in a queue until the test's own thread takes it."""
+    is_unreadable = True
+
+    def listdir(self, path):
+        """Fails until it is readable."""
+        if self.is_unreadable:
+            raise OSError(errno.EIO, ERROR_TEXT)
+        return super().listdir(path)
+
+
+class UnreliableFileSystem(HeldFileSystem):
+    """fsync fails at random."""
+
+    def __init__(self, rng):
+        """`rng` decides."""
+        super().__init__()
+        self.rng = rng
 
-    def __init__(self, path, os_=None, most=MOST, **more):
-        self.calls, self.told, self.log, self.late = queue.SimpleQueue(), [], CapturingLogger(), []
-        self.os = os_ or HeldOs()
-        self.folder = DurableStore(path, "fleet", "front", most, os=self.os, now_ms=self.now_ms())
-        self.writer = Writer(
+    def fsync(self, descriptor):
+        """Fails for three of 100."""
+        if self.rng.random() < 0.03:
+            raise OSError(errno.EIO, ERROR_TEXT)
+        super().fsync(descriptor)
+
+
+class Host:
+    """In place of the reactor: what the thread calls waits until the test's own thread takes it."""
+
+    def __init__(self, path, file_system=None, max_bytes=MAX_BYTES, **more):
+        """A writer over the store at `path`."""
+        self.calls = queue.SimpleQueue()
+        self.results = []  # (name, whether it is stored)
+        self.log = CapturingLogger()
+        self.opened_states = []
+        self.file_system = file_system or HeldFileSystem()
+        self.folder = open_store(
+            path, max_bytes=max_bytes, file_system=self.file_system, now_ms=self.now_ms()
+        )
+        self.writer = StoreWriter(
             self.folder,
-            lambda f, *args: self.calls.put((f, args)),
+            lambda function, *arguments: self.calls.put((function, arguments)),
             self.now_ms,
-            opened=self.late.append,
-            log=Bound(self.log),
+            on_open=self.opened_states.append,
+            log=BoundLogger(self.log),
             **more,
         )
 
     def now_ms(self):
+        """The monotonic clock."""
         return time.monotonic() * 1000
 
     def store(self, name, **changes):
-        me = threading.get_ident()
-        self.writer.store(
-            changes, lambda ok: self.told.append((name, ok)) if threading.get_ident() == me else None
-        )
-
-    def turn(self, wait=10):
-        f, args = self.calls.get(timeout=wait)
-        f(*args)
-
-    def until(self, number):
-        while len(self.told) < number:
-            self.turn()
+        """Stores changes; their result counts only in this thread."""
+        thread = threading.get_ident()
+
+        def on_result(is_stored):
+            if threading.get_ident() == thread:
+                self.results.append((name, is_stored))
+
+        self.writer.store(changes, on_result)
+
+    def run_one_call(self, timeout_s=10):
+        """Takes one call of the writer's thread."""
+        function, arguments = self.calls.get(timeout=timeout_s)
+        function(*arguments)
+
+    def run_all_calls(self):
+        """Takes all calls that wait."""
+        while not self.calls.empty():
+            self.run_one_call()
+
+    def run_until(self, number):
+        """Until so many results are there."""
+        while len(self.results) < number:
+            self.run_one_call()
+
+    def wait_for_recovery(self):
+        """By the writer's own timer: nothing is stored meanwhile."""
+        deadline_s = time.monotonic() + 5
+        while self.writer.last_error and time.monotonic() < deadline_s:
+            time.sleep(0.01)
 
     def lines(self, event):
+        """The log lines of an event."""
         return [call.kwargs for call in self.log.calls if call.args == (event,)]
 
 
-class Bound:
+class BoundLogger:
     """structlog's bound logger, as far as the writer uses it."""
 
     def __init__(self, log, **keys):
-        self.log, self.keys = log, keys
+        """`keys` go into every line."""
+        self.log = log
+        self.keys = keys
 
     def bind(self, **keys):
-        return Bound(self.log, **{**self.keys, **keys})
+        """With more keys."""
+        return BoundLogger(self.log, **{**self.keys, **keys})
 
     def __getattr__(self, level):
+        """A method for each level."""
         return lambda event, **keys: getattr(self.log, level)(event, **{**self.keys, **keys})
 
 
 def reread(path):
-    folder = DurableStore(path, "fleet", "front", MOST)
+    """The state that a restart finds."""
+    folder = open_store(path)
     folder.close()
     return dict(folder.state)
 
 
-def test_stores_are_told_in_order_and_are_there(tmp_path):
+def test_writes_are_answered_in_order_and_are_there(tmp_path):
+    """The last of each section."""
     host = Host(tmp_path / "f")
-    for i in range(200):
-        host.store(i, n=b"%d" % i, **{f"k{i % 5}": b"%d" % i})
-    host.until(200)
-    assert host.told == [(i, True) for i in range(200)] and host.writer.queued() == 0
+    for number in range(200):
+        host.store(number, n=b"%d" % number, **{f"k{number % 5}": b"%d" % number})
+    host.run_until(200)
+    assert host.results == [(number, True) for number in range(200)]
+    assert host.writer.queued_writes() == 0
     assert host.writer.close(5000)
-    assert reread(tmp_path / "f") == {"n": b"199", **{f"k{i % 5}": b"%d" % i for i in range(195, 200)}}
+    expected = {f"k{number % 5}": b"%d" % number for number in range(195, 200)}
+    assert reread(tmp_path / "f") == {"n": b"199", **expected}
 
 
 def test_what_waits_goes_in_one_fsync(tmp_path):
+    """All that came while the disk was busy."""
     host = Host(tmp_path / "f")
-    host.os.free.clear()
-    host.os.at_fsync.clear()
+    host.file_system.hold()
     host.store("first", a=b"1")
-    assert host.os.at_fsync.wait(5)
-    before = host.os.fsyncs
-    for i in range(100):
-        host.store(i, a=b"%d" % i)
-    host.os.free.set()
-    host.until(101)
-    assert (
-        host.os.fsyncs == before + 1
-        and host.writer.counts["batches"] == 2
-        and host.writer.counts["stored"] == 101
-    )
+    assert host.file_system.is_at_fsync.wait(5)
+    before = host.file_system.fsyncs
+    for number in range(100):
+        host.store(number, a=b"%d" % number)
+    host.file_system.is_free.set()
+    host.run_until(101)
+    assert host.file_system.fsyncs == before + 1
+    assert host.writer.counts["batches"] == 2
+    assert host.writer.counts["stored"] == 101
     host.writer.close(5000)
 
 
-@pytest.mark.parametrize("most_queued, most, size", [(10, MOST, 10), (1000, 64 << 10, 1000)])
-def test_a_stalled_fsync_stalls_nothing_else(tmp_path, most_queued, most, size):
-    """The host's thread stores on within microseconds; the queue is bounded in number and bytes; the rest is told no
-    at once."""
-    host = Host(tmp_path / "f", most=most, most_queued=most_queued)
-    assert host.writer.stalled(host.now_ms()) == 0.0
-    host.os.free.clear()
-    host.os.at_fsync.clear()
+@pytest.mark.parametrize("max_queued, max_bytes, size", [(10, MAX_BYTES, 10), (1000, 64 << 10, 1000)])
+def test_a_stalled_fsync_stalls_nothing_else(tmp_path, max_queued, max_bytes, size):
+    """The host's thread goes on; the queue is bounded in number and bytes; the rest fails at once."""
+    host = Host(tmp_path / "f", max_bytes=max_bytes, max_queued=max_queued)
+    assert host.writer.stalled_ms(host.now_ms()) == 0.0
+    host.file_system.hold()
     host.store("first", a=b"1")
-    assert host.os.at_fsync.wait(5)
-    began = time.monotonic()
-    for i in range(100):
-        host.store(i, **{f"k{i}": bytes(size)})
-    assert time.monotonic() - began < 1.0
-    refused = [name for name, ok in host.told if not ok]
-    assert (
-        refused
-        and refused == list(range(100 - len(refused), 100))
-        and host.writer.counts["full"] == len(refused)
-    )
-    assert len(refused) == 90 if most_queued == 10 else 90 < len(refused) < 98
-    assert len(host.lines("folder: takes no more stores")) == 1
+    assert host.file_system.is_at_fsync.wait(5)
+    began_s = time.monotonic()
+    for number in range(100):
+        host.store(number, **{f"k{number}": bytes(size)})
+    assert time.monotonic() - began_s < 1.0
+    refused = [name for name, is_stored in host.results if not is_stored]
+    assert refused
+    assert refused == list(range(100 - len(refused), 100))
+    assert host.writer.counts["queue_full"] == len(refused)
+    assert len(refused) == 90 if max_queued == 10 else 90 < len(refused) < 98
+    assert len(host.lines("folder: write queue is full")) == 1
     time.sleep(0.05)
-    assert host.writer.stalled(host.now_ms()) >= 50.0 and host.calls.empty()
-    host.os.free.set()
-    host.until(101)
-    assert sorted(name for name, ok in host.told if ok and name != "first") == list(range(100 - len(refused)))
+    assert host.writer.stalled_ms(host.now_ms()) >= 50.0
+    assert host.calls.empty()
+    host.file_system.is_free.set()
+    host.run_until(101)
+    stored = sorted(name for name, is_stored in host.results if is_stored and name != "first")
+    assert stored == list(range(100 - len(refused)))
     host.writer.close(5000)
-    assert host.writer.stalled(host.now_ms()) == 0.0 and host.writer.counts["longest_ms"] >= 50.0
+    assert host.writer.stalled_ms(host.now_ms()) == 0.0
+    assert host.writer.counts["longest_write_ms"] >= 50.0
 
 
-def test_failing_disk_one_line_a_counter_and_healing_by_itself(tmp_path):
+def test_a_failing_disk_is_logged_once_counted_and_recovers_by_itself(tmp_path):
+    """By the timer alone."""
     host = Host(tmp_path / "f")
     host.store("good", a=b"1")
-    host.until(1)
-    host.os.fails = errno.ENOSPC
-    for i in range(30):
-        host.store(i, a=b"2")
-        host.until(i + 2)
-    assert host.told[1:] == [(i, False) for i in range(30)] and "told to fail" in host.writer.trouble
-    assert host.writer.counts["failed"] == 30 and 1 <= host.writer.counts["failures"] < 5
+    host.run_until(1)
+    host.file_system.write_error = errno.ENOSPC
+    for number in range(30):
+        host.store(number, a=b"2")
+        host.run_until(number + 2)
+    assert host.results[1:] == [(number, False) for number in range(30)]
+    assert ERROR_TEXT in host.writer.last_error
+    assert host.writer.counts["failed"] == 30
+    assert 1 <= host.writer.counts["failures"] < 5
     (line,) = host.lines("folder: does not store")
-    assert line["member"] == "front" and "told to fail" in line["why"]
-    host.os.fails = None
-    deadline = time.monotonic() + 5
-    while host.writer.trouble and time.monotonic() < deadline:  # the timer alone: nothing is stored meanwhile
-        time.sleep(0.01)
-    assert host.writer.trouble is None and host.writer.counts["healed"] == 1
+    assert line["member"] == "front"
+    assert ERROR_TEXT in line["why"]
+    host.file_system.write_error = None
+    host.wait_for_recovery()
+    assert host.writer.last_error is None
+    assert host.writer.counts["recovered"] == 1
     assert host.lines("folder: stores again")[0]["not_stored"] == 30
     host.store("again", b=b"3")
-    host.until(32)
-    assert host.told[-1] == ("again", True) and host.writer.close(5000)
+    host.run_until(32)
+    assert host.results[-1] == ("again", True)
+    assert host.writer.close(5000)
     assert reread(tmp_path / "f") == {"a": b"1", "b": b"3"}
 
 
-def test_one_store_that_makes_no_sense_fails_alone(tmp_path):
+def test_an_invalid_change_fails_alone(tmp_path):
+    """A key or a value that makes no sense, and one that is too large."""
     host = Host(tmp_path / "f")
-    host.os.free.clear()
+    host.file_system.is_free.clear()
     host.store("first", a=b"1")
     time.sleep(0.02)
     host.store("empty key", **{"": b"1"})
     host.store("no bytes", a=[])
     host.store("good", b=b"2")
-    host.os.free.set()
-    host.until(4)
-    assert dict(host.told) == {"first": True, "empty key": False, "no bytes": False, "good": True}
-    host.store("large", c=bytes(MOST))
-    host.until(5)
-    assert host.told[-1] == ("large", False) and host.writer.counts["refused"] == 3
-    assert len(host.lines("folder: a store refused")) == 1
+    host.file_system.is_free.set()
+    host.run_until(4)
+    assert dict(host.results) == {"first": True, "empty key": False, "no bytes": False, "good": True}
+    host.store("large", c=bytes(MAX_BYTES))
+    host.run_until(5)
+    assert host.results[-1] == ("large", False)
+    assert host.writer.counts["rejected"] == 3
+    assert len(host.lines("folder: change rejected")) == 1
     host.writer.close(5000)
 
 
-def test_end_writes_what_waits(tmp_path):
+def test_close_writes_what_waits(tmp_path):
+    """And takes no more; each write has one result."""
     host = Host(tmp_path / "f")
-    for i in range(50):
-        host.store(i, **{f"k{i}": b"1"})
-    assert host.writer.close(5000) and host.told == [(i, True) for i in range(50)]
+    for number in range(50):
+        host.store(number, **{f"k{number}": b"1"})
+    assert host.writer.close(5000)
+    assert host.results == [(number, True) for number in range(50)]
     host.store("late", a=b"1")
-    assert host.told[-1] == ("late", False) and len(reread(tmp_path / "f")) == 50
-    while not host.calls.empty():
-        host.turn()
-    assert len(host.told) == 51  # each was told once
+    assert host.results[-1] == ("late", False)
+    assert len(reread(tmp_path / "f")) == 50
+    host.run_all_calls()
+    assert len(host.results) == 51
 
 
-def test_end_in_time_with_a_disk_that_stalls(tmp_path):
+def test_close_in_time_with_a_disk_that_stalls(tmp_path):
+    """What is being written is 'not known', and may be there."""
     host = Host(tmp_path / "f")
-    host.os.free.clear()
-    host.os.at_fsync.clear()
+    host.file_system.hold()
     host.store("stalled", a=b"1")
-    assert host.os.at_fsync.wait(5)
+    assert host.file_system.is_at_fsync.wait(5)
     host.store("behind it", b=b"1")
-    began = time.monotonic()
-    assert host.writer.close(100) is False and time.monotonic() - began < 2.0
-    assert host.told == [("stalled", False), ("behind it", False)]
-    host.os.free.set()
+    began_s = time.monotonic()
+    assert host.writer.close(100) is False
+    assert time.monotonic() - began_s < 2.0
+    assert host.results == [("stalled", False), ("behind it", False)]
+    host.file_system.is_free.set()
     host.writer._thread.join(5)
-    while not host.calls.empty():
-        host.turn()
-    assert len(host.told) == 2 and reread(tmp_path / "f") == {
-        "a": b"1"
-    }  # 'not known' it was, and it is there
-
-
-def test_a_folder_that_opens_late_tells_its_state_once(tmp_path):
-    filled = DurableStore(tmp_path / "f", "fleet", "front", MOST)
-    filled.append({"old": b"1"})
-    filled.flush(0.0)
-    filled.close()
-
-    class Unread(HeldOs):
-        gone = True
-
-        def listdir(self, path):
-            if self.gone:
-                raise OSError(errno.EIO, "told to fail")
-            return super().listdir(path)
-
-    host = Host(tmp_path / "f", Unread())
+    host.run_all_calls()
+    assert len(host.results) == 2
+    assert reread(tmp_path / "f") == {"a": b"1"}
+
+
+def test_a_store_that_opens_late_reports_its_state_once(tmp_path):
+    """Until then, changes of sections that nobody could read are refused."""
+    earlier = open_store(tmp_path / "f")
+    earlier.append({"old": b"1"})
+    earlier.flush(0.0)
+    earlier.close()
+    host = Host(tmp_path / "f", UnreadableFileSystem())
     host.store("early", a=b"1")
-    assert host.told == [("early", False)] and not host.late
-    host.os.gone = False
-    deadline = time.monotonic() + 5
-    while host.writer.trouble and time.monotonic() < deadline:
-        time.sleep(0.01)
-    host.store("read, not told yet", old=b"2")
-    assert host.told[1:] == [("read, not told yet", False)]
-    host.turn()
-    assert host.late == [{"old": b"1"}]
+    assert host.results == [("early", False)]
+    assert not host.opened_states
+    host.file_system.is_unreadable = False
+    host.wait_for_recovery()
+    host.store("read, not reported yet", old=b"2")
+    assert host.results[1:] == [("read, not reported yet", False)]
+    host.run_one_call()
+    assert host.opened_states == [{"old": b"1"}]
     host.store("later", a=b"1")
-    host.until(3)
-    assert host.told[-1] == ("later", True) and host.writer.counts["early"] == 2
+    host.run_until(3)
+    assert host.results[-1] == ("later", True)
+    assert host.writer.counts["before_open"] == 2
     host.writer.close(5000)
-    assert len(host.late) == 1 and reread(tmp_path / "f") == {"old": b"1", "a": b"1"}
+    assert len(host.opened_states) == 1
+    assert reread(tmp_path / "f") == {"old": b"1", "a": b"1"}
 
 
-def test_files_left_out_are_said_in_one_line(tmp_path):
+def test_skipped_files_are_logged_in_one_line(tmp_path):
+    """With the bytes and the reason."""
     host = Host(tmp_path / "f")
     host.store("a", a=b"1")
-    host.until(1)
+    host.run_until(1)
     host.writer.close(5000)
     with open(tmp_path / "f" / f"{host.folder.generation:012d}.journal", "ab") as out:
         out.write(b"torn")
     host = Host(tmp_path / "f")
     (line,) = host.lines("folder: files left out")
-    assert line["bytes"] == 4 and "cut off" in line["files"][0] and host.folder.state == {"a": b"1"}
+    assert line["bytes"] == 4
+    assert "cut off" in line["files"][0]
+    assert host.folder.state == {"a": b"1"}
     host.writer.close(5000)
 
 
-def test_errors_of_the_host_leave_the_others_told(tmp_path):
+def test_an_error_of_a_callback_does_not_keep_the_others_from_their_result(tmp_path):
+    """It is logged."""
     host = Host(tmp_path / "f")
 
-    def wrong(ok):
+    def fail(is_stored):
         raise RuntimeError("the host's own")
 
-    host.writer.store({"a": b"1"}, wrong)
+    host.writer.store({"a": b"1"}, fail)
     host.store("after", a=b"2")
-    host.until(1)
-    assert host.told == [("after", True)] and len(host.lines("folder: error in what a store is told to")) == 1
+    host.run_until(1)
+    assert host.results == [("after", True)]
+    assert len(host.lines("folder: error in the callback of a write")) == 1
     host.writer.close(5000)
 
 
-def test_many_chance_failures_and_stalls(tmp_path):
-    """Whatever the disk does: each store is told once, and the last one told yes of each key is there, or a later one
-    told no."""
-    rng = random.Random(3)
+def test_many_random_failures_and_stalls(tmp_path):
+    """Each write has one result.
 
-    class Chance(HeldOs):
-        def fsync(self, fd):
-            if rng.random() < 0.03:
-                raise OSError(errno.EIO, "told to fail")
-            super().fsync(fd)
-
-    host = Host(tmp_path / "f", Chance(), most=64 << 10)
-    for i in range(300):
-        host.store(i, **{f"k{i % 7}": b"%d" % i})
+    The last of each key that is reported as stored is there, or a later one that is not.
+    """
+    rng = random.Random(3)
+    host = Host(tmp_path / "f", UnreliableFileSystem(rng), max_bytes=64 << 10)
+    for number in range(300):
+        host.store(number, **{f"k{number % 7}": b"%d" % number})
         if rng.random() < 0.1:
-            host.turn()
+            host.run_one_call()
             time.sleep(0.01)
     host.writer.close(10_000)
-    assert sorted(name for name, _ in host.told) == list(range(300))
-    yes = {name for name, ok in host.told if ok}
-    assert 0 < len(yes) < 300
+    assert sorted(name for name, _ in host.results) == list(range(300))
+    stored = {name for name, is_stored in host.results if is_stored}
+    assert 0 < len(stored) < 300
     state = reread(tmp_path / "f")
-    for k in range(7):
-        last = max((i for i in yes if i % 7 == k), default=None)
-        found = int(state[f"k{k}"]) if f"k{k}" in state else -1
-        assert found == last or found > last and found not in yes
+    for key in range(7):
+        last = max((number for number in stored if number % 7 == key), default=None)
+        found = int(state[f"k{key}"]) if f"k{key}" in state else -1
+        assert found == last or found > last and found not in stored
 
 
 def test_it_needs_no_reactor():
-    code = "import sys, lichenquay.storage.writer, lichenquay.storage.incarnation\nassert 'twisted.internet.reactor' not in sys.modules"
-    subprocess.run([sys.executable, "-c", code], cwd=Path(__file__).parent.parent, check=True)
+    """The writer can be imported without one."""
+    code = (
+        "import sys, lichenquay.storage.writer, lichenquay.storage.incarnation\n"
+        "assert 'twisted.internet.reactor' not in sys.modules"
+    )
+    subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
