--- a/lichenquay/distribution/settings.py
+++ b/lichenquay/distribution/settings.py
@@ -20,7 +20,7 @@
     delta_bytes: int = 900  # Of entries in one delta or page; at least the longest change.
     most_changes: int = 4096  # Kept for deltas; who is further behind takes a snapshot.
     most_history_bytes: int = 4 << 20  # Of the changes kept for deltas.
-    most_change_bytes: int = 740  # Of one change, as a record (a group's `round_bytes` is 800).
+    most_change_bytes: int = 740  # Of one change, as a record (a group's `max_append_bytes` is 800).
     most_keys: int = 65_536
     most_state_bytes: int = 8 << 20
     most_sessions: int = 4096  # At one source; one more is told to wait.
--- a/lichenquay/migration/replica_group_state.py
+++ b/lichenquay/migration/replica_group_state.py
@@ -1,7 +1,7 @@
 """A replica group: how its state lies in the group's base and records, and the group as the coordinator needs
 it. No I/O.
 
-Records are cut into pieces as those of the quota's ledger. A group of sessions needs `most_state` of
+Records are cut into pieces as those of the quota's ledger. A group of sessions needs `max_state_bytes` of
 MOST_STATE. Errors: protobuf's DecodeError and StateMachineError."""
 
 from lichenquay.migration.state_machine import StateMachine
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -285,7 +285,7 @@
         lambda at: at("quota.keeper.state", F),
         "bytes",
         float(MOST_STATE),
-        "lease group: most_state",
+        "lease group: max_state_bytes",
     ),
     Row(
         "voter",
