--- a/lichenquay/lease/acquisition.py
+++ b/lichenquay/lease/acquisition.py
@@ -1,15 +1,27 @@
 """One attempt to get the lease of a group, under one generation. No I/O."""
 
+from collections.abc import Callable, Sequence
+from random import Random
+
 from lichenquay.lease.log import LogPosition, ReplicatedLog
 from lichenquay.lease.messages import AcquireRequest, SnapshotChunk, SnapshotOffer
 from lichenquay.lease.quorum import Quorum
+from lichenquay.lease.settings import LeaseSettings
 from lichenquay.lease.snapshot_transfer import SnapshotFetch
 
 
 class Acquisition:
     """Acquire requests, the grants for them, and the fetch of the newest log among the granting voters."""
 
-    def __init__(self, now_ms, generation, voters, rng, settings, send):
+    def __init__(
+        self,
+        now_ms: float,
+        generation: int,
+        voters: Sequence[str],
+        rng: Random,
+        settings: LeaseSettings,
+        send: Callable,
+    ):
         """Sends nothing yet. `voters`: their names; `rng` gives the token that replies must bring back."""
         self.started_ms = now_ms
         self.generation = generation
--- a/lichenquay/lease/group.py
+++ b/lichenquay/lease/group.py
@@ -11,7 +11,7 @@
 
 and empties after each call
 
-    outbox           [(name, message)]
+    outbox           [OutgoingMessage]
     store_requests   [StoreRequest]
 
 Times are milliseconds of the process's own monotonic clock, which runs on through a suspension. Assumptions:
@@ -30,16 +30,19 @@
 """
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from random import Random
 from typing import NamedTuple
 
 from lichenquay.lease.errors import InvalidGroupError
 from lichenquay.lease.leadership import Leadership
 from lichenquay.lease.lease_pb2 import Message
+from lichenquay.lease.log import FoldFunction
 from lichenquay.lease.messages import (
     FOR_LEADER,
     FOR_VOTER,
     MessageKind,
+    OutgoingMessage,
     ProcessId,
     StoreRequest,
     unwrap,
@@ -47,6 +50,7 @@
 )
 from lichenquay.lease.phases import LeaseEvent, Phase
 from lichenquay.lease.quorum import INF
+from lichenquay.lease.settings import LeaseSettings
 from lichenquay.lease.voter import Voter
 
 MAX_LOCAL_MESSAGES = 10_000  # to itself in one call
@@ -80,17 +84,17 @@
 
     def __init__(
         self,
-        group_id,
-        name,
-        incarnation,
-        voters,
-        rng,
-        settings,
-        now_ms,
-        sections,
-        is_new_disk=False,
-        fold=concatenate,
-        on_lease_event=None,
+        group_id: str,
+        name: str,
+        incarnation: int,
+        voters: Sequence[str],
+        rng: Random,
+        settings: LeaseSettings,
+        now_ms: float,
+        sections: dict[str, bytes],
+        is_new_disk: bool = False,
+        fold: FoldFunction = concatenate,
+        on_lease_event: Callable[[float, LeaseEvent], None] | None = None,
     ):
         """`on_lease_event(now_ms, event)`: HOLDS when this process got the lease (see `state`), LOST at
         its end.
@@ -265,7 +269,7 @@
         if name == self.name:
             self._local_messages.append(message)
         else:
-            self.outbox.append((name, message))
+            self.outbox.append(OutgoingMessage(name, message))
 
     def _own_log(self):
         return self.voter.log if self.voter else None
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -9,9 +9,12 @@
 that does not hold after `lease_ms` is abandoned, on which the rules for voters with lost folders rely.
 """
 
+from collections.abc import Callable, Sequence
+from random import Random
+
 from lichenquay.lease.acquisition import Acquisition
 from lichenquay.lease.errors import RecordSizeError
-from lichenquay.lease.log import LogPosition, ReplicatedLog
+from lichenquay.lease.log import FoldFunction, LogPosition, ReplicatedLog
 from lichenquay.lease.messages import (
     AcquireGrant,
     AppendReply,
@@ -26,7 +29,7 @@
 from lichenquay.lease.quorum import INF, Quorum
 from lichenquay.lease.release import ReleaseNotifier
 from lichenquay.lease.replication import LogReplicator
-from lichenquay.lease.settings import MAX_GENERATION_STEP
+from lichenquay.lease.settings import MAX_GENERATION_STEP, LeaseSettings
 from lichenquay.lease.snapshot_transfer import is_valid_offer
 
 MAX_BACKOFF_DOUBLINGS = 4
@@ -39,7 +42,17 @@
 class Leadership:
     """The state machine of one process. Its group gives `send(name, body)`, `own_log()` and `on_event`."""
 
-    def __init__(self, voters, rng, settings, now_ms, fold, send, own_log, on_event):
+    def __init__(
+        self,
+        voters: Sequence[str],
+        rng: Random,
+        settings: LeaseSettings,
+        now_ms: float,
+        fold: FoldFunction,
+        send: Callable,
+        own_log: Callable,
+        on_event: Callable,
+    ):
         """`voters`: their names. `own_log()`: the log of the voter in this process, or None."""
         self.voters = tuple(voters)
         self.rng = rng
@@ -352,7 +365,7 @@
             self._drop_lease(now_ms)
             self.acquire(now_ms)
 
-    def append(self, now_ms: float, record: bytes, on_result) -> None:
+    def append(self, now_ms: float, record: bytes, on_result: Callable) -> None:
         """Appends a record; see `LeaseGroup.append`."""
         if not 0 < len(record) <= self.settings.max_append_bytes:
             raise RecordSizeError(
--- a/lichenquay/lease/log.py
+++ b/lichenquay/lease/log.py
@@ -1,6 +1,6 @@
 """The replicated log of a group as one process has it: a folded base and the records after it. No I/O."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from struct import pack
 from typing import NamedTuple
 
@@ -43,7 +43,14 @@
     Two logs of one generation and index hold the same records, whatever part of them each has folded.
     """
 
-    def __init__(self, generation=0, base=b"", base_index=0, base_digest=0, records=()):
+    def __init__(
+        self,
+        generation: int = 0,
+        base: bytes = b"",
+        base_index: int = 0,
+        base_digest: int = 0,
+        records: Iterable[bytes] = (),
+    ):
         """`base_index` and `base_digest`: of the last record in the base."""
         self.generation = generation
         self.base = base
@@ -120,7 +127,7 @@
         return state.SerializeToString()
 
     @classmethod
-    def from_parts(cls, header: WireState, base: bytes, records) -> "ReplicatedLog | None":
+    def from_parts(cls, header: WireState, base: bytes, records: Iterable[bytes]) -> "ReplicatedLog | None":
         """The log of a header, a base and records; None where they do not belong together."""
         log = cls(header.position.label, base, header.base_index, header.base_chain, records)
         return log if LogPosition.from_wire(header.position) == log.position else None
--- a/lichenquay/lease/messages.py
+++ b/lichenquay/lease/messages.py
@@ -76,6 +76,13 @@
     incarnation: int
 
 
+class OutgoingMessage(NamedTuple):
+    """A message for another process."""
+
+    recipient: str
+    message: wire.Message
+
+
 class StoreRequest(NamedTuple):
     """Sections to be on disk together or not at all: bytes to write, or None to delete."""
 
@@ -83,14 +90,21 @@
     changes: dict[str, bytes | None]
 
 
-def wrap(group_id: str, body) -> wire.Message:
+class ReceivedMessage(NamedTuple):
+    """A message of this group."""
+
+    kind: MessageKind
+    body: object
+
+
+def wrap(group_id: str, body: object) -> wire.Message:
     """The message of a group that carries `body`."""
     return wire.Message(group=group_id, **{KIND_OF_BODY[type(body)].value: body})
 
 
-def unwrap(group_id: str, message: wire.Message):
-    """(kind, body), or None for a message of another group or of no known kind."""
+def unwrap(group_id: str, message: wire.Message) -> ReceivedMessage | None:
+    """The kind and body of a message; None for one of another group or of no known kind."""
     member = message.WhichOneof("body")
     if message.group != group_id or member is None:
         return None
-    return MessageKind(member), getattr(message, member)
+    return ReceivedMessage(MessageKind(member), getattr(message, member))
--- a/lichenquay/lease/quorum.py
+++ b/lichenquay/lease/quorum.py
@@ -1,10 +1,11 @@
 """What a candidate or leader knows of the voters, and what a majority of them amounts to. No I/O."""
 
 from collections import OrderedDict
+from collections.abc import Sequence
 from typing import NamedTuple
 
 INF = float("inf")
-MAX_SENT_APPENDS = 64  # append requests to one voter whose replies are told apart
+MAX_SENT_APPENDS = 64  # append requests to one voter whose replies are distinguished
 
 
 class SentAppend(NamedTuple):
@@ -49,7 +50,7 @@
 class Quorum:
     """All voters of a group under one generation."""
 
-    def __init__(self, names):
+    def __init__(self, names: Sequence[str]):
         """`names`: of the voters, in the order in which they are sent to."""
         self.voters = {name: VoterProgress() for name in names}
         self.majority = len(self.voters) // 2 + 1
--- a/lichenquay/lease/release.py
+++ b/lichenquay/lease/release.py
@@ -1,7 +1,10 @@
 """The notices by which a holder that released its lease lets others acquire it at once. No I/O."""
 
+from collections.abc import Callable, Sequence
+
 from lichenquay.lease.messages import ReleaseNotice
 from lichenquay.lease.quorum import INF
+from lichenquay.lease.settings import LeaseSettings
 
 NOTICES = 3  # sent to each voter, as any may be lost
 
@@ -9,7 +12,7 @@
 class ReleaseNotifier:
     """Sends the notices of the latest release, `retry_ms` apart."""
 
-    def __init__(self, voters, settings, send):
+    def __init__(self, voters: Sequence[str], settings: LeaseSettings, send: Callable):
         """`voters`: their names. Nothing has been released."""
         self.voters = voters
         self.settings = settings
--- a/lichenquay/lease/replication.py
+++ b/lichenquay/lease/replication.py
@@ -1,8 +1,12 @@
 """How a leader brings its log to the voters: append requests, or the offer of a snapshot. No I/O."""
 
+from collections.abc import Callable
+from random import Random
+
 from lichenquay.lease.log import LogPosition, ReplicatedLog
 from lichenquay.lease.messages import AppendRequest, SnapshotRequest
 from lichenquay.lease.quorum import INF, Quorum
+from lichenquay.lease.settings import LeaseSettings
 from lichenquay.lease.snapshot_transfer import SealedLog
 
 _RECORD_OVERHEAD_BYTES = 4  # of a record in a message
@@ -11,7 +15,15 @@
 class LogReplicator:
     """The log of one generation and its way to the voters."""
 
-    def __init__(self, generation, log: ReplicatedLog, quorum: Quorum, rng, settings, send):
+    def __init__(
+        self,
+        generation: int,
+        log: ReplicatedLog,
+        quorum: Quorum,
+        rng: Random,
+        settings: LeaseSettings,
+        send: Callable,
+    ):
         """Takes `log` over: from here on it is of this generation."""
         self.generation = generation
         self.inherited_position = log.position  # where the log ended under the generation before
@@ -54,7 +66,7 @@
         self.send(name, request)
 
     def _position_after(self, since, records):
-        """Where a voter stands with the records. Half an inherited log keeps the generation before."""
+        """The position of a voter with the records. Half an inherited log keeps the generation before."""
         index = since.index + len(records)
         is_complete = index >= self.inherited_position.index
         generation = self.generation if is_complete else since.generation
--- a/lichenquay/lease/snapshot_transfer.py
+++ b/lichenquay/lease/snapshot_transfer.py
@@ -5,12 +5,13 @@
 
 from lichenquay.lease.log import LogPosition, ReplicatedLog
 from lichenquay.lease.messages import SnapshotChunk, SnapshotOffer, SnapshotRequest
+from lichenquay.lease.settings import LeaseSettings
 
 # A log on the wire takes more than base and records: keys and lengths of each record.
 _WIRE_SIZE_FACTOR = 2
 
 
-def is_valid_offer(offer: SnapshotOffer, settings) -> bool:
+def is_valid_offer(offer: SnapshotOffer, settings: LeaseSettings) -> bool:
     """Whether an offer has a size and a position that a voter can mean."""
     is_size_valid = 0 < offer.size <= settings.max_state_bytes * _WIRE_SIZE_FACTOR
     return is_size_valid and LogPosition.from_wire(offer.position) is not None
@@ -29,7 +30,7 @@
         """What a receiver needs to fetch it."""
         return SnapshotOffer(position=self.position.to_wire(), size=len(self.data), crc=self.crc)
 
-    def chunks(self, request: SnapshotRequest, settings) -> Iterator[SnapshotChunk]:
+    def chunks(self, request: SnapshotRequest, settings: LeaseSettings) -> Iterator[SnapshotChunk]:
         """One window of chunks from the offset that is asked for."""
         step = settings.chunk_bytes
         if request.offset % step:
@@ -47,7 +48,15 @@
 class SnapshotFetch:
     """Fetches one log in chunks, a window at a time, and asks again for what is lost."""
 
-    def __init__(self, now_ms, source: str, generation, offer, settings, recovery_nonce=0):
+    def __init__(
+        self,
+        now_ms: float,
+        source: str,
+        generation: int,
+        offer: SnapshotOffer,
+        settings: LeaseSettings,
+        recovery_nonce: int = 0,
+    ):
         """`offer`: a valid one, of the process named `source`."""
         self.source = source
         self.generation = generation
--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -10,18 +10,20 @@
 - all voters of the group are recovering at once. An acquire request that found this says so with the nonce
   of each voter. Then nothing can be lost, and the group is bootstrapped.
 
-`is_new_disk` is the host's word that the folder was not lost: it is whole and never knew this group. Such
-a voter votes from the empty log on. A folder that may have lost its end counts as lost: its host passes no
-sections and is_new_disk False. With a majority recovering and the others not, the group stands still until
-enough folders are back.
+`is_new_disk` says that the folder was not lost: it is whole and never knew this group, as the host knows.
+Such a voter votes from the empty log on. A folder that may have lost its end counts as lost: its host
+passes no sections and is_new_disk False. With a majority recovering and the others not, the group stands
+still until enough folders are back.
 """
 
+from collections.abc import Callable
 from dataclasses import dataclass
+from random import Random
 from typing import NamedTuple
 
 from lichenquay.lease.durable_state import PROMISE_SECTION, VoterState, changes_between, load
 from lichenquay.lease.lease_pb2 import Promise
-from lichenquay.lease.log import LogPosition, ReplicatedLog
+from lichenquay.lease.log import FoldFunction, LogPosition, ReplicatedLog
 from lichenquay.lease.messages import (
     AcquireGrant,
     AcquireRequest,
@@ -35,7 +37,7 @@
     SnapshotChunk,
     SnapshotRequest,
 )
-from lichenquay.lease.settings import MAX_GENERATION_STEP
+from lichenquay.lease.settings import MAX_GENERATION_STEP, LeaseSettings
 from lichenquay.lease.snapshot_transfer import SealedLog, SnapshotFetch, is_valid_offer
 
 
@@ -68,7 +70,17 @@
 class Voter:
     """One voter. Its group gives `send(name, body)` and `store(changes)`, calls `on_stored`."""
 
-    def __init__(self, rng, settings, now_ms, sections, is_new_disk, fold, send, store):
+    def __init__(
+        self,
+        rng: Random,
+        settings: LeaseSettings,
+        now_ms: float,
+        sections: dict[str, bytes],
+        is_new_disk: bool,
+        fold: FoldFunction,
+        send: Callable,
+        store: Callable,
+    ):
         """`sections`: what the folder has of this group. `rng` gives the recovery nonce of a lost folder."""
         self.settings = settings
         self.fold = fold
--- a/lichenquay/storage/directory.py
+++ b/lichenquay/storage/directory.py
@@ -9,6 +9,8 @@
 from lichenquay.storage.file_system import (
     LOCK_FLAGS,
     READ_FLAGS,
+    FileIdentity,
+    FileSystem,
     close_quietly,
     is_identical,
     sync_directory,
@@ -18,7 +20,7 @@
 class StoreDirectory:
     """Makes, locks and checks the directory."""
 
-    def __init__(self, file_system, path: str):
+    def __init__(self, file_system: FileSystem, path: str):
         """Touches nothing yet. `path`: absolute."""
         self.file_system = file_system
         self.path = path
@@ -84,7 +86,7 @@
                 raise
         return self.file_system.open(self.lock_path, READ_FLAGS)
 
-    def lock_identity(self):
+    def lock_identity(self) -> FileIdentity:
         """The FileIdentity of the lock that this process has."""
         return self.file_system.fstat(self._lock)
 
--- a/lichenquay/storage/file_names.py
+++ b/lichenquay/storage/file_names.py
@@ -1,6 +1,7 @@
 """The names of a store's files."""
 
 import re
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from lichenquay.storage.record_format import FileKind
@@ -10,8 +11,8 @@
 SET_ASIDE_PREFIX = "bad."
 NEW_SUFFIX = ".new"
 _PATTERN = re.compile(r"(bad\.)?(\d{12})\.(snapshot|journal)(\.new)?")
-_WORDS = {FileKind.SNAPSHOT: "snapshot", FileKind.JOURNAL: "journal"}
-_KINDS = {word: kind for kind, word in _WORDS.items()}
+_KIND_NAMES = {FileKind.SNAPSHOT: "snapshot", FileKind.JOURNAL: "journal"}
+_KINDS = {name: kind for kind, name in _KIND_NAMES.items()}
 
 
 class StoreFile(NamedTuple):
@@ -31,7 +32,7 @@
 
 def file_name(generation: int, kind: FileKind) -> str:
     """The name of a whole file."""
-    return f"{generation:012d}.{_WORDS[kind]}"
+    return f"{generation:012d}.{_KIND_NAMES[kind]}"
 
 
 def new_file_name(generation: int, kind: FileKind) -> str:
@@ -44,7 +45,7 @@
     return SET_ASIDE_PREFIX + file_name(generation, kind)
 
 
-def store_files(names) -> list[StoreFile]:
+def store_files(names: Iterable[str]) -> list[StoreFile]:
     """The names that have the form of a store's file, in their order."""
     matches = ((name, _PATTERN.fullmatch(name)) for name in sorted(names))
     return [
--- a/lichenquay/storage/generations.py
+++ b/lichenquay/storage/generations.py
@@ -18,6 +18,7 @@
 from lichenquay.storage.file_system import (
     NEW_FILE_FLAGS,
     FileIdentity,
+    FileSystem,
     attempt,
     close_quietly,
     is_identical,
@@ -50,7 +51,7 @@
 class Generations:
     """Writes the generations of one store."""
 
-    def __init__(self, file_system, directory: StoreDirectory, fleet: str, process_name: str):
+    def __init__(self, file_system: FileSystem, directory: StoreDirectory, fleet: str, process_name: str):
         """Nothing is known of the files yet."""
         self.file_system = file_system
         self.directory = directory
@@ -65,7 +66,7 @@
         self._expected_files = []
 
     def adopt(self, recovery: Recovery) -> None:
-        """Goes on from what recovery found."""
+        """Continues from what recovery found."""
         self.highest = recovery.highest_generation
         self._retained = recovery.generations[-RETAINED_GENERATIONS:]
         self.damaged_files = recovery.damaged_files
--- a/lichenquay/storage/incarnation.py
+++ b/lichenquay/storage/incarnation.py
@@ -4,6 +4,7 @@
 from typing import NamedTuple
 
 from lichenquay.storage.errors import CapacityExceededError, NotStoredError, UnusableStoreError
+from lichenquay.storage.store import DurableStore
 
 INCARNATION_SECTION = "incarnation"
 MAX_INCARNATION = 2**63 - 1  # what a protobuf int64 holds
@@ -22,7 +23,7 @@
     return {INCARNATION_SECTION: _NUMBER.pack(number)}
 
 
-def next_incarnation(store, unix_ms: float, now_ms: float = 0.0) -> Incarnation:
+def next_incarnation(store: DurableStore, unix_ms: float, now_ms: float = 0.0) -> Incarnation:
     """Higher than any that was stored or given before, never lower than `unix_ms`; stored before it is
     returned.
 
--- a/lichenquay/storage/record_format.py
+++ b/lichenquay/storage/record_format.py
@@ -2,8 +2,8 @@
 
 Header: magic, version, its own size, CRC32C; then kind, generation, base (the number of the last record
 before this file), the fleet's name and the process's. The first 16 bytes and what the CRC32C covers stay
-as they are in every version, so that a newer version is told from a flipped bit. A record's CRC32C starts
-from its header's: a record of another file is none here.
+as they are in every version, so that a newer version is distinguished from a flipped bit. A record's
+CRC32C starts from its header's: a record of another file is none here.
 """
 
 from collections.abc import Iterable, Iterator
--- a/lichenquay/storage/recovery.py
+++ b/lichenquay/storage/recovery.py
@@ -7,7 +7,7 @@
 from lichenquay.storage import record_format
 from lichenquay.storage.errors import CorruptRecordError, NewerFormatError, UnusableStoreError
 from lichenquay.storage.file_names import file_name, store_files
-from lichenquay.storage.file_system import READ_FLAGS, close_quietly
+from lichenquay.storage.file_system import READ_FLAGS, FileSystem, close_quietly
 from lichenquay.storage.record_format import FileKind
 
 MAX_FILE_BYTES = 64 << 20  # read of one file; a store makes none as large
@@ -38,7 +38,9 @@
             self.skipped_files.append(f"{name}: {reason}")
 
 
-def recover(file_system, path: str, fleet: str, process_name: str, tolerates_errors=False) -> Recovery:
+def recover(
+    file_system: FileSystem, path: str, fleet: str, process_name: str, tolerates_errors: bool = False
+) -> Recovery:
     """Reads the files of a store.
 
     `tolerates_errors`: a file that the disk cannot read (EIO) counts as damaged. A disk that fails as a
--- a/lichenquay/storage/store.py
+++ b/lichenquay/storage/store.py
@@ -6,6 +6,7 @@
 """
 
 import errno
+from os import PathLike
 from os.path import abspath
 from types import MappingProxyType
 
@@ -39,7 +40,15 @@
     fails does not raise then, it is a `last_error`.
     """
 
-    def __init__(self, path, fleet, name, max_bytes, file_system=None, now_ms=0.0):
+    def __init__(
+        self,
+        path: str | PathLike,
+        fleet: str,
+        name: str,
+        max_bytes: int,
+        file_system: FileSystem | None = None,
+        now_ms: float = 0.0,
+    ):
         """`fleet` and `name`: whose folder it is. `max_bytes`: of all files together."""
         share = max_bytes // CAPACITY_SHARES
         if not MIN_SHARE_BYTES <= share <= MAX_SHARE_BYTES:
--- a/lichenquay/storage/writer.py
+++ b/lichenquay/storage/writer.py
@@ -12,6 +12,7 @@
 
 from lichenquay.storage.errors import NotStoredError
 from lichenquay.storage.record_format import Changes
+from lichenquay.storage.store import DurableStore
 
 MAX_QUEUED_WRITES = 1024
 LOG_INTERVAL_MS = 60_000.0  # at most one line of a kind
@@ -27,7 +28,7 @@
         self.last_ms = None
         self.since = 0
 
-    def count(self, now_ms):
+    def count(self, now_ms: float) -> int:
         """Counts one more event: how many since the last line if a line may be written now, else 0."""
         self.since += 1
         if self.last_ms is not None and now_ms - self.last_ms < LOG_INTERVAL_MS:
@@ -57,7 +58,15 @@
     thread.
     """
 
-    def __init__(self, store, call_in_host, now_ms, on_open=None, log=None, max_queued=MAX_QUEUED_WRITES):
+    def __init__(
+        self,
+        store: DurableStore,
+        call_in_host: Callable,
+        now_ms: Callable[[], float],
+        on_open: Callable[[dict], None] | None = None,
+        log=None,
+        max_queued: int = MAX_QUEUED_WRITES,
+    ):
         """`store`: from now on the writer's thread's alone.
 
         `call_in_host(function, *arguments)` brings a call to the host's thread. `now_ms`: a function that
