--- a/lichenquay/control_plane/report.py
+++ b/lichenquay/control_plane/report.py
@@ -12,7 +12,7 @@
         f"group {leadership.phase} promised {voter.promise.generation} to {voter.promise.name or '-'} "
         f"record {voter.log.index} {'recovering ' * voter.is_recovering}"
         f"waits {max(0.0, voter.no_grants_until_ms - now_ms):.0f}",
-        *_count_lines("acquisitions", leadership.counts),
+        *_count_lines("leadership", leadership.counts),
         *_count_lines("votes", voter.counts),
     ]
     if group.holds(now_ms):
--- a/tests/fleet/fleet_marks.py
+++ b/tests/fleet/fleet_marks.py
@@ -11,7 +11,7 @@
 SKIP = {
     "counts",
     "senseless",
-    "foreign",
+    "foreign_messages",
     "stray",
     "crowded",
     "barred",
