--- a/lichenquay/lease/acquisition.py
+++ b/lichenquay/lease/acquisition.py
@@ -46,7 +46,9 @@
         """Asks one voter."""
         self.quorum.voters[name].acquire_sent_ms = now_ms
         request = AcquireRequest(
-            generation=self.generation, token=self.token, founding=self.bootstrap_nonces.get(name, 0)
+            generation=self.generation,
+            token=self.token,
+            bootstrap_nonce=self.bootstrap_nonces.get(name, 0),
         )
         self.send(name, request)
 
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -14,7 +14,7 @@
 
 from lichenquay.lease.acquisition import Acquisition
 from lichenquay.lease.errors import RecordSizeError
-from lichenquay.lease.log import FoldFunction, LogPosition, ReplicatedLog
+from lichenquay.lease.log import FoldFunction, ReplicatedLog
 from lichenquay.lease.messages import (
     AcquireGrant,
     AppendReply,
@@ -213,7 +213,7 @@
     def on_acquire_grant(self, now_ms: float, sender: ProcessId, grant: AcquireGrant) -> None:
         """Counts a grant; with those of a majority the newest log is taken."""
         name = sender.name
-        position = LogPosition.from_wire(grant.position)
+        position = grant.position
         if not self._is_current(name, grant) or grant.token != self.acquisition.token or position is None:
             return
         if self.replicator is not None:
@@ -221,9 +221,9 @@
         else:
             is_possible = position.generation < self.generation
         has_granted = self.quorum.voters[name].position is not None
-        if has_granted or not is_possible or not is_valid_offer(grant.whole, self.settings):
+        if has_granted or not is_possible or not is_valid_offer(grant.offer, self.settings):
             return
-        self.acquisition.record_grant(name, position, grant.whole)
+        self.acquisition.record_grant(name, position, grant.offer)
         if self.replicator is not None:
             self._send_append(now_ms, name)
         elif self.phase is Phase.ACQUIRING:
@@ -251,10 +251,10 @@
         name = sender.name
         if not self._is_current(name, rejection) or not self.acquisition.is_reply(name, rejection):
             return
-        if rejection.promised > self.highest_generation + MAX_GENERATION_STEP:
+        if rejection.promised_generation > self.highest_generation + MAX_GENERATION_STEP:
             self.counts["invalid"] += 1
             return
-        self.highest_generation = max(self.highest_generation, rejection.promised)
+        self.highest_generation = max(self.highest_generation, rejection.promised_generation)
         voter = self.quorum.voters[name]
         # No voter can mean a longer wait, or `nan`.
         longest_wait_ms = self.settings.expiry_wait_ms
@@ -263,30 +263,30 @@
         if self.is_acquiring:
             if self.quorum.is_rejected:
                 self._abandon_acquisition(now_ms)
-        elif rejection.promised > self.generation:
+        elif rejection.promised_generation > self.generation:
             # It promised an acquisition that came to nothing, and answers this generation no more.
             voter.position = None
             voter.acquire_sent_ms = now_ms
-            self.higher_promise = rejection.promised
+            self.higher_promise = rejection.promised_generation
 
     def on_recovery_notice(self, now_ms: float, sender: ProcessId, notice: RecoveryNotice) -> None:
         """Bootstraps a group whose voters are all recovering; a holder sends the voter the whole log."""
         name = sender.name
         if (
             not self._is_current(name, notice)
-            or not notice.birth
+            or not notice.recovery_nonce
             or not self.acquisition.is_reply(name, notice)
         ):
             return
         voter = self.quorum.voters[name]
         known_nonce = voter.recovery_nonce
-        voter.recovery_nonce = notice.birth
+        voter.recovery_nonce = notice.recovery_nonce
         voter.position = None
         if self.phase is Phase.ACQUIRING and self.acquisition.bootstrap_nonces:
             voter.recovery_nonce = 0
         elif self.phase is Phase.ACQUIRING and self.quorum.is_recovering:
             self.acquisition.bootstrap(now_ms)
-        elif self.phase is Phase.HOLDING and known_nonce != notice.birth:
+        elif self.phase is Phase.HOLDING and known_nonce != notice.recovery_nonce:
             self._send_append(now_ms, name)
 
     # Replication.
@@ -310,7 +310,7 @@
     def on_append_reply(self, now_ms: float, sender: ProcessId, reply: AppendReply) -> None:
         """Counts what a voter has on its disk, and the support of the lease that its reply begins."""
         name = sender.name
-        position = LogPosition.from_wire(reply.position)
+        position = reply.position
         if not self._is_current(name, reply) or self.replicator is None or position is None:
             return
         voter = self.quorum.voters[name]
--- a/lichenquay/lease/replication.py
+++ b/lichenquay/lease/replication.py
@@ -40,16 +40,16 @@
     def send_append(self, now_ms: float, name: str) -> None:
         """An append request to one voter: with the records that it lacks, or with the offer of a snapshot."""
         voter = self.quorum.voters[name]
-        since = voter.position or LogPosition()
-        till = since
+        before = voter.position or LogPosition()
+        after = before
         voter.unanswered_since_ms = None
-        records = None if voter.recovery_nonce else self._records_after(since)
-        snapshot_fields = {}
+        records = None if voter.recovery_nonce else self._records_after(before)
+        offer = None
         if records is None:
-            snapshot_fields = {"whole": self._snapshot_offer(), "birth": voter.recovery_nonce}
+            offer = self._snapshot_offer()
         else:
-            till = self._position_after(since, records)
-        if till != since or snapshot_fields:
+            after = self._position_after(before, records)
+        if after != before or offer is not None:
             voter.unanswered_since_ms = now_ms
         self.append_number += 1
         token = self.rng.getrandbits(63) + 1
@@ -58,32 +58,33 @@
             generation=self.generation,
             number=self.append_number,
             token=token,
-            since=since.to_wire(),
+            before=before,
             records=records or (),
-            till=till.to_wire(),
-            **snapshot_fields,
+            after=after,
+            offer=offer,
+            recovery_nonce=voter.recovery_nonce,
         )
         self.send(name, request)
 
-    def _position_after(self, since, records):
+    def _position_after(self, before, records):
         """The position of a voter with the records. Half an inherited log keeps the generation before."""
-        index = since.index + len(records)
+        index = before.index + len(records)
         is_complete = index >= self.inherited_position.index
-        generation = self.generation if is_complete else since.generation
+        generation = self.generation if is_complete else before.generation
         return LogPosition(generation, index, self.log.digest_at(index))
 
-    def _records_after(self, since):
-        """As many records after `since` as one request takes; None where this log does not continue it."""
+    def _records_after(self, before):
+        """As many records after `before` as one request takes; None where this log does not continue it."""
         is_inherited = (
-            since.generation == self.inherited_position.generation
-            and since.index <= self.inherited_position.index
+            before.generation == self.inherited_position.generation
+            and before.index <= self.inherited_position.index
         )
-        is_same_log = since.generation == self.generation or is_inherited
-        if not is_same_log or self.log.digest_at(since.index) != since.digest:
+        is_same_log = before.generation == self.generation or is_inherited
+        if not is_same_log or self.log.digest_at(before.index) != before.digest:
             return None
         records = []
         size_bytes = 0
-        for record in self.log.records_after(since.index):
+        for record in self.log.records_after(before.index):
             size_bytes += len(record) + _RECORD_OVERHEAD_BYTES
             if records and size_bytes > self.settings.max_append_bytes:
                 break
--- a/lichenquay/lease/snapshot_transfer.py
+++ b/lichenquay/lease/snapshot_transfer.py
@@ -3,7 +3,7 @@
 import zlib
 from collections.abc import Iterator
 
-from lichenquay.lease.log import LogPosition, ReplicatedLog
+from lichenquay.lease.log import ReplicatedLog
 from lichenquay.lease.messages import SnapshotChunk, SnapshotOffer, SnapshotRequest
 from lichenquay.lease.settings import LeaseSettings
 
@@ -14,7 +14,7 @@
 def is_valid_offer(offer: SnapshotOffer, settings: LeaseSettings) -> bool:
     """Whether an offer has a size and a position that a voter can mean."""
     is_size_valid = 0 < offer.size <= settings.max_state_bytes * _WIRE_SIZE_FACTOR
-    return is_size_valid and LogPosition.from_wire(offer.position) is not None
+    return is_size_valid and offer.position is not None
 
 
 class SealedLog:
@@ -28,7 +28,7 @@
 
     def offer(self) -> SnapshotOffer:
         """What a receiver needs to fetch it."""
-        return SnapshotOffer(position=self.position.to_wire(), size=len(self.data), crc=self.crc)
+        return SnapshotOffer(position=self.position, size=len(self.data), crc=self.crc)
 
     def chunks(self, request: SnapshotRequest, settings: LeaseSettings) -> Iterator[SnapshotChunk]:
         """One window of chunks from the offset that is asked for."""
@@ -62,7 +62,7 @@
         self.generation = generation
         self.recovery_nonce = recovery_nonce
         self.settings = settings
-        self.position = LogPosition.from_wire(offer.position)
+        self.position = offer.position
         self.size = offer.size
         self.crc = offer.crc
         self.chunks = {}
--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -23,7 +23,7 @@
 
 from lichenquay.lease.durable_state import PROMISE_SECTION, VoterState, changes_between, load
 from lichenquay.lease.lease_pb2 import Promise
-from lichenquay.lease.log import FoldFunction, LogPosition, ReplicatedLog
+from lichenquay.lease.log import FoldFunction, ReplicatedLog
 from lichenquay.lease.messages import (
     AcquireGrant,
     AcquireRequest,
@@ -148,7 +148,7 @@
         if self.is_recovering:
             if now_ms < self.silent_until_ms:
                 return
-            is_bootstrap = request.founding == self.recovery_nonce
+            is_bootstrap = request.bootstrap_nonce == self.recovery_nonce
             if not is_bootstrap:
                 self._send_recovery_notice(sender, request)
                 return
@@ -183,8 +183,8 @@
         grant = AcquireGrant(
             generation=request.generation,
             token=request.token,
-            position=self.log.position.to_wire(),
-            whole=self.sealed_log.offer(),
+            position=self.log.position,
+            offer=self.sealed_log.offer(),
         )
         self.send(sender.name, grant)
 
@@ -193,13 +193,15 @@
         rejection = Rejection(
             generation=request.generation,
             token=request.token,
-            promised=max(self.promise.generation, self.attempted_promise.generation),
+            promised_generation=max(self.promise.generation, self.attempted_promise.generation),
             wait_ms=wait_ms,
         )
         self.send(sender.name, rejection)
 
     def _send_recovery_notice(self, sender, request):
-        notice = RecoveryNotice(generation=request.generation, token=request.token, birth=self.recovery_nonce)
+        notice = RecoveryNotice(
+            generation=request.generation, token=request.token, recovery_nonce=self.recovery_nonce
+        )
         self.send(sender.name, notice)
 
     def on_snapshot_request(self, now_ms: float, sender: ProcessId, request: SnapshotRequest) -> None:
@@ -217,22 +219,20 @@
         # process's.
         if self._is_promising or self.is_recovering and now_ms < self.silent_until_ms:
             return
-        if self.is_recovering and request.birth != self.recovery_nonce:
+        if self.is_recovering and request.recovery_nonce != self.recovery_nonce:
             self._send_recovery_notice(sender, request)
             return
         if not self.is_recovering and self._is_outdated(sender, request):
             self._reject(sender, request)
             return
-        since = LogPosition.from_wire(request.since)
-        till = LogPosition.from_wire(request.till)
-        is_offer_invalid = request.whole.size and not is_valid_offer(request.whole, self.settings)
-        if since is None or till is None or is_offer_invalid:
+        is_offer_invalid = request.offer is not None and not is_valid_offer(request.offer, self.settings)
+        if request.before is None or request.after is None or is_offer_invalid:
             self.counts["invalid"] += 1
             return
         appended = None
-        is_at_since = not self.is_writing and not self.is_recovering and self._matches(since)
-        if is_at_since and till != since:
-            appended = self._with_records(since, request.records, till, request.generation)
+        is_ready = not self.is_writing and not self.is_recovering
+        if is_ready and self._matches(request.before) and request.after != request.before:
+            appended = self._with_records(request)
             if appended is None:
                 self.counts["invalid"] += 1
                 return
@@ -241,7 +241,7 @@
             self.fetch = None
             self._write(PendingWrite(self.promise, appended))
             return
-        if request.whole.size and not self.is_writing and self._needs_snapshot(request):
+        if request.offer is not None and not self.is_writing and self._needs_snapshot(request):
             self._fetch_snapshot(now_ms, sender, request)
         if not self.is_recovering:
             self._reply_to_append(now_ms)
@@ -250,23 +250,24 @@
         is_promised = (message.generation, sender) == (self.promise.generation, self._promised_process)
         return not is_promised or message.generation <= self.released_generation
 
-    def _matches(self, since):
+    def _matches(self, before):
         # Records after a gap would be taken for the whole log.
-        return since == self.log.position
+        return before == self.log.position
 
-    def _with_records(self, since, records, till, generation):
-        """The log with the records; None where they do not lead to `till`."""
+    def _with_records(self, request):
+        """The log with the records; None where they do not lead to the position after them."""
+        after = request.after
         # With the generation of a third leader this log would pass for one that it is not.
-        if till.generation not in (generation, since.generation):
+        if after.generation not in (request.generation, request.before.generation):
             return None
         log = self.log.copy()
-        log.generation = till.generation
-        for record in records:
+        log.generation = after.generation
+        for record in request.records:
             log.append(record)
-        return log if log.position == till else None
+        return log if log.position == after else None
 
     def _needs_snapshot(self, request):
-        return self.is_recovering or self._is_newer(LogPosition.from_wire(request.whole.position))
+        return self.is_recovering or self._is_newer(request.offer.position)
 
     def _is_newer(self, position):
         # An offer that comes late would take back records that this voter has acknowledged.
@@ -274,7 +275,7 @@
 
     def _fetch_snapshot(self, now_ms, sender, request):
         fetch = SnapshotFetch(
-            now_ms, sender.name, request.generation, request.whole, self.settings, request.birth
+            now_ms, sender.name, request.generation, request.offer, self.settings, request.recovery_nonce
         )
         if self.fetch and self.fetch.is_same_transfer(fetch):
             return
@@ -322,7 +323,7 @@
             generation=append.generation,
             number=append.number,
             token=append.token,
-            position=self.log.position.to_wire(),
+            position=self.log.position,
         )
         self.send(append.leader, reply)
 
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -10,7 +10,6 @@
 
 from lichenquay.fleet.message_envelope import SUM, Envelope
 from lichenquay.lease.leadership import Leadership
-from lichenquay.lease.log import LogPosition
 from lichenquay.lease.messages import AppendReply
 from lichenquay.lease.voter import Voter
 from lichenquay.membership.member_table import Table, rank
@@ -106,19 +105,17 @@
 
 @rule("owner: no generation fence")
 def _():
-    def reply(self, now_ms):
+    def reply_to_append(self, now_ms):
         append = self.last_append
         self.supported_leader = self._promised_process
         self.no_grants_until_ms = now_ms + self.settings.expiry_wait_ms
-        position = self.log.position.to_wire()
-        self.send(
-            append.leader,
-            AppendReply(
-                generation=append.generation, number=append.number, token=append.token, position=position
-            ),
-        )
+        reply = AppendReply(append.generation, append.number, append.token, self.log.position)
+        self.send(append.leader, reply)
 
-    return [(Voter, "_is_outdated", lambda self, sender, message: False), (Voter, "_reply_to_append", reply)]
+    return [
+        (Voter, "_is_outdated", lambda self, sender, message: False),
+        (Voter, "_reply_to_append", reply_to_append),
+    ]
 
 
 @rule("owner: one generation promised to two")
@@ -207,7 +204,7 @@
         if self._is_current(sender.name, reply):
             voter = self.quorum.voters[sender.name]
             append = voter.sent_appends.get(reply.number)
-            if append and append.token == reply.token and LogPosition.from_wire(reply.position):
+            if append and append.token == reply.token and reply.position:
                 voter.supports_since_ms = max(voter.supports_since_ms, now_ms)
         real(self, now_ms, sender, reply)
 
--- a/tests/lease_broken.py
+++ b/tests/lease_broken.py
@@ -55,10 +55,7 @@
 
     def new(self, now_ms):
         append = self.last_append
-        position = self.log.position.to_wire()
-        reply = AppendReply(
-            generation=append.generation, number=append.number, token=append.token, position=position
-        )
+        reply = AppendReply(append.generation, append.number, append.token, self.log.position)
         self.send(append.leader, reply)
 
     return new
@@ -143,10 +140,10 @@
 def with_gap(old):
     """Appends records wherever they belong."""
 
-    def new(self, since, records, till, generation):
+    def new(self, request):
         log = self.log.copy()
-        log.generation = till.generation
-        for record in records:
+        log.generation = request.after.generation
+        for record in request.records:
             log.append(record)
         return log
 
@@ -155,7 +152,7 @@
 
 def numbers_only(old):
     """A voter that counts records, not what they are."""
-    return lambda self, since: since.index <= self.log.index
+    return lambda self, before: before.index <= self.log.index
 
 
 def acts_at_once(old):
--- a/tests/lease_explore.py
+++ b/tests/lease_explore.py
@@ -39,16 +39,15 @@
 RESULT = "result"  # of an append, among what a node was notified of
 
 
-def _from_wire(class_name, data):
-    return getattr(lease_pb2, class_name).FromString(data)
+def _read_promise(data):
+    return lease_pb2.Promise.FromString(data)
 
 
-def _reduce_message(message):
-    return _from_wire, (type(message).__name__, message.SerializeToString())
+def _reduce_promise(promise):
+    return _read_promise, (promise.SerializeToString(),)
 
 
-for _class_name in ("Promise", "Claim", "Whole", "Position"):
-    copyreg.pickle(getattr(lease_pb2, _class_name), _reduce_message)
+copyreg.pickle(lease_pb2.Promise, _reduce_promise)
 
 
 class Counter:
