--- a/lichenquay/lease/leadership_term.py
+++ b/lichenquay/lease/leadership_term.py
@@ -20,7 +20,7 @@
     def holds(self, now_ms: float) -> bool:
         """Whether this process holds the group's lease."""
 
-    def write(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
+    def append(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
         """Calls `done(now_ms, committed)` once, now or later.
 
         `committed`: True, False (surely not), or None (not known). Without that call, this process never
--- a/lichenquay/migration/messages.py
+++ b/lichenquay/migration/messages.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from lichenquay.lease.durable_state import digest
+from lichenquay.lease.digest import digest
 from lichenquay.migration import migration_pb2 as pb
 
 
--- a/lichenquay/migration/replica_group_state.py
+++ b/lichenquay/migration/replica_group_state.py
@@ -1,6 +1,6 @@
 """How the state of a replica group is stored in its replicated group. No I/O.
 
-Records are stored in pieces like those of the quota's ledger. The group needs a `most_state` of
+Records are stored in pieces like those of the quota's ledger. The group needs a `max_state_bytes` of
 MAX_STATE_BYTES. Errors: protobuf's DecodeError, and StateMachineError.
 """
 
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -84,7 +84,7 @@
         callbacks = [pending.done for pending in batch if pending.done]
         raw_record = record.SerializeToString()
         self.pending_write = PendingWrite(self.writes, self.generation, raw_record, callbacks)
-        self.group.write(now_ms, raw_record, partial(self._end_write, self.writes))
+        self.group.append(now_ms, raw_record, partial(self._end_write, self.writes))
 
     def _end_write(self, number: int, now_ms: float, committed: bool | None) -> None:
         write = self.pending_write
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -11,7 +11,7 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.lease.leadership_term import Leader, ReplicatedGroup
-from lichenquay.lease.settings import DRIFT
+from lichenquay.lease.settings import CLOCK_DRIFT_BOUND
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import ImplausibleReportError, LedgerError
 from lichenquay.quota.ledger import Ledger
@@ -53,7 +53,9 @@
         super().__init__(group, "the quota's ledger")
         self.accounts = list(accounts)
         self.period_ms = period_ms
-        self.expiry_ms = term_ms * (1 + DRIFT)  # after this silence a gateway's tokens have surely expired
+        self.expiry_ms = term_ms * (
+            1 + CLOCK_DRIFT_BOUND
+        )  # after this silence a gateway's tokens have surely expired
         self.outbox: list[OutgoingMessage] = []
         self.due_ms = 0.0
         self.accrued_until_ms = 0.0
@@ -174,7 +176,7 @@
         record = pb.Record(no=self.committed.record_number + 1, changes=changes)
         self.speculative.record_number = record.no
         self.pending_write = PendingWrite(record, self.generation)
-        self.group.write(
+        self.group.append(
             now_ms,
             record.SerializeToString(),
             lambda ended_ms, committed: self.on_write_ended(ended_ms, record, committed),
--- a/lichenquay/quota/ledger_records.py
+++ b/lichenquay/quota/ledger_records.py
@@ -76,7 +76,7 @@
     """A replicated group whose records may be of any size: a record is committed when its last piece is."""
 
     def __init__(self, group):
-        """`group`: a `lease.group.Group`."""
+        """`group`: a `lease.group.LeaseGroup`."""
         self.group = group
 
     @property
@@ -92,7 +92,7 @@
         """The snapshot, and the complete records after it."""
         return read(*self.group.state)
 
-    def write(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
+    def append(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
         """Writes a record; `done(now_ms, committed)` is called once all its pieces have ended.
 
         `committed`: True, False (surely not), or None (not known).
@@ -106,7 +106,7 @@
                 done(ended_ms, _result_of(results))
 
         for piece in pieces:
-            self.group.write(now_ms, piece, piece_ended)
+            self.group.append(now_ms, piece, piece_ended)
 
 
 def _result_of(results: list[bool | None]) -> bool | None:
--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -105,7 +105,7 @@
     def snapshot(self):
         return b"", []
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         self.later(10.0, lambda: done(self.later.now, True))
 
 
--- a/lichenquay/testbed/scale/probes/quota.py
+++ b/lichenquay/testbed/scale/probes/quota.py
@@ -38,7 +38,7 @@
         """A new ledger."""
         return b"", []
 
-    def write(self, now_ms: float, record: bytes, done: Callable[[float, bool], None]) -> None:
+    def append(self, now_ms: float, record: bytes, done: Callable[[float, bool], None]) -> None:
         """Kept later."""
         self.records, self.record_bytes = self.records + 1, self.record_bytes + len(record)
         self.pieces += len(split(record))
--- a/tests/golden_migration_exchange.py
+++ b/tests/golden_migration_exchange.py
@@ -42,7 +42,7 @@
         """A log without sessions."""
         return b"", []
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         """Made by `complete_writes`."""
         self.writes.append((record, done))
 
--- a/tests/golden_quota_exchange.py
+++ b/tests/golden_quota_exchange.py
@@ -68,7 +68,7 @@
         """An empty ledger."""
         return b"", []
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         """Made by `complete_writes`."""
         self.writes.append((record, done))
 
--- /dev/null
+++ b/tests/lease_transcript.py
@@ -0,0 +1,227 @@
+"""Every call to the groups of a scripted exchange and all answers, to compare two versions byte by byte.
+
+A transcript is plain data: `messages` (hexadecimal, each once, named by its place), and for each life of a
+process its `calls`. A call is [method, now_ms, arguments, messages sent, stores requested, due_ms or None].
+"""
+
+from random import Random
+
+from lease_audit import FAST_SETTINGS, append_record, fold, holder_of, make_world
+from storage_golden import FLEET, NAME
+from storage_real import open_store
+
+from lichenquay.lease.durable_state import load
+from lichenquay.lease.group import LeaseGroup
+from lichenquay.lease.lease_pb2 import Message
+from lichenquay.lease.snapshot_transfer import SealedLog
+from lichenquay.storage.incarnation import next_incarnation
+
+SEED = 7
+NAMES = "abc"
+GROUP_PREFIX = "owner/ledger/"
+FOLDER_BYTES = 256 << 10
+# Methods of a group, and the names that revision 0018238 had for them.
+METHODS = {
+    "heard": "heard",
+    "tick": "tick",
+    "on_stored": "stored",
+    "set_candidate": "want",
+    "append": "write",
+    "release": "give_up",
+}
+
+
+def encoded_changes(changes):
+    """Sections to write (None: to delete) with their bytes as hexadecimal digits, in the order of writing."""
+    return [[key, None if value is None else value.hex()] for key, value in changes.items()]
+
+
+class Transcript:
+    """The lives of all processes, in the order of their starts."""
+
+    def __init__(self, messages=()):
+        """`messages`: those that have a place already."""
+        self.lives = []
+        self.messages = list(messages)
+
+    def place_of(self, message):
+        """The place of a message in `messages`."""
+        encoded = message.SerializeToString(deterministic=True).hex()
+        if encoded not in self.messages:
+            self.messages.append(encoded)
+        return self.messages.index(encoded)
+
+    def start(self, name, incarnation, now_ms, sections, fresh):
+        """The calls of a new life, to be filled."""
+        life = {
+            "name": name,
+            "incarnation": incarnation,
+            "now_ms": now_ms,
+            "sections": encoded_changes(sections),
+            "fresh": fresh,
+            "calls": [],
+        }
+        self.lives.append(life)
+        return life["calls"]
+
+
+def outputs_of(transcript, group, sent_before, stores_before):
+    """What a call added to the outboxes, and when the group is due next."""
+    due_ms = group.due_ms
+    return [
+        [[name, transcript.place_of(message)] for name, message in group.outbox[sent_before:]],
+        [[number, encoded_changes(changes)] for number, changes in group.store_requests[stores_before:]],
+        None if due_ms == float("inf") else due_ms,
+    ]
+
+
+def recording_group(transcript):
+    """A class of groups that write their calls into `transcript`."""
+
+    def recorded(method, name, arguments_of):
+        def call(self, now_ms, *arguments):
+            before = len(self.outbox), len(self.store_requests)
+            entry = [name, now_ms, arguments_of(*arguments)]
+            self.calls.append(entry)
+            getattr(LeaseGroup, method)(self, now_ms, *arguments)
+            entry.extend(outputs_of(transcript, self, *before))
+
+        return call
+
+    class RecordingGroup(LeaseGroup):
+        def __init__(
+            self, group_id, name, incarnation, voters, rng, settings, now_ms, sections, is_new_disk, **more
+        ):
+            self.calls = transcript.start(name, incarnation, now_ms, sections, is_new_disk)
+            super().__init__(
+                group_id, name, incarnation, voters, rng, settings, now_ms, sections, is_new_disk, **more
+            )
+
+    arguments_of = {
+        "heard": lambda sender, message: [list(sender), transcript.place_of(message)],
+        "tick": lambda: [],
+        "on_stored": lambda number, is_stored: [number, is_stored],
+        "set_candidate": lambda is_candidate: [is_candidate],
+        "append": lambda record, on_result: [record.hex()],
+        "release": lambda: [],
+    }
+    for method, name in METHODS.items():
+        setattr(RecordingGroup, method, recorded(method, name, arguments_of[method]))
+    return RecordingGroup
+
+
+def play(transcript):
+    """A short history with every kind of message; the sections that each voter has at its end.
+
+    Three voters found the group; records are written; the holder stops; another takes over; a voter loses its
+    folder and fetches the whole state; the holder gives the group up.
+    """
+    world, audit = make_world(
+        NAMES, SEED, delay_ms=(2, 2.5), drift=0.02, group_class=recording_group(transcript)
+    )
+    for name in NAMES:
+        world.start(name)
+    _run_until_held(world)
+    _write_records(world, audit, 6, padding=220)
+    first = holder_of(world)
+    world.kill(first)
+    _run_until_held(world)
+    _write_records(world, audit, 6, padding=3)
+    second = holder_of(world)
+    world.start(first)
+    world.run(world.now_ms + FAST_SETTINGS.expiry_wait_ms)
+    lost = next(name for name in NAMES if name not in (first, second))
+    world.kill(lost)
+    world.run(world.now_ms + 20)
+    world.start(lost, has_folder=False)
+    world.run(world.now_ms + 2 * FAST_SETTINGS.expiry_wait_ms)
+    _run_until_held(world)
+    second = holder_of(world)
+    world.call(second, lambda group, now_ms: group.release(now_ms))
+    world.run(world.now_ms + FAST_SETTINGS.backoff_ms)
+    _run_until_held(world)
+    _write_records(world, audit, 2)
+    return {name: encoded_changes(process.sections) for name, process in sorted(world.processes.items())}
+
+
+def _run_until_held(world):
+    assert world.run(world.now_ms + 8 * FAST_SETTINGS.lease_ms, lambda: holder_of(world))
+
+
+def _write_records(world, audit, number, padding=0):
+    for _ in range(number):
+        for name in NAMES:
+            append_record(world, audit, name, padding)
+        world.run(world.now_ms + 20)
+
+
+def replay(life, messages):
+    """The calls of one life made again on the group of this tree: the entries that this gives."""
+    transcript = Transcript(messages)
+    sections = {key: bytes.fromhex(value) for key, value in life["sections"]}
+    group = recording_group(transcript)(
+        "g",
+        life["name"],
+        life["incarnation"],
+        NAMES,
+        Random(f"{SEED}/{life['name']}/{life['incarnation']}"),
+        FAST_SETTINGS,
+        life["now_ms"],
+        sections,
+        is_new_disk=life["fresh"],
+        fold=fold,
+    )
+    method_of = {name: method for method, name in METHODS.items()}
+    for name, now_ms, arguments, *_ in life["calls"]:
+        if name == "heard":
+            sender_name, incarnation = arguments[0]
+            arguments = [
+                (sender_name, incarnation),
+                Message.FromString(bytes.fromhex(messages[arguments[1]])),
+            ]
+        elif name == "write":
+            arguments = [bytes.fromhex(arguments[0]), lambda now_ms, ok: None]
+        getattr(group, method_of[name])(now_ms, *arguments)
+        group.outbox.clear()
+        group.store_requests.clear()
+    return transcript.lives[0]["calls"]
+
+
+def meaning_of(sections):
+    """What a voter reads in its sections, as plain data; `whole_state`: CRC32 and bytes sent in chunks."""
+    promise, log = load(sections)
+    sealed_log = SealedLog(log)
+    return {
+        "promise": [promise.generation, promise.name, promise.incarnation],
+        "position": list(log.position),
+        "base": [log.base_index, log.base_digest, log.base.hex()],
+        "records": [record.hex() for record in log.records],
+        "whole_state": [sealed_log.crc, sealed_log.data.hex()],
+    }
+
+
+def write_voter_folder(path, life):
+    """The folder of a process that is a voter: its incarnation, then every store that its group got."""
+    store = open_store(path, NAME, FLEET, FOLDER_BYTES)
+    next_incarnation(store, life["incarnation"])
+    asked = {}
+    for method, _, arguments, _, stores, _ in life["calls"]:
+        if method == "stored" and arguments[1]:
+            store.append(asked[arguments[0]])
+            store.flush(0.0)
+        for number, changes in stores:
+            asked[number] = {
+                GROUP_PREFIX + key: None if value is None else bytes.fromhex(value) for key, value in changes
+            }
+    store.close()
+
+
+def voter_folder_of(path):
+    """The sections of the group in a process's folder."""
+    store = open_store(path, NAME, FLEET, FOLDER_BYTES)
+    store.close()
+    return {
+        key.removeprefix(GROUP_PREFIX): value
+        for key, value in store.state.items()
+        if key.startswith(GROUP_PREFIX)
+    }
--- a/tests/migration_group.py
+++ b/tests/migration_group.py
@@ -57,7 +57,7 @@
         self.generation += 1
         self.holder = (process.name, process.life)
 
-    def write(self, handle, record, done):
+    def append(self, handle, record, done):
         """By its holder: committed 1 to 30 ms later."""
         if (handle.name, handle.life) != self.holder:
             done(self.world.processes[handle.name].now_ms, False)
@@ -116,6 +116,6 @@
         later = self.group.log[max(0, snapshot_number - OVERLAP_RECORDS) :]
         return self.group.states[snapshot_number], later
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         """As `quota.ledger_records.PiecewiseGroup.write`."""
-        self.group.write(self, record, done)
+        self.group.append(self, record, done)
--- a/tests/migration_single_group.py
+++ b/tests/migration_single_group.py
@@ -10,7 +10,7 @@
 
 
 class SingleGroup:
-    """As `lease.group.Group`: stores records in pieces, and folds them now and then."""
+    """As `lease.group.LeaseGroup`: stores records in pieces, and folds them now and then."""
 
     def __init__(self, replica_group):
         """Held, with every write committed."""
@@ -30,7 +30,7 @@
         """(base, records after it)."""
         return self.base, list(self.records)
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         """Commits at once, unless the test says otherwise."""
         assert len(record) <= MAX_RECORD_BYTES
         if self.result:
--- a/tests/migration_small_world.py
+++ b/tests/migration_small_world.py
@@ -81,7 +81,7 @@
         """All records."""
         return b"", list(self.world.groups[self.replica_group].log)
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         """Pending until the world commits it."""
         group = self.world.groups[self.replica_group]
         if group.holder != self.process:
--- a/tests/quota_group.py
+++ b/tests/quota_group.py
@@ -57,7 +57,7 @@
         self.generation += 1
         self.holder = gateway_name
 
-    def write(self, handle, record, done):
+    def append(self, handle, record, done):
         """A holder's write, with its result later."""
         write = PendingWrite(handle, record, done)
         self.pending.append(write)
@@ -120,9 +120,9 @@
         """Whether this gateway is the holder."""
         return self.group.holder == self.name
 
-    def write(self, now_ms, record, done):
+    def append(self, now_ms, record, done):
         """As `ledger_leader.ReplicatedGroup.write`."""
-        self.group.write(self, record, done)
+        self.group.append(self, record, done)
 
     def snapshot(self):
         """As `ledger_leader.ReplicatedGroup.snapshot`."""
--- a/tests/test_migration_coordinator.py
+++ b/tests/test_migration_coordinator.py
@@ -5,8 +5,8 @@
 import pytest
 from migration_single_group import call, coordinator_of, open_session
 
-from lichenquay.lease.group import Group
-from lichenquay.lease.settings import Settings as GroupSettings
+from lichenquay.lease.group import LeaseGroup
+from lichenquay.lease.settings import LeaseSettings
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.messages import AnswerKind, with_checksum
@@ -29,25 +29,25 @@
         """`stored`: what is on the disk, the same for all lives."""
         self.stored = stored
         self.now_ms = now_ms
-        self.group = Group(
+        self.group = LeaseGroup(
             "migration/f0",
             "f0",
             incarnation,
             ["f0"],
             Random(1),
-            GroupSettings(most_state=MAX_STATE_BYTES),
+            LeaseSettings(max_state_bytes=MAX_STATE_BYTES),
             now_ms,
             dict(stored),
-            fresh=not stored,
+            is_new_disk=not stored,
             fold=fold_of("f0"),
         )
         self.coordinator = Coordinator("f0", PiecewiseGroup(self.group))
-        self.group.want(now_ms, True)
+        self.group.set_candidate(now_ms, True)
 
     def run_until(self, condition):
         """Lets time pass until the condition holds."""
         for _ in range(20_000):
-            stores, self.group.to_store[:] = list(self.group.to_store), []
+            stores, self.group.store_requests[:] = list(self.group.store_requests), []
             for number, changes in stores:
                 self._store(number, changes)
             if not stores:
@@ -63,7 +63,7 @@
         self.stored.update(changes)
         for key in [key for key, value in changes.items() if value is None]:
             del self.stored[key]
-        self.group.stored(self.now_ms, number, True)
+        self.group.on_stored(self.now_ms, number, True)
 
     def call(self, method, *arguments):
         """The answer, once it comes."""
