--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -13,8 +13,9 @@
 from lichenquay.fleet.tenant_usage import Tenants
 from lichenquay.lease import lease_pb2
 from lichenquay.membership import members_pb2
-from lichenquay.membership.failure_detector import Settings as MembersSettings
-from lichenquay.membership.failure_detector import Watch
+from lichenquay.membership.failure_detector import FailureDetector
+from lichenquay.membership.member_state import MemberState
+from lichenquay.membership.settings import Settings as MembershipSettings
 from lichenquay.quota import quota_pb2
 from lichenquay.storage.incarnation import section
 from lichenquay.storage.store import DurableStore
@@ -106,7 +107,9 @@
 
     def new_watch(self):
         peers = [n for n in self.names if n != self.settings.name]
-        return Watch(self.settings.name, self.incarnation, peers, self.rng, MembersSettings(), self.now_ms())
+        return FailureDetector(
+            self.settings.name, self.incarnation, peers, self.rng, MembershipSettings(), self.now_ms()
+        )
 
     def leave(self):
         """SIGTERM: the others are told; what follows is `close`."""
@@ -121,7 +124,7 @@
 
     def is_over(self):
         """After `leave`: whether it has said all that it had to."""
-        return self.watch.over is not None and (self.accounts is None or self.accounts.over)
+        return self.watch.end_reason is not None and (self.accounts is None or self.accounts.over)
 
     # turns
 
@@ -134,12 +137,17 @@
         changes, self.watch.changes[:] = list(self.watch.changes), []
         for c in changes:
             self.log.info(
-                "member", member=c.name, incarnation=c.incarnation, was=c.old, state=c.new, view=c.view
+                "member",
+                member=c.name,
+                incarnation=c.incarnation,
+                was=c.old_state,
+                state=c.new_state,
+                view=c.view_number,
             )
-        if self.watch.over == "gone" and not self.left and self.rising is None:
+        if self.watch.end_reason is MemberState.REMOVED and not self.left and self.rising is None:
             # Risk: it acts on as if nothing had happened. What it was is over for all others: it comes again as another one,
             # once its folder has that (the folder is the writer's by now).
-            self.rising = max(int(self.unix_ms()), self.watch.self_gone + 1, self.incarnation + 1)
+            self.rising = max(int(self.unix_ms()), self.watch.ended_incarnation + 1, self.incarnation + 1)
             if self.writer is None:
                 self.reactor.callLater(0, self.risen, False)
             else:
@@ -166,7 +174,7 @@
         lines = [f"member {name} {incarnation} {state}" for name, incarnation, state in self.watch.members()]
         lines += [
             f"view {number} {digest:016x}",
-            f"reach {' '.join(self.watch.reach) or '-'}",
+            f"reach {' '.join(self.watch.reachable) or '-'}",
             *self.post_lines(),
         ]
         if self.accounts is not None:
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -147,7 +147,7 @@
             away = (
                 silent
                 or holder[0] in (None, self.name)
-                or self.state_of(holder[0]) in (None, "cut", "left", "gone")
+                or self.state_of(holder[0]) in (None, "faulty", "left", "removed")
             )
             self.group.want(now_ms, away and not self.leaving and self.state_of(self.name) == "alive")
         self.rights.keeper = self.keeper_now(now_ms, holder)
--- a/lichenquay/membership/__init__.py
+++ b/lichenquay/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: members of a fleet, watched by messages that may be lost, doubled, late or reordered. No I/O."""
+"""Group membership by SWIM with Lifeguard's extensions, over datagrams that may be lost or reordered. No I/O."""
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -1,393 +1,285 @@
-"""Who is there, as one front holds it: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's ideas (Dadgar, Phillips,
-Currey 2018); no I/O.
-
-The host calls `heard` for each message, `tick` at `due_ms` (later, never earlier), and after each call sends and
-empties `outbox` [(name, message)] and `changes` (table.Change, in the order of the view's numbers). Times are
-milliseconds of the host's monotonic clock. Nothing here makes anything safe: a verdict tells whom to try first.
-docs/design/members.md has the reasons and the figures.
-
-- A member that leaves a probe unanswered is `suspect`; it is `cut` when nobody had an answer for `hold_ms`, times log10
-  of the members from ten on. One accuser alone waits three times as long. A suspect that hears so
-  raises its word and is alive.
-- A front that itself got no answer lately, or stood still, or is cut, accuses nobody. One that no one answers at all
-  (of two or more) holds itself for cut, and says so: then it is cut everywhere, whichever direction of its links is
-  broken.
-- `cut` is told to whom it concerns, slowly and for ever; it comes back by a higher word once somebody answered it, at
-  once the first time, then after a rest that doubles. After `gone_ms` a part with more than half of the members says
-  `gone`: final for that incarnation.
-
-Work a period: one probe (1 message if answered, up to 9 if not), rumours in rounds while there are any, slow probes
-that add up to about 4 a `slow_ms` for each member that is out, whatever the fleet's size; state: 0.5 KB a member, at
-most 1,024 of them.
+"""Membership of one process: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018).
+
+No I/O: the host calls `heard` for each message and `tick` at `due_ms` or later, and after each call sends and
+empties `outbox` and takes `changes`. Times are milliseconds of the host's monotonic clock. Safety never rests on
+a state here; it says only whom to try first. docs/design/membership.md has the protocol, the reasons and the
+measurements.
 """
 
 from collections import Counter
-from dataclasses import dataclass
-from math import log, log10
+from collections.abc import Iterable
+from random import Random
 
 from lichenquay.membership import members_pb2 as pb
-from lichenquay.membership.gossip import Spread
-from lichenquay.membership.member_table import ALIVE, CUT, GONE, LEFT, NEVER, STATES, SUSPECT, Table, rank
-from lichenquay.membership.message_format import MAX_BY, MAX_INCARNATION, MAX_WORD, good_name, row_of
-from lichenquay.membership.message_handling import Hearing
-from lichenquay.membership.probing import Ask
+from lichenquay.membership.anti_entropy import AntiEntropy
+from lichenquay.membership.errors import InvalidMemberError
+from lichenquay.membership.gossip import Gossip
+from lichenquay.membership.local_health import LocalHealth
+from lichenquay.membership.member_state import MemberRecord, MemberState, MemberSummary, View
+from lichenquay.membership.member_table import MemberTable
+from lichenquay.membership.message_format import MAX_INCARNATION, is_valid_name
+from lichenquay.membership.message_handling import MessageHandler
+from lichenquay.membership.messenger import Messenger
+from lichenquay.membership.own_membership import OwnMembership
+from lichenquay.membership.probing import Prober
+from lichenquay.membership.settings import Settings
+from lichenquay.membership.suspicion import Suspicion
 
 INF = float("inf")
-MAX_SCORE = 4  # Ill health of our own: a period is at most five times as long.
-ACCUSERS = 3  # With so many, waiting longer makes a verdict no surer.
-FLOOR = 0.76  # Share of `hold` that a suspicion lasts at the least.
-ALONE = 2  # Times `hold` without any answer: it is we who are cut.
-AT_ONCE = 16  # About so many members ask a new suspect at once, and each period.
-LEAVES, LEAVES_TO = 4, 16  # A leave is told so many times, to so many.
-REST_FORGET_MS, MAX_REST = 600_000, 64
-
-
-@dataclass(frozen=True)
-class Settings:
-    period_ms: float = 200  # One probe each; answers are expected within a quarter of it.
-    hold_ms: float = 2_700  # Silence that makes a cut. Pauses of three quarters of it are borne.
-    helpers: int = 3  # Members asked to ping for us, twice.
-    gone_ms: float = 300_000
-    sync_ms: float = (
-        10_000  # Tables are compared with one member so often, and each period while they differ.
-    )
-    slow_ms: float = 2_000
-    stall_ms: float = 300  # A tick later than this: we stood still.
-    rest_ms: float = 2_000
-
-
-class Watch(Hearing):
-    def __init__(self, name, incarnation, seeds, rng, settings, now_ms):
-        if not good_name(name) or not 0 < incarnation < MAX_INCARNATION:
-            raise ValueError(f"{name!r} {incarnation} is no member")
-        self.name, self.incarnation, self.rng, self.settings = name, incarnation, rng, settings
+LEAVE_ROUNDS = 4
+LEAVE_FANOUT = 16
+LEAVE_ROUNDS_PER_PERIOD = 4
+JOIN_FANOUT = 3
+PROBES_AFTER_PAUSE = 8
+ISOLATION_FACTOR = 2  # Suspicion timeouts without any ack, after which this member itself is faulty.
+MAX_REMOVAL_JITTER = 1.1
+FIRST_PROBES_PER_PERIOD = 5  # The first probe comes within a fifth of a period.
+MIN_REACHABLE_PERIODS = 10
+REACHABLE_ROUNDS = 3  # Rounds of probes without a direct ack after which a member is not reachable.
+MAX_MISSED_PROBES = 3
+
+
+class FailureDetector:
+    """One process's membership: its table, its probes, and what it says to other members."""
+
+    def __init__(
+        self,
+        name: str,
+        incarnation: int,
+        seeds: Iterable[str],
+        rng: Random,
+        settings: Settings,
+        now_ms: float,
+    ):
+        """Start as the only known member; `seeds` are names to join by.
+
+        Raises InvalidMemberError.
+        """
+        if not is_valid_name(name) or not 0 < incarnation < MAX_INCARNATION:
+            raise InvalidMemberError(f"member {name!r} with incarnation {incarnation}: out of range")
+        self.name = name
+        self.incarnation = incarnation
+        self.rng = rng
+        self.settings = settings
         self.seeds = tuple(sorted(set(seeds) - {name}))
-        self.now_ms, self.outbox, self.counts = now_ms, [], Counter()
-        self.table = Table()
-        self.table.take(now_ms, name, incarnation, 0, ALIVE)
-        self.own, self.changes = self.table.get(name), self.table.changes
-        self.spread, self.ask = Spread(self), Ask(self)
-        self.awake_ms = self.answered_ms = now_ms  # Nothing was missed since; somebody answered us.
-        self.told_ms, self.rest_until_ms, self.returns = NEVER, NEVER, []
-        self.score, self.leaving = 0, 0
-        self.over, self.self_gone = (
-            None,
-            None,
-        )  # 'left' or 'gone'; the incarnation that the next one must pass.
-        self.gone_ms = settings.gone_ms * rng.uniform(1, 1.1)
-        self.probe_ms = now_ms + rng.uniform(0, settings.period_ms / 5)
-        self.slow_ms = now_ms + rng.uniform(0, settings.slow_ms)
-        self.judge_ms = INF
-        self.spread.sync_ms = now_ms + rng.uniform(0, settings.sync_ms)
-        self._settle()
-
-    # --- what others build on
+        self.now_ms = now_ms
+        self.due_ms = INF
+        self.counts = Counter()
+        # How this incarnation ended: LEFT, REMOVED, or None while it runs; and once it was removed, the
+        # incarnation that the next one must exceed.
+        self.end_reason: MemberState | None = None
+        self.ended_incarnation: int | None = None
+        self._leave_rounds_left = 0
+        self.table = MemberTable()
+        self.table.apply(now_ms, MemberRecord(name, incarnation, 0, MemberState.ALIVE))
+        self.own = self.table.get(name)
+        self._make_components(now_ms)
+        self._plan_first(now_ms)
+        self._update_due()
+
+    def _make_components(self, now_ms: float) -> None:
+        self.health = LocalHealth(now_ms)
+        self.messenger = Messenger(self)
+        self.gossip = Gossip(self)
+        self.anti_entropy = AntiEntropy(self)
+        self.prober = Prober(self)
+        self.suspicion = Suspicion(self)
+        self.own_membership = OwnMembership(self)
+        self.message_handler = MessageHandler(self)
+
+    def _plan_first(self, now_ms: float) -> None:
+        """Spread the periodic work of members that start at the same time."""
+        settings, rng = self.settings, self.rng
+        self.removal_timeout_ms = settings.removal_timeout_ms * rng.uniform(1, MAX_REMOVAL_JITTER)
+        self._next_probe_ms = now_ms + rng.uniform(0, settings.probe_period_ms / FIRST_PROBES_PER_PERIOD)
+        self._next_faulty_probe_ms = now_ms + rng.uniform(0, settings.faulty_probe_interval_ms)
+        self.anti_entropy.next_sync_ms = now_ms + rng.uniform(0, settings.sync_interval_ms)
+
+    # Queries.
+
+    @property
+    def outbox(self) -> list[tuple[str, pb.Message]]:
+        """Messages that the host is to send and remove, each with its receiver's name."""
+        return self.messenger.outbox
 
     @property
-    def view(self):
+    def changes(self):
+        """State changes (StateChange) that the host is to take, in the order of the view's numbers."""
+        return self.table.changes
+
+    @property
+    def view(self) -> View:
+        """The present view."""
         return self.table.view
 
-    def members(self):
-        """[(name, incarnation, state)] of every name ever heard of, by name."""
-        return [(m.name, m.incarnation, STATES[m.state]) for _, m in sorted(self.table.members.items())]
+    @property
+    def is_leaving(self) -> bool:
+        """Whether this member is leaving, and still tells the others."""
+        return self._leave_rounds_left > 0
+
+    def members(self) -> list[MemberSummary]:
+        """Return every member ever known, by name."""
+        return self.table.summaries()
 
-    def state_of(self, name):
-        m = self.table.get(name)
-        return None if m is None else STATES[m.state]
+    def state_of(self, name: str) -> MemberState | None:
+        """Return a member's state, None if it is unknown."""
+        member = self.table.get(name)
+        return None if member is None else member.state
+
+    def other_live_count(self) -> int:
+        """Return the number of other members that are alive or suspect."""
+        return len(self.table.live_names()) - self.own.state.is_live
 
     @property
-    def reach(self):
-        """Names that answered us ourselves lately (three turns of a probe, 10 periods at least), and not three times in
-        a row not."""
-        since = self.now_ms - self.settings.period_ms * max(10, 3 * len(self.table.live()))
+    def reachable(self) -> list[str]:
+        """Names of the members that acked this process itself lately, sorted."""
+        periods = max(MIN_REACHABLE_PERIODS, REACHABLE_ROUNDS * len(self.table.live_names()))
+        since_ms = self.now_ms - self.settings.probe_period_ms * periods
         return sorted(
-            m.name
-            for m in self.table.members.values()
-            if m.direct_ms >= since and m.missed < 3 and m.state < LEFT
+            member.name
+            for member in self.table.members.values()
+            if member.last_direct_response_ms >= since_ms
+            and member.missed_probes < MAX_MISSED_PROBES
+            and not member.state.is_final
         )
 
-    def leave(self, now_ms):
-        """In order: told several times, then silent (`over` is 'left')."""
-        self._enter(now_ms)
-        if not self.over and not self.leaving:
-            self.table.take(self.now_ms, self.name, self.incarnation, self.own.word, LEFT)
-            self.leaving = LEAVES
-            self._leave_step()
-        self._settle()
-
-    # --- the host's calls
-
-    def tick(self, now_ms):
-        self._enter(now_ms)
-        now_ms = self.now_ms
-        if self.leaving:
-            if now_ms >= self.probe_ms:
-                self._leave_step()
-        elif not self.over:
-            for probe in self.ask.step(now_ms):
-                self._unanswered(probe)
-            if now_ms >= self.probe_ms:
-                self._period()
-            if now_ms >= self.slow_ms:
-                self._slow()
-            if now_ms >= self.judge_ms:
-                self._judge()
-            self._come_back()
-            if now_ms >= self.spread.sync_ms:
-                self.spread.sync(now_ms)
-            if now_ms >= self.spread.round_ms:
-                self.spread.round(now_ms)
-        self._settle()
-
-    def heard(self, now_ms, sender, message):
-        """`sender`: (name, incarnation) of the envelope. Never raises on what a message holds; what is dropped is
-        counted."""
-        self._enter(now_ms)
-        if not self.over:
-            self._heard(*sender, message)
-        self._settle()
-
-    def _enter(self, now_ms):
+    # Calls of the host.
+
+    def leave(self, now_ms: float) -> None:
+        """Leave the group: the others are told several times, then `end_reason` is LEFT."""
+        self._begin_call(now_ms)
+        if not self.end_reason and not self.is_leaving:
+            self.table.apply(self.now_ms, self.own.with_state(MemberState.LEFT))
+            self._leave_rounds_left = LEAVE_ROUNDS
+            self._send_leave_round()
+        self._update_due()
+
+    def tick(self, now_ms: float) -> None:
+        """Do all periodic work that is due."""
+        self._begin_call(now_ms)
+        if self.is_leaving:
+            if self.now_ms >= self._next_probe_ms:
+                self._send_leave_round()
+        elif not self.end_reason:
+            self._do_due_work()
+        self._update_due()
+
+    def heard(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
+        """Handle a message; `sender` is the name and incarnation of its envelope.
+
+        Never raises on what a message holds; what is dropped is counted.
+        """
+        self._begin_call(now_ms)
+        if not self.end_reason:
+            name, incarnation = sender
+            self.message_handler.handle(name, incarnation, message)
+        self._update_due()
+
+    def _begin_call(self, now_ms: float) -> None:
         self.now_ms = max(now_ms, self.now_ms)
-        if not self.over and self.now_ms - self.due_ms > self.settings.stall_ms:
-            self._stood_still(self.now_ms - self.due_ms)
+        late_ms = self.now_ms - self.due_ms
+        if not self.end_reason and late_ms > self.settings.max_tick_delay_ms:
+            self._on_pause(late_ms)
 
-    def _settle(self):
-        if self.over:
+    def _update_due(self) -> None:
+        if self.end_reason:
             self.due_ms = INF
-        elif self.leaving:
-            self.due_ms = self.probe_ms
+        elif self.is_leaving:
+            self.due_ms = self._next_probe_ms
         else:
-            back = self.rest_until_ms if self.own.state == CUT and self.answered_ms > self.told_ms else INF
             self.due_ms = min(
-                self.probe_ms, self.slow_ms, self.judge_ms, self.spread.due_ms, self.ask.due_ms, back
+                self._next_probe_ms,
+                self._next_faulty_probe_ms,
+                self.suspicion.next_evaluation_ms,
+                self.gossip.next_round_ms,
+                self.anti_entropy.next_sync_ms,
+                self.prober.due_ms,
+                self.own_membership.rejoin_due_ms,
             )
 
-    def _stood_still(self, late_ms):
-        """Risk: after a pause every clock here has run out and every answer is late, so that the front that was ill
-        accuses all others. So nothing asked before counts, every suspicion starts afresh, and who is there is asked at
-        once."""
-        self.counts["stood_still"] += 1
-        self.awake_ms = self.now_ms
-        self.score = min(self.score + 1, MAX_SCORE)
-        self.ask.clear()
-        for m in self.table.suspects.values():
-            m.since_ms = self.now_ms
-        for m in self.table.cut.values():
-            m.since_ms += late_ms
-        if not self.leaving:
-            self._ask_some()
-
-    # --- talk
-
-    def jitter(self, ms):
-        return ms * self.rng.uniform(0.9, 1.1)
-
-    def some(self, k, besides=()):
-        """Up to k live members by chance, not ourselves."""
-        live = self.table.live()
-        if len(live) <= 4 * (k + len(besides) + 1):
-            names = [n for n in live if n != self.name and n not in besides]
-            return self.rng.sample(names, min(k, len(names)))
-        found = {}
-        for _ in range(8 * k):
-            name = live[int(self.rng.random() * len(live))]
-            if name != self.name and name not in besides:
-                found[name] = None
-                if len(found) == k:
-                    break
-        return list(found)
-
-    def row(self, m, bare=False):
-        row = row_of(m, self.now_ms - m.sign_ms)
-        if bare:
-            del row.by[:]
-            row.ClearField("silent_ms")
-        return row
-
-    def send(self, name, message, first=(), rumours=True):
-        self.outbox.append((name, self.spread.dress(message, first, rumours)))
-
-    def send_about(self, name, message, about=None):
-        """Who is held for anything but alive is told so before all else, and so is who shall ask for us."""
-        first = [
-            m
-            for m in (self.table.get(name), self.table.get(about) if about else None)
-            if m and (m.state != ALIVE or m.name == about)
-        ]
-        self.send(name, message, first)
-
-    def _join(self, k=3):
-        for name in self.rng.sample(self.seeds, min(k, len(self.seeds))):
-            self.send(name, pb.Message(join=pb.Join()))
-
-    def _leave_step(self):
-        for name in self.some(LEAVES_TO):
-            self.send(name, pb.Message(leave=pb.Leave()))
-        self.leaving -= 1
-        self.probe_ms = self.now_ms + self.jitter(self.settings.period_ms / 4)
-        if not self.leaving:
-            self.over = "left"
-
-    # --- periods
-
-    def _period(self):
-        s = self.settings
-        length_ms = s.period_ms * (1 + self.score)
-        name = self.ask.next_name()
-        if name is None:
-            self._join()
-        else:
-            self.ask.probe(name, length_ms)
-        if self.table.suspects and self._by_lot():
-            self.ask.probe(self.rng.choice(list(self.table.suspects)), length_ms)
-        if self._others() >= 2 and self.own.state == ALIVE and self._silence_ms() > ALONE * self.hold_ms():
-            self.counts["alone"] += 1
-            self._held_for_cut(self.own.word)
-        self.probe_ms = self.now_ms + self.jitter(length_ms)
-
-    def _slow(self):
-        """Risk: without it, two parts of a fleet that have cut each other never hear of one another again, and fronts
-        that each hold themselves for cut wait for an answer that none of them asks for."""
-        out = [n for n in self.table.cut if n != self.name] + [
-            n for n in self.seeds if self.table.get(n) is None
-        ]
-        if out:
-            name = self.rng.choice(sorted(out))
-            if self.table.get(name) is None:
-                self.send(name, pb.Message(join=pb.Join()))
-            else:
-                self.ask.probe(name, self.settings.period_ms, once=True)
-        share = max(1, len(self.table.live()) / (4 * max(1, len(out))))
-        self.slow_ms = self.now_ms + self.jitter(self.settings.slow_ms) * share
-
-    def _others(self):
-        return len(self.table.live()) - (self.own.state <= SUSPECT)
-
-    def _by_lot(self):
-        return self.rng.random() * (self._others() + 1) < AT_ONCE
+    def _on_pause(self, late_ms: float) -> None:
+        """Start observing afresh after this process was paused.
 
-    def _ask_some(self):
-        for name in self.some(8):
-            self.ask.probe(name, self.settings.period_ms)
+        All deadlines have passed and all acks are late, so what was asked before says nothing about others.
+        """
+        self.counts["local_pause"] += 1
+        self.health.record_pause(self.now_ms)
+        self.prober.discard_all()
+        self.suspicion.on_pause(late_ms)
+        if not self.is_leaving:
+            self.probe_some(PROBES_AFTER_PAUSE)
 
-    # --- verdicts
+    # Periodic work.
 
-    def hold_ms(self):
-        return self.settings.hold_ms * max(1, log10(max(1, len(self.table.live()))))
-
-    def _silence_ms(self):
-        return self.now_ms - max(self.answered_ms, self.awake_ms)
-
-    def well(self):
-        """Whether our word on others is worth anything. Of two fronts each is the only witness."""
-        if self.own.state != ALIVE:
+    def _do_due_work(self) -> None:
+        now_ms = self.now_ms
+        for probe in self.prober.advance(now_ms):
+            self.suspicion.on_probe_failed(probe)
+        if now_ms >= self._next_probe_ms:
+            self._run_probe_period()
+        if now_ms >= self._next_faulty_probe_ms:
+            self._probe_one_faulty()
+        if now_ms >= self.suspicion.next_evaluation_ms:
+            self.suspicion.evaluate()
+        self.own_membership.rejoin_if_due()
+        if now_ms >= self.anti_entropy.next_sync_ms:
+            self.anti_entropy.sync(now_ms)
+        if now_ms >= self.gossip.next_round_ms:
+            self.gossip.send_round(now_ms)
+
+    def _run_probe_period(self) -> None:
+        period_ms = self.settings.probe_period_ms * self.health.multiplier
+        target = self.prober.next_target()
+        if target is None:
+            self._send_joins()
+        else:
+            self.prober.probe(target, period_ms)
+        if self.table.suspects and self.suspicion.is_sampled():
+            self.prober.probe(self.rng.choice(list(self.table.suspects)), period_ms)
+        if self._is_isolated():
+            self.counts["isolated"] += 1
+            self.own_membership.declare_faulty(self.own.refutation)
+        self._next_probe_ms = self.now_ms + self.messenger.jitter(period_ms)
+
+    def _is_isolated(self) -> bool:
+        """Return whether nobody has answered for so long that the fault must be on this side."""
+        if self.other_live_count() < 2 or self.own.state is not MemberState.ALIVE:
             return False
-        return self._others() < 2 or (
-            self.answered_ms > self.awake_ms and self._silence_ms() < self.hold_ms()
-        )
-
-    def _unanswered(self, probe):
-        m = self.table.get(probe.name)
-        m.missed += 1
-        if probe.helpers and not probe.nacks:
-            self.score = min(self.score + 1, MAX_SCORE)
-        if m.state > SUSPECT:
-            return
-        if not self.well() or (self._others() >= 2 and self.answered_ms < probe.sent_ms):
-            self.counts["doubted"] += 1  # Nobody at all answered while this one did not.
-            return
-        if m.state == ALIVE:
-            self.table.take(self.now_ms, m.name, m.incarnation, m.word, SUSPECT)
-        if self.name not in m.accusers and len(m.accusers) < MAX_BY:
-            m.accusers[self.name] = None
-            self.spread.rumour(m.name)
-        self._judge_at(self._deadline(m))
-
-    def _deadline(self, m):
-        """When a suspect is cut. The more accusers, the sooner, down to `hold` after the last answer that anybody told
-        us of."""
-        hold_ms = self.hold_ms()
-        soon = max(m.since_ms + FLOOR * hold_ms, max(m.sign_ms, self.awake_ms) + hold_ms)
-        late = max(soon, m.since_ms + 3 * hold_ms)
-        wanted = min(ACCUSERS, self._others())
-        share = 1 if wanted < 2 else min(1, log(max(1, len(m.accusers))) / log(wanted))
-        return max(late - (late - soon) * share, m.later_ms)
-
-    def _judge_at(self, at_ms):
-        self.judge_ms = min(self.judge_ms, at_ms)
-
-    def _judge(self):
-        now, self.judge_ms = self.now_ms, INF
-        for m in list(self.table.suspects.values()):
-            if self._deadline(m) <= now:
-                if self.well():
-                    self.table.take(now, m.name, m.incarnation, m.word, CUT)
-                    self.spread.rumour(m.name)
-                    continue
-                m.later_ms = now + self.settings.period_ms
-            self._judge_at(self._deadline(m))
-        live, cut = len(self.table.live()), len(self.table.cut)
-        for m in list(self.table.cut.values()):
-            if m.name == self.name:
-                continue
-            at = max(m.since_ms + self.gone_ms, m.later_ms)
-            if at <= now:
-                if self.well() and 2 * live > live + cut:
-                    self.table.take(now, m.name, m.incarnation, m.word, GONE)
-                    self.spread.rumour(m.name)
-                    continue
-                at = m.later_ms = now + 10 * self.settings.period_ms
-            self._judge_at(at)
-
-    # --- what is said of us
-
-    def _about_me(self, row):
-        if row.incarnation < self.incarnation or self.leaving:
-            return
-        if row.incarnation > self.incarnation or row.state >= LEFT or row.word >= MAX_WORD - 1:
-            self._end(row.incarnation)
-        elif rank(row.incarnation, row.word, row.state) > rank(
-            self.incarnation, self.own.word, self.own.state
-        ):
-            if row.state == CUT or self.own.state == CUT:
-                self._held_for_cut(row.word)
-            elif row.state == SUSPECT:
-                self.counts["refuted"] += 1
-                self.score = min(self.score + 1, MAX_SCORE)
-                self._own_row(row.word + 1, ALIVE)
+        return self.health.silence_ms(self.now_ms) > ISOLATION_FACTOR * self.suspicion.timeout_ms()
+
+    def _probe_one_faulty(self) -> None:
+        """Probe one faulty member or join by one unknown seed.
+
+        Without this, two parts of a group that consider each other faulty would never meet again, and members
+        that each consider themselves faulty would wait for an ack that none of them asks for.
+        """
+        faulty = [name for name in self.table.faulty if name != self.name]
+        absent = faulty + [name for name in self.seeds if self.table.get(name) is None]
+        if absent:
+            name = self.rng.choice(sorted(absent))
+            if self.table.get(name) is None:
+                self.messenger.send(name, pb.Message(join=pb.Join()))
             else:
-                self._own_row(row.word, ALIVE)
-
-    def _own_row(self, word, state):
-        self.table.take(self.now_ms, self.name, self.incarnation, word, state)
-        self.spread.rumour(self.name)
-
-    def _held_for_cut(self, word):
-        """The fleet's word, or our own when nobody answers. The first return is free; each further one within ten
-        minutes waits longer.
-        Risk: a front that comes back by itself on a link that is bad throughout changes every view again and again."""
-        if self.own.state != CUT:
-            self.told_ms = self.now_ms
-            self.returns = [t for t in self.returns if t > self.now_ms - REST_FORGET_MS][-16:]
-            rest = (
-                0 if not self.returns else min(MAX_REST, 2 ** (len(self.returns) - 1)) * self.settings.rest_ms
-            )
-            self.rest_until_ms = self.now_ms + self.jitter(rest)
-            self._ask_some()
-        self._own_row(word, CUT)
-
-    def _come_back(self):
-        """Risk: a front that hears and is not heard would hold itself for alive while all others hold it for cut: it
-        waits for an answer."""
-        if self.own.state == CUT and self.answered_ms > self.told_ms and self.now_ms >= self.rest_until_ms:
-            self.returns.append(self.now_ms)
-            self._own_row(self.own.word + 1, ALIVE)
-
-    def _end(self, incarnation):
-        """This incarnation is over. The host comes again with one above `self_gone`."""
-        if incarnation > self.incarnation:
-            self.table.take(self.now_ms, self.name, incarnation, 0, ALIVE)
-        else:
-            self.table.take(self.now_ms, self.name, incarnation, self.own.word, GONE)
-        self.over, self.self_gone = "gone", incarnation
+                self.prober.probe(name, self.settings.probe_period_ms, single_ping=True)
+        # All members together probe each absent one about four times an interval.
+        factor = max(1, len(self.table.live_names()) / (4 * max(1, len(absent))))
+        interval_ms = self.messenger.jitter(self.settings.faulty_probe_interval_ms) * factor
+        self._next_faulty_probe_ms = self.now_ms + interval_ms
+
+    def _send_joins(self) -> None:
+        for name in self.rng.sample(self.seeds, min(JOIN_FANOUT, len(self.seeds))):
+            self.messenger.send(name, pb.Message(join=pb.Join()))
+
+    def _send_leave_round(self) -> None:
+        for name in self.messenger.sample_live(LEAVE_FANOUT):
+            self.messenger.send(name, pb.Message(leave=pb.Leave()))
+        self._leave_rounds_left -= 1
+        delay_ms = self.settings.probe_period_ms / LEAVE_ROUNDS_PER_PERIOD
+        self._next_probe_ms = self.now_ms + self.messenger.jitter(delay_ms)
+        if not self._leave_rounds_left:
+            self.end_reason = MemberState.LEFT
+
+    def probe_some(self, count: int) -> None:
+        """Probe some random members at once."""
+        for name in self.messenger.sample_live(count):
+            self.prober.probe(name, self.settings.probe_period_ms)
--- a/lichenquay/membership/member_table.py
+++ b/lichenquay/membership/member_table.py
@@ -1,156 +1,195 @@
-"""What one front holds of every member: one row a name, the largest that it heard of, and the view made of them.
+"""The membership table: for each name the newest claim, and the view that follows from them.
 
-The order of rows (`rank`) is total, so all who heard the same rows hold the same table, whatever came twice, late or in
-another order.
-State: about 0.5 KB a member, at most `MAX_MEMBERS` names; a name keeps its row when it left or is gone (an older word
-must not bring it back).
+The order of claims is total, so all processes that received the same claims hold the same table, whatever was
+duplicated, late or reordered. A member takes about 0.5 KB; a name keeps its entry after it left or was removed,
+so that an older message cannot bring it back.
 """
 
+from collections.abc import Iterable
 from hashlib import blake2b
-from typing import NamedTuple
 
-from lichenquay.membership.message_format import PARTS
+from lichenquay.membership.member_state import (
+    MemberRecord,
+    MemberState,
+    MemberSummary,
+    Precedence,
+    StateChange,
+    View,
+    precedence,
+)
+from lichenquay.membership.message_format import PARTITION_COUNT
 
-ALIVE, SUSPECT, CUT, LEFT, GONE = range(5)
-STATES = ("alive", "suspect", "cut", "left", "gone")
 MAX_MEMBERS = 1_024
 NEVER = float("-inf")
+DIGEST_BYTES = 8
 
 
-class Change(NamedTuple):
-    """One step of the view: `old` is None for an incarnation not known before."""
+def digest_of(*values) -> int:
+    """Return a 64-bit digest of plain values."""
+    return int.from_bytes(blake2b(repr(values).encode(), digest_size=DIGEST_BYTES).digest(), "big")
 
-    name: str
-    incarnation: int
-    old: str | None
-    new: str
-    view: int
 
-
-class View(NamedTuple):
-    """`number` rises with every change, here; `digest` is equal wherever the same members are held for the same (a
-    suspect counts as alive: suspicion passes, and is not agreed upon)."""
-
-    number: int
-    digest: int
-
-
-def rank(incarnation, word, state):
-    """The larger wins. Left and gone are final for their incarnation, whatever the word, and gone is over left."""
-    return (incarnation, 1, 0, state) if state >= LEFT else (incarnation, 0, word, state)
-
-
-def mark(*what):
-    return int.from_bytes(blake2b(repr(what).encode(), digest_size=8).digest(), "big")
+def partition_of(name: str) -> int:
+    """Return the partition of the table that a name belongs to."""
+    return blake2b(name.encode(), digest_size=1).digest()[0] % PARTITION_COUNT
 
 
 class Member:
-    """A name's row, and what was seen of it from here (none of which is told as its state)."""
+    """The entry of a name, and what this process itself observed of it (not part of its state)."""
 
     __slots__ = (
         "name",
-        "part",
+        "partition",
         "incarnation",
-        "word",
+        "refutation",
         "state",
-        "row_mark",
-        "view_mark",
+        "entry_digest",
+        "view_digest",
         "accusers",
-        "since_ms",
-        "sign_ms",
-        "direct_ms",
-        "missed",
-        "later_ms",
+        "state_since_ms",
+        "last_response_ms",
+        "last_direct_response_ms",
+        "missed_probes",
+        "verdict_not_before_ms",
     )
 
-    def __init__(self, name):
-        self.name, self.part = name, blake2b(name.encode(), digest_size=1).digest()[0] % PARTS
-        self.state = None
-        self.row_mark = self.view_mark = 0
-        self.fresh(NEVER)
+    def __init__(self, name: str):
+        """Make an entry without any claim."""
+        self.name = name
+        self.partition = partition_of(name)
+        self.incarnation = 0
+        self.refutation = 0
+        self.state: MemberState | None = None
+        self.entry_digest = 0
+        self.view_digest = 0
+        self.reset_observations(NEVER)
+
+    def reset_observations(self, now_ms: float) -> None:
+        """Forget what was observed of the previous incarnation."""
+        # Names of the members whose own probes failed, in the order in which they were heard of.
+        self.accusers: dict[str, None] = {}
+        self.state_since_ms = now_ms
+        self.last_response_ms = NEVER  # The last response to anybody that this process knows of.
+        self.last_direct_response_ms = NEVER
+        self.missed_probes = 0  # Consecutive direct pings without an ack.
+        self.verdict_not_before_ms = NEVER
 
-    def fresh(self, now_ms):
-        """Another incarnation: nothing seen of the one before counts for it."""
-        self.accusers = {}  # Who found it silent, by own asking; in the order heard of.
-        self.since_ms = now_ms  # Its state's beginning, here.
-        self.sign_ms = NEVER  # The last answer of it that anybody told us of.
-        self.direct_ms = NEVER  # The last answer to us.
-        self.missed = 0  # Our own pings in a row that it left without one.
-        self.later_ms = NEVER  # No verdict on it before this.
+    @property
+    def precedence(self) -> Precedence:
+        """The precedence of the claim that is held."""
+        return precedence(self.incarnation, self.refutation, self.state.number)
 
+    def with_state(self, state: MemberState) -> MemberRecord:
+        """Return a claim that gives this incarnation another state."""
+        return MemberRecord(self.name, self.incarnation, self.refutation, state)
 
-class Table:
-    def __init__(self):
-        self.members, self.changes = {}, []
-        self.suspects, self.cut = {}, {}
-        self.digests = [0] * PARTS
-        self.number, self.digest = 0, 0
-        self._live = None
 
-    def get(self, name):
+class MemberTable:
+    """All known members by name, with the changes that the host has not yet taken."""
+
+    def __init__(self):
+        """Make an empty table."""
+        self.members: dict[str, Member] = {}
+        self.changes: list[StateChange] = []
+        self.suspects: dict[str, Member] = {}
+        self.faulty: dict[str, Member] = {}
+        self.partition_digests = [0] * PARTITION_COUNT
+        self._view_number = 0
+        self._view_digest = 0
+        self._live_names: list[str] | None = None
+
+    def get(self, name: str) -> Member | None:
+        """Return the entry of a name, None if it is unknown."""
         return self.members.get(name)
 
     @property
-    def view(self):
-        return View(self.number, self.digest)
-
-    def live(self):
-        """Names that are alive or suspect, in order; the list is kept until one comes or goes."""
-        if self._live is None:
-            self._live = sorted(m.name for m in self.members.values() if m.state <= SUSPECT)
-        return self._live
-
-    def full(self, name):
+    def view(self) -> View:
+        """The present view."""
+        return View(self._view_number, self._view_digest)
+
+    def live_names(self) -> list[str]:
+        """Return the names that are alive or suspect, sorted; the same list until one is added or removed."""
+        if self._live_names is None:
+            self._live_names = sorted(m.name for m in self.members.values() if m.state.is_live)
+        return self._live_names
+
+    def summaries(self) -> list[MemberSummary]:
+        """Return all members ever known, by name."""
+        return [MemberSummary(m.name, m.incarnation, m.state) for _, m in sorted(self.members.items())]
+
+    def has_no_room_for(self, name: str) -> bool:
+        """Return whether a name is new and the table is full."""
         return name not in self.members and len(self.members) >= MAX_MEMBERS
 
-    def take(self, now_ms, name, incarnation, word, state):
-        """Takes a row if it is the larger; True if it was."""
-        m = self.members.get(name)
-        if m is None:
-            m = self.members[name] = Member(name)
-        elif rank(incarnation, word, state) <= rank(m.incarnation, m.word, m.state):
+    def apply(self, now_ms: float, record: MemberRecord) -> bool:
+        """Take a claim if it wins over the one that is held; return whether it did."""
+        member = self.members.get(record.name)
+        if member is None:
+            member = self.members[record.name] = Member(record.name)
+        elif record.precedence <= member.precedence:
             return False
-        old = m.state
-        if old is None or incarnation > m.incarnation:
-            if old is not None and old < LEFT:
-                self._change(name, m.incarnation, STATES[old], STATES[GONE])
-            old = None
-            m.fresh(now_ms)
-        m.incarnation, m.word, m.state = incarnation, word if state < LEFT else 0, state
-        row_mark = mark(name, incarnation, m.word, state)
-        self.digests[m.part] ^= m.row_mark ^ row_mark
-        view_mark = mark(name, incarnation, max(state, SUSPECT))
-        self.digest ^= m.view_mark ^ view_mark
-        m.row_mark, m.view_mark = row_mark, view_mark
-        if state != SUSPECT:
-            m.accusers = {}
-        if old != state:
-            m.since_ms = now_ms
-            self._place(m, old)
-            self._change(name, incarnation, None if old is None else STATES[old], STATES[state])
-        elif state == SUSPECT:  # Accused afresh, of a higher word.
-            m.accusers, m.since_ms = {}, now_ms
+        old_state = member.state
+        if old_state is None or record.incarnation > member.incarnation:
+            self._begin_incarnation(now_ms, member)
+            old_state = None
+        member.incarnation = record.incarnation
+        member.refutation = 0 if record.state.is_final else record.refutation
+        member.state = record.state
+        self._update_digests(member)
+        self._update_state(now_ms, member, old_state)
         return True
 
-    def _place(self, m, old):
-        if old is None or (old <= SUSPECT) != (m.state <= SUSPECT):
-            self._live = None
-        for state, names in ((SUSPECT, self.suspects), (CUT, self.cut)):
-            if m.state == state:
-                names[m.name] = m
+    def _begin_incarnation(self, now_ms: float, member: Member) -> None:
+        if member.state is not None and not member.state.is_final:
+            self._record_change(member, member.state, MemberState.REMOVED)
+        member.reset_observations(now_ms)
+
+    def _update_digests(self, member: Member) -> None:
+        number = member.state.number
+        entry_digest = digest_of(member.name, member.incarnation, member.refutation, number)
+        self.partition_digests[member.partition] ^= member.entry_digest ^ entry_digest
+        # Alive and suspect count as the same state in a view.
+        number_in_view = max(number, MemberState.SUSPECT.number)
+        view_digest = digest_of(member.name, member.incarnation, number_in_view)
+        self._view_digest ^= member.view_digest ^ view_digest
+        member.entry_digest = entry_digest
+        member.view_digest = view_digest
+
+    def _update_state(self, now_ms: float, member: Member, old_state: MemberState | None) -> None:
+        if member.state is not MemberState.SUSPECT:
+            member.accusers = {}
+        if old_state is not member.state:
+            member.state_since_ms = now_ms
+            self._update_indexes(member, old_state)
+            self._record_change(member, old_state, member.state)
+        elif member.state is MemberState.SUSPECT:
+            # A suspicion of a higher refutation counter starts afresh.
+            member.accusers = {}
+            member.state_since_ms = now_ms
+
+    def _update_indexes(self, member: Member, old_state: MemberState | None) -> None:
+        if old_state is None or old_state.is_live != member.state.is_live:
+            self._live_names = None
+        for state, index in ((MemberState.SUSPECT, self.suspects), (MemberState.FAULTY, self.faulty)):
+            if member.state is state:
+                index[member.name] = member
             else:
-                names.pop(m.name, None)
+                index.pop(member.name, None)
+
+    def _record_change(self, member: Member, old_state: MemberState | None, new_state: MemberState) -> None:
+        self._view_number += 1
+        change = StateChange(member.name, member.incarnation, old_state, new_state, self._view_number)
+        self.changes.append(change)
 
-    def _change(self, name, incarnation, old, new):
-        self.number += 1
-        self.changes.append(Change(name, incarnation, old, new, self.number))
+    def in_partitions(self, partitions: Iterable[int], after: str = "", until: str = "") -> list[Member]:
+        """Return the members of partitions, by partition and name.
 
-    def of_parts(self, parts, after="", until=""):
-        """The members of these parts with names over `after` up to `until`, part by part and by name."""
-        wanted = set(parts)
+        Only names over `after` and, unless `until` is empty, up to `until`.
+        """
+        wanted = set(partitions)
         found = [
-            m
-            for m in self.members.values()
-            if m.part in wanted and m.name > after and (not until or m.name <= until)
+            member
+            for member in self.members.values()
+            if member.partition in wanted and member.name > after and (not until or member.name <= until)
         ]
-        return sorted(found, key=lambda m: (m.part, m.name))
+        return sorted(found, key=lambda member: (member.partition, member.name))
--- a/lichenquay/membership/message_format.py
+++ b/lichenquay/membership/message_format.py
@@ -1,62 +1,88 @@
-"""Messages between members: built within a datagram's bounds, and what of a message can be believed at all.
+"""Limits of membership messages, and the translation between protobuf rows and claims about members.
 
-Bounds: a body is at most `MAX_BODY` bytes (the envelope takes the rest of a datagram under 1,200); a name at most
-`MAX_NAME` bytes of UTF-8; an incarnation under 2^48 (Unix milliseconds up to the year 10889) where others tell it,
-under 2^53 from the front itself: so whatever was believed of a front by mistake, it can come again above it. A word
-under 2^40. What passes them is dropped and counted.
+A body fits into a datagram of 1,200 bytes with its envelope. Incarnations from other members are under 2^48
+(Unix milliseconds up to the year 10889) and from the member itself under 2^53, so that a member can always
+restart above whatever was believed of it by mistake.
 """
 
+from collections.abc import Iterable
+
 from lichenquay.membership import members_pb2 as pb
+from lichenquay.membership.errors import MessageTooLargeError
+from lichenquay.membership.member_state import (
+    MAX_STATE_NUMBER,
+    STATE_BY_NUMBER,
+    MemberRecord,
+    MemberState,
+)
 
-MAX_BODY, MAX_NAME, MAX_BY = 1_090, 64, 4
-MAX_TOLD, MAX_INCARNATION, MAX_WORD = 2**48, 2**53, 2**40
+MAX_BODY_BYTES = 1_090
+MAX_NAME_BYTES = 64  # Of UTF-8.
+MAX_ACCUSERS = 4
+MAX_RELAYED_INCARNATION = 2**48
+MAX_INCARNATION = 2**53
+MAX_REFUTATION = 2**40
 MAX_SILENT_MS = 3_600_000
-PARTS = 32
-
+PARTITION_COUNT = 32
+ROW_OVERHEAD_BYTES = 3  # Tag and length of a row in a message.
 
-class TooLong(ValueError):
-    """A body passes `MAX_BODY`: a fault of this program, not of the network."""
 
+def is_valid_name(name: object) -> bool:
+    """Return whether a name is a string that is neither empty nor too long."""
+    return isinstance(name, str) and 0 < len(name) and len(name.encode("utf-8", "replace")) <= MAX_NAME_BYTES
 
-def good_name(name):
-    return isinstance(name, str) and len(name) > 0 and len(name.encode("utf-8", "replace")) <= MAX_NAME
 
+def is_valid_row(row: pb.Row, known_incarnation: int = 0) -> bool:
+    """Return whether a received row is within the limits.
 
-def good_row(row, known=0):
-    """Whether a row that came in lies within the bounds; `known`: an incarnation known of it by better evidence."""
+    `known_incarnation` is one that is known of the member by better evidence than this row.
+    """
     return (
-        good_name(row.name)
-        and (0 < row.incarnation < MAX_TOLD or 0 < row.incarnation == known)
-        and row.word < MAX_WORD
-        and 0 <= row.state <= pb.GONE
-        and len(row.by) <= MAX_BY
-        and all(good_name(b) for b in row.by)
+        is_valid_name(row.name)
+        and (0 < row.incarnation < MAX_RELAYED_INCARNATION or 0 < row.incarnation == known_incarnation)
+        and row.word < MAX_REFUTATION
+        and 0 <= row.state <= MAX_STATE_NUMBER
+        and len(row.by) <= MAX_ACCUSERS
+        and all(is_valid_name(accuser) for accuser in row.by)
     )
 
 
-def row_of(member, silent_ms=0):
-    """The row of a table's member; `silent_ms` counts for a suspect only."""
-    row = pb.Row(name=member.name, incarnation=member.incarnation, word=member.word, state=member.state)
-    if member.state == pb.SUSPECT:
-        row.by.extend(list(member.accusers)[:MAX_BY])
+def record_of(row: pb.Row) -> MemberRecord:
+    """Return the claim that a valid row makes."""
+    return MemberRecord(row.name, row.incarnation, row.word, STATE_BY_NUMBER[row.state])
+
+
+def row_of(member, silent_ms: float = 0) -> pb.Row:
+    """Return the row of a table's member; `silent_ms`, the time since its last response, is for a suspect."""
+    row = pb.Row(
+        name=member.name,
+        incarnation=member.incarnation,
+        word=member.refutation,
+        state=member.state.number,
+    )
+    if member.state is MemberState.SUSPECT:
+        row.by.extend(list(member.accusers)[:MAX_ACCUSERS])
         row.silent_ms = int(min(max(silent_ms, 0), MAX_SILENT_MS))
     return row
 
 
-def fill(message, rows):
-    """Adds as many of `rows`, in their order, as the body bears; returns how many."""
-    room, took = MAX_BODY - message.ByteSize(), 0
+def append_rows(message: pb.Message, rows: Iterable[pb.Row]) -> int:
+    """Append rows in their order as long as they fit; return how many did."""
+    free_bytes = MAX_BODY_BYTES - message.ByteSize()
+    appended = 0
     for row in rows:
-        room -= row.ByteSize() + 3  # Its tag and length.
-        if room < 0:
+        free_bytes -= row.ByteSize() + ROW_OVERHEAD_BYTES
+        if free_bytes < 0:
             break
         message.rows.append(row)
-        took += 1
-    return took
+        appended += 1
+    return appended
 
 
-def checked(message):
-    """The message, surely within its bound. Raises TooLong."""
-    if message.ByteSize() > MAX_BODY:
-        raise TooLong(f"a body of {message.ByteSize()} bytes")
+def check_size(message: pb.Message) -> pb.Message:
+    """Return the message; raise MessageTooLargeError if it exceeds MAX_BODY_BYTES."""
+    if message.ByteSize() > MAX_BODY_BYTES:
+        raise MessageTooLargeError(
+            f"membership message: {message.ByteSize()} bytes, at most {MAX_BODY_BYTES} are allowed"
+        )
     return message
--- a/lichenquay/membership/message_handling.py
+++ b/lichenquay/membership/message_handling.py
@@ -1,132 +1,186 @@
-"""What a member does with a message: its rows first, then what it asks. What is dropped is counted by its cause.
+"""Received messages: the claims in them first, then what they ask for. What is dropped is counted by its cause.
 
-Dropped: unreadable (no kind, or parts that cannot be), range (a row or sender out of bounds), own (our own name),
-older (an incarnation before the one known), final (one that left or is gone; these two are told so), full, misrouted
-(meant for another), late (an answer to nothing that is under way), busy (more pings for others than we make at a
-time).
+Counters: `malformed` (no kind, or fields that cannot be), `out_of_range` (a row or sender out of bounds),
+`own_name` (sent under this member's name), `old_incarnation` and `final_state` (of an incarnation that is over;
+its sender is told so), `table_full`, `misrouted` (meant for another member), `unexpected_ack`, `too_many_relayed`
+(pings for other members).
 """
 
 from lichenquay.membership import members_pb2 as pb
-from lichenquay.membership.member_table import CUT, LEFT, SUSPECT
-from lichenquay.membership.message_format import MAX_BY, MAX_INCARNATION, PARTS, good_name, good_row
+from lichenquay.membership.member_state import MemberState
+from lichenquay.membership.member_table import Member
+from lichenquay.membership.message_format import (
+    MAX_INCARNATION,
+    PARTITION_COUNT,
+    is_valid_name,
+    is_valid_row,
+    record_of,
+)
+from lichenquay.membership.probing import AckKind, AckResult
 
+RELAYED_PINGS_PER_PERIOD = 3  # A relayed ping lasts a third of a probe period.
 
-class Hearing:
-    """The part of a Watch that reads messages."""
 
-    def _heard(self, name, incarnation, message):
+class MessageHandler:
+    """Handles received messages for one failure detector."""
+
+    def __init__(self, detector):
+        """Handle messages of a detector."""
+        self.detector = detector
+        self.name = detector.name
+        self.table = detector.table
+        self.counts = detector.counts
+        self._handlers = {
+            "ping": self._on_ping,
+            "ping_ask": self._on_ping_request,
+            "ack": self._on_ack,
+            "join": self._on_join,
+            "leave": self._on_rows_only,
+            "sync": self._on_sync,
+            "piece": self._on_partition_rows,
+            "gossip": self._on_rows_only,
+        }
+
+    def handle(self, sender: str, incarnation: int, message: pb.Message) -> None:
+        """Handle one message. Never raises on what a message holds."""
         kind = message.WhichOneof("kind")
-        if kind is None or not good_name(name) or not 0 < incarnation < MAX_INCARNATION:
-            self.counts["unreadable" if kind is None else "range"] += 1
+        if kind is None:
+            self.counts["malformed"] += 1
+            return
+        if not is_valid_name(sender) or not 0 < incarnation < MAX_INCARNATION:
+            self.counts["out_of_range"] += 1
             return
-        head = pb.Row(name=name, incarnation=incarnation, word=message.word, state=message.state)
-        if name == self.name:
-            self.counts["own"] += 1
-            if incarnation > self.incarnation and good_row(head, incarnation):
-                self._about_me(head)
+        sender_row = pb.Row(name=sender, incarnation=incarnation, word=message.word, state=message.state)
+        if sender == self.name:
+            self._on_own_name(sender_row)
             return
-        m = self.table.get(name)
-        if m and (incarnation < m.incarnation or (incarnation == m.incarnation and m.state >= LEFT)):
-            self.counts["older" if incarnation < m.incarnation else "final"] += 1
-            if kind != "leave" and message.state < LEFT:
-                self.send(name, pb.Message(gossip=pb.Gossip()), [m], rumours=False)
+        if self._is_over(sender, incarnation):
+            self._inform_ended_sender(sender, kind, message)
             return
-        if not self._row(head, True, incarnation):
+        if not self._apply_row(sender_row, True, incarnation):
             return
         for row in message.rows:
-            self._row(row, kind != "piece")
-            if self.over:
+            self._apply_row(row, is_news=kind != "piece")
+            if self.detector.end_reason:
                 return
-        getattr(self, "_heard_" + kind)(name, getattr(message, kind), message)
+        self._handlers[kind](sender, getattr(message, kind), message)
+
+    def _on_own_name(self, sender_row: pb.Row) -> None:
+        """Another process runs under this member's name; the higher incarnation is the valid one."""
+        self.counts["own_name"] += 1
+        if sender_row.incarnation > self.detector.incarnation and is_valid_row(
+            sender_row, sender_row.incarnation
+        ):
+            self.detector.own_membership.on_claim(record_of(sender_row))
+
+    def _is_over(self, sender: str, incarnation: int) -> bool:
+        """Return whether the sender's incarnation has ended, and count why."""
+        member = self.table.get(sender)
+        if member is None or incarnation > member.incarnation:
+            return False
+        if incarnation < member.incarnation:
+            self.counts["old_incarnation"] += 1
+            return True
+        if member.state.is_final:
+            self.counts["final_state"] += 1
+            return True
+        return False
+
+    def _inform_ended_sender(self, sender: str, kind: str, message: pb.Message) -> None:
+        if kind != "leave" and message.state < MemberState.LEFT.number:
+            required = [self.table.get(sender)]
+            notice = pb.Message(gossip=pb.Gossip())
+            self.detector.messenger.send(sender, notice, required, with_gossip=False)
 
-    def _row(self, row, news, known=0):
-        """One row; False if it is out of bounds or of a name for which there is no room."""
-        m = self.table.get(row.name)
-        if not good_row(row, known or (m.incarnation if m else 0)):
-            self.counts["range"] += 1
+    def _apply_row(self, row: pb.Row, is_news: bool, known_incarnation: int = 0) -> bool:
+        """Take one row; return False if it is out of bounds or there is no room for its name."""
+        member = self.table.get(row.name)
+        if not is_valid_row(row, known_incarnation or (member.incarnation if member else 0)):
+            self.counts["out_of_range"] += 1
             return False
-        if row.name == self.name:
-            self._about_me(row)
+        record = record_of(row)
+        if record.name == self.name:
+            self.detector.own_membership.on_claim(record)
             return True
-        if self.table.full(row.name):
-            self.counts["full"] += 1
+        if self.table.has_no_room_for(record.name):
+            self.counts["table_full"] += 1
             return False
-        took = self.table.take(self.now_ms, row.name, row.incarnation, row.word, row.state)
-        m = self.table.get(row.name)
-        if took and row.state in (SUSPECT, CUT):
-            self._judge_at(self._deadline(m) if row.state == SUSPECT else m.since_ms + self.gone_ms)
-        if took and news:
-            self.spread.rumour(row.name, at_once=row.state in (SUSPECT, CUT))
-        elif took:
-            self.spread.soon()
-        if row.state == SUSPECT == m.state and (row.incarnation, row.word) == (m.incarnation, m.word):
-            self._accused(m, row, took)
+        is_newer = self.table.apply(self.detector.now_ms, record)
+        member = self.table.get(record.name)
+        if is_newer:
+            self._on_newer_record(member, is_news)
+        is_suspicion = record.state is MemberState.SUSPECT
+        if is_suspicion and record.precedence == member.precedence:
+            self.detector.suspicion.on_accusation(member, row, is_first=is_newer)
         return True
 
-    def _accused(self, m, row, first):
-        """Another's accusation: one more witness; and we ask ourselves, so that who can reach it tells it, and who
-        cannot says so."""
-        more = [b for b in row.by if b not in m.accusers][: MAX_BY - len(m.accusers)]
-        m.accusers.update(dict.fromkeys(more))
-        m.sign_ms = max(m.sign_ms, self.now_ms - row.silent_ms)
-        if more:
-            self.spread.rumour(m.name)
-            self._judge_at(self._deadline(m))
-        if first and not self.leaving and self._by_lot():
-            self.ask.probe(m.name, self.settings.period_ms)
-
-    def _heard_ping(self, name, ping, _):
+    def _on_newer_record(self, member: Member, is_news: bool) -> None:
+        is_bad = member.state in (MemberState.SUSPECT, MemberState.FAULTY)
+        if is_bad:
+            self.detector.suspicion.schedule_for(member)
+        if is_news:
+            self.detector.gossip.add_update(member.name, immediately=is_bad)
+        else:
+            self.detector.anti_entropy.schedule_soon()
+
+    def _on_ping(self, sender: str, ping: pb.Ping, _: pb.Message) -> None:
         if ping.name != self.name:
             self.counts["misrouted"] += 1
             return
-        self.send_about(
-            name, pb.Message(ack=pb.Ack(no=ping.no, name=self.name, incarnation=self.incarnation, ok=True))
-        )
+        ack = pb.Ack(no=ping.no, name=self.name, incarnation=self.detector.incarnation, ok=True)
+        self.detector.messenger.send_with_status(sender, pb.Message(ack=ack))
 
-    def _heard_ping_ask(self, name, ask, _):
-        m = self.table.get(ask.name)
-        if m is None or m.state >= LEFT or ask.name in (self.name, name):
+    def _on_ping_request(self, sender: str, request: pb.PingAsk, _: pb.Message) -> None:
+        target = self.table.get(request.name)
+        if target is None or target.state.is_final or request.name in (self.name, sender):
             self.counts["misrouted"] += 1
-        elif not self.ask.ping_for(name, ask.no, ask.name, self.settings.period_ms / 3):
-            self.counts["busy"] += 1
+            return
+        length_ms = self.detector.settings.probe_period_ms / RELAYED_PINGS_PER_PERIOD
+        if not self.detector.prober.relay_ping(sender, request.no, request.name, length_ms):
+            self.counts["too_many_relayed"] += 1
 
-    def _heard_ack(self, name, ack, _):
-        p, direct, ours = self.ask.acked(name, ack)
-        if p is None and not ours:
-            self.counts["late"] += 1
+    def _on_ack(self, sender: str, ack: pb.Ack, _: pb.Message) -> None:
+        result = self.detector.prober.on_ack(sender, ack)
+        if result.kind is AckKind.UNEXPECTED:
+            self.counts["unexpected_ack"] += 1
             return
-        m = self.table.get(ack.name)
-        if p is not None and ack.incarnation == m.incarnation:
-            m.sign_ms = self.now_ms
-            if direct:
-                m.direct_ms, m.missed = self.now_ms, 0
+        if result.kind is not AckKind.NEGATIVE:
+            self._on_positive_ack(ack, result)
+        self.detector.health.record_ack(self.detector.now_ms)
+        self.detector.own_membership.rejoin_if_due()
+
+    def _on_positive_ack(self, ack: pb.Ack, result: AckResult) -> None:
+        member, now_ms = self.table.get(ack.name), self.detector.now_ms
+        if ack.incarnation == member.incarnation:
+            member.last_response_ms = now_ms
+            if result.kind is AckKind.INDIRECT:
+                member.missed_probes += 1
             else:
-                m.missed += 1
-        if p is not None and p.asker is not None:
-            told = pb.Ack(no=p.ask_no, name=ack.name, incarnation=ack.incarnation, ok=True)
-            self.send_about(p.asker, pb.Message(ack=told), about=ack.name)
-        elif p is not None:
-            self.score = max(0, self.score - 1)
-        self.answered_ms = self.now_ms
-        self._come_back()
-
-    def _heard_join(self, name, *_):
-        self.spread.send_digests(name)
-
-    def _heard_leave(self, *_):
-        pass
-
-    def _heard_gossip(self, *_):
-        pass
-
-    def _heard_sync(self, name, sync, _):
-        if len(sync.digests) != PARTS:
-            self.counts["unreadable"] += 1
+                member.last_direct_response_ms = now_ms
+                member.missed_probes = 0
+        if result.relayed_ping is None:
+            self.detector.health.improve()
+            return
+        relayed = pb.Ack(
+            no=result.relayed_ping.requested_number, name=ack.name, incarnation=ack.incarnation, ok=True
+        )
+        requester = result.relayed_ping.requester
+        self.detector.messenger.send_with_status(requester, pb.Message(ack=relayed), subject=ack.name)
+
+    def _on_join(self, sender: str, _join: pb.Join, _: pb.Message) -> None:
+        self.detector.anti_entropy.send_digests(sender)
+
+    def _on_rows_only(self, _sender: str, _body: pb.Leave | pb.Gossip, _: pb.Message) -> None:
+        """Leave and gossip ask for nothing beside their rows."""
+
+    def _on_sync(self, sender: str, sync: pb.Sync, _: pb.Message) -> None:
+        if len(sync.digests) != PARTITION_COUNT:
+            self.counts["malformed"] += 1
             return
-        self.spread.heard_digests(name, sync.digests)
+        self.detector.anti_entropy.on_digests(sender, sync.digests)
 
-    def _heard_piece(self, name, piece, message):
-        if any(p >= PARTS for p in piece.parts):
-            self.counts["unreadable"] += 1
+    def _on_partition_rows(self, sender: str, piece: pb.Piece, message: pb.Message) -> None:
+        if any(partition >= PARTITION_COUNT for partition in piece.parts):
+            self.counts["malformed"] += 1
             return
-        self.spread.heard_piece(name, piece, message.rows)
+        self.detector.anti_entropy.on_partition_rows(sender, piece, message.rows)
--- /dev/null
+++ b/lichenquay/membership/messenger.py
@@ -0,0 +1,75 @@
+"""Outgoing messages: the outbox, the choice of receivers, and the rows that a message must carry."""
+
+from collections.abc import Collection, Iterable
+
+from lichenquay.membership import members_pb2 as pb
+from lichenquay.membership.member_state import MemberState
+from lichenquay.membership.member_table import Member
+from lichenquay.membership.message_format import row_of
+
+MIN_JITTER = 0.9
+MAX_JITTER = 1.1
+
+
+class Messenger:
+    """Sends for one failure detector: each message carries gossip and what the receiver must know first."""
+
+    def __init__(self, detector):
+        """Make an empty outbox."""
+        self.detector = detector
+        self.table = detector.table
+        self.rng = detector.rng
+        self.outbox: list[tuple[str, pb.Message]] = []
+
+    def jitter(self, delay_ms: float) -> float:
+        """Return a delay changed at random by up to a tenth."""
+        return delay_ms * self.rng.uniform(MIN_JITTER, MAX_JITTER)
+
+    def sample_live(self, count: int, exclude: Collection[str] = ()) -> list[str]:
+        """Return up to `count` live members at random, never this one."""
+        own_name = self.detector.name
+        live = self.table.live_names()
+        if len(live) <= 4 * (count + len(exclude) + 1):
+            names = [name for name in live if name != own_name and name not in exclude]
+            return self.rng.sample(names, min(count, len(names)))
+        # Drawing single names costs less than a copy of a long list.
+        found = {}
+        for _ in range(8 * count):
+            name = live[int(self.rng.random() * len(live))]
+            if name != own_name and name not in exclude:
+                found[name] = None
+                if len(found) == count:
+                    break
+        return list(found)
+
+    def row(self, member: Member, with_suspicion: bool = True) -> pb.Row:
+        """Return a member's row, without accusers and their evidence unless `with_suspicion`."""
+        row = row_of(member, self.detector.now_ms - member.last_response_ms)
+        if not with_suspicion:
+            del row.by[:]
+            row.ClearField("silent_ms")
+        return row
+
+    def send(
+        self,
+        receiver: str,
+        message: pb.Message,
+        required: Iterable[Member] = (),
+        with_gossip: bool = True,
+    ) -> None:
+        """Send a message with the rows of `required` members and, unless told otherwise, gossip."""
+        self.detector.gossip.piggyback(message, list(required), with_gossip)
+        self.outbox.append((receiver, message))
+
+    def send_with_status(self, receiver: str, message: pb.Message, subject: str | None = None) -> None:
+        """Send a message that first tells the receiver if it is not considered alive.
+
+        A message about a third member (`subject`) carries that member's row as well.
+        """
+        members = [self.table.get(receiver), self.table.get(subject) if subject else None]
+        required = [
+            member
+            for member in members
+            if member and (member.state is not MemberState.ALIVE or member.name == subject)
+        ]
+        self.send(receiver, message, required)
--- a/lichenquay/testbed/baseline_policies.py
+++ b/lichenquay/testbed/baseline_policies.py
@@ -20,7 +20,7 @@
 
 from lichenquay.membership import members_pb2 as pb
 
-ALIVE, CUT = "alive", "cut"
+ALIVE, CUT = "alive", "faulty"
 ORDERS = {}  # The rings of the names last asked for: the same at all members.
 
 
--- a/lichenquay/testbed/detectors.py
+++ b/lichenquay/testbed/detectors.py
@@ -1,4 +1,4 @@
-"""Weighs `members` against phi-accrual and a small Rapid in one virtual network; prints JSON (docs/design/members.md).
+"""Weighs `members` against phi-accrual and a small Rapid in one virtual network; prints JSON (docs/design/membership.md).
 
     python -m lichenquay.testbed.detectors [--sizes 10,200] [--seeds N] [--minutes M] [--only members,phi,...]
 
@@ -13,8 +13,9 @@
 import sys
 import time
 
-from lichenquay.membership.failure_detector import Settings, Watch
-from lichenquay.membership.member_table import ALIVE
+from lichenquay.membership.failure_detector import FailureDetector
+from lichenquay.membership.member_state import MemberRecord, MemberState
+from lichenquay.membership.settings import Settings
 from lichenquay.testbed.baseline_policies import Phi, Rapid
 from lichenquay.testbed.fleetnet import FleetNet, Weather
 from lichenquay.testbed.observed_members import Watched
@@ -25,10 +26,10 @@
 
 def watch(name, incarnation, names, rng, now_ms):
     """A watch that knows the fleet already: joining is not what is measured."""
-    w = Watch(name, incarnation, names, rng, Settings(), now_ms)
+    w = FailureDetector(name, incarnation, names, rng, Settings(), now_ms)
     for n in names:
         if n != name:
-            w.table.take(now_ms, n, 1, 0, ALIVE)
+            w.table.apply(now_ms, MemberRecord(n, 1, 0, MemberState.ALIVE))
     w.changes.clear()
     return w
 
@@ -68,8 +69,8 @@
 
     def _after(self, host, _, part):
         for change in part.changes:
-            name, state = (change.name, change.new) if hasattr(change, "view") else change
-            if name != host.name and state in ("cut", "gone", "alive"):
+            name, state = (change.name, change.new_state) if hasattr(change, "view_number") else change
+            if name != host.name and state in ("faulty", "removed", "alive"):
                 self._verdict(host.name, name, state != "alive")
         part.changes.clear()
 
--- a/lichenquay/testbed/observed_members.py
+++ b/lichenquay/testbed/observed_members.py
@@ -1,17 +1,25 @@
 """A fleet of watches in the virtual network, with what its hosts do: those told that they are gone come again with a
 higher incarnation."""
 
-from lichenquay.membership.failure_detector import Settings, Watch
+from lichenquay.membership.failure_detector import FailureDetector
+from lichenquay.membership.settings import Settings
 from lichenquay.testbed.fleetnet import FleetNet, Weather
 
 AGAIN_MS = 10
 
 
 class Watched:
-    """`log`: [(ms, host, table.Change)] of all hosts in the order in which they came."""
+    """`log`: [(ms, host, member_state.StateChange)] of all hosts in the order in which they came."""
 
     def __init__(
-        self, names, seed, weather=Weather(), settings=Settings(), seeds=None, start=True, make=Watch
+        self,
+        names,
+        seed,
+        weather=Weather(),
+        settings=Settings(),
+        seeds=None,
+        start=True,
+        make=FailureDetector,
     ):
         self.names, self.settings, self.log, self.rejoined = list(names), settings, [], 0
         self.net = FleetNet(seed, weather)
@@ -36,19 +44,21 @@
         self.log.extend((self.net.now_ms, host.name, c) for c in changes)
         for look in self.looks:
             look(host, watch, changes)
-        if watch.self_gone is not None:
+        if watch.ended_incarnation is not None:
             self.net.at(self.net.now_ms + AGAIN_MS, self._again, host, watch)
 
     def _again(self, host, watch):
         if host.up and host.parts["members"] is watch:
             self.rejoined += 1
-            self.net.start(host.name, watch.self_gone)
+            self.net.start(host.name, watch.ended_incarnation)
 
     def watch(self, name):
         return self.net.hosts[name].parts["members"]
 
     def up(self):
-        return [h.parts["members"] for h in self.net.hosts.values() if h.up and not h.parts["members"].over]
+        return [
+            h.parts["members"] for h in self.net.hosts.values() if h.up and not h.parts["members"].end_reason
+        ]
 
     def run(self, ms):
         self.net.run(self.net.now_ms + ms)
@@ -61,7 +71,7 @@
         up = self.up()
         running = sorted((w.name, w.incarnation) for w in up)
         return len({w.view.digest for w in up}) == 1 and all(
-            [(n, w.table.get(n).incarnation) for n in w.table.live()] == running for w in up
+            [(n, w.table.get(n).incarnation) for n in w.table.live_names()] == running for w in up
         )
 
     def until(self, what, most_ms, step_ms=50):
--- a/lichenquay/testbed/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -3,7 +3,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from lichenquay.membership.member_table import ALIVE, MAX_MEMBERS, Table
+from lichenquay.membership.member_state import MemberRecord, MemberState
+from lichenquay.membership.member_table import MAX_MEMBERS, MemberTable
 from lichenquay.testbed.detectors import watch
 from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, state_bytes
@@ -36,7 +37,7 @@
 
     def _after(self, host: Host, _: str, part: Any) -> None:
         for change in part.changes:
-            if change.name == self.victim and change.new in ("cut", "gone"):
+            if change.name == self.victim and change.new_state in ("faulty", "removed"):
                 self.seen_by.add(host.name)
         part.changes.clear()
 
@@ -94,10 +95,10 @@
 def table_state(size: int) -> Sample:
     """Bytes of a table of so many members, as far as it takes them (`MAX_MEMBERS`)."""
 
-    def fill() -> Table:
-        table = Table()
+    def fill() -> MemberTable:
+        table = MemberTable()
         for i in range(min(size, MAX_MEMBERS)):
-            table.take(0.0, f"front-{i:04d}", 1, 0, ALIVE)
+            table.apply(0.0, MemberRecord(f"front-{i:04d}", 1, 0, MemberState.ALIVE))
         table.changes.clear()
         return table
 
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -12,8 +12,9 @@
 from lichenquay.lease.durable_state import Position
 from lichenquay.lease.lease_holder import Holder
 from lichenquay.lease.voter import Voter
-from lichenquay.membership.member_table import Table, rank
-from lichenquay.membership.message_handling import Hearing
+from lichenquay.membership.member_state import MemberState
+from lichenquay.membership.member_table import MemberTable
+from lichenquay.membership.message_handling import MessageHandler
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.escrow import Rights
 from lichenquay.quota.ledger import Ledger
@@ -71,33 +72,30 @@
 
 @rule("members: no incarnation check")
 def _():
-    real = Hearing._heard
+    real = MessageHandler.handle
 
-    def heard(self, name, incarnation, message):
+    def handle(self, name, incarnation, message):
         m = self.table.get(name)
         return real(
             self, name, max(incarnation, m.incarnation) if m and name != self.name else incarnation, message
         )
 
-    return [(Hearing, "_heard", heard)]
+    return [(MessageHandler, "handle", handle)]
 
 
-@rule("members: an older word is accepted")
+@rule("members: an older claim is accepted")
 def _():
-    real = Table.take
+    real = MemberTable.apply
 
-    def take(self, now_ms, name, incarnation, word, state):
-        m = self.members.get(name)
-        if (
-            m
-            and incarnation == m.incarnation
-            and rank(incarnation, word, state) < rank(m.incarnation, m.word, m.state)
-        ):
-            m.word, m.state = 0, m.state
-            m.state = min(m.state, 1)
-        return real(self, now_ms, name, incarnation, word, state)
+    def apply(self, now_ms, record):
+        member = self.members.get(record.name)
+        if member and record.incarnation == member.incarnation and record.precedence < member.precedence:
+            member.refutation = 0
+            if not member.state.is_live:
+                member.state = MemberState.SUSPECT
+        return real(self, now_ms, record)
 
-    return [(Table, "take", take)]
+    return [(MemberTable, "apply", apply)]
 
 
 # owner
@@ -357,7 +355,7 @@
     "receiver not checked": (192, "members ack", "to another"),
     "checksum not checked": (111, "quota ask", "flipped"),
     "members: no incarnation check": (1242, "members leave", "late past its sender"),
-    "members: an older word is accepted": (156, "members ping", "late past its sender"),
+    "members: an older claim is accepted": (156, "members ping", "late past its sender"),
     "owner: answered before it is stored": (1109, "owner round", "lost"),
     "owner: no wait after a start": (1264, "members ack", "late past the next"),
     "owner: no wait for another's lease": (0, "", "none"),
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -12,7 +12,7 @@
 from running import Running, until
 
 ROOT = Path(__file__).resolve().parents[2]
-GOES, CUT = ("alive", "suspect"), ("cut", "left", "gone")
+GOES, CUT = ("alive", "suspect"), ("faulty", "left", "removed")
 
 
 class Cluster(Running):
--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -5,7 +5,7 @@
 
 from virtual_fleet import ACCOUNTS
 
-from lichenquay.membership.member_table import LEFT
+from lichenquay.membership.member_state import MemberState
 from lichenquay.quota.ledger import Ledger, LedgerError
 
 LIMITS = {a[0]: a[3] * 1000 for a in ACCOUNTS}
@@ -73,7 +73,7 @@
             if watch.incarnation not in p.incarnations:
                 p.incarnations.append(watch.incarnation)
         for name, m in watch.table.members.items():
-            now = (m.incarnation, m.state >= LEFT, 0 if m.state >= LEFT else m.word, m.state)
+            now = m.precedence
             old = seen[2].get(name)
             if now == old:
                 continue
@@ -87,7 +87,7 @@
                 m.incarnation,
             )
             self.must(
-                m.state != LEFT or m.incarnation in of.left,
+                m.state is not MemberState.LEFT or m.incarnation in of.left,
                 "{} holds {} for left, which it has not",
                 p.name,
                 name,
@@ -214,7 +214,9 @@
         for p in up:
             states = {n: p.fleet.watch.state_of(n) for n in self.world.all}
             for q in self.world.all.values():
-                if states[q.name] not in (("alive",) if q.fleet is not None else ("left", "cut", "gone")):
+                if states[q.name] not in (
+                    ("alive",) if q.fleet is not None else ("left", "faulty", "removed")
+                ):
                     return f"{p.name} holds {q.name} for {states[q.name]}"
             rights = p.fleet.accounts.rights
             if p.fleet.left or rights.old or rights.tickets or any(rights.debts.values()):
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -30,7 +30,7 @@
     until(lambda: c.agree(names, dict.fromkeys(names, "alive")), ALL_THERE_S)
 
 
-def verdicts(c, names=None, of=None, states=("cut", "gone")):
+def verdicts(c, names=None, of=None, states=("faulty", "removed")):
     return [
         (n, e)
         for n in names or c.names
@@ -56,8 +56,8 @@
                 killed = time.time() * 1000
                 c.kill(name)
                 others = [n for n in c.names if n != name]
-                until(lambda: c.agree(others, {name: "cut"}), 12)
-                seen = [unix_ms(e) for n, e in verdicts(c, others, [name], ["cut"]) if unix_ms(e) > killed]
+                until(lambda: c.agree(others, {name: "faulty"}), 12)
+                seen = [unix_ms(e) for n, e in verdicts(c, others, [name], ["faulty"]) if unix_ms(e) > killed]
                 assert len(seen) == len(others)
                 detected += [s - killed for s in seen]
                 c.back(name)
@@ -92,8 +92,8 @@
             all_there(c)
             told["views_agree_ms"] = max(told.get("views_agree_ms", 0), (time.monotonic() - healed) * 1000)
             told["pauses"] += 2
-            told["false_gone"] += len(verdicts(c, states=["gone"]))
-            told["false_cut"] += len(verdicts(c, states=["cut"]))
+            told["false_gone"] += len(verdicts(c, states=["removed"]))
+            told["false_cut"] += len(verdicts(c, states=["faulty"]))
     assert told["false_gone"] == 0
 
 
@@ -108,12 +108,12 @@
         c.relay.cut(["d"], c.names if to_all else ["a"], both=False)
         cut = time.monotonic()
         if to_all:
-            until(lambda: c.agree(states={"d": "cut"}), 12)
+            until(lambda: c.agree(states={"d": "faulty"}), 12)
         time.sleep(max(0.0, seconds - (time.monotonic() - cut)))
-        wanted = "cut" if to_all else "alive"
+        wanted = "faulty" if to_all else "alive"
         until(lambda: c.agree(states={**dict.fromkeys("abc", "alive"), "d": wanted}), 5)
         flaps = sum(
-            max(0, len(verdicts(c, [n], [m], ["cut"])) - (to_all and m == "d"))
+            max(0, len(verdicts(c, [n], [m], ["faulty"])) - (to_all and m == "d"))
             for n in c.names
             for m in c.names
         )
@@ -130,7 +130,10 @@
         all_there(c)
         c.relay.cut("ab", "cde")
         until(
-            lambda: c.agree("ab", dict.fromkeys("cde", "cut")) and c.agree("cde", dict.fromkeys("ab", "cut")),
+            lambda: (
+                c.agree("ab", dict.fromkeys("cde", "faulty"))
+                and c.agree("cde", dict.fromkeys("ab", "faulty"))
+            ),
             15,
         )
         c.relay.heal()
@@ -149,7 +152,7 @@
         c.pause("a", 7.0)
         until(lambda: c.agree(states=dict.fromkeys("abcd", "alive")), 15)
         assert not verdicts(c, ["a"], "bcd", ["suspect", *CUT]), c.log("a")[-4000:]
-        assert verdicts(c, "bcd", ["a"], ["cut"])
+        assert verdicts(c, "bcd", ["a"], ["faulty"])
 
 
 def test_strangers_and_spoilt_datagrams_are_dropped_and_counted(tmp_path):
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -12,11 +12,18 @@
 
 from lichenquay.config import lichenquay_pb2 as conf
 from lichenquay.fleet.gateway_runtime import Fleet
-from lichenquay.membership.failure_detector import Settings as MembersSettings
-from lichenquay.membership.failure_detector import Watch
+from lichenquay.membership.failure_detector import FailureDetector
+from lichenquay.membership.settings import Settings as MembershipSettings
 
 LEASE_MS, TERM_MS = 800.0, 1600.0
-QUICK = MembersSettings(period_ms=200, hold_ms=480, sync_ms=2000, slow_ms=600, rest_ms=300, stall_ms=300)
+QUICK = MembershipSettings(
+    probe_period_ms=200,
+    suspicion_timeout_ms=480,
+    sync_interval_ms=2000,
+    faulty_probe_interval_ms=600,
+    rejoin_delay_ms=300,
+    max_tick_delay_ms=300,
+)
 ACCOUNTS = (("lender", 100, 300, 60, 1500, 0.5, 0.75), ("borrower", 150, 120, 90, 1500, 0.5, 0.5))
 RATES = (0.955, 1.0, 1.045)
 UNIX_MS = 1.7e12
@@ -157,7 +164,7 @@
 
     def new_watch(self):
         peers = [n for n in self.names if n != self.settings.name]
-        return Watch(self.settings.name, self.incarnation, peers, self.rng, QUICK, self.now_ms())
+        return FailureDetector(self.settings.name, self.incarnation, peers, self.rng, QUICK, self.now_ms())
 
 
 class Process:
--- a/tests/test_golden_membership.py
+++ b/tests/test_golden_membership.py
@@ -15,7 +15,8 @@
 import pytest
 
 from lichenquay.membership import members_pb2 as pb
-from lichenquay.membership.failure_detector import Settings, Watch
+from lichenquay.membership.failure_detector import FailureDetector
+from lichenquay.membership.settings import Settings
 
 pytestmark = pytest.mark.together
 
@@ -24,23 +25,24 @@
 DELAY_MS = 1.0
 SECOND_DELAY_MS = 160.0  # So late that a probe's helpers are asked first.
 SHORT_TIMES = Settings(
-    period_ms=100, hold_ms=600, gone_ms=1_500, sync_ms=700, slow_ms=300, stall_ms=150, rest_ms=300
+    probe_period_ms=100,
+    suspicion_timeout_ms=600,
+    removal_timeout_ms=1_500,
+    sync_interval_ms=700,
+    faulty_probe_interval_ms=300,
+    max_tick_delay_ms=150,
+    rejoin_delay_ms=300,
 )
 
 
 def make_member(name, incarnation, now_ms):
     """A member as its host makes it, with a random source of its own."""
-    return Watch(name, incarnation, NAMES, Random(f"{name}/{incarnation}"), SHORT_TIMES, now_ms)
+    return FailureDetector(name, incarnation, NAMES, Random(f"{name}/{incarnation}"), SHORT_TIMES, now_ms)
 
 
 def entries_of(member):
     """[name, incarnation, number of the state] of all members known to one."""
-    return [[entry[0], entry[1], int(pb.State.Value(wire_name(entry[2])))] for entry in member.members()]
-
-
-def wire_name(state):
-    """The name of a state in `members.proto`."""
-    return state.upper()
+    return [[entry.name, entry.incarnation, entry.state.number] for entry in member.members()]
 
 
 class Exchange:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,16 +11,31 @@
 from hypothesis import strategies as st
 
 from lichenquay.membership import members_pb2 as pb
-from lichenquay.membership.failure_detector import Settings, Watch
-from lichenquay.membership.member_table import LEFT, MAX_MEMBERS, Table, rank
-from lichenquay.membership.message_format import MAX_BODY, MAX_INCARNATION, MAX_TOLD, MAX_WORD, good_row
-from lichenquay.membership.probing import MAX_EXTRA, MAX_RELAYS
+from lichenquay.membership.failure_detector import FailureDetector
+from lichenquay.membership.member_state import MemberState
+from lichenquay.membership.member_table import MAX_MEMBERS, MemberTable
+from lichenquay.membership.message_format import (
+    MAX_BODY_BYTES,
+    MAX_INCARNATION,
+    MAX_REFUTATION,
+    MAX_RELAYED_INCARNATION,
+    is_valid_row,
+    record_of,
+)
+from lichenquay.membership.probing import MAX_EXTRA_PROBES, MAX_RELAYED_PINGS
+from lichenquay.membership.settings import Settings
 from lichenquay.testbed.fleetnet import Weather
 from lichenquay.testbed.observed_members import Watched
 
 ROOT = Path(__file__).resolve().parents[1]
 QUICK = Settings(
-    period_ms=100, hold_ms=600, gone_ms=3_000, sync_ms=1_000, slow_ms=300, stall_ms=150, rest_ms=300
+    probe_period_ms=100,
+    suspicion_timeout_ms=600,
+    removal_timeout_ms=3_000,
+    sync_interval_ms=1_000,
+    faulty_probe_interval_ms=300,
+    max_tick_delay_ms=150,
+    rejoin_delay_ms=300,
 )
 
 
@@ -37,35 +52,40 @@
         number, rows, held = self.seen.setdefault((host.name, host.life), (0, {}, {}))
         for c in changes:
             number += 1
-            assert c.view == number, f"view {c.view} after {number - 1}"
+            assert c.view_number == number, f"view {c.view_number} after {number - 1}"
             old = held.get(c.name)
-            assert (None if old is None or old[0] != c.incarnation else old[1]) == c.old
+            assert (None if old is None or old[0] != c.incarnation else old[1]) == c.old_state
             assert (
                 old is None
                 or c.incarnation > old[0]
-                and old[1] in ("left", "gone")
+                and old[1] in ("left", "removed")
                 or c.incarnation == old[0]
             )
-            assert c.old not in ("gone",) and (c.old, c.new) != ("left", "alive")
-            held[c.name] = c.incarnation, c.new
+            assert c.old_state not in ("removed",) and (c.old_state, c.new_state) != ("left", "alive")
+            held[c.name] = c.incarnation, c.new_state
         assert number == watch.view.number
         assert held == {n: (i, s) for n, i, s in watch.members()}
         for m in watch.table.members.values():
-            now, before = rank(m.incarnation, m.word, m.state), rows.get(m.name)
+            now, before = m.precedence, rows.get(m.name)
             assert before is None or now >= before, f"{m.name} went back from {before} to {now}"
             assert (
                 before is None
                 or now == before
-                or m.incarnation > before[0]
-                or before[1] == 0
-                or before[3] == LEFT
+                or m.incarnation > before.incarnation
+                or not before.is_final
+                or before.state_number == MemberState.LEFT.number
             )
             rows[m.name] = now
-        assert len(watch.table.members) <= MAX_MEMBERS and host.longest <= MAX_BODY
-        assert len(watch.ask.probes) <= MAX_EXTRA + 1 and len(watch.ask.relays) <= MAX_RELAYS
+        assert len(watch.table.members) <= MAX_MEMBERS and host.longest <= MAX_BODY_BYTES
+        assert (
+            len(watch.prober.probes) <= MAX_EXTRA_PROBES + 1
+            and len(watch.prober.relayed_pings) <= MAX_RELAYED_PINGS
+        )
         assert len(watch.outbox) < 200
-        assert watch.over or watch.due_ms >= watch.now_ms - 1e-6 or watch.due_ms <= host.now_ms()
-        assert set(watch.table.live()) == {n for n, _, s in watch.members() if s in ("alive", "suspect")}
+        assert watch.end_reason or watch.due_ms >= watch.now_ms - 1e-6 or watch.due_ms <= host.now_ms()
+        assert set(watch.table.live_names()) == {
+            n for n, _, s in watch.members() if s in ("alive", "suspect")
+        }
         self.seen[host.name, host.life] = number, rows, held
 
 
@@ -80,7 +100,11 @@
 
 
 def verdicts(fleet, *what):
-    return [(ms, host, c.name, c.new) for ms, host, c in fleet.log if c.new in (what or ("cut", "gone"))]
+    return [
+        (ms, host, c.name, c.new_state)
+        for ms, host, c in fleet.log
+        if c.new_state in (what or ("faulty", "removed"))
+    ]
 
 
 def test_decisions_need_neither_a_network_nor_the_rest_of_the_program():
@@ -95,7 +119,7 @@
 def test_fronts_find_each_other_by_seeds_that_only_some_know():
     fleet = ruled(5, 1, joined=False, seeds=["f0"])
     assert fleet.until(fleet.agree, 5_000) is not None
-    assert fleet.until(lambda: all(len(w.reach) == 4 for w in fleet.up()), 5_000) is not None
+    assert fleet.until(lambda: all(len(w.reachable) == 4 for w in fleet.up()), 5_000) is not None
     assert len(fleet.watch("f3").members()) == 5 and not verdicts(fleet)
 
 
@@ -103,27 +127,31 @@
     fleet = ruled(2, 1, joined=False, start=False)
     fleet.net.start("f0")
     fleet.run(20_000)
-    assert fleet.watch("f0").members() == [("f0", 1, "alive")] and fleet.watch("f0").reach == []
+    assert fleet.watch("f0").members() == [("f0", 1, "alive")] and fleet.watch("f0").reachable == []
     fleet.net.start("f1")
     assert fleet.until(fleet.agree, 5_000) is not None
     fleet.net.kill("f1")
-    assert fleet.until(lambda: fleet.all_hold("f1", "cut"), 6_000) is not None
+    assert fleet.until(lambda: fleet.all_hold("f1", "faulty"), 6_000) is not None
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_killed_front_is_cut_everywhere_and_later_gone_and_comes_back_as_another(seed):
-    fleet = ruled(5, seed, Weather(loss=0.1), Settings(gone_ms=5_000))
+    fleet = ruled(5, seed, Weather(loss=0.1), Settings(removal_timeout_ms=5_000))
     fleet.net.kill("f2")
-    took = fleet.until(lambda: fleet.all_hold("f2", "cut"), 10_000)
+    took = fleet.until(lambda: fleet.all_hold("f2", "faulty"), 10_000)
     assert 1_500 < took < 3_500
     assert {name for _, _, name, _ in verdicts(fleet)} == {"f2"}
     if seed % 2:
-        assert fleet.until(lambda: fleet.all_hold("f2", "gone"), 10_000) is not None
+        assert fleet.until(lambda: fleet.all_hold("f2", "removed"), 10_000) is not None
     fleet.log.clear()
     fleet.net.start("f2")
     assert fleet.until(fleet.agree, 5_000) is not None
-    mine = [(c.incarnation, c.old, c.new) for _, host, c in fleet.log if (host, c.name) == ("f0", "f2")]
-    assert mine == ([(1, "cut", "gone")] if seed % 2 == 0 else []) + [(2, None, "alive")]
+    mine = [
+        (c.incarnation, c.old_state, c.new_state)
+        for _, host, c in fleet.log
+        if (host, c.name) == ("f0", "f2")
+    ]
+    assert mine == ([(1, "faulty", "removed")] if seed % 2 == 0 else []) + [(2, None, "alive")]
 
 
 def test_leaving_in_order_is_told_to_all_without_a_suspicion_and_then_silent():
@@ -132,11 +160,11 @@
     assert fleet.until(lambda: fleet.all_hold("f1", "left"), 2_000) is not None
     w = fleet.watch("f1")
     fleet.run(1_000)
-    assert w.over == "left" and w.due_ms == float("inf")
+    assert w.end_reason == "left" and w.due_ms == float("inf")
     sent = fleet.net.hosts["f1"].sent
     fleet.run(10_000)
     assert fleet.net.hosts["f1"].sent == sent and fleet.all_hold("f1", "left")
-    assert not verdicts(fleet, "cut", "gone", "suspect")
+    assert not verdicts(fleet, "faulty", "removed", "suspect")
     fleet.net.start("f1")
     assert fleet.until(fleet.agree, 5_000) is not None and fleet.watch("f1").incarnation == 2
 
@@ -151,7 +179,7 @@
     assert fleet.until(fleet.agree, 5_000) is not None
     w, before = fleet.watch("f0"), fleet.watch("f0").members()
     w.heard(w.now_ms, ("f1", 1), late)
-    assert w.members() == before and w.counts["older"] >= 1
+    assert w.members() == before and w.counts["old_incarnation"] >= 1
 
 
 @pytest.mark.parametrize("n, deaf", [(5, 1), (5, 2), (5, 3), (3, 1), (8, 6)])
@@ -161,8 +189,8 @@
     fleet.net.between(["f0"], fleet.names[1 : 1 + deaf], cut=True)
     fleet.run(20_000)
     assert not verdicts(fleet) and fleet.all_hold("f0", "alive")
-    assert all("f0" not in fleet.watch(name).reach for name in fleet.names[1 : 1 + deaf])
-    assert "f0" in fleet.watch(fleet.names[-1]).reach
+    assert all("f0" not in fleet.watch(name).reachable for name in fleet.names[1 : 1 + deaf])
+    assert "f0" in fleet.watch(fleet.names[-1]).reachable
     fleet.net.mend()
     assert fleet.until(fleet.agree, 10_000) is not None and not verdicts(fleet)
 
@@ -175,26 +203,28 @@
     if side != "nobody hears it":
         fleet.net.between(fleet.names, ["f0"], cut=True)
     fleet.run(20_000)
-    assert fleet.all_hold("f0", "cut") and fleet.watch("f0").state_of("f0") == "cut"
+    assert fleet.all_hold("f0", "faulty") and fleet.watch("f0").state_of("f0") == "faulty"
     assert {w.state_of(n) for w in fleet.up() for n in fleet.names[1:]} == {
         "alive"
     }  # The ill one accuses nobody.
-    assert len({w.view.digest for w in fleet.up()}) == 1 and fleet.watch("f0").reach == []
+    assert len({w.view.digest for w in fleet.up()}) == 1 and fleet.watch("f0").reachable == []
     fleet.net.mend()
     assert fleet.until(fleet.agree, 15_000) is not None
     fleet.run(10_000)
     assert fleet.agree()
     for host in fleet.names:
-        seen = [c.new for _, h, c in fleet.log if (h, c.name) == (host, "f0") and c.new != "suspect"]
-        assert seen == ["cut", "alive"]
+        seen = [
+            c.new_state for _, h, c in fleet.log if (h, c.name) == (host, "f0") and c.new_state != "suspect"
+        ]
+        assert seen == ["faulty", "alive"]
 
 
 def test_a_front_that_is_cut_again_and_again_rests_longer_each_time():
-    fleet = ruled(4, 8, s=Settings(rest_ms=4_000))
+    fleet = ruled(4, 8, s=Settings(rejoin_delay_ms=4_000))
     away = []
     for _ in range(3):
         fleet.net.split(["f0"], fleet.names[1:])
-        assert fleet.until(lambda: fleet.all_hold("f0", "cut"), 10_000) is not None
+        assert fleet.until(lambda: fleet.all_hold("f0", "faulty"), 10_000) is not None
         fleet.run(4_000)
         fleet.net.mend()
         away.append(fleet.until(fleet.agree, 30_000))
@@ -206,9 +236,9 @@
     fleet = ruled(5, seed, Weather(loss=0.05))
     fleet.net.pause("f4", 30_000)
     fleet.run(40_000)
-    assert {name for _, _, name, _ in verdicts(fleet, "cut")} == {"f4"}
-    assert not [v for v in verdicts(fleet, "cut") if v[1] == "f4" and v[2] != "f4"]
-    assert fleet.watch("f4").counts["stood_still"] >= 1 and fleet.agree()
+    assert {name for _, _, name, _ in verdicts(fleet, "faulty")} == {"f4"}
+    assert not [v for v in verdicts(fleet, "faulty") if v[1] == "f4" and v[2] != "f4"]
+    assert fleet.watch("f4").counts["local_pause"] >= 1 and fleet.agree()
 
 
 def test_when_all_stood_still_nobody_concludes_anything_from_it():
@@ -223,17 +253,17 @@
         for name in fleet.names:
             fleet.net.pause(name, 30_000)
         fleet.run(40_000)
-        assert not [v for v in verdicts(fleet) if (v[2], v[3]) != ("f4", "gone")] and fleet.agree()
+        assert not [v for v in verdicts(fleet) if (v[2], v[3]) != ("f4", "removed")] and fleet.agree()
 
 
 def test_a_probe_from_before_a_pause_is_asked_again_before_it_accuses():
-    w, now = Watch("me", 1, ["a", "b", "c"], random.Random(4), Settings(), 0.0), 1.0
+    w, now = FailureDetector("me", 1, ["a", "b", "c"], random.Random(4), Settings(), 0.0), 1.0
     for name in "abc":
         w.heard(now, (name, 1), pb.Message(join=pb.Join()))
-    while not w.ask.probes:
+    while not w.prober.probes:
         now = w.due_ms
         w.tick(now)
-    silent = next(iter(w.ask.probes.values())).name
+    silent = next(iter(w.prober.probes.values())).target
     until = now + 2_000 + 100
     now += 2_000
     w.outbox.clear()
@@ -244,7 +274,7 @@
             w.heard(now + 0.5, (name, 1), pb.Message(ack=ack))
         w.outbox.clear()
         now = w.due_ms
-    assert w.well() and w.state_of(silent) == "alive"
+    assert w.suspicion.may_accuse() and w.state_of(silent) == "alive"
 
 
 def test_pauses_of_two_seconds_and_a_fifth_lost_cut_nobody():
@@ -258,11 +288,23 @@
 
 
 def test_two_parts_hold_each_other_for_cut_the_smaller_says_gone_of_nobody_and_they_meet_again():
-    fleet = ruled(5, 9, s=Settings(gone_ms=5_000))
+    fleet = ruled(5, 9, s=Settings(removal_timeout_ms=5_000))
     fleet.net.split(fleet.names[:2], fleet.names[2:])
     fleet.run(20_000)
-    assert [fleet.watch("f0").state_of(n) for n in fleet.names] == ["alive", "alive", "cut", "cut", "cut"]
-    assert [fleet.watch("f3").state_of(n) for n in fleet.names] == ["gone", "gone", "alive", "alive", "alive"]
+    assert [fleet.watch("f0").state_of(n) for n in fleet.names] == [
+        "alive",
+        "alive",
+        "faulty",
+        "faulty",
+        "faulty",
+    ]
+    assert [fleet.watch("f3").state_of(n) for n in fleet.names] == [
+        "removed",
+        "removed",
+        "alive",
+        "alive",
+        "alive",
+    ]
     fleet.net.mend()
     assert fleet.until(fleet.agree, 15_000) is not None
     assert (
@@ -272,18 +314,18 @@
 
 
 def test_as_many_names_as_there_is_room_for_and_no_more():
-    w = Watch("me", 1, ["a"], random.Random(1), Settings(), 0.0)
+    w = FailureDetector("me", 1, ["a"], random.Random(1), Settings(), 0.0)
     w.heard(1.0, ("b", 1), pb.Message(join=pb.Join()))
     for i in range(1_100):
         w.heard(1.0, ("a", 1), pb.Message(gossip=pb.Gossip(), rows=[pb.Row(name=f"{i:064}", incarnation=1)]))
-    assert len(w.members()) == MAX_MEMBERS and w.counts["full"] == 1_100 - MAX_MEMBERS + 3
-    other = Watch("b", 1, ["me"], random.Random(2), Settings(), 0.0)
+    assert len(w.members()) == MAX_MEMBERS and w.counts["table_full"] == 1_100 - MAX_MEMBERS + 3
+    other = FailureDetector("b", 1, ["me"], random.Random(2), Settings(), 0.0)
     for _ in range(60):  # Pieces of long names, both ways, until nothing differs.
         w.outbox.clear()
-        w.spread.send_digests("b")
+        w.anti_entropy.send_digests("b")
         mail = [(w, other, m) for _, m in w.outbox]
         for a, b, m in mail:
-            assert m.ByteSize() <= MAX_BODY
+            assert m.ByteSize() <= MAX_BODY_BYTES
             b.outbox.clear()
             b.heard(1.0, (a.name, 1), m)
             mail.extend((b, a, x) for _, x in b.outbox if x.WhichOneof("kind") in ("piece", "sync"))
@@ -293,8 +335,10 @@
 rows = st.builds(
     pb.Row,
     name=st.sampled_from(["a", "b", "me", "", "x" * 65, "ü"]),
-    incarnation=st.sampled_from([0, 1, 2, 3, MAX_TOLD - 1, MAX_TOLD, MAX_INCARNATION, 2**64 - 1]),
-    word=st.sampled_from([0, 1, 2, MAX_WORD - 2, MAX_WORD - 1, MAX_WORD, 2**64 - 1]),
+    incarnation=st.sampled_from(
+        [0, 1, 2, 3, MAX_RELAYED_INCARNATION - 1, MAX_RELAYED_INCARNATION, MAX_INCARNATION, 2**64 - 1]
+    ),
+    word=st.sampled_from([0, 1, 2, MAX_REFUTATION - 2, MAX_REFUTATION - 1, MAX_REFUTATION, 2**64 - 1]),
     state=st.integers(0, 6),
     by=st.lists(st.sampled_from(["a", "b", "c", "me", "", "y" * 70]), max_size=6),
     silent_ms=st.sampled_from([0, 5, 2**32 - 1]),
@@ -306,14 +350,15 @@
 def test_in_whatever_order_rows_come_the_table_is_the_same(some, rng):
     tables = []
     for _ in range(2):
-        t = Table()
+        t = MemberTable()
         for r in some + some[:3]:
-            if good_row(r):
-                t.take(0, r.name, r.incarnation, r.word, r.state)
+            if is_valid_row(r):
+                t.apply(0, record_of(r))
         tables.append(t)
         rng.shuffle(some)
-    assert tables[0].digests == tables[1].digests and tables[0].digest == tables[1].digest
-    assert tables[0].live() == tables[1].live()
+    assert tables[0].partition_digests == tables[1].partition_digests
+    assert tables[0].view.digest == tables[1].view.digest
+    assert tables[0].live_names() == tables[1].live_names()
 
 
 kinds = st.one_of(
@@ -356,25 +401,25 @@
     )
 )
 def test_no_message_does_more_than_be_dropped_or_taken(mail):
-    w, now = Watch("me", 2, ["a", "b"], random.Random(3), QUICK, 0.0), 0.0
+    w, now = FailureDetector("me", 2, ["a", "b"], random.Random(3), QUICK, 0.0), 0.0
     for name, incarnation, kind, some, state, word, wait in mail:
         now += wait
-        before = {m.name: rank(m.incarnation, m.word, m.state) for m in w.table.members.values()}
+        before = {m.name: m.precedence for m in w.table.members.values()}
         w.heard(now, (name, incarnation), pb.Message(word=word, state=state, rows=some, **kind))
         if w.due_ms <= now:
             w.tick(now)
-        after = {m.name: rank(m.incarnation, m.word, m.state) for m in w.table.members.values()}
+        after = {m.name: m.precedence for m in w.table.members.values()}
         assert all(after[n] >= r for n, r in before.items())
-        assert all(m.ByteSize() <= MAX_BODY for _, m in w.outbox) and len(w.outbox) < 200
-        assert [c.view for c in w.changes] == list(range(1, len(w.changes) + 1))
-        assert w.state_of("me") in ("alive", "cut") or w.over
+        assert all(m.ByteSize() <= MAX_BODY_BYTES for _, m in w.outbox) and len(w.outbox) < 200
+        assert [c.view_number for c in w.changes] == list(range(1, len(w.changes) + 1))
+        assert w.state_of("me") in ("alive", "faulty") or w.end_reason
         w.outbox.clear()
 
 
 def test_fronts_that_each_hold_themselves_for_cut_find_together_again():
     fleet = ruled(4, 11)
     fleet.net.split(*[[n] for n in fleet.names])
-    assert fleet.until(lambda: all(w.state_of(w.name) == "cut" for w in fleet.up()), 10_000) is not None
+    assert fleet.until(lambda: all(w.state_of(w.name) == "faulty" for w in fleet.up()), 10_000) is not None
     fleet.run(10_000)
     fleet.net.mend()
     assert fleet.until(fleet.agree, 10_000) is not None
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -9,7 +9,7 @@
 from test_membership import QUICK, ruled
 
 from lichenquay.membership import members_pb2 as pb
-from lichenquay.membership.failure_detector import Settings
+from lichenquay.membership.settings import Settings
 from lichenquay.testbed.fleetnet import Weather
 
 STORM = Weather(loss=0.15, delay_ms=(0.2, 20), doubled=0.1, late=0.05, late_ms=2_000)
@@ -25,7 +25,9 @@
     running = {w.name: w.incarnation for w in fleet.up()}
     assert fleet.agree()
     assert not [
-        c for *_, c in fleet.log if c.new in ("cut", "gone", "left") and running.get(c.name) == c.incarnation
+        c
+        for *_, c in fleet.log
+        if c.new_state in ("faulty", "removed", "left") and running.get(c.name) == c.incarnation
     ]
 
 
@@ -90,7 +92,7 @@
         fleet.run(wait)
     fleet.net.mend(Weather(loss=0.02))
     for name in fleet.names[:3]:
-        if not fleet.net.hosts[name].up or fleet.watch(name).over:
+        if not fleet.net.hosts[name].up or fleet.watch(name).end_reason:
             fleet.net.start(name)
     rests(fleet, 6_000)
     assert fleet.rules.steps > 100
@@ -98,7 +100,14 @@
 
 # --- one message changed at a time
 
-SHORT = Settings(period_ms=200, hold_ms=900, gone_ms=1_500, sync_ms=1_000, slow_ms=400, stall_ms=200)
+SHORT = Settings(
+    probe_period_ms=200,
+    suspicion_timeout_ms=900,
+    removal_timeout_ms=1_500,
+    sync_interval_ms=1_000,
+    faulty_probe_interval_ms=400,
+    max_tick_delay_ms=200,
+)
 
 
 def scenario(seed, meddle=None, s=SHORT):
