--- a/lichenquay/testbed/baseline_policies.py
+++ b/lichenquay/testbed/baseline_policies.py
@@ -1,5 +1,5 @@
 """Two other ways to tell who is there, small but honest, to weigh against `members` in the same network
-(docs/design/members.md).
+(docs/design/membership.md).
 
 `Phi`: heartbeats to `watchers` members next in the ring (all of them in a small fleet), judged by phi-accrual
 (Hayashibara et al. 2004): a normal distribution of the last 200 gaps, its deviation 100 ms at least, `pause_ms`
