--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -8,7 +8,7 @@
 from lichenquay.config.fleet_settings import NAME, address_of
 from lichenquay.control_plane.client import Client, NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.validation import fault_of_entry
+from lichenquay.distribution.validation import find_entry_error
 
 REFUSED, IN_DOUBT = 1, 3  # exit codes; 2 is of a wrong command line
 STATUS_FIELDS = ("generation", "newest", "in_force", "subscribers", "refused", "stale", "keys", "bytes")
@@ -103,7 +103,7 @@
 
 def change(entry, voters, fleet, seconds, json_to):
     """Proposes one entry until its outcome is known or the time is up."""
-    if fault := fault_of_entry(entry):
+    if fault := find_entry_error(entry):
         end("refused", 0, fault, REFUSED, json_to)
     try:
         with Client(fleet, voters, seconds) as client:
--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -11,7 +11,7 @@
 from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import size_of
-from lichenquay.distribution.validation import fault_of_entry
+from lichenquay.distribution.validation import find_entry_error
 
 LOOK_MS = 250.0  # between two looks at whether the lease is held
 RETRY_MS = 1000.0  # after a refusal
@@ -51,7 +51,7 @@
             self._forget(row.uid)
             return
         entry = pb.Entry(key=key, value=value_of(row))
-        fault = fault_of_entry(entry, KINDS)
+        fault = find_entry_error(entry, KINDS)
         if fault is not None:
             if not self.counts["senseless"]:
                 self.log.warning("engines", why=fault)
@@ -91,7 +91,7 @@
 
     def _tell_complete(self, now_ms, generation):
         """Once; fronts wait for it. Risk: they take the first engines that are published for all."""
-        if COMPLETE_KEY not in self.publisher.ahead.entries and now_ms >= self._retry_ms:
+        if COMPLETE_KEY not in self.publisher.speculative_state.entries and now_ms >= self._retry_ms:
             self._propose(now_ms, [pb.Entry(key=COMPLETE_KEY, value=COMPLETE)], generation)
 
     def _may_propose(self, now_ms):
@@ -100,7 +100,7 @@
 
     def _compare_all(self):
         """Under a new lease: what others published counts, too."""
-        published = self.publisher.ahead.entries
+        published = self.publisher.speculative_state.entries
         theirs = (key for key in published if key.startswith(ENGINE_PREFIX) and key not in self._wanted)
         self._dirty = dict.fromkeys([*theirs, *self._wanted], True)
         self._compared = True
@@ -122,7 +122,7 @@
 
     def _entry_of(self, key):
         """What brings a key to what is wanted; None where it is that already."""
-        published = self.publisher.ahead.entries.get(key)
+        published = self.publisher.speculative_state.entries.get(key)
         wanted = self._wanted.get(key)
         if wanted is None:
             return pb.Entry(key=key, deleted=True) if published is not None else None
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -19,7 +19,7 @@
 from lichenquay.control_plane.report import publisher_lines, relay_lines
 from lichenquay.distribution import distribution_pb2, publisher
 from lichenquay.distribution.relay import Relay
-from lichenquay.distribution.validation import fault_of
+from lichenquay.distribution.validation import find_change_error
 from lichenquay.fleet.addresses import EXPIRE_MS, Addresses
 from lichenquay.fleet.datagram_transport import Post
 from lichenquay.fleet.message_envelope import DISTRIBUTION, OWNER, Envelope
@@ -40,7 +40,7 @@
 
 def check(entries, store, settings):
     """The publisher's check of a change: the same that fronts make of the values that they read."""
-    return fault_of(entries, store, settings, kinds=CHECKS)
+    return find_change_error(entries, store, settings, CHECKS)
 
 
 class Control(Host):
--- a/lichenquay/distribution/__init__.py
+++ b/lichenquay/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned configuration and the list of engines for the fleet: publisher, relays, subscribers. No I/O."""
+"""Versioned configuration and the engine list for all gateways: publisher, relays, subscribers. No I/O."""
--- a/lichenquay/distribution/failback.py
+++ b/lichenquay/distribution/failback.py
@@ -1,67 +1,82 @@
-"""Back to the preferred source once it answers again, tried beside the session at another one. No I/O."""
+"""Failback to the preferred source, tried in a session beside the present one."""
 
-from lichenquay.distribution.source_session import Link
+from collections.abc import Sequence
+from random import Random
+
+from lichenquay.distribution.settings import Settings
+from lichenquay.distribution.source_session import SourceSession
 
 INF = float("inf")
-MOST_DOUBLINGS = 5  # Of `silent_ms` between two trials, while they are in vain or the source fails again.
+MAX_DOUBLINGS = 5  # Of `silent_ms` between two trials, while they fail or the source fails again.
+MIN_DELAY_SHARE = 0.5
+MAX_DELAY_SHARE = 1.5
 
 
 class Failback:
-    """A trial session at the first source, begun ever later while it is in vain or does not last."""
+    """Trial sessions at the preferred source, ever later while they fail or the failback does not last."""
 
-    def __init__(self, sources, rng, settings):
-        """Nothing is due until a source was left for another one."""
-        self.sources, self.rng, self.settings = tuple(sources), rng, settings
-        self.trial = None  # The session that is tried; its Follows are sent beside those of the present one.
-        self._begin_ms, self._back_ms, self._in_vain = INF, -INF, 0
+    def __init__(self, sources: Sequence[str], rng: Random, settings: Settings):
+        """Start with nothing due, as the first source is followed."""
+        self.sources = tuple(sources)
+        self.rng = rng
+        self.settings = settings
+        self.trial: SourceSession | None = None
+        self._next_trial_ms = INF
+        self._failed_back_ms = -INF
+        self._doublings = 0
 
     @property
-    def due_ms(self):
-        """When `tick` is wanted."""
-        return min(self.trial.follow_ms, self.trial.leave_ms) if self.trial else self._begin_ms
+    def due_ms(self) -> float:
+        """When to call `tick`."""
+        if self.trial is None:
+            return self._next_trial_ms
+        return min(self.trial.next_follow_ms, self.trial.fail_over_due_ms)
 
-    def moved(self, now_ms, source):
-        """Another source is followed from now on."""
+    def on_failover(self, now_ms: float, source: str) -> None:
+        """Plan a trial after another source is followed."""
         if source == self.sources[0]:
             self.cancel()
-        elif self.trial is None and self._begin_ms == INF:
-            if now_ms >= self._back_ms + self.settings.forget_ms:
-                self._in_vain = 0
-            self._put_off(now_ms)
+        elif self.trial is None and self._next_trial_ms == INF:
+            if now_ms >= self._failed_back_ms + self.settings.forget_ms:
+                self._doublings = 0
+            self._plan_trial(now_ms)
 
-    def cancel(self):
-        """The first source is followed, or which one it is is told."""
-        self.trial, self._begin_ms = None, INF
+    def cancel(self) -> None:
+        """Try nothing: the preferred source is followed, or the leader is known."""
+        self.trial = None
+        self._next_trial_ms = INF
 
-    def tick(self, now_ms):
-        """The session in which a Follow is due, if one is."""
+    def tick(self, now_ms: float) -> SourceSession | None:
+        """Return the trial session if a Follow is due in it."""
         if self.trial is None:
-            self.trial = Link(self.sources, self.rng, self.settings, now_ms)
+            self.trial = SourceSession(self.sources, self.rng, self.settings, now_ms)
             return None
-        if now_ms >= self.trial.leave_ms:
-            self.in_vain(now_ms)
+        if now_ms >= self.trial.fail_over_due_ms:
+            self.on_trial_failed(now_ms)
             return None
         return self.trial
 
-    def is_answer(self, source, session):
-        """Whether a message belongs to the trial."""
-        return self.trial is not None and (source, session) == (self.trial.source, self.trial.session)
+    def is_answer(self, source: str, session_id: int) -> bool:
+        """Return whether a message belongs to the trial."""
+        return self.trial is not None and (source, session_id) == (self.trial.source, self.trial.session_id)
 
-    def in_vain(self, now_ms):
-        """The first source does not answer, or has nothing for us now."""
+    def on_trial_failed(self, now_ms: float) -> None:
+        """End the trial: the preferred source does not answer, or has nothing for this subscriber now."""
         self.trial = None
-        self._put_off(now_ms)
+        self._plan_trial(now_ms)
 
-    def done(self, now_ms, link):
-        """The trial, which takes the place of the present session `link`."""
-        trial, self.trial = self.trial, None
-        self._begin_ms, self._back_ms = INF, now_ms
-        trial.follows_on(link)
+    def complete(self, now_ms: float, present: SourceSession) -> SourceSession:
+        """Return the trial session, which takes the place of the present one."""
+        trial = self.trial
+        self.trial = None
+        self._next_trial_ms = INF
+        self._failed_back_ms = now_ms
+        trial.replace(present)
         return trial
 
-    def _put_off(self, now_ms):
-        # Risk: all subscribers of a relay that is back would come at once; one that fails again and again
+    def _plan_trial(self, now_ms: float) -> None:
+        # All subscribers of a relay that is back would come at once, and a relay that fails again and again
         # would cost each of them `silent_ms` every time.
-        most_ms = self.settings.silent_ms * 2**self._in_vain
-        self._begin_ms = now_ms + most_ms * self.rng.uniform(0.5, 1.5)
-        self._in_vain = min(self._in_vain + 1, MOST_DOUBLINGS)
+        delay_ms = self.settings.silent_ms * 2**self._doublings
+        self._next_trial_ms = now_ms + delay_ms * self.rng.uniform(MIN_DELAY_SHARE, MAX_DELAY_SHARE)
+        self._doublings = min(self._doublings + 1, MAX_DOUBLINGS)
--- a/lichenquay/distribution/history.py
+++ b/lichenquay/distribution/history.py
@@ -1,196 +1,132 @@
-"""The last changes, and for each set of prefixes a view of them from which any delta is built. No I/O."""
+"""The recent changes of a state, bounded by number and bytes, and the views of them in use."""
 
-from bisect import bisect_right
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lichenquay.distribution.messages import MODULUS, digest_of, size_of
+from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.key_store import KeyStore
+from lichenquay.distribution.messages import DIGEST_MODULUS, digest_of, size_of
+from lichenquay.distribution.prefix_view import PrefixView
+from lichenquay.distribution.settings import Settings
 
 
-class Item(NamedTuple):
-    """Changes after `since` up to `version`, of the keys of one view, and the view's digest after them."""
+class RecordedChange(NamedTuple):
+    """A change as it was added: `digest_changes[i]` is what `entries[i]` added to the digest."""
 
     since: int
     version: int
-    entries: tuple
-    digest: int
+    entries: tuple[pb.Entry, ...]
+    digest_changes: tuple[int, ...]
+    size: int
 
 
-class Part(NamedTuple):
-    """What a delta holds: `entries` lead from the version asked for to `version`, with `digest`."""
+@dataclass
+class _ChangeOfView:
+    """The part of a change that concerns one view."""
 
-    version: int
-    digest: int
-    entries: list
-
-
-class View:
-    """The changes to keys of one set of prefixes, from `floor` on; shared by all sessions of that set.
-
-    The digest is known at each version that an item begins or ends at, and between items.
-    """
-
-    def __init__(self, prefixes, floor, digest):
-        """`digest`: of the keys of `prefixes` at version `floor`."""
-        self.prefixes, self.floor, self.floor_digest = prefixes, floor, digest
-        self._items, self._versions = [], []
-        self.bytes = 0  # Of all entries in it.
-        self._built = None  # The last delta: most sessions ask for the same one.
-
-    @property
-    def digest(self):
-        """At the newest version."""
-        return self._items[-1].digest if self._items else self.floor_digest
-
-    @property
-    def changed(self):
-        """The version of the newest change in it, or its floor."""
-        return self._versions[-1] if self._versions else self.floor
-
-    def add(self, since, version, entries, added):
-        """A change; `added`: to the digest."""
-        self._items.append(Item(since, version, tuple(entries), (self.digest + added) % MODULUS))
-        self._versions.append(version)
-        self.bytes += sum(map(size_of, entries))
-
-    def trim(self, floor):
-        """Forgets what leads up to `floor`."""
-        many = bisect_right(self._versions, floor)
-        if many:
-            self.bytes -= sum(size_of(entry) for item in self._items[:many] for entry in item.entries)
-            self.floor_digest = self._items[many - 1].digest
-        del self._items[:many], self._versions[:many]
-        self.floor, self._built = max(self.floor, floor), None
-
-    def digest_at(self, version):
-        """Of its keys at a version; None where that is not known."""
-        at = bisect_right(self._versions, version)
-        inside = at < len(self._items) and self._items[at].since < version
-        if version < self.floor or inside:
-            return None
-        return self._items[at - 1].digest if at else self.floor_digest
-
-    def delta(self, version, newest, most_bytes):
-        """The part after `version`, up to `newest` if it fits into `most_bytes`; whole changes, at least
-        one.
-        """
-        at = bisect_right(self._versions, version)
-        inside = at < len(self._items) and self._items[at].since < version
-        key = at, newest, version if inside else None
-        if self._built is None or self._built[0] != key:
-            self._built = key, self._build(at, version, newest, most_bytes)
-        return self._built[1]
-
-    def _build(self, at, version, newest, most_bytes):
-        last, size = {}, 0
-        for number in range(at, len(self._items)):
-            item = self._items[number]
-            # Risk: of changes that came merged, those up to `version` are held already.
-            fresh = [entry for entry in item.entries if entry.version > version]
-            size += sum(size_of(entry) for entry in fresh)
-            if size > most_bytes and number > at:
-                before = self._items[number - 1]
-                return Part(before.version, before.digest, list(last.values()))
-            last.update((entry.key, entry) for entry in fresh)
-        return Part(newest, self.digest, list(last.values()))
-
-
-class Change(NamedTuple):
-    """A change as it was added: `added[i]` is what `entries[i]` added to the digest."""
-
-    since: int
-    version: int
-    entries: tuple
-    added: tuple
-    size: int
+    view: PrefixView
+    entries: list[pb.Entry] = field(default_factory=list)
+    digest_change: int = 0
 
 
 class History:
-    """The last changes of a Store, bounded by number and bytes, and the views of them in use."""
-
-    def __init__(self, store, settings):
-        """From the version on that `store` stands at; it is kept up by `add`."""
-        self.store, self.settings, self.floor = store, settings, store.version
-        self.views = {}
-        self._by_prefix = {}
-        self._changes, self._bytes = [], 0
-
-    def add(self, version, entries):
-        """Applies a change; gives the views that it concerns. Costs the key lengths, not the number of
-        views.
+    """The last changes of a KeyStore, which it keeps up to date, and the views of them."""
+
+    def __init__(self, store: KeyStore, settings: Settings):
+        """Begin at the version of `store`, without changes."""
+        self.store = store
+        self.settings = settings
+        self.floor = store.version
+        self.views: dict[tuple[str, ...], PrefixView] = {}
+        self._views_by_prefix: dict[str, list[PrefixView]] = {}
+        self._changes: list[RecordedChange] = []
+        self._bytes = 0
+
+    def add(self, version: int, entries: Sequence[pb.Entry]) -> list[PrefixView]:
+        """Apply a change and return the views that it concerns.
+
+        The cost depends on the lengths of the keys, not on the number of views.
         """
         since = self.store.version
-        added = self.store.apply(version, entries)
-        size = sum(size_of(entry) for entry in entries)
-        change = Change(since, version, tuple(entries), tuple(added), size)
-        touched = {}
-        for entry, more in zip(entries, added, strict=True):
+        digest_changes = self.store.apply(version, entries)
+        concerned: dict[tuple[str, ...], _ChangeOfView] = {}
+        for entry, digest_change in zip(entries, digest_changes, strict=True):
             for view in self._views_of(entry.key):
-                _, some, digest = touched.get(view.prefixes, (view, [], 0))
-                touched[view.prefixes] = view, [*some, entry], digest + more
-        for view, some, digest in touched.values():
-            view.add(since, version, some, digest)
-        self._keep(change)
-        return [view for view, _, _ in touched.values()]
-
-    def _views_of(self, key):
+                part = concerned.setdefault(view.prefixes, _ChangeOfView(view))
+                part.entries.append(entry)
+                part.digest_change += digest_change
+        for part in concerned.values():
+            part.view.add(since, version, part.entries, part.digest_change)
+        size = sum(map(size_of, entries))
+        self._record(RecordedChange(since, version, tuple(entries), tuple(digest_changes), size))
+        return [part.view for part in concerned.values()]
+
+    def _views_of(self, key: str) -> Iterable[PrefixView]:
         found = {}
         for end in range(len(key) + 1):
-            for view in self._by_prefix.get(key[:end], ()):
+            for view in self._views_by_prefix.get(key[:end], ()):
                 found[view.prefixes] = view
         return found.values()
 
-    def _keep(self, change):
+    def _record(self, change: RecordedChange) -> None:
         self._changes.append(change)
         self._bytes += change.size
-        settings = self.settings
-        if len(self._changes) > settings.most_changes or self._bytes > settings.most_history_bytes:
-            self._trim(len(self._changes) // 4 + 1)
-
-    def _trim(self, many):
-        """Forgets the oldest quarter at once, so that a change costs no pass over the views."""
-        gone = self._changes[:many]
-        del self._changes[:many]
-        self.floor = gone[-1].version
-        self._bytes -= sum(change.size for change in gone)
+        too_many = len(self._changes) > self.settings.most_changes
+        if too_many or self._bytes > self.settings.most_history_bytes:
+            # The oldest quarter at once, so that a change does not cost a pass over the views.
+            self._forget_oldest(len(self._changes) // 4 + 1)
+
+    def _forget_oldest(self, count: int) -> None:
+        removed = self._changes[:count]
+        del self._changes[:count]
+        self.floor = removed[-1].version
+        self._bytes -= sum(change.size for change in removed)
         for view in self.views.values():
             view.trim(self.floor)
 
-    def view(self, prefixes):
-        """The view of a set of prefixes; None: one too many.
+    def view(self, prefixes: tuple[str, ...]) -> PrefixView | None:
+        """Return the view of a set of prefixes, None if there are too many.
 
-        A new one costs a pass over the keys and the changes; it reaches back as far as the history does.
+        A new view costs a pass over the keys and the changes; it reaches back as far as the history does.
         """
-        known = self.views.get(prefixes)
-        if known is None and len(self.views) < self.settings.most_views:
-            known = self.views[prefixes] = self._make_view(prefixes)
+        view = self.views.get(prefixes)
+        if view is None and len(self.views) < self.settings.most_views:
+            view = self.views[prefixes] = self._make_view(prefixes)
             for prefix in prefixes:
-                self._by_prefix.setdefault(prefix, []).append(known)
-        return known
+                self._views_by_prefix.setdefault(prefix, []).append(view)
+        return view
 
-    def _make_view(self, prefixes):
-        items, before = [], self._digest(prefixes)
+    def _make_view(self, prefixes: tuple[str, ...]) -> PrefixView:
+        digest_at_floor = self._digest(prefixes)
+        parts = []
         for change in self._changes:
-            pairs = zip(change.entries, change.added, strict=True)
-            some = [pair for pair in pairs if pair[0].key.startswith(prefixes)]
-            if some:
-                added = sum(more for _, more in some)
-                items.append((change, [entry for entry, _ in some], added))
-                before -= added
-        view = View(prefixes, self.floor, before % MODULUS)
-        for change, some, added in items:
-            view.add(change.since, change.version, some, added)
+            pairs = zip(change.entries, change.digest_changes, strict=True)
+            concerned = [(entry, added) for entry, added in pairs if entry.key.startswith(prefixes)]
+            if concerned:
+                entries = [entry for entry, _ in concerned]
+                digest_change = sum(added for _, added in concerned)
+                parts.append((change, entries, digest_change))
+                digest_at_floor -= digest_change
+        view = PrefixView(prefixes, self.floor, digest_at_floor % DIGEST_MODULUS)
+        for change, entries, digest_change in parts:
+            view.add(change.since, change.version, entries, digest_change)
         return view
 
-    def _digest(self, prefixes):
+    def _digest(self, prefixes: tuple[str, ...]) -> int:
         if "" in prefixes:
             return self.store.digest
-        held = self.store.entries.items()
-        return sum(digest_of(key, *what) for key, what in held if key.startswith(prefixes)) % MODULUS
-
-    def drop(self, view):
-        """Forgets a view that nobody uses."""
+        digests = (
+            digest_of(key, stored.value, stored.version)
+            for key, stored in self.store.entries.items()
+            if key.startswith(prefixes)
+        )
+        return sum(digests) % DIGEST_MODULUS
+
+    def drop(self, view: PrefixView) -> None:
+        """Forget a view that nobody uses."""
         del self.views[view.prefixes]
         for prefix in view.prefixes:
-            self._by_prefix[prefix].remove(view)
-            if not self._by_prefix[prefix]:
-                del self._by_prefix[prefix]
+            self._views_by_prefix[prefix].remove(view)
+            if not self._views_by_prefix[prefix]:
+                del self._views_by_prefix[prefix]
--- a/lichenquay/distribution/key_store.py
+++ b/lichenquay/distribution/key_store.py
@@ -1,75 +1,93 @@
-"""The keys of one version, with their digest. No I/O."""
+"""The keys and values of one version, with their digest."""
+
+from collections.abc import Iterable, Sequence
+from typing import NamedTuple
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.messages import ENTRY_BYTES, MODULUS, digest_of
+from lichenquay.distribution.messages import DIGEST_MODULUS, ENTRY_OVERHEAD_BYTES, digest_of
+
+
+class StoredValue(NamedTuple):
+    """A key's value and the version that set it."""
 
+    value: bytes
+    version: int
 
-class Store:
-    """What is held of a set of keys at one version.
 
-    `entries` is {key: (value, version of the value)}; `digest` the sum of their digests modulo 2^64; `bytes`
-    their size as messages count it. All three are kept up with each change, without a pass over the keys.
+class KeyStore:
+    """A state: the values of a set of keys at one version.
+
+    `digest` is the sum of the entries' digests modulo 2^64, `bytes` their size as messages count it. Both are
+    updated with each change, without a pass over the keys.
     """
 
     def __init__(self):
-        """Empty, at version 0."""
-        self.version, self.digest, self.bytes, self.entries = 0, 0, 0, {}
+        """Make an empty state at version 0."""
+        self.version = 0
+        self.digest = 0
+        self.bytes = 0
+        self.entries: dict[str, StoredValue] = {}
 
-    def apply(self, version, entries):
-        """Takes the entries (pb.Entry, each with the version of its value); stands at `version` from then on.
+    def apply(self, version: int, entries: Iterable[pb.Entry]) -> list[int]:
+        """Apply entries, each with the version of its value, and go to `version`.
 
-        Gives how much each entry added to the digest, modulo 2^64, in their order. An entry that deletes
-        what is not there adds nothing.
+        Returns what each entry added to the digest modulo 2^64, in order. An entry that deletes a key that is
+        not there adds nothing.
         """
-        added = [self._put(entry) for entry in entries]
+        digest_changes = [self._apply_entry(entry) for entry in entries]
         self.version = version
-        return added
+        return digest_changes
 
-    def _put(self, entry):
-        added = 0
+    def _apply_entry(self, entry: pb.Entry) -> int:
+        change = 0
         old = self.entries.pop(entry.key, None)
         if old is not None:
-            added -= digest_of(entry.key, *old)
-            self.bytes -= len(entry.key) + len(old[0]) + ENTRY_BYTES
+            change -= digest_of(entry.key, old.value, old.version)
+            self.bytes -= len(entry.key) + len(old.value) + ENTRY_OVERHEAD_BYTES
         if not entry.deleted:
-            self.entries[entry.key] = entry.value, entry.version
-            added += digest_of(entry.key, entry.value, entry.version)
-            self.bytes += len(entry.key) + len(entry.value) + ENTRY_BYTES
-        self.digest = (self.digest + added) % MODULUS
-        return added % MODULUS
-
-    def digest_after(self, entries):
-        """The digest that `apply` of the entries would lead to."""
+            self.entries[entry.key] = StoredValue(entry.value, entry.version)
+            change += digest_of(entry.key, entry.value, entry.version)
+            self.bytes += len(entry.key) + len(entry.value) + ENTRY_OVERHEAD_BYTES
+        self.digest = (self.digest + change) % DIGEST_MODULUS
+        return change % DIGEST_MODULUS
+
+    def digest_after(self, entries: Iterable[pb.Entry]) -> int:
+        """Return the digest that `apply` of the entries would lead to."""
         digest = self.digest
-        for entry in {entry.key: entry for entry in entries}.values():
+        last_of_key = {entry.key: entry for entry in entries}
+        for entry in last_of_key.values():
             old = self.entries.get(entry.key)
-            digest -= digest_of(entry.key, *old) if old is not None else 0
-            digest += 0 if entry.deleted else digest_of(entry.key, entry.value, entry.version)
-        return digest % MODULUS
-
-    def copy(self):
-        """Another one of the same content; values are shared."""
-        new = Store()
-        new.version, new.digest, new.bytes = self.version, self.digest, self.bytes
+            if old is not None:
+                digest -= digest_of(entry.key, old.value, old.version)
+            if not entry.deleted:
+                digest += digest_of(entry.key, entry.value, entry.version)
+        return digest % DIGEST_MODULUS
+
+    def copy(self) -> "KeyStore":
+        """Return an independent state of the same content."""
+        new = KeyStore()
+        new.version = self.version
+        new.digest = self.digest
+        new.bytes = self.bytes
         new.entries = dict(self.entries)
         return new
 
-    def snapshot(self, prefixes):
-        """All entries of the keys that begin with one of `prefixes`, by key. A pass over all keys."""
-        begins = tuple(prefixes)
+    def entries_with(self, prefixes: Iterable[str]) -> list[pb.Entry]:
+        """Return the entries of all keys with one of the prefixes, by key. A pass over all keys."""
+        prefixes = tuple(prefixes)
         return [
-            pb.Entry(key=key, value=value, version=version)
-            for key, (value, version) in sorted(self.entries.items())
-            if key.startswith(begins)
+            pb.Entry(key=key, value=stored.value, version=stored.version)
+            for key, stored in sorted(self.entries.items())
+            if key.startswith(prefixes)
         ]
 
-    def state(self, requests=()):
-        """As a pb.State."""
-        return pb.State(version=self.version, entries=self.snapshot([""]), requests=requests)
+    def to_state(self, requests: Sequence[int] = ()) -> pb.State:
+        """Return the state as a message, with the requests that made its last changes."""
+        return pb.State(version=self.version, entries=self.entries_with([""]), requests=requests)
 
     @classmethod
-    def of_state(cls, state):
-        """Of a pb.State."""
+    def from_state(cls, state: pb.State) -> "KeyStore":
+        """Make a state from a message."""
         new = cls()
         new.apply(state.version, state.entries)
         return new
--- a/lichenquay/distribution/pacing.py
+++ b/lichenquay/distribution/pacing.py
@@ -1,119 +1,111 @@
-"""Snapshots in pages, and their pacing: bytes a second, sessions at once, changes before them. No I/O."""
+"""Pacing of snapshots: a token bucket of bytes, and a limit on how many subscribers fetch at once."""
 
 from collections import OrderedDict
+from typing import NamedTuple
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.messages import MOST_MESSAGE, size_of
+from lichenquay.distribution.messages import MAX_MESSAGE_BYTES
+from lichenquay.distribution.settings import Settings
+from lichenquay.distribution.snapshot import Snapshot
 
+INF = float("inf")
 BURST_MS = 50.0  # Of the rate that may be spent at once.
-PAGE_OVERHEAD = 96  # Bytes of a page's message beside its entries, and of its envelope.
-
-
-class Snapshot:
-    """The keys of one view at one version, as pages that are kept serialized (half of what objects would
-    take).
-    """
-
-    def __init__(self, view, store, settings):
-        """A pass over all keys; shared by all sessions of the view."""
-        self.version, self.digest = store.version, view.digest
-        self.pages, self.bytes = [], 0
-        batch, size = [], 0
-        for entry in store.snapshot(view.prefixes):
-            more = size_of(entry)
-            if size + more > settings.delta_bytes:
-                self._add(batch)
-                batch, size = [], 0
-            batch.append(entry)
-            size += more
-        if batch:
-            self._add(batch)
-
-    def _add(self, batch):
-        page = pb.Page(version=self.version, number=len(self.pages), entries=batch)
-        self.pages.append(page.SerializeToString())
-        self.bytes += len(self.pages[-1])
-
-    def page(self, number):
-        """One page, without its session and mark."""
-        return pb.Page.FromString(self.pages[number])
-
-
-class Bucket:
-    """Bytes that may be sent: a token bucket that changes may overdraw, so that snapshots wait for them."""
-
-    def __init__(self, rate_bytes_s, now_ms):
-        """Full at first."""
-        self.rate = rate_bytes_s / 1000
-        # Risk: where a page is more than the burst, a part of it would never be counted.
-        self.most = max(self.rate * BURST_MS, 2 * MOST_MESSAGE)
-        self.bytes, self.at_ms = self.most, now_ms
-
-    def fill(self, now_ms):
-        """What came in by now."""
-        self.bytes = min(self.most, self.bytes + (now_ms - self.at_ms) * self.rate)
-        self.at_ms = now_ms
-
-    def take(self, size):
-        """Spends, down to one burst under nothing."""
-        self.bytes = max(-self.most, self.bytes - size)
+PAGE_OVERHEAD_BYTES = 96  # Of a page's message beside its entries, and of its envelope.
+MIN_WAIT_MS = 0.01
+
+
+class TokenBucket:
+    """Bytes that may be sent. Changes may overdraw it, so that snapshots wait for them."""
+
+    def __init__(self, bytes_per_s: float, now_ms: float):
+        """Start full."""
+        self.bytes_per_ms = bytes_per_s / 1000
+        # If a page were more than the burst, a part of it would never be counted.
+        self.capacity = max(self.bytes_per_ms * BURST_MS, 2 * MAX_MESSAGE_BYTES)
+        self.bytes = self.capacity
+        self.filled_ms = now_ms
+
+    def fill(self, now_ms: float) -> None:
+        """Add what became available until now."""
+        added = (now_ms - self.filled_ms) * self.bytes_per_ms
+        self.bytes = min(self.capacity, self.bytes + added)
+        self.filled_ms = now_ms
+
+    def spend(self, size: int) -> None:
+        """Spend bytes, down to one burst below zero."""
+        self.bytes = max(-self.capacity, self.bytes - size)
 
     @property
-    def due_ms(self):
-        """When a page may go."""
-        return self.at_ms if self.bytes > 0 else self.at_ms - self.bytes / self.rate + 0.01
+    def due_ms(self) -> float:
+        """When the next page may be sent."""
+        if self.bytes > 0:
+            return self.filled_ms
+        return self.filled_ms - self.bytes / self.bytes_per_ms + MIN_WAIT_MS
+
+
+class PageRequest(NamedTuple):
+    """Pages of a snapshot from `next_page` up to but not including `end`."""
+
+    snapshot: Snapshot
+    next_page: int
+    end: int
+
+
+class PageToSend(NamedTuple):
+    """A page that may be sent now, and to whom."""
+
+    receiver: str
+    page: pb.Page
 
 
-class Pacer:
-    """Who fetches a snapshot, at most `most_snapshots` at once, and which pages are to be sent next, in
-    turn.
-    """
+class SnapshotPacer:
+    """Which subscribers may fetch a snapshot, at most `most_snapshots` at once, and whose page is next."""
 
-    def __init__(self, settings, now_ms):
-        """Nobody fetches."""
-        self.settings, self.bucket = settings, Bucket(settings.snapshot_bytes_per_s, now_ms)
-        self.slots = OrderedDict()  # {name: when it was heard last}, longest ago first
-        self.wanted = OrderedDict()  # {name: (snapshot, next page, end)}, at most one window each
+    def __init__(self, settings: Settings, now_ms: float):
+        """Start without a fetch."""
+        self.settings = settings
+        self.bucket = TokenBucket(settings.snapshot_bytes_per_s, now_ms)
+        self.slots: OrderedDict[str, float] = OrderedDict()  # When each was heard last, longest ago first.
+        self.requests: OrderedDict[str, PageRequest] = OrderedDict()  # At most one window of each.
 
-    def admit(self, now_ms, name):
-        """Whether this one may fetch now."""
-        self._free(now_ms)
+    def admit(self, now_ms: float, name: str) -> bool:
+        """Give a subscriber a slot, or renew it; return whether it has one."""
+        self._free_silent_slots(now_ms)
         if name not in self.slots and len(self.slots) >= self.settings.most_snapshots:
             return False
         self.slots[name] = now_ms
         self.slots.move_to_end(name)
         return True
 
-    def _free(self, now_ms):
+    def _free_silent_slots(self, now_ms: float) -> None:
         while self.slots and now_ms - next(iter(self.slots.values())) >= self.settings.silent_ms:
             name, _ = self.slots.popitem(last=False)
-            self.wanted.pop(name, None)
+            self.requests.pop(name, None)
 
-    def leave(self, name):
-        """It has what it wanted, or is gone."""
+    def release(self, name: str) -> None:
+        """Free the slot of a subscriber that needs it no more."""
         self.slots.pop(name, None)
-        self.wanted.pop(name, None)
+        self.requests.pop(name, None)
 
-    def want(self, name, snapshot, first, count):
-        """Pages of a snapshot, instead of what the same one wanted before."""
+    def request(self, name: str, snapshot: Snapshot, first: int, count: int) -> None:
+        """Take a request for pages in place of the subscriber's last one."""
         end = min(len(snapshot.pages), first + min(count, self.settings.window_pages))
         if first < end:
-            self.wanted[name] = snapshot, first, end
+            self.requests[name] = PageRequest(snapshot, first, end)
 
     @property
-    def due_ms(self):
-        """When the next page may go."""
-        return self.bucket.due_ms if self.wanted else float("inf")
+    def due_ms(self) -> float:
+        """When the next page may be sent."""
+        return self.bucket.due_ms if self.requests else INF
 
-    def pages(self, now_ms):
-        """[(name, page)] that may go now, of all in turn. Bounded by one burst."""
+    def take_pages(self, now_ms: float) -> list[PageToSend]:
+        """Return the pages that may be sent now, of all subscribers in turn; at most one burst."""
         self.bucket.fill(now_ms)
-        out = []
-        while self.wanted and self.bucket.bytes > 0:
-            name, (snapshot, number, end) = self.wanted.popitem(last=False)
-            page = snapshot.page(number)
-            out.append((name, page))
-            self.bucket.take(len(snapshot.pages[number]) + PAGE_OVERHEAD)
-            if number + 1 < end:
-                self.wanted[name] = snapshot, number + 1, end
-        return out
+        pages = []
+        while self.requests and self.bucket.bytes > 0:
+            name, request = self.requests.popitem(last=False)
+            pages.append(PageToSend(name, request.snapshot.page(request.next_page)))
+            self.bucket.spend(len(request.snapshot.pages[request.next_page]) + PAGE_OVERHEAD_BYTES)
+            if request.next_page + 1 < request.end:
+                self.requests[name] = request._replace(next_page=request.next_page + 1)
+        return pages
--- a/lichenquay/distribution/record_log.py
+++ b/lichenquay/distribution/record_log.py
@@ -1,26 +1,28 @@
-"""The publisher's records: pb.Change, and their fold into a pb.State as base of the replicated log. No I/O.
+"""The publisher's records (pb.Change), and their fold into a pb.State as base of the replicated log.
 
-A record's version is its index in the log, over all generations. Each voter folds, so all of this is
-deterministic; a record that can't be read counts as a change without entries, for the same in all.
+A record's version is its index in the log, over all generations. Each voter folds by itself, so all of this
+is deterministic; a record that cannot be read counts as a change without entries on all voters.
 """
 
+from collections.abc import Iterable, Sequence
+
 from google.protobuf.message import DecodeError
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.key_store import Store
+from lichenquay.distribution.key_store import KeyStore
 
-MOST_REQUESTS = 4096  # Of the last changes, whose proposal may be repeated without being made twice.
-MOST_RECORDS = 1024  # Not folded, so that a new publisher can still serve deltas from there on.
+MAX_REMEMBERED_REQUESTS = 4096  # Of the last changes; a repeated proposal of them is not made twice.
+MAX_UNFOLDED_RECORDS = 1024  # So that a new publisher can serve deltas from there on.
 
 
-def record_of(entries, request):
-    """A change as a record; its entries' versions are its index, and not in it."""
-    kept = [pb.Entry(key=e.key, value=e.value, deleted=e.deleted) for e in entries]
-    return pb.Change(entries=kept, request=request).SerializeToString()
+def make_record(entries: Iterable[pb.Entry], request: int) -> bytes:
+    """Return a change as a record; the version of its entries is its index, and not in it."""
+    unversioned = [pb.Entry(key=entry.key, value=entry.value, deleted=entry.deleted) for entry in entries]
+    return pb.Change(entries=unversioned, request=request).SerializeToString()
 
 
-def change_of(record, version):
-    """The pb.Change of a record with its version at each entry."""
+def read_record(record: bytes, version: int) -> pb.Change:
+    """Return the change of a record, with its version at each entry."""
     try:
         change = pb.Change.FromString(record)
     except DecodeError:
@@ -30,31 +32,32 @@
     return change
 
 
-def fold(base, records):
-    """The group's `fold`: the state after the records."""
+def fold(base: bytes, records: Iterable[bytes]) -> bytes:
+    """Return the serialized state after the records that follow a serialized state."""
     state = pb.State.FromString(base)
-    store, requests = Store.of_state(state), list(state.requests)
+    store = KeyStore.from_state(state)
+    requests = list(state.requests)
     for version, record in enumerate(records, state.version + 1):
-        change = change_of(record, version)
+        change = read_record(record, version)
         store.apply(version, change.entries)
         requests.append(change.request)
-    return store.state(requests[-MOST_REQUESTS:]).SerializeToString()
+    return store.to_state(requests[-MAX_REMEMBERED_REQUESTS:]).SerializeToString()
 
 
-class Requests:
+class RequestIndex:
     """Which of the last changes was made for which request."""
 
-    def __init__(self, version=0, requests=()):
-        """`requests` of the changes up to `version`, one each, oldest first."""
+    def __init__(self, version: int = 0, requests: Sequence[int] = ()):
+        """Start with the requests of the changes up to `version`, one each, oldest first."""
         first = version - len(requests) + 1
-        self._versions = {request: first + at for at, request in enumerate(requests)}
+        self._versions = {request: first + index for index, request in enumerate(requests)}
 
-    def add(self, request, version):
-        """A change under way or made."""
+    def add(self, request: int, version: int) -> None:
+        """Add a change that is pending or committed."""
         self._versions[request] = version
-        if len(self._versions) > MOST_REQUESTS:
+        if len(self._versions) > MAX_REMEMBERED_REQUESTS:
             del self._versions[next(iter(self._versions))]
 
-    def version_of(self, request):
-        """None: not among them."""
+    def version_of(self, request: int) -> int | None:
+        """Return the version that was made for a request, None if it is not among the last."""
         return self._versions.get(request)
--- a/lichenquay/distribution/snapshot_fetch.py
+++ b/lichenquay/distribution/snapshot_fetch.py
@@ -1,78 +1,85 @@
-"""One snapshot on its way to a subscriber: pages of one version, asked for a window at a time. No I/O."""
+"""One snapshot that a subscriber fetches: pages of one version, requested a window at a time."""
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.key_store import Store
-from lichenquay.distribution.messages import DigestError
+from lichenquay.distribution.errors import DigestError
+from lichenquay.distribution.key_store import KeyStore
+from lichenquay.distribution.settings import Settings
 
-LEAST_PAGE = 64  # Bytes; more pages than so many fit into the largest state make no sense.
+MIN_PAGE_BYTES = 64  # A number of pages that would need smaller ones is invalid.
 
 
-def makes_sense(offer, settings):
-    """Whether an offer can be one of a state within the settings."""
-    most = 2 * settings.most_state_bytes
-    return (
-        offer.bytes <= most and offer.pages <= most // LEAST_PAGE and (offer.pages > 0) == (offer.bytes > 0)
-    )
+def is_valid_offer(offer: pb.SnapshotOffer, settings: Settings) -> bool:
+    """Return whether an offer can be one of a state within the settings."""
+    max_bytes = 2 * settings.most_state_bytes
+    is_empty_consistent = (offer.pages > 0) == (offer.bytes > 0)
+    return offer.bytes <= max_bytes and offer.pages <= max_bytes // MIN_PAGE_BYTES and is_empty_consistent
 
 
-class Fetch:
-    """Collects the pages; they are put together as they come, and count only when all are there and their
-    digest fits.
-    """
+class SnapshotFetch:
+    """Collects pages; they count only once all are there and the digest fits."""
 
-    def __init__(self, offer, settings, now_ms):
-        """Nothing is there yet."""
-        self.session, self.version, self.digest = offer.session, offer.version, offer.digest
-        self.pages, self.settings = offer.pages, settings
-        self.store, self.got, self.first = Store(), set(), 0  # `first`: the first page that is missing.
-        self.due_ms, self.asked_end, self.delay_ms = now_ms, 0, settings.retry_ms
+    def __init__(self, offer: pb.SnapshotOffer, settings: Settings, now_ms: float):
+        """Begin to fetch what is offered."""
+        self.session = offer.session
+        self.version = offer.version
+        self.digest = offer.digest
+        self.page_count = offer.pages
+        self.settings = settings
+        self.store = KeyStore()
+        self.received_pages: set[int] = set()
+        self.first_missing = 0
+        self.requested_end = 0
+        self.due_ms = now_ms
+        self._retry_delay_ms = settings.retry_ms
 
-    def continues(self, offer):
-        """Whether an offer is of what is being fetched."""
-        mine = self.session, self.version, self.digest, self.pages
-        return mine == (offer.session, offer.version, offer.digest, offer.pages)
+    def is_of(self, offer: pb.SnapshotOffer) -> bool:
+        """Return whether an offer is of what is being fetched."""
+        fetched = self.session, self.version, self.digest, self.page_count
+        return fetched == (offer.session, offer.version, offer.digest, offer.pages)
 
-    def ask(self, now_ms):
-        """The next question; asked again, ever later, while no page comes."""
-        self.due_ms = now_ms + self.delay_ms
-        self.delay_ms = min(self.settings.report_ms, 2 * self.delay_ms)
-        self.asked_end = min(self.pages, self.first + self.settings.window_pages)
+    def request(self, now_ms: float) -> pb.FetchPages:
+        """Return the next request; it is repeated with growing delays while no page comes."""
+        self.due_ms = now_ms + self._retry_delay_ms
+        self._retry_delay_ms = min(self.settings.report_ms, 2 * self._retry_delay_ms)
+        self.requested_end = min(self.page_count, self.first_missing + self.settings.window_pages)
         return pb.FetchPages(
             session=self.session,
             version=self.version,
-            first=self.first,
-            count=self.asked_end - self.first,
+            first=self.first_missing,
+            count=self.requested_end - self.first_missing,
         )
 
-    def take(self, now_ms, page):
-        """A page.
+    def add_page(self, now_ms: float, page: pb.Page) -> bool:
+        """Take a page; return False if it is of another snapshot or was there already.
 
-        False: not one of these, or there already. Raises DigestError where there are too many bytes.
+        Raises DigestError if the pages hold more bytes than a state may.
         """
-        if page.version != self.version or page.number >= self.pages or page.number in self.got:
+        if page.version != self.version or page.number >= self.page_count:
             return False
-        self.got.add(page.number)
+        if page.number in self.received_pages:
+            return False
+        self.received_pages.add(page.number)
         self.store.apply(self.version, page.entries)
         if self.store.bytes > 2 * self.settings.most_state_bytes:
             raise DigestError(f"a snapshot of version {self.version} of over {self.store.bytes} bytes")
-        while self.first in self.got:
-            self.first += 1
-        self.delay_ms = self.settings.retry_ms
-        self.due_ms = now_ms + self.delay_ms
+        while self.first_missing in self.received_pages:
+            self.first_missing += 1
+        self._retry_delay_ms = self.settings.retry_ms
+        self.due_ms = now_ms + self._retry_delay_ms
         return True
 
     @property
-    def wants_more(self):
-        """Whether all that was asked for is there, and more is missing."""
-        return self.asked_end <= self.first < self.pages
+    def needs_request(self) -> bool:
+        """Whether all that was requested is there, and more is missing."""
+        return self.requested_end <= self.first_missing < self.page_count
 
     @property
-    def complete(self):
+    def is_complete(self) -> bool:
         """Whether all pages are there."""
-        return self.first == self.pages
+        return self.first_missing == self.page_count
 
-    def whole(self):
-        """The state; raises DigestError where the pages are not what was offered."""
+    def result(self) -> KeyStore:
+        """Return the state. Raises DigestError if the pages are not what was offered."""
         self.store.version = self.version
         if self.store.digest != self.digest:
             raise DigestError(f"a snapshot of version {self.version} with a wrong digest")
--- a/lichenquay/distribution/source_session.py
+++ b/lichenquay/distribution/source_session.py
@@ -1,112 +1,141 @@
-"""A subscriber's session at one source out of several: when to speak, whom to leave, and for whom. No I/O."""
+"""A subscriber's session at one of several sources: when to send a Follow, when to change the source."""
 
 from collections import OrderedDict
+from collections.abc import Iterable, Sequence
+from random import Random
+from typing import NamedTuple
 
 from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.errors import SubscriptionError
+from lichenquay.distribution.settings import Settings
 
-MOST_SENT = 16  # Follows whose sending times are known.
 INF = float("inf")
+MAX_SENT_TIMES = 16  # Follows whose sending times are remembered.
+SESSION_ID_BITS = 63
+MIN_REPORT_SHARE = 0.8  # Of `report_ms` between two Follows, at random.
 
 
-class Link:
-    """Sources in order of preference, the one that is followed, and the timing of what is said to it."""
+class FormerSession(NamedTuple):
+    """A session that was left; its source may still count this subscriber."""
 
-    def __init__(self, sources, rng, settings, now_ms):
-        """Begins with the first source, a moment by chance after `now_ms`."""
+    source: str
+    session_id: int
+
+
+class SourceSession:
+    """The sources in order of preference, the one that is followed, and the timing of what is sent to it."""
+
+    def __init__(self, sources: Sequence[str], rng: Random, settings: Settings, now_ms: float):
+        """Begin with the first source after a short random delay.
+
+        Raises SubscriptionError without a source.
+        """
         if not sources:
-            raise ValueError("a subscriber needs a source")
-        self.sources, self.rng, self.settings = tuple(sources), rng, settings
-        self.failovers, self.former = 0, {}  # former: {source: session} that may count us still
+            raise SubscriptionError("a subscriber needs a source")
+        self.sources = tuple(sources)
+        self.rng = rng
+        self.settings = settings
+        self._former: dict[str, int] = {}  # {source: session id}
         self.connect(now_ms, self.sources[0])
 
-    def connect(self, now_ms, source):
-        """A new session at a source."""
-        self.source, self.session = source, self.rng.getrandbits(63) + 1
-        self.introduced, self.number, self.sent = False, 0, OrderedDict()
-        self.connected_ms = self.heard_ms = self.useful_ms = now_ms
-        self.spoken_ms, self.wait_until_ms = -INF, now_ms
-        self.delay_ms = self.settings.retry_ms
-        # Risk: all subscribers of a source that is gone would come to the next one at once.
-        self.follow_ms = now_ms + self.rng.uniform(0, self.settings.retry_ms)
-
-    def next_source(self, now_ms):
-        """Leaves for the next one."""
-        self.failovers += 1
-        self.former[self.source] = self.session
-        at = self.sources.index(self.source)
-        self.connect(now_ms, self.sources[(at + 1) % len(self.sources)])
-
-    def follows_on(self, other):
-        """Takes the place of another link."""
-        self.failovers = other.failovers
-        self.former = {**other.former, other.source: other.session}
-
-    def take_former(self):
-        """(source, session) of those that were left, each given once."""
-        former, self.former = self.former, {}
-        return [(source, session) for source, session in former.items() if source != self.source]
-
-    def redirect(self, now_ms, leader):
-        """The source isn't the leader.
-
-        Goes there, at most once in `retry_ms`; to the next one if it is not known.
-        """
-        if now_ms < self.connected_ms + self.settings.retry_ms:
-            self.follow_ms = min(self.follow_ms, self.connected_ms + self.settings.retry_ms)
+    def connect(self, now_ms: float, source: str) -> None:
+        """Begin a new session at a source."""
+        self.source = source
+        self.session_id = self.rng.getrandbits(SESSION_ID_BITS) + 1
+        self.is_known = False  # Whether the source has answered, and so knows the prefixes.
+        self.follow_number = 0
+        self.sent_ms: OrderedDict[int, float] = OrderedDict()  # By the number of the Follow.
+        self.connected_ms = now_ms
+        self.heard_ms = now_ms
+        self.useful_ms = now_ms
+        self._last_follow_ms = -INF
+        self._wait_until_ms = now_ms
+        self._retry_delay_ms = self.settings.retry_ms
+        # All subscribers of a source that failed would come to the next one at once.
+        self.next_follow_ms = now_ms + self.rng.uniform(0, self.settings.retry_ms)
+
+    def fail_over(self, now_ms: float) -> None:
+        """Go to the next source."""
+        self._former[self.source] = self.session_id
+        index = self.sources.index(self.source)
+        self.connect(now_ms, self.sources[(index + 1) % len(self.sources)])
+
+    def replace(self, other: "SourceSession") -> None:
+        """Take the place of another session, which becomes a former one."""
+        self._former = {**other._former, other.source: other.session_id}
+
+    def take_former(self) -> list[FormerSession]:
+        """Return the sessions that were left, each once."""
+        former = self._former
+        self._former = {}
+        return [FormerSession(name, session_id) for name, session_id in former.items() if name != self.source]
+
+    def redirect(self, now_ms: float, leader: str) -> None:
+        """Go to the leader, or to the next source if it is not known; at most once in `retry_ms`."""
+        earliest_ms = self.connected_ms + self.settings.retry_ms
+        if now_ms < earliest_ms:
+            self.next_follow_ms = min(self.next_follow_ms, earliest_ms)
         elif leader in self.sources and leader != self.source:
             self.connect(now_ms, leader)
-            self.follow_ms = now_ms
+            self.next_follow_ms = now_ms
         else:
-            self.next_source(now_ms)
+            self.fail_over(now_ms)
 
-    # What is heard.
+    # What the source sends.
 
-    def alive(self, now_ms):
-        """The source said something of use."""
-        self.heard_ms = self.useful_ms = now_ms
-        self.introduced, self.delay_ms = True, self.settings.retry_ms
-        self.follow_ms = now_ms + self.settings.report_ms * self.rng.uniform(0.8, 1.0)
+    def on_useful_message(self, now_ms: float) -> None:
+        """Note a delta or an offer."""
+        self.heard_ms = now_ms
+        self.useful_ms = now_ms
+        self.is_known = True
+        self._retry_delay_ms = self.settings.retry_ms
+        self.next_follow_ms = now_ms + self.settings.report_ms * self.rng.uniform(MIN_REPORT_SHARE, 1.0)
 
-    def progress(self, now_ms):
-        """A page came. Follows go on as before: a session that is not heard expires."""
-        self.heard_ms = self.useful_ms = now_ms
+    def on_page(self, now_ms: float) -> None:
+        """Note a page. Follows go on as planned, as a session that is not heard expires."""
+        self.heard_ms = now_ms
+        self.useful_ms = now_ms
 
-    def wait(self, now_ms, wait_ms):
-        """The source is there, but has nothing for us now."""
+    def on_wait(self, now_ms: float, wait_ms: float) -> None:
+        """Note that the source is there but has nothing for this subscriber now."""
         self.heard_ms = now_ms
-        self.wait_until_ms = now_ms + min(wait_ms, self.settings.expire_ms)
-        self.follow_ms, self.delay_ms = self.wait_until_ms, self.settings.retry_ms
-
-    def unknown(self, now_ms):
-        """The source does not know the session: it is told anew what is wanted."""
-        self.introduced = False
-        self.speak_soon(now_ms)
-
-    def speak_soon(self, now_ms):
-        """A Follow out of turn, no more than one in `retry_ms`."""
-        soon = max(now_ms, self.spoken_ms + self.settings.retry_ms)
-        self.follow_ms = min(self.follow_ms, soon)
-
-    # What is said.
-
-    def spoken(self, now_ms):
-        """The number of a Follow that is sent now; unanswered, another one follows."""
-        self.number += 1
-        self.sent[self.number] = self.spoken_ms = now_ms
-        if len(self.sent) > MOST_SENT:
-            self.sent.popitem(last=False)
-        self.follow_ms = now_ms + self.delay_ms
-        self.delay_ms = min(self.settings.report_ms, 2 * self.delay_ms)
-        return self.number
+        self._wait_until_ms = now_ms + min(wait_ms, self.settings.expire_ms)
+        self.next_follow_ms = self._wait_until_ms
+        self._retry_delay_ms = self.settings.retry_ms
+
+    def on_unknown_session(self, now_ms: float) -> None:
+        """Send the prefixes again, as the source does not know the session."""
+        self.is_known = False
+        self.follow_soon(now_ms)
+
+    # What is sent to the source.
+
+    def follow_soon(self, now_ms: float) -> None:
+        """Plan a Follow out of turn, at most one in `retry_ms`."""
+        soon_ms = max(now_ms, self._last_follow_ms + self.settings.retry_ms)
+        self.next_follow_ms = min(self.next_follow_ms, soon_ms)
+
+    def make_follow(self, now_ms: float, prefixes: Iterable[str]) -> pb.Follow:
+        """Return a Follow with session and number, to be sent now; it is repeated while unanswered."""
+        sent_prefixes = () if self.is_known else prefixes
+        return pb.Follow(
+            session=self.session_id, prefixes=sent_prefixes, number=self._next_follow_number(now_ms)
+        )
+
+    def _next_follow_number(self, now_ms: float) -> int:
+        self.follow_number += 1
+        self.sent_ms[self.follow_number] = now_ms
+        self._last_follow_ms = now_ms
+        if len(self.sent_ms) > MAX_SENT_TIMES:
+            self.sent_ms.popitem(last=False)
+        self.next_follow_ms = now_ms + self._retry_delay_ms
+        self._retry_delay_ms = min(self.settings.report_ms, 2 * self._retry_delay_ms)
+        return self.follow_number
 
     @property
-    def leave_ms(self):
-        """When the source is left: silent for too long, or of no use while there are others."""
-        silent = max(self.heard_ms, self.wait_until_ms) + self.settings.silent_ms
-        useless = self.useful_ms + self.settings.stale_ms if len(self.sources) > 1 else INF
-        return min(silent, useless)
-
-    def follow(self, now_ms, prefixes):
-        """A Follow with session and number; the rest is the subscriber's."""
-        shown = () if self.introduced else prefixes
-        return pb.Follow(session=self.session, prefixes=shown, number=self.spoken(now_ms))
+    def fail_over_due_ms(self) -> float:
+        """When to leave the source: it is silent for too long, or of no use while there are others."""
+        silent_ms = max(self.heard_ms, self._wait_until_ms) + self.settings.silent_ms
+        if len(self.sources) == 1:
+            return silent_ms
+        return min(silent_ms, self.useful_ms + self.settings.stale_ms)
--- a/lichenquay/distribution/validation.py
+++ b/lichenquay/distribution/validation.py
@@ -1,65 +1,84 @@
-"""The one check of a change: by the publisher before it is recorded, by a front before it is in force."""
+"""The check of a change: by the publisher before it is recorded, by a gateway before it is in force.
+
+The texts are sent to clients as the reason of a refusal.
+"""
 
 import re
+from collections.abc import Callable, Mapping, Sequence
+
+from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.key_store import KeyStore
+from lichenquay.distribution.messages import MAX_KEY_CHARACTERS, MAX_VALUE_BYTES, size_of
+from lichenquay.distribution.settings import Settings
 
-from lichenquay.distribution.messages import MOST_KEY, MOST_VALUE, size_of
+KEY_PATTERN = re.compile(r"[a-z0-9][a-zA-Z0-9._:@/-]*", re.ASCII)
+SHOWN_KEY_CHARACTERS = 40
 
-KEY = re.compile(r"[a-z0-9][a-zA-Z0-9._:@/-]*", re.ASCII)
-KINDS = {"config/": None, "engine/": None}
-SHOWN = 40  # Characters of a key in a line.
+CheckValue = Callable[[str, bytes], str | None]
+ValueChecks = Mapping[str, CheckValue | None]
+ANY_VALUE: ValueChecks = {"config/": None, "engine/": None}
 
 
-def fault_of_entry(entry, kinds=None):
-    """What is wrong with one entry by itself, in one line; None: nothing.
+def find_entry_error(entry: pb.Entry, checks: ValueChecks | None = None) -> str | None:
+    """Return what is wrong with one entry by itself, in one line; None if nothing is.
 
-    `kinds` is {prefix of keys: check or None}, where check(key, value) gives a line or None; a key of no
-    kind is a fault. By default `config/` and `engine/` with any value.
+    `checks` is {prefix of keys: check or None}, where check(key, value) returns a line or None; a key without
+    one of the prefixes is an error. By default `config/` and `engine/` with any value.
     """
-    kinds = KINDS if kinds is None else kinds
-    shown = repr(entry.key[:SHOWN])
-    if not 0 < len(entry.key) <= MOST_KEY:
-        return f"key {shown}: {len(entry.key)} characters, from 1 to {MOST_KEY} fit"
-    if not KEY.fullmatch(entry.key):
+    checks = ANY_VALUE if checks is None else checks
+    shown = _shown(entry.key)
+    if not 0 < len(entry.key) <= MAX_KEY_CHARACTERS:
+        return f"key {shown}: {len(entry.key)} characters, from 1 to {MAX_KEY_CHARACTERS} fit"
+    if not KEY_PATTERN.fullmatch(entry.key):
         return f"key {shown}: not made of letters, digits and . _ : @ / -"
-    prefix = next((p for p in kinds if entry.key.startswith(p) and entry.key != p), None)
+    prefix = next((p for p in checks if entry.key.startswith(p) and entry.key != p), None)
     if prefix is None:
-        return f"key {shown}: of an unknown kind, known are {', '.join(sorted(kinds))}"
-    if len(entry.value) > MOST_VALUE:
-        return f"key {shown}: a value of {len(entry.value)} bytes, at most {MOST_VALUE} fit"
+        return f"key {shown}: of an unknown kind, known are {', '.join(sorted(checks))}"
+    if len(entry.value) > MAX_VALUE_BYTES:
+        return f"key {shown}: a value of {len(entry.value)} bytes, at most {MAX_VALUE_BYTES} fit"
     if entry.deleted:
         return f"key {shown}: deleted, yet with a value" if entry.value else None
-    return kinds[prefix](entry.key, entry.value) if kinds[prefix] else None
+    check = checks[prefix]
+    return check(entry.key, entry.value) if check else None
 
 
-def fault_of(entries, store, settings, kinds=None):
-    """What is wrong with a change to what `store` holds, in one line; None: it can be made."""
+def find_change_error(
+    entries: Sequence[pb.Entry], store: KeyStore, settings: Settings, checks: ValueChecks | None = None
+) -> str | None:
+    """Return what is wrong with a change of what `store` holds, in one line; None if it can be made."""
     if not entries:
         return "a change without entries"
-    size = sum(size_of(entry) for entry in entries)
+    size = sum(map(size_of, entries))
     if size > settings.most_change_bytes:
         return f"a change of {size} bytes, at most {settings.most_change_bytes} fit"
-    keys = set()
+    earlier_keys: set[str] = set()
     for entry in entries:
-        fault = fault_of_entry(entry, kinds) or _fault_beside(entry, keys, store)
-        if fault:
-            return fault
-        keys.add(entry.key)
-    return _fault_of_room(entries, size, store, settings)
+        error = find_entry_error(entry, checks) or _find_key_error(entry, earlier_keys, store)
+        if error:
+            return error
+        earlier_keys.add(entry.key)
+    return _find_capacity_error(entries, size, store, settings)
+
+
+def _shown(key: str) -> str:
+    return repr(key[:SHOWN_KEY_CHARACTERS])
 
 
-def _fault_beside(entry, keys, store):
-    if entry.key in keys:
-        return f"key {entry.key[:SHOWN]!r}: twice in one change"
+def _find_key_error(entry: pb.Entry, earlier_keys: set[str], store: KeyStore) -> str | None:
+    if entry.key in earlier_keys:
+        return f"key {_shown(entry.key)}: twice in one change"
     if entry.deleted and entry.key not in store.entries:
-        return f"key {entry.key[:SHOWN]!r}: to be deleted, but it is not there"
+        return f"key {_shown(entry.key)}: to be deleted, but it is not there"
     return None
 
 
-def _fault_of_room(entries, size, store, settings):
-    more = sum(not entry.deleted and entry.key not in store.entries for entry in entries)
-    if more and len(store.entries) + more > settings.most_keys:
-        return f"no room for {more} more keys: {len(store.entries)} of {settings.most_keys} are there"
-    grows = any(not entry.deleted for entry in entries)
-    if grows and store.bytes + size > settings.most_state_bytes:
+def _find_capacity_error(
+    entries: Sequence[pb.Entry], size: int, store: KeyStore, settings: Settings
+) -> str | None:
+    new_keys = sum(not entry.deleted and entry.key not in store.entries for entry in entries)
+    if new_keys and len(store.entries) + new_keys > settings.most_keys:
+        return f"no room for {new_keys} more keys: {len(store.entries)} of {settings.most_keys} are there"
+    sets_values = any(not entry.deleted for entry in entries)
+    if sets_values and store.bytes + size > settings.most_state_bytes:
         return f"no room for {size} bytes: {store.bytes} of {settings.most_state_bytes} are there"
     return None
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -72,10 +72,15 @@
         Risk: while a front starts, or the first list is published, a few engines are sent all there is.
         """
         subscriber = self.subscriber
-        caught_up = subscriber.version == subscriber.in_force == subscriber.newest
-        if self.engines_follow and not self.engines_known and caught_up and COMPLETE_KEY in subscriber.values:
+        caught_up = subscriber.version == subscriber.applied_version == subscriber.newest_version
+        if (
+            self.engines_follow
+            and not self.engines_known
+            and caught_up
+            and COMPLETE_KEY in subscriber.applied_values
+        ):
             self.engines_known = True
-            self.apply_to.put_engines(True, self._rows(subscriber.values))
+            self.apply_to.put_engines(True, self._rows(subscriber.applied_values))
 
     def _rows(self, changed):
         """The engines that changed, those that are gone first. Errors: BadEngineError."""
@@ -85,9 +90,11 @@
                 continue
             if value is not None:
                 listed.append(row_of(key, value))
-            elif key in self.subscriber.values:
+            elif key in self.subscriber.applied_values:
                 gone.append(
-                    row_of(key, self.subscriber.values[key])._replace(state=domain.EndpointState.REMOVED)
+                    row_of(key, self.subscriber.applied_values[key])._replace(
+                        state=domain.EndpointState.REMOVED
+                    )
                 )
         still = {row.uid for row in listed}  # in another zone by now
         return [row for row in gone if row.uid not in still] + listed
@@ -106,9 +113,9 @@
     age_ms = subscriber.age_ms(now_ms)
     counts = [f"distribution {what}: {number}" for what, number in sorted(subscriber.counts.items())]
     return [
-        f"distribution version {subscriber.version} in force {subscriber.in_force} "
+        f"distribution version {subscriber.version} in force {subscriber.applied_version} "
         f"generation {subscriber.generation} digest {subscriber.digest:016x}",
         f"distribution source {subscriber.source} age {'-' if age_ms == float('inf') else f'{age_ms:.0f}'} "
-        f"{'stale' if subscriber.stale(now_ms) else 'fresh'}",
+        f"{'stale' if subscriber.is_stale(now_ms) else 'fresh'}",
         *counts,
     ]
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -68,7 +68,7 @@
         counts = self.host.post.add_to(orders.Counts())
         if isinstance(self.host, VoterHost):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
-        return replace(counts, oldest=self.host.relay.subscriber.in_force)
+        return replace(counts, oldest=self.host.relay.subscriber.applied_version)
 
 
 def main(arguments):
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -224,8 +224,8 @@
         """Keeps what the fronts hold."""
         for name, life in self.running.items():
             subscriber = self.net.hosts[name].parts[DISTRIBUTION]
-            life.values_digest = values_digest(subscriber.values)
-            life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.values)
+            life.values_digest = values_digest(subscriber.applied_values)
+            life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
             life.counts = dict(subscriber.counts)
 
     def _make_voter(self, host):
@@ -253,7 +253,7 @@
     def _after(self, host, layer, part):
         life = self.running.get(host.name)
         if life is not None:
-            life.step(part.in_force, self.net.now_ms)
+            life.step(part.applied_version, self.net.now_ms)
         elif isinstance(part, Voter):
             wanted, part.group.to_store[:] = list(part.group.to_store), []
             for number, changes in wanted:
--- a/tests/distribution/changes.py
+++ b/tests/distribution/changes.py
@@ -181,7 +181,8 @@
             more = sorted(set(values.items()) - set(wanted.items()))[:3]
             held = hollow.subscriber
             return (
-                f"{hollow.name} follows {held.source} at version {held.version}, in force {held.in_force}: "
+                f"{hollow.name} follows {held.source} at version {held.version}, "
+                f"in force {held.applied_version}: "
                 f"missing {missing}, more {more}, counts {dict(held.counts)}"
             )
     return "they came just now"
--- a/tests/distribution/hollow.py
+++ b/tests/distribution/hollow.py
@@ -65,11 +65,11 @@
 
     def is_fresh(self):
         """Whether it was confirmed lately."""
-        return not self.subscriber.stale(clock_ms())
+        return not self.subscriber.is_stale(clock_ms())
 
     def values(self):
         """{key: value} in force."""
-        return dict(self.subscriber.values)
+        return dict(self.subscriber.applied_values)
 
     def first_ms(self, key, value):
         """When that value was first in force here; None: never."""
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -160,14 +160,14 @@
         put = run_command(installation, "put", "config/gate", GATE, "--json", str(figures))
         assert (put.code, put.out) == (0, "accepted: version 1\n"), put.err
         assert json.loads(figures.read_text())["version"] == 1
-        until(lambda: front.in_force() == 1, 10)
+        until(lambda: front.applied_version() == 1, 10)
         assert front.takes(3) == 1
         bad = run_command(installation, "put", "config/gate", "address { connections: -1 }")
         assert bad.code == 1 and bad.err.startswith("refused: config/gate"), bad.err
         assert bad.err.count("\n") == 1
         deleted = run_command(installation, "delete", "config/gate")
         assert deleted.code == 0, deleted.err
-        until(lambda: front.in_force() == 2, 10)
+        until(lambda: front.applied_version() == 2, 10)
         assert front.takes(3) == 3
         assert installation.leave(front.name) == 0
 
@@ -176,15 +176,15 @@
     """It says that it may be old, and follows again when they are back."""
     with Installation(tmp_path, subscribers=0) as installation, Front(installation) as front:
         assert run_command(installation, "put", "config/gate", GATE).code == 0
-        until(lambda: front.in_force() == 1, 10)
+        until(lambda: front.applied_version() == 1, 10)
         for name in RELAYS:
             installation.kill(name)
         until(lambda: "stale" in sum(installation.told(front.name), []), 10)
-        assert front.in_force() == 1 and front.takes(3) == 1
+        assert front.applied_version() == 1 and front.takes(3) == 1
         for name in RELAYS:
             installation.back(name)
         assert run_command(installation, "delete", "config/gate").code == 0
-        until(lambda: front.in_force() == 2, 20)
+        until(lambda: front.applied_version() == 2, 20)
         assert front.takes(3) == 3
 
 
--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -3,7 +3,7 @@
 from contextlib import contextmanager
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.record_log import change_of
+from lichenquay.distribution.record_log import read_record
 
 DRIFT = 0.06  # Between a process's clock and true time, and a rest.
 
@@ -52,7 +52,7 @@
         base, records = group.state
         state = pb.State.FromString(base)
         for version, record in enumerate(records, state.version + 1):
-            change = change_of(record, version)
+            change = read_record(record, version)
             self.made(
                 version, change.request, {e.key: None if e.deleted else e.value for e in change.entries}
             )
@@ -93,7 +93,7 @@
 
     def level(self, subscriber, version):
         """Whether a subscriber has in force all that concerns it up to a version."""
-        return subscriber.values == self.expected(subscriber, version)
+        return subscriber.applied_values == self.expected(subscriber, version)
 
     def expected(self, subscriber, version):
         """The values of a subscription at a version."""
@@ -104,23 +104,25 @@
     @contextmanager
     def hearing(self, name, subscriber, message):
         """Around each message that a subscriber hears."""
-        generation, before = subscriber.generation, (subscriber.version, subscriber.in_force)
+        generation, before = subscriber.generation, (subscriber.version, subscriber.applied_version)
         yield
         kind = message.WhichOneof("kind")
         said = getattr(getattr(message, kind), "generation", generation) if kind else generation
-        after = subscriber.version, subscriber.in_force
+        after = subscriber.version, subscriber.applied_version
         demand(said >= generation or after == before, f"{name} took {kind} of {said}, it knew {generation}")
         demand(subscriber.generation >= generation, f"{name} goes back to generation {subscriber.generation}")
         demand(after >= before, f"{name} goes back from {before} to {after}")
-        demand(subscriber.in_force <= subscriber.version, f"{name}: {after}: in force before it is held")
+        demand(
+            subscriber.applied_version <= subscriber.version, f"{name}: {after}: in force before it is held"
+        )
 
     def front(self, host, subscriber, now_ms):
         """After each message at a front."""
         self.checked += 1
-        expected = self.expected(subscriber, subscriber.in_force)
+        expected = self.expected(subscriber, subscriber.applied_version)
         demand(
-            subscriber.values == expected,
-            f"{host.name} at {subscriber.in_force}: has {subscriber.values}, not {expected}",
+            subscriber.applied_values == expected,
+            f"{host.name} at {subscriber.applied_version}: has {subscriber.applied_values}, not {expected}",
         )
         self.age(host, subscriber, now_ms)
 
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -4,14 +4,16 @@
 from unittest.mock import patch
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution import pacing
 from lichenquay.distribution import publisher as publisher_module
-from lichenquay.distribution import record_log as log
 from lichenquay.distribution import subscriber as subscriber_module
-from lichenquay.distribution.history import View
-from lichenquay.distribution.key_store import Store
+from lichenquay.distribution.applied_state import AppliedState
+from lichenquay.distribution.delta_sender import DeltaSender
+from lichenquay.distribution.key_store import KeyStore
+from lichenquay.distribution.pacing import PageToSend, SnapshotPacer
+from lichenquay.distribution.prefix_view import PrefixView
 from lichenquay.distribution.publisher import Publisher
-from lichenquay.distribution.snapshot_fetch import Fetch
+from lichenquay.distribution.record_log import RequestIndex
+from lichenquay.distribution.snapshot_fetch import SnapshotFetch
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
 
@@ -19,99 +21,99 @@
 
 
 def rule(name, *patches):
-    """patches: (class or module, name of what is replaced, maker of the new one from the old)."""
+    """Adds a broken rule.
+
+    `patches`: (class or module, name of what is replaced, function that makes the new one from the old).
+    """
 
     @contextmanager
     def broken():
         with ExitStack() as stack:
-            for owner, what, made in patches:
-                stack.enter_context(patch.object(owner, what, made(getattr(owner, what))))
+            for owner, attribute, make_new in patches:
+                stack.enter_context(patch.object(owner, attribute, make_new(getattr(owner, attribute))))
             yield
 
     BROKEN[name] = broken
 
 
-def says(value):
-    """In place of a method: one that always gives the same."""
+def always(value):
+    """In place of a method: one that always returns the same."""
     return lambda old: lambda *args, **more: value
 
 
 def _any_generation(old):
-    def current(self, body):
+    def is_current(self, body):
         self.generation = body.generation
         return True
 
-    return current
+    return is_current
 
 
 def _digest_ignored(old):
-    def advance(self, now_ms, since, delta):
+    def apply_delta(self, now_ms, delta):
         fresh = [entry for entry in delta.entries if entry.version > self.version]
-        delta.digest = self.held.digest_after(fresh)
-        old(self, now_ms, since, delta)
+        delta.digest = self.store.digest_after(fresh)
+        old(self, now_ms, delta)
 
-    return advance
+    return apply_delta
 
 
 def _any_since(old):
-    """A gap is not seen, nor a digest that does not fit; as where versions are not compared at all."""
+    """A gap is not seen, nor a digest that does not match; as if versions were not compared at all."""
 
-    def advance(self, now_ms, since, delta):
-        fresh = list(delta.entries)
-        delta.digest = self.held.digest_after(fresh)
+    def apply_delta(self, now_ms, delta):
+        entries = list(delta.entries)
+        delta.digest = self.store.digest_after(entries)
         if delta.to != self.version:
-            self._take(now_ms, delta.to, fresh)
+            self._advance(now_ms, delta.to, entries)
 
-    return advance
+    return apply_delta
 
 
-def _by_generation_first(old):
-    """(generation, version) compared, so that a later publisher's older state passes for newer."""
+def _any_offer(old):
+    """As if (generation, version) were compared, so that a later publisher's older state passes for newer."""
 
-    def welcome(self, offer):
+    def is_wanted(self, offer):
         return True
 
-    return welcome
+    return is_wanted
 
 
-def _swap_at_once(old):
-    def swap(self, now_ms, fetch):
-        state = fetch.whole()
-        self.held, self._want_whole, self._behind_whole = state, False, True
-        self._step(now_ms, None)
-        self._follow(now_ms)
+def _install_at_once(old):
+    def install_snapshot(self, now_ms, fetch):
+        self._replace_store(now_ms, fetch.result())
 
-    return swap
+    return install_snapshot
 
 
 def _half_a_snapshot(old):
-    def whole(self):
+    def result(self):
         self.store.version = self.version
         return self.store
 
-    return whole
+    return result
 
 
 def _nearly_complete(old):
-    return property(lambda self: self.first >= max(1, self.pages - 1))
+    return property(lambda self: self.first_missing >= max(1, self.page_count - 1))
 
 
 def _before_recorded(old):
-    def propose(self, now_ms, entries, request, done):
+    def propose(self, now_ms, entries, request, on_outcome):
         before = set(self._pending)
-        old(self, now_ms, entries, request, done)
+        old(self, now_ms, entries, request, on_outcome)
         for version in set(self._pending) - before:
             proposal = self._pending[version]
-            proposal.done(now_ms, publisher_module._accepted(request, version))
-            proposal.done = lambda now_ms, answer: None
+            proposal.on_outcome(now_ms, publisher_module._accepted(request, version))
+            proposal.on_outcome = lambda now_ms, answer: None
 
     return propose
 
 
 def _published_before_recorded(old):
-    def propose(self, now_ms, entries, request, done):
+    def propose(self, now_ms, entries, request, on_outcome):
         before = set(self._pending)
-        old(self, now_ms, entries, request, done)
+        old(self, now_ms, entries, request, on_outcome)
         for version in sorted(set(self._pending) - before):
             proposal = self._pending[version]
             self.source.advance(now_ms, self.group.generation, version, proposal.entries, now_ms)
@@ -120,27 +122,28 @@
 
 
 def _no_deletions(old):
-    def build(self, at, version, newest, most_bytes):
-        part = old(self, at, version, newest, most_bytes)
-        return part._replace(entries=[entry for entry in part.entries if not entry.deleted])
+    def build(self, index, version, newest_version, max_bytes):
+        content = old(self, index, version, newest_version, max_bytes)
+        return content._replace(entries=[entry for entry in content.entries if not entry.deleted])
 
     return build
 
 
 def _first_of_each_key(old):
-    def build(self, at, version, newest, most_bytes):
-        part, first = old(self, at, version, newest, most_bytes), {}
-        for item in self._items[at:]:
-            for entry in item.entries:
-                if item.version <= part.version:
+    def build(self, index, version, newest_version, max_bytes):
+        content = old(self, index, version, newest_version, max_bytes)
+        first = {}
+        for change in self._changes[index:]:
+            for entry in change.entries:
+                if change.version <= content.version:
                     first.setdefault(entry.key, entry)
-        return part._replace(entries=list(first.values()))
+        return content._replace(entries=list(first.values()))
 
     return build
 
 
 def _lease_not_asked(old):
-    class Asked:
+    class EndlessLease:
         """The group, as if the lease never ended by itself."""
 
         def __init__(self, group):
@@ -153,25 +156,26 @@
             return self.group.generation > 0
 
     def heard(self, now_ms, sender, message):
-        real, self.group = self.group, Asked(self.group)
+        group = self.group
+        self.group = EndlessLease(group)
         old(self, now_ms, sender, message)
-        self.group = real
+        self.group = group
 
     return heard
 
 
 def _from_arrival(old):
-    def confirm(self, delta):
-        for number in self.link.sent:
-            self.link.sent[number] = self.link.heard_ms
+    def record_freshness(self, delta):
+        for number in self.session.sent_ms:
+            self.session.sent_ms[number] = self.session.heard_ms
         old(self, delta)
 
-    return confirm
+    return record_freshness
 
 
 def _age_not_added(old):
-    def confirm(self, now_ms, generation, newest, age_ms):
-        return old(self, now_ms, generation, newest, 0.0)
+    def confirm(self, now_ms, generation, newest_version, age_ms):
+        return old(self, now_ms, generation, newest_version, 0.0)
 
     return confirm
 
@@ -180,60 +184,62 @@
     def load(self):
         base, _ = self.group.state
         state = pb.State.FromString(base)
-        self._ahead, self._requests = Store.of_state(state), log.Requests(state.version, state.requests)
-        return Store.of_state(state), []
+        self._speculative_state = KeyStore.from_state(state)
+        self._requests = RequestIndex(state.version, state.requests)
+        return KeyStore.from_state(state), []
 
     return load
 
 
 def _refusal_ignored(old):
-    def enforce(self, now_ms):
-        self.in_force = self.version
+    def apply_pending(self, now_ms, store):
+        self.version = store.version
 
-    return enforce
+    return apply_pending
 
 
 def _in_part(old):
-    def put(self, changed, whole):
-        some = dict(list(changed.items())[:1]) if len(changed) > 1 and not whole else changed
-        old(self, some, whole)
+    def set_values(self, changed, is_whole):
+        in_part = dict(list(changed.items())[:1]) if len(changed) > 1 and not is_whole else changed
+        old(self, in_part, is_whole)
 
-    return put
+    return set_values
 
 
 def _without_pending(old):
-    def fault(self, entries, request):
+    def find_error(self, entries, request):
         return self.check(entries, self.source.history.store, self.settings)
 
-    return fault
+    return find_error
 
 
 def _snapshot_not_paced(old):
-    def pages(self, now_ms):
-        out = []
-        while self.wanted:
-            name, (snapshot, number, end) = self.wanted.popitem(last=False)
-            out.append((name, snapshot.page(number)))
-            if number + 1 < end:
-                self.wanted[name] = snapshot, number + 1, end
-        return out
+    def take_pages(self, now_ms):
+        pages = []
+        while self.requests:
+            name, request = self.requests.popitem(last=False)
+            pages.append(PageToSend(name, request.snapshot.page(request.next_page)))
+            if request.next_page + 1 < request.end:
+                self.requests[name] = request._replace(next_page=request.next_page + 1)
+        return pages
 
-    return pages
+    return take_pages
 
 
 def _no_back_off(old):
-    def asks(self, now_ms):
-        self._whole_ms, self._attempts = now_ms, 0
+    def wants_snapshot(self, now_ms):
+        self.resync.not_before_ms = now_ms
+        self.resync.attempts = 0
         return old(self, now_ms)
 
-    return asks
+    return wants_snapshot
 
 
-def _queue_for_all(old):
+def _pushed_to_all(old):
     """A change is sent to sessions that have not answered the last one."""
 
     def push(self, now_ms):
-        for audience in self._dirty.values():
+        for audience in self._changed.values():
             audience.ready.update(audience.sessions)
         old(self, now_ms)
 
@@ -241,42 +247,42 @@
 
 
 def _versions_by_text(old):
-    def advance(self, now_ms, since, delta):
+    def apply_delta(self, now_ms, delta):
         if str(delta.to) < str(self.version):
             return
-        old(self, now_ms, since, delta)
+        old(self, now_ms, delta)
 
-    return advance
+    return apply_delta
 
 
-rule("no generation check", (Subscriber, "_current", _any_generation))
-rule("digest ignored, gap not seen", (Subscriber, "_advance", _any_since))
-rule("digest ignored", (Subscriber, "_advance", _digest_ignored), (View, "_build", _no_deletions))
-rule("versions compared as text", (Subscriber, "_advance", _versions_by_text))
+rule("no generation check", (Subscriber, "_is_current", _any_generation))
+rule("digest ignored, gap not seen", (Subscriber, "_apply_delta", _any_since))
+rule("digest ignored", (Subscriber, "_apply_delta", _digest_ignored), (PrefixView, "_build", _no_deletions))
+rule("versions compared as text", (Subscriber, "_apply_delta", _versions_by_text))
 rule(
     "a snapshot over a newer delta",
-    (Subscriber, "_welcome", _by_generation_first),
-    (Subscriber, "_swap", _swap_at_once),
+    (Subscriber, "_is_wanted", _any_offer),
+    (Subscriber, "_install_snapshot", _install_at_once),
 )
 rule(
     "a snapshot in force before all its pages are there",
-    (Fetch, "complete", _nearly_complete),
-    (Fetch, "whole", _half_a_snapshot),
+    (SnapshotFetch, "is_complete", _nearly_complete),
+    (SnapshotFetch, "result", _half_a_snapshot),
 )
 rule("acknowledged before recorded", (Publisher, "_propose", _before_recorded))
 rule("published before recorded", (Publisher, "_propose", _published_before_recorded))
-rule("deletions left out of deltas", (View, "_build", _no_deletions))
-rule("the first of each key in a merged delta", (View, "_build", _first_of_each_key))
+rule("deletions left out of deltas", (PrefixView, "_build", _no_deletions))
+rule("the first of each key in a merged delta", (PrefixView, "_build", _first_of_each_key))
 rule("the lease not asked before a message is served", (Publisher, "heard", _lease_not_asked))
-rule("age counted from arrival", (Subscriber, "_confirm", _from_arrival))
+rule("age counted from arrival", (Subscriber, "_record_freshness", _from_arrival))
 rule("age not added up over hops", (Source, "confirm", _age_not_added))
 rule("records after the base forgotten by the next publisher", (Publisher, "_load", _only_the_base))
-rule("requests not known again", (log.Requests, "version_of", says(None)))
-rule("in force although the front refused it", (Subscriber, "_enforce", _refusal_ignored))
-rule("a change put in force in part", (Subscriber, "_put_in_force", _in_part))
-rule("a proposal checked without those under way", (Publisher, "_fault", _without_pending))
-rule("snapshots not paced", (pacing.Pacer, "pages", _snapshot_not_paced))
-rule("no back-off after a wrong digest", (Subscriber, "_asks_whole", _no_back_off))
-rule("pushed without an answer to the last push", (Source, "_push", _queue_for_all))
-rule("marks not checked", (subscriber_module, "is_marked", says(True)))
-rule("a relay's version believed", (Source, "_credible", says(True)))
+rule("requests not known again", (RequestIndex, "version_of", always(None)))
+rule("in force although the front refused it", (AppliedState, "apply_pending", _refusal_ignored))
+rule("a change put in force in part", (AppliedState, "_set_values", _in_part))
+rule("a proposal checked without those under way", (Publisher, "_find_error", _without_pending))
+rule("snapshots not paced", (SnapshotPacer, "take_pages", _snapshot_not_paced))
+rule("no back-off after a wrong digest", (Subscriber, "_wants_snapshot", _no_back_off))
+rule("pushed without an answer to the last push", (DeltaSender, "push", _pushed_to_all))
+rule("marks not checked", (subscriber_module, "is_marked", always(True)))
+rule("a relay's version believed", (Source, "_is_credible", always(True)))
--- a/tests/distribution_probes.py
+++ b/tests/distribution_probes.py
@@ -25,12 +25,12 @@
     hands.change({"config/a": b"1"})
     hands.change({"config/a": b"2"})
     hands.run(2000)
-    assert front.in_force == 2
+    assert front.applied_version == 2
     old = pb.SnapshotOffer(
-        session=front.link.session, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
+        session=front.session.session_id, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
     )
     front.heard(hands.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
-    assert front.fetch is None and front.in_force == 2 and not said(front, "fetch")
+    assert front.snapshot_fetch is None and front.applied_version == 2 and not said(front, "fetch")
 
 
 def probe_changes_while_a_snapshot_is_fetched():
@@ -39,17 +39,24 @@
     front = hands.subscriber()
     hands.run(2000)
     offer = pb.SnapshotOffer(
-        session=front.link.session, generation=GENERATION, version=front.version, digest=1, pages=1, bytes=40
+        session=front.session.session_id,
+        generation=GENERATION,
+        version=front.version,
+        digest=1,
+        pages=1,
+        bytes=40,
     )
     front.heard(hands.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
-    assert front.fetch is not None
+    assert front.snapshot_fetch is not None
     held = front.version
     last = entry("engine/z0/e0", b"new", held + 1)
-    digest = front.held.digest_after([last])
-    front.heard(hands.now_ms, ("s", 1), delta(front.link.session, held, held + 1, [last], digest))
-    page = pb.Page(session=front.link.session, generation=GENERATION, version=held, number=0)
+    digest = front.store.digest_after([last])
+    front.heard(hands.now_ms, ("s", 1), delta(front.session.session_id, held, held + 1, [last], digest))
+    page = pb.Page(session=front.session.session_id, generation=GENERATION, version=held, number=0)
     front.heard(hands.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
-    assert front.version == front.in_force == held + 1 and front.values["engine/z0/e0"] == b"new"
+    assert (
+        front.version == front.applied_version == held + 1 and front.applied_values["engine/z0/e0"] == b"new"
+    )
 
 
 def probe_pacing():
@@ -71,13 +78,13 @@
     hands.run(500, count_pages)
     hands.change({"config/urgent": b"1"})
     hands.carry(count_pages)
-    assert ready.values.get("config/urgent") == b"1"
+    assert ready.applied_values.get("config/urgent") == b"1"
     while any(s.version == 0 for s in hands.subscribers.values()) and hands.now_ms < begun + 60_000:
         hands.run(100, count_pages)
         rate = size / (hands.now_ms - begun + 50) * 1000
         assert rate <= settings.snapshot_bytes_per_s * 1.05, f"{rate:.0f} bytes a second"
     assert all(s.version for s in hands.subscribers.values())
-    assert hands.source.counts["paced"] > 10 and len(hands.source.pacer.slots) <= 4
+    assert hands.source.counts["paced"] > 10 and len(hands.source.snapshots.pacer.slots) <= 4
 
 
 def probe_digest_that_never_matches():
@@ -97,10 +104,10 @@
 
     hands.change({"config/a": b"2"})
     hands.run(600_000, spoil, step_ms=50)
-    assert front.in_force == 1 and front.values == {"config/a": b"1"}
+    assert front.applied_version == 1 and front.applied_values == {"config/a": b"1"}
     assert len(hands.lines) == 1 and hands.source.counts["offers"] <= 15
     hands.run(70_000)
-    assert front.in_force == 2
+    assert front.applied_version == 2
 
 
 def probe_slow_subscriber():
@@ -113,7 +120,7 @@
     def drop(message):
         nonlocal to_slow
         session = message.delta.session if message.HasField("delta") else 0
-        if session == slow.link.session:
+        if session == slow.session.session_id:
             to_slow += 1
             return None
         return message
@@ -124,7 +131,11 @@
         assert front.version >= version - 5
     assert to_slow <= 20, f"{to_slow} deltas within 4 s to one that heard none"
     hands.run(5000)
-    assert slow.values == front.values and len(slow.values) == 200 and not slow.counts["snapshots"]
+    assert (
+        slow.applied_values == front.applied_values
+        and len(slow.applied_values) == 200
+        and not slow.counts["snapshots"]
+    )
 
 
 def probe_lying_relay():
@@ -136,7 +147,7 @@
     below = pb.Coverage(subscribers=100, oldest=2)
     held = hands.source.history.store.digest
     for version, digest, expected in ((1 << 40, 0, 0), (2, 12345, 0), (2, held, 2), (2, 12345, 2)):
-        hands.source.sessions.get("r") and hands.source._drop(hands.source.sessions["r"])
+        hands.source.sessions.get("r") and hands.source._remove_session(hands.source.sessions["r"])
         if expected == 2:
             right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **session)
             hands.source.heard(hands.now_ms, ("r", 1), pb.Message(follow=right))
@@ -156,7 +167,7 @@
     leader = world.holder()
     publisher, now_ms = world.part(leader).publisher, world.now(leader) + 2 * LEASE_MS
     known = publisher.source.sessions.get("r0a") or next(iter(publisher.source.sessions.values()))
-    follow = pb.Follow(session=known.id, number=known.number + 1)
+    follow = pb.Follow(session=known.session_id, number=known.follow_number + 1)
     publisher.heard(now_ms, (known.name, known.incarnation), pb.Message(follow=follow))
     publisher.tick(now_ms)
     assert [m.WhichOneof("kind") for _, m in publisher.outbox] == ["not_leader"]
@@ -174,7 +185,7 @@
         return message
 
     hands.run(5000, other)
-    assert front.version == 1 and front.values == {"config/a": b"1"}
+    assert front.version == 1 and front.applied_values == {"config/a": b"1"}
 
 
 PROBES = {
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -8,7 +8,7 @@
 from distribution_audit import Audit, demand
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.publisher import PUBLISHED, group_settings, make
+from lichenquay.distribution.publisher import PUBLISHING_KINDS, group_settings, make
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
@@ -45,7 +45,7 @@
             dict(disk),
             fresh=fresh,
         )
-        told = self.publisher.told
+        told = self.publisher.on_lease_event
         self.group.claimant.told = lambda now_ms, what: self._told(told, now_ms, what)
         self.group.want(host.now_ms(), True)
         self.outbox, self.done = [], []
@@ -242,7 +242,7 @@
                 size = message.ByteSize()
                 self.longest = max(self.longest, size)
                 demand(size <= MOST_BODY, f"{host.name}: a message of {size} bytes: {message}")
-                published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHED
+                published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHING_KINDS
                 holds = not published or part.group.holds(host.now_ms())
                 demand(holds, f"{host.name} publishes without the lease: {message}")
 
@@ -288,7 +288,7 @@
         return [
             n
             for n in names
-            if not self.audit.level(self.subscriber(n), newest) or self.subscriber(n).stale(self.now(n))
+            if not self.audit.level(self.subscriber(n), newest) or self.subscriber(n).is_stale(self.now(n))
         ]
 
     def propose(self, changes, request=None, via=None, done=None):
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -41,7 +41,7 @@
     version = world.accept({"config/limits": b"1", "engine/z1/e7": b"up"})
     world.run(1000, lambda: not world.behind())
     assert not world.behind() and world.net.now_ms - begun < 1000
-    held = [world.subscriber(n).in_force for n in world.fronts]
+    held = [world.subscriber(n).applied_version for n in world.fronts]
     assert held == [version] * len(world.fronts)
 
 
@@ -84,7 +84,7 @@
     world.accept({"config/limits": b"next", "config/more": b"1"})
     world.settle(7000)
     assert world.net.now_ms - begun < 7000
-    assert all(world.subscriber(n).in_force > version for n in world.fronts)
+    assert all(world.subscriber(n).applied_version > version for n in world.fronts)
 
 
 @pytest.mark.parametrize("pause_ms", (1.2 * LEASE_MS, 4 * LEASE_MS))
@@ -175,8 +175,8 @@
     front.fault = "limits over what this machine has"
     bad = world.accept({"config/limits": b"9", "config/more": b"1"})
     world.run(3000)
-    assert (front.subscriber.in_force, front.subscriber.version) == (good, bad)
-    assert front.subscriber.values == {"config/limits": b"1"} and len(front.lines) == 1
+    assert (front.subscriber.applied_version, front.subscriber.version) == (good, bad)
+    assert front.subscriber.applied_values == {"config/limits": b"1"} and len(front.lines) == 1
     assert status_of(world).refused == 1 and status_of(world).in_force == good
     assert world.behind() == ["f0-0"]
     front.fault = None
@@ -195,12 +195,12 @@
     version = world.accept({"config/limits": b"2"})
     front = world.subscriber("f1-0")
     world.run(world.settings.stale_ms)
-    assert front.stale(world.now("f1-0")) and front.values == {"config/limits": b"1"}
+    assert front.is_stale(world.now("f1-0")) and front.applied_values == {"config/limits": b"1"}
     world.run(world.settings.expire_ms + 3000)
     assert status_of(world).stale == 1
     world.net.split(["f1-0"], others, cut=False)
     world.settle(5000)
-    assert front.in_force == version and not front.counts["snapshots"]
+    assert front.applied_version == version and not front.counts["snapshots"]
     # It may have come back to another relay: the former one is told, and counts it no longer.
     world.run(3 * world.settings.report_ms)
     assert status_of(world).stale == 0 and status_of(world).subscribers == len(world.fronts)
@@ -247,7 +247,7 @@
         world.accept({f"engine/z{number % 3}/e{number}": b"up"})
     world.front("late", ["r0a", "r0b"], ["engine/z0/", "config/"])
     world.settle()
-    assert sorted(world.subscriber("late").values) == ["engine/z0/e0", "engine/z0/e3", "engine/z0/e6"]
+    assert sorted(world.subscriber("late").applied_values) == ["engine/z0/e0", "engine/z0/e3", "engine/z0/e6"]
 
 
 @pytest.mark.parametrize("with_leader", (False, True))
@@ -264,17 +264,19 @@
     side = world.region(leader if with_leader else (leader + 1) % 3)
     others = [n for n in world.net.hosts if n not in side]
     voter, front = side[0], next(n for n in side if n in world.fronts)
-    before = world.subscriber(front).in_force
+    before = world.subscriber(front).applied_version
     world.net.split(side, others)
     for minute in range(minutes):
         world.run(10_000 * beat, lambda: world.holder() in others)
         world.accept({"config/limits": b"%d" % minute, f"config/k{minute % 7}": b"1"})
         world.run(60_000 - 100)
         assert not world.part(voter).group.holds(world.now(voter))
-    assert world.subscriber(front).in_force == before and world.subscriber(front).stale(world.now(front))
+    assert world.subscriber(front).applied_version == before and world.subscriber(front).is_stale(
+        world.now(front)
+    )
     answers = world.propose({"config/limits": b"x"}, via=voter)
     assert [a.outcome for a in answers] == [pb.Proposed.UNKNOWN]
     world.net.split(side, others, cut=False)
     world.settle(5000 * beat)
-    assert world.subscriber(front).in_force == world.audit.newest
+    assert world.subscriber(front).applied_version == world.audit.newest
     assert not any(world.subscriber(n).counts["snapshots"] for n in side[1:])
--- a/tests/test_distribution_parts.py
+++ b/tests/test_distribution_parts.py
@@ -35,7 +35,9 @@
         hands.change({"config/a": b"%d" % number, f"config/b{number % 2}": b"1"})
     hands.carry()
     hands.run(500)
-    assert (front.in_force, front.values["config/a"]) == (10, b"9") and front.counts["deltas"] == 2
+    assert (front.applied_version, front.applied_values["config/a"]) == (10, b"9") and front.counts[
+        "deltas"
+    ] == 2
 
 
 def test_a_cut_subscriber_resumes_by_version():
@@ -47,7 +49,7 @@
         hands.change({f"config/k{number % 20}": b"%d" % number})
         hands.run(100, lambda message: None, step_ms=100)
     hands.run(4000)
-    assert front.in_force == 200 and not front.counts["snapshots"] and front.counts["deltas"] > 1
+    assert front.applied_version == 200 and not front.counts["snapshots"] and front.counts["deltas"] > 1
 
 
 def test_one_behind_the_history_costs_one_snapshot():
@@ -57,7 +59,7 @@
     hands.run(2000)
     hands.change({"config/a": b"1"})
     hands.run(500)
-    assert front.in_force == 41 and front.counts["snapshots"] == 1 and front.counts["deltas"] == 1
+    assert front.applied_version == 41 and front.counts["snapshots"] == 1 and front.counts["deltas"] == 1
 
 
 def test_one_that_holds_nothing_gets_a_snapshot_though_the_history_is_whole():
@@ -65,12 +67,12 @@
     hands = filled(Settings())
     front = hands.subscriber()
     hands.run(2000)
-    assert front.in_force == 40 and front.counts["snapshots"] == 0
+    assert front.applied_version == 40 and front.counts["snapshots"] == 0
     for number in range(100):
         hands.change({f"engine/z1/e{number}": bytes(60)})
     other = hands.subscriber("other")
     hands.run(2000)
-    assert other.values == front.values
+    assert other.applied_values == front.applied_values
     assert other.counts["snapshots"] == 1 and front.counts["snapshots"] == 0
 
 
@@ -81,10 +83,14 @@
     hands.change({"config/a": b"1"})
     hands.run(2000)
     wrong = entry("config/a", b"9", 2)
-    front.heard(hands.now_ms, ("s", 1), delta(front.link.session, 1, 2, [wrong], 99))
-    assert front.values == {"config/a": b"1"} and front.counts["digest_wrong"] == 1
+    front.heard(hands.now_ms, ("s", 1), delta(front.session.session_id, 1, 2, [wrong], 99))
+    assert front.applied_values == {"config/a": b"1"} and front.counts["digest_wrong"] == 1
     hands.run(3000)
-    assert front.counts["snapshots"] == 1 and front.values == {"config/a": b"1"} and len(hands.lines) == 1
+    assert (
+        front.counts["snapshots"] == 1
+        and front.applied_values == {"config/a": b"1"}
+        and len(hands.lines) == 1
+    )
 
 
 def test_a_snapshot_cut_off_half_way_harms_nobody():
@@ -94,15 +100,15 @@
     seen = []
 
     def cut(message):
-        mine = message.HasField("page") and message.page.session == front.link.session
+        mine = message.HasField("page") and message.page.session == front.session.session_id
         seen.append(mine)
         return None if mine and sum(seen) > 2 else message
 
     hands.run(3000, cut)
-    assert front.version == 0 and front.values == {} and not hands.applied[1:]
-    assert len(other.values) == 40
+    assert front.version == 0 and front.applied_values == {} and not hands.applied[1:]
+    assert len(other.applied_values) == 40
     hands.run(6000)
-    assert front.values == other.values
+    assert front.applied_values == other.applied_values
 
 
 def test_a_fetch_that_takes_longer_than_a_session_lives_is_finished():
@@ -124,7 +130,7 @@
     front = hands.subscriber(sources=("gone", "s"))
     hands.change({"config/a": b"1"})
     hands.run(hands.settings.silent_ms + 1000)
-    assert front.source == "s" and front.in_force == 1 and front.counts["failovers"] == 1
+    assert front.source == "s" and front.applied_version == 1 and front.counts["failovers"] == 1
 
 
 def test_a_source_that_fails_again_and_again_is_tried_ever_later():
@@ -152,12 +158,12 @@
     front = hands.subscriber()
     hands.change({"config/a": b"1"})
     hands.run(2000)
-    for session, incarnation in ((front.link.session + 1, 1), (front.link.session, 2)):
+    for session, incarnation in ((front.session.session_id + 1, 1), (front.session.session_id, 2)):
         hands.source.heard(
             hands.now_ms, (front.name, incarnation), pb.Message(leave=pb.Leave(session=session))
         )
     assert hands.source.coverage(hands.now_ms).subscribers == 1
-    leave = pb.Message(leave=pb.Leave(session=front.link.session))
+    leave = pb.Message(leave=pb.Leave(session=front.session.session_id))
     hands.source.heard(hands.now_ms, (front.name, 1), leave)
     assert hands.source.coverage(hands.now_ms) == pb.Coverage(oldest=hands.source.version)
 
@@ -171,7 +177,7 @@
         hands.subscriber(prefixes=["config/" + f"{n}" * 57 for n in range(16)])
     follow = pb.Follow(session=1, prefixes=[f"config/{n}" for n in range(17)])
     hands.source.heard(hands.now_ms, ("f", 1), pb.Message(follow=follow))
-    assert hands.source.counts["senseless"] == 1 and not hands.source.sessions
+    assert hands.source.counts["malformed"] == 1 and not hands.source.sessions
 
 
 def test_sessions_and_views_are_bounded():
@@ -208,8 +214,8 @@
     front = hands.subscriber()
     hands.run(2000)
     last = entry("config/a", b"1", 1)
-    digest = front.held.digest_after([last])
-    old = delta(front.link.session, 0, 1, [last], digest, generation=GENERATION - 1)
+    digest = front.store.digest_after([last])
+    old = delta(front.session.session_id, 0, 1, [last], digest, generation=GENERATION - 1)
     front.heard(hands.now_ms, ("s", 1), old)
     assert front.version == 0 and front.counts["old_generation"] == 1
     assert not hands.source.advance(hands.now_ms, GENERATION - 1, 1, [last], hands.now_ms)
@@ -235,7 +241,7 @@
     front = hands.subscriber(prefixes=["config/"])
     hands.change({"config/a": b"1"})
     hands.run(2000)
-    message = delta(front.link.session, 1, 2, [entry("config/a", b"2", 2)], 1)
+    message = delta(front.session.session_id, 1, 2, [entry("config/a", b"2", 2)], 1)
     for name, value in fields.items():
         if name == "entries":
             del message.delta.entries[:]
@@ -245,7 +251,9 @@
     if "mark" not in fields:
         marked(message.delta, ["config/"])
     front.heard(hands.now_ms, ("s", 1), message)
-    assert front.counts["senseless"] == 1 and front.values == {"config/a": b"1"} and front.version == 1
+    assert (
+        front.counts["malformed"] == 1 and front.applied_values == {"config/a": b"1"} and front.version == 1
+    )
 
 
 def test_what_a_front_refused_is_tried_again_ever_later():
@@ -257,12 +265,12 @@
     for number in range(60):
         hands.change({"engine/z0/e": b"%d" % number})
         hands.run(1000)
-    assert front.version > 50 and front.in_force == 0 and front.values == {}
+    assert front.version > 50 and front.applied_version == 0 and front.applied_values == {}
     assert 5 < front.counts["refused"] < 15 and len(hands.lines) == 1
     assert hands.source.coverage(hands.now_ms).refused == 1
     hands.fault = None
     hands.run(9000)
-    assert front.in_force == front.version and front.values == {"config/a": b"1"}
+    assert front.applied_version == front.version and front.applied_values == {"config/a": b"1"}
 
 
 def test_a_stopped_subscriber_says_nothing():
@@ -273,7 +281,7 @@
     hands.run(2000)
     front.stop()
     hands.run(3000)
-    assert front.due_ms == float("inf") and not front.outbox and front.values == {"config/a": b"1"}
+    assert front.due_ms == float("inf") and not front.outbox and front.applied_values == {"config/a": b"1"}
 
 
 def test_a_subscriber_needs_a_source():
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -11,14 +11,20 @@
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution import history as history_module
 from lichenquay.distribution import key_store as store_module
-from lichenquay.distribution.coverage import Census, Share
+from lichenquay.distribution.coverage_tracker import CoverageTracker, SessionCoverage
 from lichenquay.distribution.history import History
-from lichenquay.distribution.key_store import Store
+from lichenquay.distribution.key_store import KeyStore
 from lichenquay.distribution.messages import digest_of
-from lichenquay.distribution.pacing import Snapshot
-from lichenquay.distribution.record_log import MOST_REQUESTS, Requests, change_of, fold, record_of
+from lichenquay.distribution.record_log import (
+    MAX_REMEMBERED_REQUESTS,
+    RequestIndex,
+    fold,
+    make_record,
+    read_record,
+)
 from lichenquay.distribution.settings import Settings
-from lichenquay.distribution.validation import fault_of
+from lichenquay.distribution.snapshot import Snapshot
+from lichenquay.distribution.validation import find_change_error
 from lichenquay.fleet.message_envelope import MOST_BODY
 
 pytestmark = pytest.mark.together
@@ -41,8 +47,8 @@
 @given(CHANGES, PREFIXES, st.integers(2, 12), st.integers(30, 400))
 def test_a_delta_of_any_two_versions_leads_to_the_state_and_digest(changes, prefixes, most, most_bytes):
     """Whatever was merged on the way to this source, trimmed, or made before its view was."""
-    history = History(Store(), Settings(most_changes=most))
-    states = {0: Store()}
+    history = History(KeyStore(), Settings(most_changes=most))
+    states = {0: KeyStore()}
     early = history.view(prefixes)
     for skip, change in changes:
         version = history.store.version + skip
@@ -61,8 +67,8 @@
 
 
 def _walk(view, state, prefixes, newest, most_bytes, last):
-    mine = Store()
-    mine.apply(state.version, [e for e in state.snapshot(prefixes)])
+    mine = KeyStore()
+    mine.apply(state.version, [e for e in state.entries_with(prefixes)])
     for _ in range(100):
         part = view.delta(mine.version, newest, most_bytes)
         assert mine.digest_after(part.entries) == part.digest
@@ -75,7 +81,7 @@
 
 def test_a_version_inside_a_merged_change_goes_on_too():
     """Held from another source; only what is newer is sent, and the digest in between is not known."""
-    history = History(Store(), Settings())
+    history = History(KeyStore(), Settings())
     history.add(1, [entry("config/a", b"1", 1)])
     history.add(5, [entry("config/a", b"3", 3), entry("config/b", b"5", 5)])
     view = history.view(("",))
@@ -86,12 +92,12 @@
 
 def test_the_history_is_bounded_by_number_and_bytes():
     """Views too."""
-    history = History(Store(), Settings(most_changes=50, most_history_bytes=2000))
+    history = History(KeyStore(), Settings(most_changes=50, most_history_bytes=2000))
     view = history.view(("config/",))
     for version in range(1, 500):
         history.add(version, [entry(f"config/{version % 5}", bytes(version % 90), version)])
         assert len(history._changes) <= 50 and history._bytes <= 2000
-        assert len(view._items) <= len(history._changes) and view.bytes == history._bytes
+        assert len(view._changes) <= len(history._changes) and view.bytes == history._bytes
 
 
 def test_a_change_costs_neither_a_pass_over_keys_nor_over_sessions():
@@ -123,52 +129,52 @@
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 9), st.booleans()), max_size=40))
 def test_coverage_by_increments_is_the_one_by_counting(steps):
     """Sessions come, change and go."""
-    census, shares = Census(Settings()), {}
+    census, shares = CoverageTracker(Settings()), {}
     for name, version, gone in steps:
         if name in shares:
             census.remove(shares.pop(name))
         if not gone:
-            shares[name] = Share(1, version, version % 2)
+            shares[name] = SessionCoverage(1, version, version % 2)
             census.add(shares[name])
         said_ = census.coverage(7)
         assert said_.subscribers == len(shares)
         assert said_.refused == sum(s.refused for s in shares.values())
-        assert said_.oldest == min([7, *(s.oldest for s in shares.values())])
+        assert said_.oldest == min([7, *(s.oldest_version for s in shares.values())])
 
 
 def test_coverage_is_bounded_while_one_stays_behind():
     """A front that refuses for days, versions passing by."""
-    census = Census(Settings())
-    census.add(Share(1, 1, 1))
+    census = CoverageTracker(Settings())
+    census.add(SessionCoverage(1, 1, 1))
     for version in range(2, 5000):
-        census.add(Share(1, version, 0))
+        census.add(SessionCoverage(1, version, 0))
         if version > 2:
-            census.remove(Share(1, version - 1, 0))
-        assert len(census._heap) < 100 and census.oldest(version) == 1
+            census.remove(SessionCoverage(1, version - 1, 0))
+        assert len(census._versions) < 100 and census.oldest_version(version) == 1
 
 
 @budget(max_examples=40, deadline=None)
 @given(CHANGES, st.integers(0, 40))
 def test_the_fold_is_the_same_in_one_go_and_in_two(changes, cut):
     """Whatever part of the log each voter has folded."""
-    made = [record_of([entry(k, v, 0) for k, v in c.items()], n + 1) for n, (_, c) in enumerate(changes)]
+    made = [make_record([entry(k, v, 0) for k, v in c.items()], n + 1) for n, (_, c) in enumerate(changes)]
     assert fold(fold(b"", made[:cut]), made[cut:]) == fold(b"", made)
 
 
 def test_a_record_that_cannot_be_read_counts_as_a_change_without_entries():
     """For the same in all voters."""
-    state = pb.State.FromString(fold(b"", [b"\xff\xff", record_of([entry("config/a", b"1", 0)], 9)]))
+    state = pb.State.FromString(fold(b"", [b"\xff\xff", make_record([entry("config/a", b"1", 0)], 9)]))
     assert (state.version, list(state.requests)) == (2, [0, 9])
-    assert state.entries[0].version == 2 and not change_of(b"\xff", 1).entries
+    assert state.entries[0].version == 2 and not read_record(b"\xff", 1).entries
 
 
 def test_requests_are_bounded_and_keep_their_versions():
     """Over folds too."""
-    requests = Requests(10, [8, 9, 10])
+    requests = RequestIndex(10, [8, 9, 10])
     assert [requests.version_of(r) for r in (7, 8, 10)] == [None, 8, 10]
-    for number in range(MOST_REQUESTS + 5):
+    for number in range(MAX_REMEMBERED_REQUESTS + 5):
         requests.add(1000 + number, 11 + number)
-    assert len(requests._versions) == MOST_REQUESTS and requests.version_of(8) is None
+    assert len(requests._versions) == MAX_REMEMBERED_REQUESTS and requests.version_of(8) is None
 
 
 LONG = "config/" + "k" * 57
@@ -194,23 +200,23 @@
 )
 def test_a_change_that_makes_no_sense_is_refused_with_one_clear_line(entries, line):
     """Whatever its bytes are."""
-    store = Store()
+    store = KeyStore()
     store.apply(1, [entry("config/old", b"1", 1)])
-    fault = fault_of(entries, store, Settings(most_keys=1))
+    fault = find_change_error(entries, store, Settings(most_keys=1))
     assert line in fault and "\n" not in fault and len(fault) < 160
 
 
 def test_the_longest_change_fits_and_the_check_of_a_kind_is_asked():
     """A value may be replaced in a full store too."""
-    store = Store()
+    store = KeyStore()
     store.apply(1, [entry(LONG, b"1", 1)])
     longest = [entry(LONG, bytes(640), 0)]
-    assert fault_of(longest, store, Settings(most_keys=1)) is None
+    assert find_change_error(longest, store, Settings(most_keys=1)) is None
     kinds = {"config/": lambda key, value: None if value == b"1" else f"{key}: not 1"}
-    assert fault_of(longest, store, Settings(), kinds) == f"{LONG}: not 1"
+    assert find_change_error(longest, store, Settings(), kinds) == f"{LONG}: not 1"
     full = Settings(most_state_bytes=100)
-    assert "no room" in fault_of(longest, store, full)
-    assert fault_of([entry(LONG, None, 0)], store, full) is None
+    assert "no room" in find_change_error(longest, store, full)
+    assert find_change_error([entry(LONG, None, 0)], store, full) is None
 
 
 def test_the_longest_messages_fit_into_the_envelope():
@@ -220,7 +226,7 @@
     small = {f"config/{n}": b"" for n in range(22)}
     for step, change in enumerate(({LONG: bytes(640)}, small, {LONG: None})):
         entries = [entry(k, v, version + step) for k, v in change.items()]
-        assert fault_of(entries, hands.source.history.store, Settings()) is None
+        assert find_change_error(entries, hands.source.history.store, Settings()) is None
         hands.source.advance(hands.now_ms, 1 << 62, version + step, entries, 0.0)
     follow = pb.Follow(session=1 << 63, number=1, prefixes=[""], whole=True)
     for since, whole in ((version - 1, False), (version, False), (0, True)):
@@ -236,9 +242,13 @@
     """A relay's Follow, with all that it tells, at the most prefixes that are taken."""
     hands = Hands()
     front = hands.subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
-    front.coverage = lambda: pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
-    front.generation, front.in_force, front.link.number = 1 << 62, 1 << 47, 1 << 62
-    front.held.version, front._want_whole = 1 << 47, True
+    largest = pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
+    front.make_coverage = lambda: largest
+    front.generation = 1 << 62
+    front.applied.version = 1 << 47
+    front.session.follow_number = 1 << 62
+    front.store.version = 1 << 47
+    front.resync.is_needed = True
     front.tick(hands.now_ms + 1000)
     (follow,) = said(front, "follow")
     assert 950 < pb.Message(follow=follow).ByteSize() <= MOST_BODY
@@ -248,12 +258,12 @@
 
 def test_a_snapshot_of_many_keys_is_pages_that_fit():
     """Twenty-five thousand engines, as many bytes as there are keys and values and little more."""
-    store = Store()
+    store = KeyStore()
     store.apply(7, [entry(f"engine/z{n % 12}/node-{n}", b"10.0.0.1:80 4 32", 7) for n in range(25_000)])
     view = History(store, Settings()).view(("",))
     snapshot = Snapshot(view, store, Settings())
     assert max(map(len, snapshot.pages)) <= 960 and snapshot.bytes < 1.2 * store.bytes
-    back = Store()
+    back = KeyStore()
     for number in range(len(snapshot.pages)):
         back.apply(7, snapshot.page(number).entries)
     assert back.digest == store.digest == snapshot.digest
--- a/tests/test_engine_importer.py
+++ b/tests/test_engine_importer.py
@@ -13,9 +13,9 @@
 from lichenquay.config.endpoint_list import COMPLETE_KEY, BadEngineError, key_of, row_of, value_of
 from lichenquay.control_plane.endpoint_importer import MOST_UNDER_WAY, RETRY_MS, EngineImporter
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.key_store import Store
+from lichenquay.distribution.key_store import KeyStore
 from lichenquay.distribution.settings import Settings
-from lichenquay.distribution.validation import fault_of
+from lichenquay.distribution.validation import find_change_error
 from lichenquay.endpoint_record import EndpointRecord
 
 
@@ -29,18 +29,22 @@
 
     def __init__(self):
         """Holds the lease, of generation 1."""
-        self.settings, self.ahead, self.waiting, self.proposed = Settings(), Store(), [], 0
+        self.settings, self.speculative_state, self.waiting, self.proposed = Settings(), KeyStore(), [], 0
         self.group = SimpleNamespace(generation=1, holds=lambda now_ms: self.held)
         self.held, self.full = True, False
 
     def propose(self, now_ms, entries, request, done):
         """As the publisher."""
-        fault = "no room" if self.full else fault_of(entries, self.ahead, self.settings, KINDS)
+        fault = (
+            "no room"
+            if self.full
+            else find_change_error(entries, self.speculative_state, self.settings, KINDS)
+        )
         if fault is not None:
             done(now_ms, pb.Proposed(request=request, outcome=pb.Proposed.REFUSED, reason=fault))
             return
         self.proposed += 1
-        self.ahead.apply(self.ahead.version + 1, entries)
+        self.speculative_state.apply(self.speculative_state.version + 1, entries)
         self.waiting.append((request, done))
 
     def answer(self, now_ms, outcome=pb.Proposed.ACCEPTED):
@@ -51,7 +55,7 @@
 
     def published(self):
         """{uid: state} by the entries."""
-        entries = self.ahead.entries.items()
+        entries = self.speculative_state.entries.items()
         rows = (row_of(key, value) for key, (value, _) in entries if key != COMPLETE_KEY)
         return {r.uid: r.state for r in rows}
 
@@ -102,9 +106,12 @@
     w = World()
     w.importer.announced(0.0, True, [row(f"e{n:05d}") for n in range(3000)])
     w.importer.tick(0.0)
-    assert len(w.publisher.waiting) == MOST_UNDER_WAY and COMPLETE_KEY not in w.publisher.ahead.entries
+    assert (
+        len(w.publisher.waiting) == MOST_UNDER_WAY
+        and COMPLETE_KEY not in w.publisher.speculative_state.entries
+    )
     w.settle(20_000)
-    assert COMPLETE_KEY in w.publisher.ahead.entries
+    assert COMPLETE_KEY in w.publisher.speculative_state.entries
     assert len(w.publisher.published()) == 3000 and w.publisher.proposed < 1000
 
 
@@ -119,7 +126,7 @@
     w.settle()
     assert w.publisher.published() == {"e1": domain.EndpointState.SERVING, "e2": domain.EndpointState.SERVING}
     other = World()
-    other.publisher.ahead = w.publisher.ahead
+    other.publisher.speculative_state = w.publisher.speculative_state
     other.announce(row("e9"))  # a part, before the whole
     assert other.publisher.proposed == 0
     other.announce(row("e2"), whole=True)
@@ -133,7 +140,7 @@
     w.importer.tick(0.0)
     w.publisher.held, w.publisher.group.generation = False, 0
     w.publisher.answer(0.0, pb.Proposed.UNKNOWN)
-    w.publisher.ahead = Store()  # it was not made
+    w.publisher.speculative_state = KeyStore()  # it was not made
     w.settle()
     w.publisher.held, w.publisher.group.generation = True, 5
     w.settle()
@@ -157,7 +164,7 @@
     w = World()
     w.announce(row("e1"), row("e2"), whole=True)
     w.announce(row("e1", zone="z2"))
-    assert sorted(w.publisher.ahead.entries) == [COMPLETE_KEY, "engine/z1/e2", "engine/z2/e1"]
+    assert sorted(w.publisher.speculative_state.entries) == [COMPLETE_KEY, "engine/z1/e2", "engine/z2/e1"]
 
 
 def test_a_row_that_cannot_be_published_leaves_the_others():
--- a/tests/test_fleet_following.py
+++ b/tests/test_fleet_following.py
@@ -103,7 +103,7 @@
     front.publish(other=b"2")
     front.publish(gate=None)
     assert front.gates == [pb.Gate(reserve=3, known=["10.0.0.1"]), None]
-    assert front.following.subscriber.in_force == 3
+    assert front.following.subscriber.applied_version == 3
 
 
 def test_what_makes_no_sense_leaves_the_last_good_gate_in_force_and_is_told():
@@ -114,14 +114,14 @@
         front.publish(gate=bad)
     subscriber = front.following.subscriber
     assert front.gates == [pb.Gate(prefix4=20)]
-    assert (subscriber.version, subscriber.in_force) == (5, 1) and subscriber.counts["refused"] >= 4
+    assert (subscriber.version, subscriber.applied_version) == (5, 1) and subscriber.counts["refused"] >= 4
     warned = [more["why"] for event, more in front.log.lines if event == "distribution"]
     assert len(warned) == 1 and "version 2 is not in force, 1 is: config/gate: gate.prefix4: 99" in warned[0]
     said = front.following.lines(front.now)
     assert any("version 5 in force 1" in line for line in said)
     assert said[-1] == "distribution fault: config/gate: gate.reserve: 1, but no range is known"
     front.publish(gate=b"prefix4: 21")
-    assert front.gates[-1] == pb.Gate(prefix4=21) and subscriber.in_force == 6
+    assert front.gates[-1] == pb.Gate(prefix4=21) and subscriber.applied_version == 6
     assert front.following.lines(front.now)[-1] == "distribution fault: none"
 
 
@@ -203,7 +203,7 @@
     """They are held as any key, and not read."""
     front = Front(SETTINGS.replace('zone: "z1"', 'zone: "z1" prefixes: "engine/"', 1))
     front.change({"engine/z1/e2": b"\xff"})
-    assert front.lists == [] and front.following.subscriber.in_force == 1
+    assert front.lists == [] and front.following.subscriber.applied_version == 1
 
 
 def test_relays_of_the_own_zone_come_first_then_of_the_region():
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -15,7 +15,7 @@
 from distribution_world import VOTERS, World, entry_of
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.record_log import change_of, fold, record_of
+from lichenquay.distribution.record_log import fold, make_record, read_record
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
@@ -126,7 +126,7 @@
     """What a message of a subscriber does to a source that has one change."""
     source = Source("source", Random(5), SETTINGS, 1_000.0)
     source.confirm(1_000.0, 1, 0, 0.0)
-    change = change_of(record_of(ENTRIES, 1), 1)
+    change = read_record(make_record(ENTRIES, 1), 1)
     source.advance(1_000.0, 1, 1, change.entries, 1_000.0)
     message = pb.Message.FromString(bytes.fromhex(example["bytes"]))
     source.heard(1_100.0, (example["sender"], 1), message)
@@ -203,10 +203,10 @@
     """What a subscriber holds in memory."""
     return {
         "version": subscriber.version,
-        "in_force": subscriber.in_force,
+        "in_force": subscriber.applied_version,
         "digest": subscriber.digest,
         "generation": subscriber.generation,
-        "values": sorted_values(subscriber.values),
+        "values": sorted_values(subscriber.applied_values),
     }
 
 
@@ -229,10 +229,10 @@
         for voter, disk in sorted(world.disks.items())
     }
     held = {name: held_by(world.subscriber(name)) for name in (*world.relays, *world.fronts)}
-    stored = {"voters": disks, "held": held, "record": record_of(ENTRIES, 9).hex()}
+    stored = {"voters": disks, "held": held, "record": make_record(ENTRIES, 9).hex()}
     base, _ = world.part(world.holder()).group.state
     stored["base"] = base.hex()
-    stored["fold"] = fold(b"", [record_of(ENTRIES, 9), record_of(ENTRIES[:1], 10), b"\xff"]).hex()
+    stored["fold"] = fold(b"", [make_record(ENTRIES, 9), make_record(ENTRIES[:1], 10), b"\xff"]).hex()
     return {"messages": messages, "stored": stored}
 
 
