--- a/lichenquay/distribution/settings.py
+++ b/lichenquay/distribution/settings.py
@@ -1,31 +1,44 @@
-"""The figures of distribution. Times are milliseconds, sizes bytes."""
+"""Settings of distribution; operators set some by these names. Times are milliseconds, sizes bytes."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Settings:
-    """Alike on all processes of an installation; ranges are checked where they are read."""
+    """Alike on all processes of an installation; ranges are checked where settings are read."""
 
-    report_ms: float = 1000.0  # A subscriber says what it holds so often, and so its source is heard.
-    # A delta, a page or a question that nobody answered goes again; doubles up to `report_ms`.
+    # Between two Follows of a subscriber, which are its heartbeats.
+    report_ms: float = 1000.0
+    # Until an unanswered delta, page request or Follow is repeated; doubles up to `report_ms`.
     retry_ms: float = 300.0
-    silent_ms: float = 2500.0  # A source not heard for so long is left for another one.
-    # A session not heard for so long is forgotten; its subscriber counts as stale.
+    # Silence after which a subscriber leaves its source.
+    silent_ms: float = 2500.0
+    # Silence after which a source ends a session; the subscriber counts as stale.
     expire_ms: float = 10_000.0
-    forget_ms: float = 60_000.0  # A stale subscriber not heard for so long is no longer counted here.
-    # A subscriber that was not confirmed for so long says that its version may be old.
+    # How long a stale subscriber is counted.
+    forget_ms: float = 60_000.0
+    # Age from which a subscriber reports that its version may be old.
     stale_ms: float = 5000.0
-    merge_ms: float = 50.0  # Changes made within this time go out as one delta.
-    delta_bytes: int = 900  # Of entries in one delta or page; at least the longest change.
-    most_changes: int = 4096  # Kept for deltas; who is further behind takes a snapshot.
-    most_history_bytes: int = 4 << 20  # Of the changes kept for deltas.
-    most_change_bytes: int = 740  # Of one change, as a record (a group's `round_bytes` is 800).
+    # Changes within this time after a push are sent as one delta.
+    merge_ms: float = 50.0
+    # Of the entries in one delta or page; at least the longest change.
+    delta_bytes: int = 900
+    # Kept for deltas; a subscriber that is further behind fetches a snapshot.
+    most_changes: int = 4096
+    most_history_bytes: int = 4 << 20
+    # Of one change as a record (the lease group's `round_bytes` is 800).
+    most_change_bytes: int = 740
     most_keys: int = 65_536
     most_state_bytes: int = 8 << 20
-    most_sessions: int = 4096  # At one source; one more is told to wait.
-    most_views: int = 64  # Different sets of prefixes at one source; one more is refused.
-    most_prefixes: int = 16  # Of one subscription.
-    snapshot_bytes_per_s: float = 2e6  # Of all snapshots that a source sends.
-    most_snapshots: int = 32  # Sessions that fetch pages at once; others wait, by chance.
-    window_pages: int = 8  # For one fetch.
+    # At one source; one more subscriber is told to wait.
+    most_sessions: int = 4096
+    # Different sets of prefixes at one source.
+    most_views: int = 64
+    # Of one subscription.
+    most_prefixes: int = 16
+    # Of all snapshots that a source sends.
+    snapshot_bytes_per_s: float = 2e6
+    # Subscribers that fetch at once; others wait for a random time.
+    most_snapshots: int = 32
+    # Pages in one request.
+    window_pages: int = 8
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -30,7 +30,7 @@
     """Holds a state (`store`) and has it applied by its host; see AppliedState for `apply`.
 
     `report(now_ms, line)` is called for errors. A relay sets two callbacks: `make_coverage()` returns what it
-    reports of its own subscribers; `on_store_changed(now_ms, entries)` is called after each change of `store`,
+    reports of its subscribers; `on_store_changed(now_ms, entries)` is called after each change of `store`,
     with None in place of the entries if the whole state was replaced.
     """
 
