--- a/tests/distribution/changes.py
+++ b/tests/distribution/changes.py
@@ -106,25 +106,25 @@
     return state
 
 
-def settled(hollows, changes, seconds=20.0):
+def settled(subscribers, changes, seconds=20.0):
     """Waits until all that was accepted is in force at all of them, and nothing else."""
     wanted = expected(changes)
     try:
-        until(lambda: all(h.values() == wanted for h in hollows), seconds)
+        until(lambda: all(h.values() == wanted for h in subscribers), seconds)
     except AssertionError:
-        raise AssertionError(_difference(hollows, wanted)) from None
+        raise AssertionError(_difference(subscribers, wanted)) from None
 
 
-def audit(hollows, changes):
+def audit(subscribers, changes):
     """No broken rule in what clients were told and subscribers put in force."""
     made = accepted(changes)
     versions = [change.version for change in made]
     assert len(set(versions)) == len(versions), "two changes with one version"
     _audit_order(made)
-    for hollow in hollows:
-        _audit_steps(hollow, made)
-    _audit_refused(hollows, [c for c in changes if c.outcome == pb.Proposed.REFUSED])
-    _audit_digests(hollows)
+    for subscriber in subscribers:
+        _audit_steps(subscriber, made)
+    _audit_refused(subscribers, [c for c in changes if c.outcome == pb.Proposed.REFUSED])
+    _audit_digests(subscribers)
 
 
 def _audit_order(made):
@@ -134,54 +134,56 @@
         assert not later, f"versions against the order of time: {change} and {later[0]}"
 
 
-def _audit_steps(hollow, made):
+def _audit_steps(subscriber, made):
     """Versions only rise; each value seen is that of its version, and no other than the accepted ones."""
-    numbers = [step.version for step in hollow.steps]
-    assert numbers == sorted(numbers), f"{hollow.name}: versions in turn"
-    for before, after in zip(hollow.steps, hollow.steps[1:], strict=False):
-        assert after.version > before.version or not after.changed, f"{hollow.name}: one version twice"
+    numbers = [step.version for step in subscriber.steps]
+    assert numbers == sorted(numbers), f"{subscriber.name}: versions in turn"
+    for before, after in zip(subscriber.steps, subscriber.steps[1:], strict=False):
+        assert after.version > before.version or not after.changed, f"{subscriber.name}: one version twice"
     known = {(key, change.entries[key]): change.version for change in made for key in change.entries}
-    for step in hollow.steps:
+    for step in subscriber.steps:
         for key, value in step.changed.items():
             version = known.get((key, value))
             assert version is not None, (
-                f"{hollow.name}: {key} is {value!r}, which nobody was told to be accepted"
+                f"{subscriber.name}: {key} is {value!r}, which nobody was told to be accepted"
             )
-            assert version <= step.version, f"{hollow.name}: {key} is {value!r} before its version"
-    _audit_last(hollow, made)
+            assert version <= step.version, f"{subscriber.name}: {key} is {value!r} before its version"
+    _audit_last(subscriber, made)
 
 
-def _audit_last(hollow, made):
+def _audit_last(subscriber, made):
     """At each step the value of a key is the last one up to that version."""
-    for step in hollow.steps:
+    for step in subscriber.steps:
         for key, value in step.changed.items():
             until_then = [c.entries[key] for c in made if key in c.entries and c.version <= step.version]
-            assert until_then and until_then[-1] == value, f"{hollow.name}: {key} at {step.version}"
+            assert until_then and until_then[-1] == value, f"{subscriber.name}: {key} at {step.version}"
 
 
-def _audit_refused(hollows, refused):
-    seen = {(k, v) for hollow in hollows for step in hollow.steps for k, v in step.changed.items()}
+def _audit_refused(subscribers, refused):
+    seen = {
+        (k, v) for subscriber in subscribers for step in subscriber.steps for k, v in step.changed.items()
+    }
     for change in refused:
         assert not seen & set(change.entries.items()), f"refused, and in force: {change}"
 
 
-def _audit_digests(hollows):
+def _audit_digests(subscribers):
     digests = {}
-    for hollow in hollows:
-        for step in hollow.steps:
+    for subscriber in subscribers:
+        for step in subscriber.steps:
             digest = digests.setdefault(step.version, step.digest)
-            assert digest == step.digest, f"{hollow.name}: another state at version {step.version}"
+            assert digest == step.digest, f"{subscriber.name}: another state at version {step.version}"
 
 
-def _difference(hollows, wanted):
-    for hollow in hollows:
-        values = hollow.values()
+def _difference(subscribers, wanted):
+    for subscriber in subscribers:
+        values = subscriber.values()
         if values != wanted:
             missing = sorted(set(wanted.items()) - set(values.items()))[:3]
             more = sorted(set(values.items()) - set(wanted.items()))[:3]
-            held = hollow.subscriber
+            held = subscriber.subscriber
             return (
-                f"{hollow.name} follows {held.source} at version {held.version}, "
+                f"{subscriber.name} follows {held.source} at version {held.version}, "
                 f"in force {held.applied_version}: "
                 f"missing {missing}, more {more}, counts {dict(held.counts)}"
             )
--- a/tests/distribution/announced.py
+++ b/tests/distribution/discovery_server.py
@@ -9,13 +9,13 @@
 LOOK_S = 0.01
 
 
-class Announcer:
+class DiscoveryServer:
     """A context. Events are kept from number 1 on; a call waits for later ones as long as it says."""
 
     def __init__(self, port):
         """`port`: of loopback."""
         self.events, self.calls, self.down = [], 0, False
-        announcer = self
+        discovery = self
 
         class Handler(BaseHTTPRequestHandler):
             """One connection."""
@@ -24,7 +24,7 @@
 
             def do_GET(self):
                 """The events after a number, once there are some."""
-                announcer.answer(self)
+                discovery.answer(self)
 
             def log_message(self, *_):
                 """Says nothing."""
--- a/tests/distribution/installation.py
+++ b/tests/distribution/installation.py
@@ -5,8 +5,8 @@
 import sys
 from pathlib import Path
 
-from hollow import Hollow, Reading
 from ports import listening_ports
+from recording_subscriber import ReaderThread, RecordingSubscriber
 from relay import Relay
 from running import Running, until
 
@@ -29,7 +29,7 @@
         """Of `a` to `b`: by the socket that takes what `b` has for `a`."""
         sender, receiver = pair
         target = self.targets.get(receiver)
-        if target is None:  # a port's earlier owner was meant
+        if target is None:  # of an earlier owner of the port
             return
         self.links[pair].passed += 1
         try:
@@ -39,7 +39,7 @@
 
 
 class Installation(Running):
-    """A context: three voters in three regions, two relays in two zones, hollow subscribers of both zones."""
+    """A context: three voters in three regions, two relays in two zones, subscribers of both zones."""
 
     def __init__(self, path, subscribers=4, seed=1, figures=FIGURES, refuses=(), discovery=""):
         """refuses: names of subscribers that refuse a value with b"refuse" in it. discovery: voters'."""
@@ -52,8 +52,8 @@
         self.ports = dict(zip(listeners, listening_ports(len(listeners)), strict=True))
         self.links.targets = {name: ("127.0.0.1", port) for name, port in self.ports.items()}
         self.starts = dict.fromkeys(listeners, 0)
-        self.hollow = {}
-        self.reading = Reading()
+        self.recording = {}
+        self.reading = ReaderThread()
         self.refuses = refuses
 
     def __enter__(self):
@@ -66,9 +66,9 @@
                 self.begun(name)
             for number, name in enumerate(self.fronts):
                 sources = RELAYS if number % 2 == 0 else RELAYS[::-1]
-                self.hollow[name] = self.subscriber(name, sources)
+                self.recording[name] = self.subscriber(name, sources)
             self.reading.start()
-            until(lambda: all(h.is_fresh() for h in self.hollow.values()), 20)
+            until(lambda: all(h.is_fresh() for h in self.recording.values()), 20)
         except BaseException:
             self.__exit__()
             raise
@@ -81,12 +81,12 @@
         self.links.close()
 
     def subscriber(self, name, sources):
-        """A hollow one, read by this process's thread."""
+        """A recording subscriber, read by this process's thread."""
         addresses = {source: self.address(name, source) for source in RELAYS}
-        hollow = Hollow(name, FLEET, sources, addresses, self.seed, name in self.refuses)
-        self.links.targets[name] = hollow.address
-        self.reading.add(hollow)
-        return hollow
+        subscriber = RecordingSubscriber(name, FLEET, sources, addresses, self.seed, name in self.refuses)
+        self.links.targets[name] = subscriber.address
+        self.reading.add(subscriber)
+        return subscriber
 
     def address(self, sender, receiver):
         """(host, port) where `sender` sends what is for `receiver`."""
--- a/tests/distribution/hollow.py
+++ b/tests/distribution/recording_subscriber.py
@@ -36,7 +36,7 @@
     whole: bool
 
 
-class Hollow:
+class RecordingSubscriber:
     """One subscriber on a socket of its own. `steps`: all that it put in force, in order."""
 
     def __init__(self, name, fleet, sources, addresses, seed, refuses=False):
@@ -109,7 +109,7 @@
             self.socket.sendto(data, self.addresses[name])
 
 
-class Reading(threading.Thread):
+class ReaderThread(threading.Thread):
     """Reads for all subscribers of one test."""
 
     def __init__(self):
@@ -118,10 +118,10 @@
         self.subscribers, self.stopped, self.fault = [], threading.Event(), None
         self.poll = selectors.DefaultSelector()
 
-    def add(self, hollow):
+    def add(self, subscriber):
         """Before `start`."""
-        self.subscribers.append(hollow)
-        self.poll.register(hollow.socket, selectors.EVENT_READ, hollow)
+        self.subscribers.append(subscriber)
+        self.poll.register(subscriber.socket, selectors.EVENT_READ, subscriber)
 
     def run(self):
         """Until `stop`; a fault is kept, and told by it."""
@@ -129,8 +129,8 @@
             while not self.stopped.is_set():
                 if not self.poll.select(TURN_S):
                     self.stopped.wait(0.001)
-                for hollow in self.subscribers:
-                    hollow.turn()
+                for subscriber in self.subscribers:
+                    subscriber.turn()
                 self.stopped.wait(0.002)  # risk: one that reads slowly is always ready
         except Exception as fault:  # told to the test by `stop`
             self.fault = fault
@@ -140,8 +140,8 @@
         self.stopped.set()
         if self.is_alive():
             self.join(5)
-        for hollow in self.subscribers:
-            hollow.socket.close()
+        for subscriber in self.subscribers:
+            subscriber.socket.close()
         self.poll.close()
         if self.fault is not None:
             raise self.fault
--- a/tests/distribution/test_distribution_audit.py
+++ b/tests/distribution/test_distribution_audit.py
@@ -4,7 +4,7 @@
 
 import pytest
 from changes import Change, audit, expected
-from hollow import Step
+from recording_subscriber import Step
 
 from lichenquay.distribution import distribution_pb2 as pb
 
@@ -19,20 +19,22 @@
 ]
 
 
-def hollow(*steps, name="s1"):
+def recorded(*steps, name="s1"):
     """A subscriber that put (version, digest, changed) in force one after the other."""
     made = [Step(0.0, version, digest, changed, False) for version, digest, changed in steps]
     return SimpleNamespace(name=name, steps=made)
 
 
-GOOD = hollow(
+GOOD = recorded(
     (1, 10, {"config/a": b"1"}), (3, 30, {"config/a": None}), (4, 40, {"config/b": b"3"}), name="s2"
 )
 
 
 def test_a_good_history_passes():
     """Changes that were merged into one delta, too."""
-    audit([GOOD, hollow((2, 20, {"config/a": b"2"}), (4, 40, {"config/a": None, "config/b": b"3"}))], CHANGES)
+    audit(
+        [GOOD, recorded((2, 20, {"config/a": b"2"}), (4, 40, {"config/a": None, "config/b": b"3"}))], CHANGES
+    )
     assert expected(CHANGES) == {"config/b": b"3"}
 
 
@@ -51,7 +53,7 @@
 def test_a_broken_history_is_found(steps, said):
     """Each by its own line."""
     with pytest.raises(AssertionError, match=said):
-        audit([GOOD, hollow(*steps)], CHANGES)
+        audit([GOOD, recorded(*steps)], CHANGES)
 
 
 def test_two_changes_with_one_version_are_found():
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -82,7 +82,7 @@
         """All that it said."""
         return self.installation.log(self.name)
 
-    def in_force(self):
+    def applied_version(self):
         """The version, by its own word."""
         return version_in_force(self.installation.told(self.name))
 
--- a/tests/distribution/test_distribution_processes.py
+++ b/tests/distribution/test_distribution_processes.py
@@ -10,8 +10,8 @@
 
 import pytest
 from changes import Proposer, accepted, audit, settled
-from hollow import REFUSED
 from installation import CLIENTS, FLEET, LEASE_MS, RELAYS, VOTERS, Installation
+from recording_subscriber import REFUSED
 from running import until
 
 from lichenquay.control_plane.client import Client
@@ -36,8 +36,8 @@
         proposer.rest()
     changes = changes_of(proposers)
     assert all(change.outcome != pb.Proposed.UNKNOWN for change in changes)
-    settled(installation.hollow.values(), changes)
-    audit(installation.hollow.values(), changes)
+    settled(installation.recording.values(), changes)
+    audit(installation.recording.values(), changes)
 
 
 def changes_of(proposers):
@@ -121,7 +121,7 @@
     with Installation(tmp_path) as installation, under_change(installation) as proposers:
         more_accepted(proposers)
         installation.kill("r1")
-        followers = list(installation.hollow.values())
+        followers = list(installation.recording.values())
         until(lambda: all(h.subscriber.source == "r2" for h in followers), 10)
         more_accepted(proposers)
         until(lambda: all(h.is_fresh() for h in followers), 10)
@@ -134,11 +134,11 @@
 def test_a_slow_relay_and_a_slow_reader_hold_nobody_else_up(tmp_path):
     """Changes come to the others as fast as before: within half a second."""
     with Installation(tmp_path) as installation:
-        slow_reader = installation.hollow["s2"]
+        slow_reader = installation.recording["s2"]
         slow_reader.read_each_ms = 150.0
         for link in installation.links.between(VOTERS, ["r1"], both=False):
             link.least_ms, link.most_ms = 300.0, 600.0
-        swift = installation.hollow["s4"]
+        swift = installation.recording["s4"]
         until(lambda: swift.subscriber.source == "r2", 20)
         with under_change(installation) as proposers:
             more_accepted(proposers, 20)
@@ -167,18 +167,18 @@
         assert second.propose({"config/outside": b"2"}).outcome == pb.Proposed.ACCEPTED
         in_doubt = first.propose({"config/inside": b"3"}, seconds=2.0)
         assert in_doubt.outcome == pb.Proposed.UNKNOWN
-        hollow = installation.hollow
-        until(lambda: not hollow["s1"].is_fresh() and not hollow["s3"].is_fresh(), 10)
-        until(lambda: hollow["s2"].values().get("config/outside") == b"2", 10)
-        assert hollow["s1"].values() == {"config/before": b"1"}
+        subscribers = installation.recording
+        until(lambda: not subscribers["s1"].is_fresh() and not subscribers["s3"].is_fresh(), 10)
+        until(lambda: subscribers["s2"].values().get("config/outside") == b"2", 10)
+        assert subscribers["s1"].values() == {"config/before": b"1"}
         installation.links.heal()
         again = first.propose({"config/inside": b"4"})
         assert again.outcome == pb.Proposed.ACCEPTED
         first.rest()
         second.rest()
         known = [change for change in changes_of([first, second]) if change is not in_doubt]
-        settled(hollow.values(), known)
-        audit(hollow.values(), known)
+        settled(subscribers.values(), known)
+        audit(subscribers.values(), known)
 
 
 def test_a_publisher_that_leaves_in_order_hands_over_at_once(tmp_path):
@@ -201,16 +201,16 @@
         assert proposer.propose({"config/gate": b"prefix4: 99"}).outcome == pb.Proposed.REFUSED
         assert proposer.propose({"config/good": b"1"}).outcome == pb.Proposed.ACCEPTED
         assert proposer.propose({"config/good": REFUSED}).outcome == pb.Proposed.ACCEPTED
-        others = [hollow for name, hollow in installation.hollow.items() if name != "s1"]
+        others = [subscriber for name, subscriber in installation.recording.items() if name != "s1"]
         settled(others, proposer.changes)
-        refusing = installation.hollow["s1"]
+        refusing = installation.recording["s1"]
         until(lambda: refusing.refusals > 0)
         assert refusing.values() == {"config/good": b"1"}
         until(lambda: proposers_status(installation).refused == 1)
         status = proposers_status(installation)
         assert (status.newest, status.in_force, status.subscribers) == (2, 1, 4)
         assert proposer.propose({"config/good": b"3"}).outcome == pb.Proposed.ACCEPTED
-        settled(installation.hollow.values(), proposer.changes)
+        settled(installation.recording.values(), proposer.changes)
         until(lambda: proposers_status(installation).in_force == 3)
         proposer.rest()
         audit(others, proposer.changes)
--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -8,14 +8,14 @@
 DRIFT = 0.06  # Between a process's clock and true time, and a rest.
 
 
-class BrokenError(AssertionError):
+class InvariantError(AssertionError):
     """An invariant does not hold."""
 
 
-def demand(true, what):
-    """Raises BrokenError."""
+def require(true, what):
+    """Raises InvariantError."""
     if not true:
-        raise BrokenError(what)
+        raise InvariantError(what)
 
 
 class Audit:
@@ -57,24 +57,24 @@
                 version, change.request, {e.key: None if e.deleted else e.value for e in change.entries}
             )
         last = state.version + len(records)
-        demand(last >= self.newest, f"{group.name} holds with {last} records, {self.newest} were known")
+        require(last >= self.newest, f"{group.name} holds with {last} records, {self.newest} were known")
         held = {e.key: (e.value, e.version) for e in state.entries}
         known = self.states.get(state.version)
-        demand(known is None or known == held, f"{group.name}: another state at version {state.version}")
+        require(known is None or known == held, f"{group.name}: another state at version {state.version}")
 
     def made(self, version, request, changes):
         """A record is in the log."""
         known = self.log.setdefault(version, changes)
-        demand(known == changes, f"version {version} was {known}, is {changes}")
-        demand(
+        require(known == changes, f"version {version} was {known}, is {changes}")
+        require(
             self.requests.setdefault(request, version) == version, f"request {request} made twice: {version}"
         )
         if version in self.states:
             return
-        demand(version - 1 in self.states, f"version {version} before {version - 1}")
+        require(version - 1 in self.states, f"version {version} before {version - 1}")
         state = dict(self.states[version - 1])
         for key, value in changes.items():
-            demand(value is not None or key in state, f"version {version} deletes {key}, which is not there")
+            require(value is not None or key in state, f"version {version} deletes {key}, which is not there")
             state.pop(key, None)
             if value is not None:
                 state[key] = value, version
@@ -86,8 +86,8 @@
             self.made(proposed.version, proposed.request, changes)
             self.accepted_ms.setdefault(proposed.version, now_ms)
         elif proposed.outcome == pb.Proposed.REFUSED:
-            demand(proposed.request not in self.requests, f"request {proposed.request} refused, yet made")
-            demand("\n" not in proposed.reason and proposed.reason, "a refusal without one clear line")
+            require(proposed.request not in self.requests, f"request {proposed.request} refused, yet made")
+            require("\n" not in proposed.reason and proposed.reason, "a refusal without one clear line")
 
     # Subscribers.
 
@@ -98,7 +98,7 @@
     def expected(self, subscriber, version):
         """The values of a subscription at a version."""
         state = self.states.get(version)
-        demand(state is not None, f"{subscriber.name}: version {version} was never made")
+        require(state is not None, f"{subscriber.name}: version {version} was never made")
         return {k: v for k, (v, _) in state.items() if k.startswith(subscriber.prefixes)}
 
     @contextmanager
@@ -109,10 +109,12 @@
         kind = message.WhichOneof("kind")
         said = getattr(getattr(message, kind), "generation", generation) if kind else generation
         after = subscriber.version, subscriber.applied_version
-        demand(said >= generation or after == before, f"{name} took {kind} of {said}, it knew {generation}")
-        demand(subscriber.generation >= generation, f"{name} goes back to generation {subscriber.generation}")
-        demand(after >= before, f"{name} goes back from {before} to {after}")
-        demand(
+        require(said >= generation or after == before, f"{name} took {kind} of {said}, it knew {generation}")
+        require(
+            subscriber.generation >= generation, f"{name} goes back to generation {subscriber.generation}"
+        )
+        require(after >= before, f"{name} goes back from {before} to {after}")
+        require(
             subscriber.applied_version <= subscriber.version, f"{name}: {after}: in force before it is held"
         )
 
@@ -120,7 +122,7 @@
         """After each message at a front."""
         self.checked += 1
         expected = self.expected(subscriber, subscriber.applied_version)
-        demand(
+        require(
             subscriber.applied_values == expected,
             f"{host.name} at {subscriber.applied_version}: has {subscriber.applied_values}, not {expected}",
         )
@@ -131,7 +133,9 @@
         self.checked += 1
         held = relay.source.history.store
         expected = self.states.get(held.version)
-        demand(held.entries == expected, f"{host.name} at {held.version}: has {held.entries}, not {expected}")
+        require(
+            held.entries == expected, f"{host.name} at {held.version}: has {held.entries}, not {expected}"
+        )
         self.age(host, relay.subscriber, now_ms)
 
     def age(self, host, subscriber, now_ms):
@@ -142,7 +146,7 @@
         true_ms = host.net.now_ms - age_ms * (1 + DRIFT) - 1
         for version in range(subscriber.version + 1, self.newest + 1):
             old_ms = true_ms - self.accepted_ms.get(version, float("inf"))
-            demand(
+            require(
                 old_ms <= 0,
                 f"{host.name} at {subscriber.version} says {age_ms:.0f} ms, {version} is {old_ms:.0f} older",
             )
--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -80,7 +80,7 @@
 
 
 def schedule(seed, last_ms=20_000, faults=12, zones=3, fronts=2):
-    """Runs one; gives its world, settled. BrokenError, AssertionError where something does not hold."""
+    """Runs one; gives its world, settled. InvariantError, AssertionError where something does not hold."""
     rng = Random(f"distribution/{seed}")
     small = seed % 2 == 1
     settings = SMALL if small else SETTINGS
--- /dev/null
+++ b/tests/distribution_harness.py
@@ -0,0 +1,104 @@
+"""A source and its subscribers without a network: a test makes the changes and delivers the messages."""
+
+from random import Random
+
+from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.messages import marked
+from lichenquay.distribution.settings import Settings
+from lichenquay.distribution.source import Source
+from lichenquay.distribution.subscriber import Subscriber
+
+GENERATION = 3
+SOURCE = "s"
+START_MS = 1000.0
+STEP_MS = 10.0
+MAX_ROUNDS = 20  # Of messages and answers within one step.
+
+
+def entry(key, value, version):
+    """An entry as it is published; value None: deleted."""
+    return pb.Entry(key=key, value=value or b"", deleted=value is None, version=version)
+
+
+class Harness:
+    """The source `s` and subscribers; `intercept(message)` of a test may change a message or return None."""
+
+    def __init__(self, settings=None):
+        """Without a subscriber."""
+        self.settings = settings or Settings()
+        self.now_ms = START_MS
+        self.source = Source(SOURCE, Random(1), self.settings, self.now_ms)
+        self.source.confirm(self.now_ms, GENERATION, 0, 0.0)
+        self.subscribers = {}
+        self.applied = []
+        self.reports = []
+        self.refusal = None  # What the subscribers' hosts answer to every change.
+
+    def subscriber(self, name="f", prefixes=("",), sources=(SOURCE,)):
+        """Adds a subscriber."""
+        subscriber = Subscriber(
+            name,
+            sources,
+            prefixes,
+            Random(name),
+            self.settings,
+            self.now_ms,
+            self._apply,
+            lambda now_ms, line: self.reports.append(line),
+        )
+        self.subscribers[name] = subscriber
+        return subscriber
+
+    def _apply(self, now_ms, changed, is_whole):
+        if self.refusal is None:
+            self.applied.append((dict(changed), is_whole))
+        return self.refusal
+
+    def change(self, changes, version=None):
+        """Gives a change to the source; returns its version."""
+        version = version or self.source.version + 1
+        entries = [entry(key, value, version) for key, value in changes.items()]
+        self.source.advance(self.now_ms, GENERATION, version, entries, self.now_ms)
+        return version
+
+    def deliver(self, intercept=None):
+        """Delivers all messages that are in the outboxes; returns their number."""
+        delivered = 0
+        for subscriber in self.subscribers.values():
+            delivered += self._deliver_from(subscriber, subscriber.name, intercept)
+        return delivered + self._deliver_from(self.source, SOURCE, intercept)
+
+    def _deliver_from(self, part, name, intercept):
+        sent = list(part.outbox)
+        part.outbox.clear()
+        for receiver, original in sent:
+            message = pb.Message.FromString(original.SerializeToString())
+            message = intercept(message) if intercept else message
+            target = self.source if receiver == SOURCE else self.subscribers.get(receiver)
+            if message is not None and target is not None:
+                target.heard(self.now_ms, (name, 1), message)
+        return len(sent)
+
+    def run(self, duration_ms, intercept=None, step_ms=STEP_MS):
+        """Lets time pass, with ticks and messages."""
+        until_ms = self.now_ms + duration_ms
+        while self.now_ms < until_ms:
+            self.now_ms += step_ms
+            for part in (self.source, *self.subscribers.values()):
+                if self.now_ms >= part.due_ms:
+                    part.tick(self.now_ms)
+            for _ in range(MAX_ROUNDS):
+                if not self.deliver(intercept):
+                    break
+
+
+def messages_of(part, kind):
+    """The messages of one kind in an outbox."""
+    return [getattr(message, kind) for _, message in part.outbox if message.WhichOneof("kind") == kind]
+
+
+def delta(session, since, to, entries, digest, prefixes=("",), **more):
+    """A delta as a source would make it, marked."""
+    fields = {"from": since, "to": to, "newest": to, "generation": GENERATION, "follow": 1, **more}
+    made = pb.Delta(session=session, entries=entries, digest=digest, **fields)
+    return pb.Message(delta=marked(made, prefixes))
--- a/tests/distribution_mutation.py
+++ b/tests/distribution_mutation.py
@@ -6,7 +6,7 @@
 
 Fields whose neighbour no receiver can tell from truth ('nobody forges messages') only move figures:
 `Follow.in_force` and `Follow.below` in what is known of coverage until the next Follow. Those of Delta,
-SnapshotOffer and Page carry a mark, so that a single wrong one is found out; Follow's version and digest
+SnapshotOffer and Page deliver a mark, so that a single wrong one is found out; Follow's version and digest
 have to fit each other.
 """
 
@@ -31,7 +31,7 @@
     """Runs it with the `at`-th message of distribution changed; gives the messages sent and the world."""
     world, sent = World(seed, zones=1, fronts=2, settings=MUTATED), []
 
-    def meddle(number, source, target, layer, message):
+    def intercept(number, source, target, layer, message):
         if not isinstance(message, pb.Message):
             return None
         sent.append((source, target, message))
@@ -39,7 +39,7 @@
             return None
         return change(world, target, message)
 
-    world.net.meddle = meddle
+    world.net.meddle = intercept
     world.settle(REST_MS)
     for number in range(8):
         world.accept({f"config/k{number % 5}": b"%d" % number + bytes(90), "engine/z0/e": b"%d" % number})
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from random import Random
 
-from distribution_audit import Audit, demand
+from distribution_audit import Audit, require
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.publisher import PUBLISHING_KINDS, group_settings, make
@@ -241,10 +241,10 @@
             if isinstance(message, pb.Message):
                 size = message.ByteSize()
                 self.longest = max(self.longest, size)
-                demand(size <= MOST_BODY, f"{host.name}: a message of {size} bytes: {message}")
+                require(size <= MOST_BODY, f"{host.name}: a message of {size} bytes: {message}")
                 published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHING_KINDS
                 holds = not published or part.group.holds(host.now_ms())
-                demand(holds, f"{host.name} publishes without the lease: {message}")
+                require(holds, f"{host.name} publishes without the lease: {message}")
 
     # What a test does.
 
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -8,7 +8,7 @@
 import pytest
 from distribution_broken import BROKEN
 from distribution_faults import schedule
-from distribution_probes import PROBES
+from distribution_rule_checks import RULE_CHECKS
 
 pytestmark = pytest.mark.together
 
@@ -31,7 +31,7 @@
     assert world.audit.newest > 20 and world.audit.checked > 200
 
 
-@pytest.mark.parametrize("rule", sorted(set(BROKEN) - set(PROBES)))
+@pytest.mark.parametrize("rule", sorted(set(BROKEN) - set(RULE_CHECKS)))
 def test_rules_broken_on_purpose_are_found(rule, capsys):
     """By a schedule's seed."""
     found = None
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from distribution_hands import entry
+from distribution_harness import entry
 from distribution_mutation import mutations, run
 from distribution_world import World
 
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -3,7 +3,7 @@
 from unittest.mock import patch
 
 import pytest
-from distribution_hands import Hands, entry, said
+from distribution_harness import Harness, entry, messages_of
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
@@ -102,26 +102,26 @@
 
 def test_a_change_costs_neither_a_pass_over_keys_nor_over_sessions():
     """Ten thousand keys, a hundred sessions elsewhere: a change of one key is two digests and its sends."""
-    hands = Hands()
+    harness = Harness()
     for start in range(0, 10_000, 10):
-        hands.change({f"engine/z{n % 9}/e{n}": b"up" for n in range(start, start + 10)})
+        harness.change({f"engine/z{n % 9}/e{n}": b"up" for n in range(start, start + 10)})
     for number in range(100):
         zone = number % 5
         follow = pb.Follow(session=number + 1, number=1, prefixes=[f"engine/z{zone}/"], version=1000)
-        store = hands.source.history.store
+        store = harness.source.history.store
         follow.digest = digest_by_hand(store, (f"engine/z{zone}/",))
-        hands.source.heard(hands.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
-    hands.source.outbox.clear()
-    hands.now_ms += 1000
+        harness.source.heard(harness.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
+    harness.source.outbox.clear()
+    harness.now_ms += 1000
     calls = []
     with (
         patch.object(store_module, "digest_of", lambda *a: calls.append(a) or digest_of(*a)),
         patch.object(history_module, "digest_of", lambda *a: calls.append(a) or digest_of(*a)),
     ):
-        hands.change({"engine/z3/e3": b"down"})
-        assert len(said(hands.source, "delta")) == 20 and len(calls) == 2
-        hands.source.tick(hands.now_ms)
-        hands.source.coverage(hands.now_ms)
+        harness.change({"engine/z3/e3": b"down"})
+        assert len(messages_of(harness.source, "delta")) == 20 and len(calls) == 2
+        harness.source.tick(harness.now_ms)
+        harness.source.coverage(harness.now_ms)
     assert len(calls) == 2
 
 
@@ -221,27 +221,27 @@
 
 def test_the_longest_messages_fit_into_the_envelope():
     """At versions and numbers far beyond what an installation reaches."""
-    hands, version = Hands(), 1 << 47
-    hands.source.generation = 1 << 62
+    harness, version = Harness(), 1 << 47
+    harness.source.generation = 1 << 62
     small = {f"config/{n}": b"" for n in range(22)}
     for step, change in enumerate(({LONG: bytes(640)}, small, {LONG: None})):
         entries = [entry(k, v, version + step) for k, v in change.items()]
-        assert find_change_error(entries, hands.source.history.store, Settings()) is None
-        hands.source.advance(hands.now_ms, 1 << 62, version + step, entries, 0.0)
+        assert find_change_error(entries, harness.source.history.store, Settings()) is None
+        harness.source.advance(harness.now_ms, 1 << 62, version + step, entries, 0.0)
     follow = pb.Follow(session=1 << 63, number=1, prefixes=[""], whole=True)
     for since, whole in ((version - 1, False), (version, False), (0, True)):
         follow.version, follow.whole, follow.number = since, whole, follow.number + 1
-        hands.source.heard(hands.now_ms, ("f", 1), pb.Message(follow=follow))
-    fetch = pb.FetchPages(session=1 << 63, version=hands.source.version, first=0, count=1 << 31)
-    hands.source.heard(hands.now_ms, ("f", 1), pb.Message(fetch=fetch))
-    sizes = {m.WhichOneof("kind"): m.ByteSize() for _, m in hands.source.outbox}
+        harness.source.heard(harness.now_ms, ("f", 1), pb.Message(follow=follow))
+    fetch = pb.FetchPages(session=1 << 63, version=harness.source.version, first=0, count=1 << 31)
+    harness.source.heard(harness.now_ms, ("f", 1), pb.Message(fetch=fetch))
+    sizes = {m.WhichOneof("kind"): m.ByteSize() for _, m in harness.source.outbox}
     assert max(sizes.values()) <= MOST_BODY and {"delta", "offer", "page"} <= set(sizes)
 
 
 def test_the_longest_subscription_fits_into_the_envelope():
     """A relay's Follow, with all that it tells, at the most prefixes that are taken."""
-    hands = Hands()
-    front = hands.subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
+    harness = Harness()
+    front = harness.subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
     largest = pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
     front.make_coverage = lambda: largest
     front.generation = 1 << 62
@@ -249,11 +249,11 @@
     front.session.follow_number = 1 << 62
     front.store.version = 1 << 47
     front.resync.is_needed = True
-    front.tick(hands.now_ms + 1000)
-    (follow,) = said(front, "follow")
+    front.tick(harness.now_ms + 1000)
+    (follow,) = messages_of(front, "follow")
     assert 950 < pb.Message(follow=follow).ByteSize() <= MOST_BODY
     with pytest.raises(ValueError):
-        hands.subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
+        harness.subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
 
 
 def test_a_snapshot_of_many_keys_is_pages_that_fit():
