--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -12,16 +12,16 @@
     """An invariant does not hold."""
 
 
-def require(true, what):
-    """Raises InvariantError."""
-    if not true:
-        raise InvariantError(what)
+def require(condition, message):
+    """Raises InvariantError unless the condition holds."""
+    if not condition:
+        raise InvariantError(message)
 
 
 class Audit:
-    """Knows the log of all holders and all answers; compares what is in force with the log up to its version.
+    """Compares what is in force with the log up to its version; knows the log of all leaders and all answers.
 
-    Checked at each message that a subscriber hears:
+    Checked at each message that a subscriber receives:
 
     - what is in force is exactly the log up to its version, as far as it is subscribed: nothing half, lost
       or reordered
@@ -34,10 +34,10 @@
 
     def __init__(self):
         """Knows of nothing yet."""
-        self.log, self.states = {}, {0: {}}
-        self.accepted, self.accepted_ms = {}, {}  # version -> request, time of the answer
+        self.log = {}  # version -> changes
+        self.states = {0: {}}  # version -> {key: (value, version)}
+        self.accepted_ms = {}  # version -> time of the answer
         self.requests = {}  # request -> version in the log
-        self.known = {}  # (name, life) -> (version, in force, generation)
         self.checked = 0
 
     # The log.
@@ -47,22 +47,24 @@
         """The newest version known to be in the log."""
         return max(self.log, default=0)
 
-    def holds(self, group):
-        """A holder begins: with all that was accepted, and what it begins with stays."""
+    def on_leader(self, group):
+        """A voter became the leader: it holds all that was accepted, and what it holds stays."""
         base, records = group.state
         state = pb.State.FromString(base)
         for version, record in enumerate(records, state.version + 1):
             change = read_record(record, version)
-            self.made(
-                version, change.request, {e.key: None if e.deleted else e.value for e in change.entries}
+            self.record_change(
+                version,
+                change.request,
+                {entry.key: None if entry.deleted else entry.value for entry in change.entries},
             )
         last = state.version + len(records)
         require(last >= self.newest, f"{group.name} holds with {last} records, {self.newest} were known")
-        held = {e.key: (e.value, e.version) for e in state.entries}
+        held = {entry.key: (entry.value, entry.version) for entry in state.entries}
         known = self.states.get(state.version)
         require(known is None or known == held, f"{group.name}: another state at version {state.version}")
 
-    def made(self, version, request, changes):
+    def record_change(self, version, request, changes):
         """A record is in the log."""
         known = self.log.setdefault(version, changes)
         require(known == changes, f"version {version} was {known}, is {changes}")
@@ -80,10 +82,10 @@
                 state[key] = value, version
         self.states[version] = state
 
-    def answered(self, proposed, changes, now_ms):
+    def on_answer(self, proposed, changes, now_ms):
         """A client was answered."""
         if proposed.outcome == pb.Proposed.ACCEPTED:
-            self.made(proposed.version, proposed.request, changes)
+            self.record_change(proposed.version, proposed.request, changes)
             self.accepted_ms.setdefault(proposed.version, now_ms)
         elif proposed.outcome == pb.Proposed.REFUSED:
             require(proposed.request not in self.requests, f"request {proposed.request} refused, yet made")
@@ -91,7 +93,7 @@
 
     # Subscribers.
 
-    def level(self, subscriber, version):
+    def is_current(self, subscriber, version):
         """Whether a subscriber has in force all that concerns it up to a version."""
         return subscriber.applied_values == self.expected(subscriber, version)
 
@@ -99,17 +101,22 @@
         """The values of a subscription at a version."""
         state = self.states.get(version)
         require(state is not None, f"{subscriber.name}: version {version} was never made")
-        return {k: v for k, (v, _) in state.items() if k.startswith(subscriber.prefixes)}
+        return {key: value for key, (value, _) in state.items() if key.startswith(subscriber.prefixes)}
 
     @contextmanager
-    def hearing(self, name, subscriber, message):
-        """Around each message that a subscriber hears."""
+    def around_message(self, name, subscriber, message):
+        """Around each message that a subscriber receives."""
         generation, before = subscriber.generation, (subscriber.version, subscriber.applied_version)
         yield
         kind = message.WhichOneof("kind")
-        said = getattr(getattr(message, kind), "generation", generation) if kind else generation
+        message_generation = generation
+        if kind:
+            message_generation = getattr(getattr(message, kind), "generation", generation)
         after = subscriber.version, subscriber.applied_version
-        require(said >= generation or after == before, f"{name} took {kind} of {said}, it knew {generation}")
+        is_current = message_generation >= generation
+        require(
+            is_current or after == before, f"{name} took {kind} of {message_generation}, it knew {generation}"
+        )
         require(
             subscriber.generation >= generation, f"{name} goes back to generation {subscriber.generation}"
         )
@@ -118,17 +125,17 @@
             subscriber.applied_version <= subscriber.version, f"{name}: {after}: in force before it is held"
         )
 
-    def front(self, host, subscriber, now_ms):
-        """After each message at a front."""
+    def check_gateway(self, host, subscriber, now_ms):
+        """After each message at a gateway."""
         self.checked += 1
         expected = self.expected(subscriber, subscriber.applied_version)
         require(
             subscriber.applied_values == expected,
             f"{host.name} at {subscriber.applied_version}: has {subscriber.applied_values}, not {expected}",
         )
-        self.age(host, subscriber, now_ms)
+        self.check_age(host, subscriber, now_ms)
 
-    def relay(self, host, relay, now_ms):
+    def check_relay(self, host, relay, now_ms):
         """After each message at a relay."""
         self.checked += 1
         held = relay.source.history.store
@@ -136,9 +143,9 @@
         require(
             held.entries == expected, f"{host.name} at {held.version}: has {held.entries}, not {expected}"
         )
-        self.age(host, relay.subscriber, now_ms)
+        self.check_age(host, relay.subscriber, now_ms)
 
-    def age(self, host, subscriber, now_ms):
+    def check_age(self, host, subscriber, now_ms):
         """No change that was accepted longer ago than the age is missing."""
         age_ms = subscriber.age_ms(now_ms)
         if age_ms == float("inf"):
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -278,7 +278,7 @@
 rule("age not added up over hops", (Source, "confirm", _age_not_added))
 rule("records after the base forgotten by the next publisher", (Publisher, "_load", _only_the_base))
 rule("requests not known again", (RequestIndex, "version_of", always(None)))
-rule("in force although the front refused it", (AppliedState, "apply_pending", _refusal_ignored))
+rule("in force although the gateway refused it", (AppliedState, "apply_pending", _refusal_ignored))
 rule("a change put in force in part", (AppliedState, "_set_values", _in_part))
 rule("a proposal checked without those under way", (Publisher, "_find_error", _without_pending))
 rule("snapshots not paced", (SnapshotPacer, "take_pages", _snapshot_not_paced))
--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults on voters, relays and fronts in virtual time, changes proposed all along."""
+"""Seeded schedules of faults on voters, relays and gateways in virtual time, changes proposed all along."""
 
 from dataclasses import replace
 from random import Random
@@ -38,7 +38,10 @@
 
     def __init__(self, world, rng):
         """Nothing is asked."""
-        self.world, self.rng, self.open, self.outcomes = world, rng, {}, {}
+        self.world = world
+        self.rng = rng
+        self.open = {}
+        self.outcomes = {}
         self.seen = {}  # request -> version answered
 
     def propose(self):
@@ -79,12 +82,12 @@
             assert known[0] == answer.version, f"request {answer.request}: {known[0]}, then {answer.version}"
 
 
-def schedule(seed, last_ms=20_000, faults=12, zones=3, fronts=2):
+def schedule(seed, last_ms=20_000, faults=12, zones=3, gateways=2):
     """Runs one; gives its world, settled. InvariantError, AssertionError where something does not hold."""
     rng = Random(f"distribution/{seed}")
     small = seed % 2 == 1
     settings = SMALL if small else SETTINGS
-    world = World(seed, zones, fronts, rng.choice(ROUGH), settings, most_records=24 if small else 1024)
+    world = World(seed, zones, gateways, rng.choice(ROUGH), settings, most_records=24 if small else 1024)
     client, at = Client(world, rng), 0.0
     while at < last_ms:
         at += rng.expovariate(1 / rng.choice((30, 300)))
@@ -102,10 +105,10 @@
 def mend(world):
     """The end of all faults: everything runs, links are well."""
     world.net.mend(Weather())
-    for name in (*VOTERS, *world.relays, *world.fronts):
+    for name in (*VOTERS, *world.relays, *world.gateways):
         if not world.net.hosts[name].up:
             world.net.start(name)
-    for name in world.fronts:
+    for name in world.gateways:
         world.part(name).fault = None
 
 
@@ -114,11 +117,13 @@
 
     def __init__(self, world, rng):
         """To happen later."""
-        self.world, self.net, self.rng = world, world.net, rng
+        self.world = world
+        self.net = world.net
+        self.rng = rng
 
     def happen(self, what):
         """Does it now."""
-        names = [*VOTERS, *VOTERS, *self.world.relays, *self.world.fronts]
+        names = [*VOTERS, *VOTERS, *self.world.relays, *self.world.gateways]
         getattr(self, f"_{what}")(self.rng.choice(names))
 
     def _later(self, act, *args):
@@ -173,12 +178,13 @@
 
     def _storm(self, name):
         """All links lose a third for a while."""
-        before, self.net.weather = self.net.weather, replace(self.net.weather, loss=0.35, doubled=0.1)
+        before = self.net.weather
+        self.net.weather = replace(self.net.weather, loss=0.35, doubled=0.1)
         self._later(setattr, self.net, "weather", before)
 
     def _refuse(self, name):
-        """A front that can't apply what comes."""
-        name = self.rng.choice(self.world.fronts)
+        """A gateway that can't apply what comes."""
+        name = self.rng.choice(self.world.gateways)
         if self.net.hosts[name].up:
             part = self.world.part(name)
             part.fault = "no room"
--- a/tests/distribution_mutation.py
+++ b/tests/distribution_mutation.py
@@ -1,12 +1,12 @@
 """One scenario on a small world, recorded; then once more for messages in it, each changed in one way.
 
-The scenario: a publisher is found, changes, a front and a relay start anew (a short history: snapshots), the
-publisher is killed, changes. Demanded with each change of one message: the audit's invariants at each step,
+The scenario: a publisher is elected, changes, a gateway and a relay restart (a short history: snapshots), the
+publisher is killed, changes. Required with each change of one message: the audit's invariants at each step,
 and all that was accepted in force everywhere at the end, within `REST_MS`.
 
 Fields whose neighbour no receiver can tell from truth ('nobody forges messages') only move figures:
 `Follow.in_force` and `Follow.below` in what is known of coverage until the next Follow. Those of Delta,
-SnapshotOffer and Page deliver a mark, so that a single wrong one is found out; Follow's version and digest
+SnapshotOffer and Page deliver a mark, so that a single wrong one is detected; Follow's version and digest
 have to fit each other.
 """
 
@@ -29,7 +29,7 @@
 
 def scenario(seed, at=None, change=None):
     """Runs it with the `at`-th message of distribution changed; gives the messages sent and the world."""
-    world, sent = World(seed, zones=1, fronts=2, settings=MUTATED), []
+    world, sent = World(seed, zones=1, gateways=2, settings=MUTATED), []
 
     def intercept(number, source, target, layer, message):
         if not isinstance(message, pb.Message):
@@ -119,7 +119,7 @@
 
 def _whole(name):
     def change(world, target, message):
-        other = next(n for n in (*world.fronts, *world.relays) if n != target)
+        other = next(n for n in (*world.gateways, *world.relays) if n != target)
         ways = {
             "lost": [],
             "doubled": [(target, 0.6, message), (target, 0.9, message)],
@@ -138,7 +138,9 @@
 def run(seed, take):
     """(messages, mutants there are, mutants run, faults) of those of which `take(number)` is true."""
     sent, _ = scenario(seed)
-    there, ran, faults = 0, 0, []
+    there = 0
+    ran = 0
+    faults = []
     for at, (source, target, message) in enumerate(sent):
         for name, change in mutations(message):
             there += 1
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -21,41 +21,44 @@
 def check_snapshot_below_what_is_held():
     """A relay that started anew offers a state older than what is held: it is not taken."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
     harness.change({"config/a": b"2"})
     harness.run(2000)
-    assert front.applied_version == 2
+    assert gateway.applied_version == 2
     old = pb.SnapshotOffer(
-        session=front.session.session_id, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
+        session=gateway.session.session_id, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
+    )
+    gateway.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
+    assert (
+        gateway.snapshot_fetch is None and gateway.applied_version == 2 and not messages_of(gateway, "fetch")
     )
-    front.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
-    assert front.snapshot_fetch is None and front.applied_version == 2 and not messages_of(front, "fetch")
 
 
 def check_changes_while_a_snapshot_is_fetched():
     """A delta that comes between the pages is not taken back by them."""
     harness = filled()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.run(2000)
     offer = pb.SnapshotOffer(
-        session=front.session.session_id,
+        session=gateway.session.session_id,
         generation=GENERATION,
-        version=front.version,
+        version=gateway.version,
         digest=1,
         pages=1,
         bytes=40,
     )
-    front.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
-    assert front.snapshot_fetch is not None
-    held = front.version
+    gateway.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
+    assert gateway.snapshot_fetch is not None
+    held = gateway.version
     last = entry("engine/z0/e0", b"new", held + 1)
-    digest = front.store.digest_after([last])
-    front.heard(harness.now_ms, ("s", 1), delta(front.session.session_id, held, held + 1, [last], digest))
-    page = pb.Page(session=front.session.session_id, generation=GENERATION, version=held, number=0)
-    front.heard(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
+    digest = gateway.store.digest_after([last])
+    gateway.heard(harness.now_ms, ("s", 1), delta(gateway.session.session_id, held, held + 1, [last], digest))
+    page = pb.Page(session=gateway.session.session_id, generation=GENERATION, version=held, number=0)
+    gateway.heard(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
     assert (
-        front.version == front.applied_version == held + 1 and front.applied_values["engine/z0/e0"] == b"new"
+        gateway.version == gateway.applied_version == held + 1
+        and gateway.applied_values["engine/z0/e0"] == b"new"
     )
 
 
@@ -67,7 +70,9 @@
     harness.run(1500)
     for number in range(50):
         harness.subscriber(f"f{number}")
-    sent, begun, size = [], harness.now_ms, 0
+    sent = []
+    begun = harness.now_ms
+    size = 0
 
     def count_pages(message):
         nonlocal size
@@ -90,7 +95,7 @@
 def check_digest_that_never_matches():
     """Ten minutes of wrong digests: a handful of snapshots, one line, what is in force stays."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
     harness.run(1500)
 
@@ -104,16 +109,16 @@
 
     harness.change({"config/a": b"2"})
     harness.run(600_000, spoil, step_ms=50)
-    assert front.applied_version == 1 and front.applied_values == {"config/a": b"1"}
+    assert gateway.applied_version == 1 and gateway.applied_values == {"config/a": b"1"}
     assert len(harness.reports) == 1 and harness.source.counts["offers"] <= 15
     harness.run(70_000)
-    assert front.applied_version == 2
+    assert gateway.applied_version == 2
 
 
 def check_slow_subscriber():
     """One that hears nothing is sent its retries only; others are not delayed; it resumes by version."""
     harness = Harness()
-    front, slow = harness.subscriber("f"), harness.subscriber("slow")
+    gateway, slow = harness.subscriber("f"), harness.subscriber("slow")
     harness.run(2000)
     to_slow = 0
 
@@ -128,11 +133,11 @@
     for number in range(200):
         version = harness.change({f"config/k{number}": b"v"})
         harness.run(20, drop)
-        assert front.version >= version - 5
+        assert gateway.version >= version - 5
     assert to_slow <= 20, f"{to_slow} deltas within 4 s to one that heard none"
     harness.run(5000)
     assert (
-        slow.applied_values == front.applied_values
+        slow.applied_values == gateway.applied_values
         and len(slow.applied_values) == 200
         and not slow.counts["snapshots"]
     )
@@ -143,15 +148,17 @@
     harness = Harness()
     harness.change({"config/a": b"1"})
     harness.change({"config/b": b"1"})
-    session = {"session": 5, "prefixes": [""]}
+    fields = {"session": 5, "prefixes": [""]}
     below = pb.Coverage(subscribers=100, oldest=2)
     held = harness.source.history.store.digest
     for version, digest, expected in ((1 << 40, 0, 0), (2, 12345, 0), (2, held, 2), (2, 12345, 2)):
-        harness.source.sessions.get("r") and harness.source._remove_session(harness.source.sessions["r"])
+        session = harness.source.sessions.get("r")
+        if session is not None:
+            harness.source._remove_session(session)
         if expected == 2:
-            right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **session)
+            right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **fields)
             harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=right))
-        told = pb.Follow(version=version, in_force=version, digest=digest, number=2, below=below, **session)
+        told = pb.Follow(version=version, in_force=version, digest=digest, number=2, below=below, **fields)
         harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=told))
         if version == 1 << 40:
             assert messages_of(harness.source, "wait")
@@ -161,7 +168,7 @@
 
 def check_lease_over():
     """A publisher that runs again after a pause, and hears a relay first, says that it is not the leader."""
-    world = World(21, fronts=0)
+    world = World(21, gateways=0)
     world.settle()
     world.run(2000)
     leader = world.holder()
@@ -176,7 +183,7 @@
 def check_other_prefixes():
     """A source that understood other prefixes serves nothing that is taken for what was asked for."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
 
     def other(message):
@@ -185,7 +192,7 @@
         return message
 
     harness.run(5000, other)
-    assert front.version == 1 and front.applied_values == {"config/a": b"1"}
+    assert gateway.version == 1 and gateway.applied_values == {"config/a": b"1"}
 
 
 RULE_CHECKS = {
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -1,6 +1,4 @@
-"""A publisher's voters, relays of zones and fronts in virtual time (lichenquay/testbed/fleetnet.py), all that
-they say audited.
-"""
+"""A publisher's voters, relays and gateways in virtual time, with an audit of all that they send."""
 
 from dataclasses import replace
 from random import Random
@@ -29,7 +27,8 @@
 
     def __init__(self, world, host):
         """Begins."""
-        self.world, self.host = world, host
+        self.world = world
+        self.host = host
         owner = group_settings(world.settings, world.lease_ms)
         owner = replace(owner, most_records=world.most_records)
         disk = world.disks.setdefault(host.name, {})
@@ -48,13 +47,14 @@
         told = self.publisher.on_lease_event
         self.group.claimant.told = lambda now_ms, what: self._told(told, now_ms, what)
         self.group.want(host.now_ms(), True)
-        self.outbox, self.done = [], []
+        self.outbox = []
+        self.done = []
         self._settle()
 
     def _told(self, told, now_ms, what):
         told(now_ms, what)
         if what == "holds":
-            self.world.audit.holds(self.group)
+            self.world.audit.on_leader(self.group)
 
     @property
     def due_ms(self):
@@ -89,7 +89,8 @@
         for part in (self.group, self.publisher):
             self.outbox += part.outbox
             part.outbox.clear()
-        writes, self.group.to_store = list(self.group.to_store), []
+        writes = list(self.group.to_store)
+        self.group.to_store = []
         for number, changes in writes:
             delay_ms = self.world.net.rng.uniform(*DISK_MS)
             net = self.world.net
@@ -116,13 +117,16 @@
         net.call(self.host.name, DISTRIBUTION, "stored", number)
 
 
-class FrontPart:
-    """A front's process: a subscriber whose values the audit compares."""
+class GatewayPart:
+    """A gateway's process: a subscriber whose values the audit compares."""
 
     def __init__(self, world, host, sources, prefixes):
         """Begins."""
-        self.world, self.host, self.fault = world, host, None
-        self.lines, self.applied = [], []
+        self.world = world
+        self.host = host
+        self.fault = None
+        self.lines = []
+        self.applied = []
         self.subscriber = Subscriber(
             host.name,
             sources,
@@ -153,9 +157,9 @@
 
     def heard(self, now_ms, sender, message):
         """A message."""
-        with self.world.audit.hearing(self.host.name, self.subscriber, message):
+        with self.world.audit.around_message(self.host.name, self.subscriber, message):
             self.subscriber.heard(now_ms, sender, message)
-        self.world.audit.front(self.host, self.subscriber, now_ms)
+        self.world.audit.check_gateway(self.host, self.subscriber, now_ms)
 
 
 class RelayPart:
@@ -163,7 +167,8 @@
 
     def __init__(self, world, host):
         """Begins."""
-        self.world, self.host = world, host
+        self.world = world
+        self.host = host
         self.relay = Relay(host.name, world.voters, host.rng, world.settings, host.now_ms())
         self.outbox = self.relay.outbox
 
@@ -178,19 +183,19 @@
 
     def heard(self, now_ms, sender, message):
         """A message."""
-        with self.world.audit.hearing(self.host.name, self.relay.subscriber, message):
+        with self.world.audit.around_message(self.host.name, self.relay.subscriber, message):
             self.relay.heard(now_ms, sender, message)
-        self.world.audit.relay(self.host, self.relay, now_ms)
+        self.world.audit.check_relay(self.host, self.relay, now_ms)
 
 
 class World:
-    """`zones` of two relays each and `fronts` each; one voter for a region, zones spread over the regions."""
+    """`zones` of two relays and `gateways` each; one voter a region, zones spread over the regions."""
 
     def __init__(
         self,
         seed=0,
         zones=3,
-        fronts=2,
+        gateways=2,
         weather=None,
         settings=SETTINGS,
         most_records=1024,
@@ -198,42 +203,48 @@
         voters=VOTERS,
     ):
         """Begins."""
-        self.settings, self.most_records, self.disks = settings, most_records, {}
-        self.lease_ms, self.voters = lease_ms, voters
+        self.settings = settings
+        self.most_records = most_records
+        self.disks = {}
+        self.lease_ms = lease_ms
+        self.voters = voters
         self.lost = set()  # Voters whose folder was lost.
         self.net = FleetNet(seed, weather or Weather())
-        self.rng, self.audit = Random(f"world/{seed}"), Audit()
+        self.rng = Random(f"world/{seed}")
+        self.audit = Audit()
         self.net.after = self._after
         self.requests = self.longest = 0
-        self.relays, self.fronts, self.zones = [], [], zones
+        self.relays = []
+        self.gateways = []
+        self.zones = zones
         for name in voters:
             self._host(name, lambda host: {DISTRIBUTION: VoterPart(self, host)})
         for zone in range(zones):
-            self._zone(zone, fronts)
+            self._zone(zone, gateways)
 
     def _host(self, name, parts):
         rate = self.rng.uniform(1 - DRIFT, 1 + DRIFT)
         self.net.host(name, parts, rate, self.rng.uniform(0, 1e6))
 
-    def _zone(self, zone, fronts):
+    def _zone(self, zone, gateways):
         relays = [f"r{zone}{letter}" for letter in "ab"]
         for name in relays:
             self._host(name, lambda host: {DISTRIBUTION: RelayPart(self, host)})
             self.relays.append(name)
-        for number in range(fronts):
+        for number in range(gateways):
             order = relays if number % 2 == 0 else relays[::-1]
-            self.front(f"f{zone}-{number}", order, ["config/", f"engine/z{zone}/"])
+            self.add_gateway(f"f{zone}-{number}", order, ["config/", f"engine/z{zone}/"])
 
-    def front(self, name, sources, prefixes):
-        """One more front."""
-        self._host(name, lambda host: {DISTRIBUTION: FrontPart(self, host, sources, prefixes)})
-        self.fronts.append(name)
+    def add_gateway(self, name, sources, prefixes):
+        """One more gateway."""
+        self._host(name, lambda host: {DISTRIBUTION: GatewayPart(self, host, sources, prefixes)})
+        self.gateways.append(name)
         return self
 
     def region(self, number):
         """All names of a region: its voter, its zones."""
         zones = [str(z) for z in range(self.zones) if z % len(VOTERS) == number]
-        hosts = [n for n in (*self.relays, *self.fronts) if n[1] in zones]
+        hosts = [n for n in (*self.relays, *self.gateways) if n[1] in zones]
         return [VOTERS[number], *hosts]
 
     def _after(self, host, layer, part):
@@ -253,7 +264,7 @@
         return self.net.hosts[name].parts[DISTRIBUTION]
 
     def subscriber(self, name):
-        """A front's or a relay's."""
+        """A gateway's or a relay's."""
         part = self.part(name)
         return part.relay.subscriber if isinstance(part, RelayPart) else part.subscriber
 
@@ -282,13 +293,14 @@
         return self.holder() is not None and not self.behind()
 
     def behind(self):
-        """The fronts whose version in force is not the newest, or not confirmed."""
+        """The gateways whose version in force is not the newest, or not confirmed."""
         newest = self.audit.newest
-        names = [n for n in self.fronts if self.net.hosts[n].up]
+        names = [n for n in self.gateways if self.net.hosts[n].up]
         return [
             n
             for n in names
-            if not self.audit.level(self.subscriber(n), newest) or self.subscriber(n).is_stale(self.now(n))
+            if not self.audit.is_current(self.subscriber(n), newest)
+            or self.subscriber(n).is_stale(self.now(n))
         ]
 
     def propose(self, changes, request=None, via=None, done=None):
@@ -299,7 +311,7 @@
 
         def answered(now_ms, proposed):
             answers.append(proposed)
-            self.audit.answered(proposed, changes, self.net.now_ms)
+            self.audit.on_answer(proposed, changes, self.net.now_ms)
             if done is not None:
                 done(proposed)
 
@@ -310,7 +322,8 @@
 
     def accept(self, changes, ms=10_000):
         """Proposes until it is accepted; gives its version."""
-        until, self.requests = self.net.now_ms + ms, self.requests + 1
+        until = self.net.now_ms + ms
+        self.requests = self.requests + 1
         request = self.requests
         while self.net.now_ms < until:
             answers = self.propose(changes, request)
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -9,7 +9,9 @@
 from lichenquay.testbed.observed_members import Watched
 
 ALIVE, SUSPECT = MemberState.ALIVE, MemberState.SUSPECT
-FAULTY, LEFT, REMOVED = MemberState.FAULTY, MemberState.LEFT, MemberState.REMOVED
+FAULTY = MemberState.FAULTY
+LEFT = MemberState.LEFT
+REMOVED = MemberState.REMOVED
 MAX_OUTBOX = 200
 JOIN_MS = 20_000
 QUIET_MS = 3_000
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""Distribution as a whole in virtual time: voters, relays and fronts, audited."""
+"""Distribution as a whole in virtual time: voters, relays and gateways, audited."""
 
 import os
 from dataclasses import replace
@@ -34,15 +34,15 @@
     return world.part(name).publisher.status(world.now(name))
 
 
-def test_a_change_is_in_force_at_all_fronts_within_a_second_when_calm():
+def test_a_change_is_in_force_at_all_gateways_within_a_second_when_calm():
     """From its proposal on, its record on two disks included."""
     world = settled(1)
     begun = world.net.now_ms
     version = world.accept({"config/limits": b"1", "engine/z1/e7": b"up"})
     world.run(1000, lambda: not world.behind())
     assert not world.behind() and world.net.now_ms - begun < 1000
-    held = [world.subscriber(n).applied_version for n in world.fronts]
-    assert held == [version] * len(world.fronts)
+    held = [world.subscriber(n).applied_version for n in world.gateways]
+    assert held == [version] * len(world.gateways)
 
 
 def test_the_publisher_knows_what_is_in_force_everywhere():
@@ -51,7 +51,7 @@
     version = world.accept({"config/limits": b"1"})
     world.run(4000)
     known = status_of(world)
-    assert (known.newest, known.in_force, known.subscribers) == (version, version, len(world.fronts))
+    assert (known.newest, known.in_force, known.subscribers) == (version, version, len(world.gateways))
     assert (known.refused, known.stale, known.keys) == (0, 0, 1)
 
 
@@ -65,7 +65,7 @@
     versions.append(world.accept({"config/k0": b"2"}))
     world.settle()
     assert versions == list(range(1, 7)) and world.holder() != first
-    assert not any(world.subscriber(n).counts["snapshots"] for n in world.fronts + world.relays)
+    assert not any(world.subscriber(n).counts["snapshots"] for n in world.gateways + world.relays)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -84,7 +84,7 @@
     world.accept({"config/limits": b"next", "config/more": b"1"})
     world.settle(7000)
     assert world.net.now_ms - begun < 7000
-    assert all(world.subscriber(n).applied_version > version for n in world.fronts)
+    assert all(world.subscriber(n).applied_version > version for n in world.gateways)
 
 
 @pytest.mark.parametrize("pause_ms", (1.2 * LEASE_MS, 4 * LEASE_MS))
@@ -144,7 +144,7 @@
     status = pb.StatusRequest(request=3)
     publisher.heard(world.now(leader), ("client", 1), pb.Message(status_request=status))
     world.net.call(leader, DISTRIBUTION, "tick")
-    world.audit.made(1, 1, {"config/a": b"1"})
+    world.audit.record_change(1, 1, {"config/a": b"1"})
     world.run(1000)
     answers = {m.proposed.request: m.proposed for m in heard if m.HasField("proposed")}
     assert (answers[1].outcome, answers[1].version) == (pb.Proposed.ACCEPTED, 1)
@@ -159,33 +159,34 @@
 
     def __init__(self, heard):
         """`heard`: a list that messages come into."""
-        self.heard_messages, self.outbox = heard, []
+        self.heard_messages = heard
+        self.outbox = []
 
     def heard(self, now_ms, sender, message):
         """A message."""
         self.heard_messages.append(message)
 
 
-def test_a_front_that_cannot_apply_keeps_its_last_good_version_and_is_counted():
+def test_a_gateway_that_cannot_apply_keeps_its_last_good_version_and_is_counted():
     """One line, a count at the publisher, nobody else harmed; and it comes back by itself."""
     world = settled(9)
     good = world.accept({"config/limits": b"1"})
     world.settle()
-    front = world.part("f0-0")
-    front.fault = "limits over what this machine has"
+    gateway = world.part("f0-0")
+    gateway.fault = "limits over what this machine has"
     bad = world.accept({"config/limits": b"9", "config/more": b"1"})
     world.run(3000)
-    assert (front.subscriber.applied_version, front.subscriber.version) == (good, bad)
-    assert front.subscriber.applied_values == {"config/limits": b"1"} and len(front.lines) == 1
+    assert (gateway.subscriber.applied_version, gateway.subscriber.version) == (good, bad)
+    assert gateway.subscriber.applied_values == {"config/limits": b"1"} and len(gateway.lines) == 1
     assert status_of(world).refused == 1 and status_of(world).in_force == good
     assert world.behind() == ["f0-0"]
-    front.fault = None
+    gateway.fault = None
     world.settle()
     world.run(3000)
     assert status_of(world).refused == 0 and status_of(world).in_force == bad
 
 
-def test_a_front_cut_off_knows_that_its_version_is_old_and_serves_on():
+def test_a_gateway_cut_off_knows_that_its_version_is_old_and_serves_on():
     """By its own clock; and it is counted as stale where it was."""
     world = settled(10)
     world.accept({"config/limits": b"1"})
@@ -193,23 +194,23 @@
     others = [n for n in world.net.hosts if n != "f1-0"]
     world.net.split(["f1-0"], others)
     version = world.accept({"config/limits": b"2"})
-    front = world.subscriber("f1-0")
+    gateway = world.subscriber("f1-0")
     world.run(world.settings.stale_ms)
-    assert front.is_stale(world.now("f1-0")) and front.applied_values == {"config/limits": b"1"}
+    assert gateway.is_stale(world.now("f1-0")) and gateway.applied_values == {"config/limits": b"1"}
     world.run(world.settings.expire_ms + 3000)
     assert status_of(world).stale == 1
     world.net.split(["f1-0"], others, cut=False)
     world.settle(5000)
-    assert front.applied_version == version and not front.counts["snapshots"]
+    assert gateway.applied_version == version and not gateway.counts["snapshots"]
     # It may have come back to another relay: the former one is told, and counts it no longer.
     world.run(3 * world.settings.report_ms)
-    assert status_of(world).stale == 0 and status_of(world).subscribers == len(world.fronts)
+    assert status_of(world).stale == 0 and status_of(world).subscribers == len(world.gateways)
 
 
-def test_fronts_come_back_to_their_relay_once_it_is_there_again():
+def test_gateways_come_back_to_their_relay_once_it_is_there_again():
     """Each after a while of its own, not all at once, without a snapshot, and counted once at any time."""
     world = settled(15)
-    preferred = {name: world.subscriber(name).source for name in world.fronts}
+    preferred = {name: world.subscriber(name).source for name in world.gateways}
     lost = preferred["f1-0"]
     left = [name for name, relay in preferred.items() if relay == lost]
     world.net.kill(lost)
@@ -220,13 +221,13 @@
     version = world.accept({"config/limits": b"2"})
     world.settle()
     world.run(3 * world.settings.report_ms)
-    assert {name: world.subscriber(name).source for name in world.fronts} == preferred
+    assert {name: world.subscriber(name).source for name in world.gateways} == preferred
     status = status_of(world)
-    assert (status.in_force, status.subscribers, status.stale) == (version, len(world.fronts), 0)
+    assert (status.in_force, status.subscribers, status.stale) == (version, len(world.gateways), 0)
     assert not any(world.subscriber(name).counts["snapshots"] for name in left)
 
 
-def test_a_relay_that_starts_anew_takes_no_front_back():
+def test_a_relay_that_starts_anew_takes_no_gateway_back():
     """It tells them to wait until it has caught up; the audit demands that no version falls."""
     world = settled(11)
     for number in range(30):
@@ -237,15 +238,15 @@
         world.net.start(name)
     world.accept({"config/k0": b"last"})
     world.settle(7000)
-    assert not any(world.subscriber(n).counts["snapshots"] for n in world.fronts)
+    assert not any(world.subscriber(n).counts["snapshots"] for n in world.gateways)
 
 
-def test_a_new_front_holds_only_what_it_subscribed_to():
+def test_a_new_gateway_holds_only_what_it_subscribed_to():
     """Another zone's engines are not there, and not sent."""
     world = settled(12)
     for number in range(9):
         world.accept({f"engine/z{number % 3}/e{number}": b"up"})
-    world.front("late", ["r0a", "r0b"], ["engine/z0/", "config/"])
+    world.add_gateway("late", ["r0a", "r0b"], ["engine/z0/", "config/"])
     world.settle()
     assert sorted(world.subscriber("late").applied_values) == ["engine/z0/e0", "engine/z0/e3", "engine/z0/e6"]
 
@@ -257,26 +258,26 @@
 
     A whole hour is tried with all times but the clock's ten times as long, unless DISTRIBUTION_HOUR is set.
     """
-    world = settled(13, fronts=1, settings=slower(beat), lease_ms=beat * LEASE_MS)
+    world = settled(13, gateways=1, settings=slower(beat), lease_ms=beat * LEASE_MS)
     world.accept({"config/limits": b"0"})
     world.settle()
     leader = VOTERS.index(world.holder())
     side = world.region(leader if with_leader else (leader + 1) % 3)
     others = [n for n in world.net.hosts if n not in side]
-    voter, front = side[0], next(n for n in side if n in world.fronts)
-    before = world.subscriber(front).applied_version
+    voter, gateway = side[0], next(n for n in side if n in world.gateways)
+    before = world.subscriber(gateway).applied_version
     world.net.split(side, others)
     for minute in range(minutes):
         world.run(10_000 * beat, lambda: world.holder() in others)
         world.accept({"config/limits": b"%d" % minute, f"config/k{minute % 7}": b"1"})
         world.run(60_000 - 100)
         assert not world.part(voter).group.holds(world.now(voter))
-    assert world.subscriber(front).applied_version == before and world.subscriber(front).is_stale(
-        world.now(front)
+    assert world.subscriber(gateway).applied_version == before and world.subscriber(gateway).is_stale(
+        world.now(gateway)
     )
     answers = world.propose({"config/limits": b"x"}, via=voter)
     assert [a.outcome for a in answers] == [pb.Proposed.UNKNOWN]
     world.net.split(side, others, cut=False)
     world.settle(5000 * beat)
-    assert world.subscriber(front).applied_version == world.audit.newest
+    assert world.subscriber(gateway).applied_version == world.audit.newest
     assert not any(world.subscriber(n).counts["snapshots"] for n in side[1:])
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -32,7 +32,8 @@
 
     def __init__(self):
         """Nothing is heard."""
-        self.outbox, self.answers = [], {}
+        self.outbox = []
+        self.answers = {}
 
     def heard(self, now_ms, sender, message):
         """An answer, by its request."""
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -31,13 +31,13 @@
 def test_changes_within_merge_ms_go_out_as_one_delta():
     """The first at once, the rest together; the last of each key; versions still increase."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.run(2000)
     for number in range(10):
         harness.change({"config/a": b"%d" % number, f"config/b{number % 2}": b"1"})
     harness.deliver()
     harness.run(500)
-    assert (front.applied_version, front.applied_values["config/a"]) == (10, b"9") and front.counts[
+    assert (gateway.applied_version, gateway.applied_values["config/a"]) == (10, b"9") and gateway.counts[
         "deltas"
     ] == 2
 
@@ -45,52 +45,54 @@
 def test_a_cut_subscriber_resumes_by_version():
     """Two hundred changes later, without a snapshot."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.run(2000)
     for number in range(200):
         harness.change({f"config/k{number % 20}": b"%d" % number})
         harness.run(100, lambda message: None, step_ms=100)
     harness.run(4000)
-    assert front.applied_version == 200 and not front.counts["snapshots"] and front.counts["deltas"] > 1
+    assert gateway.applied_version == 200 and not gateway.counts["snapshots"] and gateway.counts["deltas"] > 1
 
 
 def test_one_behind_the_history_costs_one_snapshot():
     """And goes on with deltas."""
     harness = filled()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.run(2000)
     harness.change({"config/a": b"1"})
     harness.run(500)
-    assert front.applied_version == 41 and front.counts["snapshots"] == 1 and front.counts["deltas"] == 1
+    assert (
+        gateway.applied_version == 41 and gateway.counts["snapshots"] == 1 and gateway.counts["deltas"] == 1
+    )
 
 
 def test_one_that_holds_nothing_gets_a_snapshot_though_the_history_is_whole():
     """Deltas of a long history would not be paced; of a short one they are less than a snapshot."""
     harness = filled(Settings())
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.run(2000)
-    assert front.applied_version == 40 and front.counts["snapshots"] == 0
+    assert gateway.applied_version == 40 and gateway.counts["snapshots"] == 0
     for number in range(100):
         harness.change({f"engine/z1/e{number}": bytes(60)})
     other = harness.subscriber("other")
     harness.run(2000)
-    assert other.applied_values == front.applied_values
-    assert other.counts["snapshots"] == 1 and front.counts["snapshots"] == 0
+    assert other.applied_values == gateway.applied_values
+    assert other.counts["snapshots"] == 1 and gateway.counts["snapshots"] == 0
 
 
 def test_one_wrong_delta_costs_one_snapshot():
     """What was in force stays until it is whole."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
     wrong = entry("config/a", b"9", 2)
-    front.heard(harness.now_ms, ("s", 1), delta(front.session.session_id, 1, 2, [wrong], 99))
-    assert front.applied_values == {"config/a": b"1"} and front.counts["digest_wrong"] == 1
+    gateway.heard(harness.now_ms, ("s", 1), delta(gateway.session.session_id, 1, 2, [wrong], 99))
+    assert gateway.applied_values == {"config/a": b"1"} and gateway.counts["digest_wrong"] == 1
     harness.run(3000)
     assert (
-        front.counts["snapshots"] == 1
-        and front.applied_values == {"config/a": b"1"}
+        gateway.counts["snapshots"] == 1
+        and gateway.applied_values == {"config/a": b"1"}
         and len(harness.reports) == 1
     )
 
@@ -98,47 +100,49 @@
 def test_a_snapshot_cut_off_half_way_harms_nobody():
     """Pages stop; the subscriber keeps what it has, goes on elsewhere, and others are served."""
     harness = filled()
-    front, other = harness.subscriber(), harness.subscriber("other")
+    gateway, other = harness.subscriber(), harness.subscriber("other")
     seen = []
 
     def cut(message):
-        mine = message.HasField("page") and message.page.session == front.session.session_id
+        mine = message.HasField("page") and message.page.session == gateway.session.session_id
         seen.append(mine)
         return None if mine and sum(seen) > 2 else message
 
     harness.run(3000, cut)
-    assert front.version == 0 and front.applied_values == {} and not harness.applied[1:]
+    assert gateway.version == 0 and gateway.applied_values == {} and not harness.applied[1:]
     assert len(other.applied_values) == 40
     harness.run(6000)
-    assert front.applied_values == other.applied_values
+    assert gateway.applied_values == other.applied_values
 
 
 def test_a_fetch_that_takes_longer_than_a_session_lives_is_finished():
     """Many that fetch at once, pages in quick succession for half a minute: none begins anew."""
     settings = Settings(most_changes=8, snapshot_bytes_per_s=20_000)
     harness = filled(settings, {f"config/k{n}": bytes(60) for n in range(600)})
-    fronts = [harness.subscriber(f"f{number}") for number in range(8)]
+    gateways = [harness.subscriber(f"f{number}") for number in range(8)]
     begun = harness.now_ms
-    while not all(front.version for front in fronts) and harness.now_ms < begun + 60_000:
+    while not all(gateway.version for gateway in gateways) and harness.now_ms < begun + 60_000:
         harness.run(500)
     assert harness.now_ms - begun > 1.3 * settings.expire_ms
-    assert all(front.version == 600 and front.counts["snapshots"] == 1 for front in fronts)
-    assert not harness.source.counts["expired"] and not any(front.counts["failovers"] for front in fronts)
+    assert all(gateway.version == 600 and gateway.counts["snapshots"] == 1 for gateway in gateways)
+    assert not harness.source.counts["expired"] and not any(
+        gateway.counts["failovers"] for gateway in gateways
+    )
 
 
 def test_a_subscriber_goes_to_the_next_source_and_back_round():
     """A silent one is left after `silent_ms`."""
     harness = Harness()
-    front = harness.subscriber(sources=("gone", "s"))
+    gateway = harness.subscriber(sources=("gone", "s"))
     harness.change({"config/a": b"1"})
     harness.run(harness.settings.silent_ms + 1000)
-    assert front.source == "s" and front.applied_version == 1 and front.counts["failovers"] == 1
+    assert gateway.source == "s" and gateway.applied_version == 1 and gateway.counts["failovers"] == 1
 
 
 def test_a_source_that_fails_again_and_again_is_tried_ever_later():
     """Risk: a relay that answers now and then costs each of its subscribers `silent_ms` every time."""
     harness = Harness()
-    front = harness.subscriber(sources=("lost", "s"))
+    gateway = harness.subscriber(sources=("lost", "s"))
     tried = []
 
     def note(message):
@@ -150,23 +154,23 @@
     tried = tried[2:]  # without those of its start and of its failover
     gaps = [later - sooner for sooner, later in zip(tried, tried[1:], strict=False)]
     silent_ms = harness.settings.silent_ms
-    assert front.source == "s" and front.counts["failovers"] == 1 and not front.counts["failbacks"]
+    assert gateway.source == "s" and gateway.counts["failovers"] == 1 and not gateway.counts["failbacks"]
     assert gaps[-1] > 10 * silent_ms and max(gaps) < 52 * silent_ms and len(gaps) < 16
 
 
 def test_a_leave_ends_only_the_session_that_it_names():
     """Risk: a Leave that comes late would end the session that its sender has by now."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
-    for session, incarnation in ((front.session.session_id + 1, 1), (front.session.session_id, 2)):
+    for session, incarnation in ((gateway.session.session_id + 1, 1), (gateway.session.session_id, 2)):
         harness.source.heard(
-            harness.now_ms, (front.name, incarnation), pb.Message(leave=pb.Leave(session=session))
+            harness.now_ms, (gateway.name, incarnation), pb.Message(leave=pb.Leave(session=session))
         )
     assert harness.source.coverage(harness.now_ms).subscribers == 1
-    leave = pb.Message(leave=pb.Leave(session=front.session.session_id))
-    harness.source.heard(harness.now_ms, (front.name, 1), leave)
+    leave = pb.Message(leave=pb.Leave(session=gateway.session.session_id))
+    harness.source.heard(harness.now_ms, (gateway.name, 1), leave)
     assert harness.source.coverage(harness.now_ms) == pb.Coverage(oldest=harness.source.version)
 
 
@@ -201,25 +205,25 @@
 def test_an_unknown_session_is_asked_for_its_prefixes():
     """A source that started anew says so, and the subscription goes on."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
     harness.source.reset(harness.now_ms, harness.source.history.store, GENERATION + 1)
     harness.source.confirm(harness.now_ms, GENERATION + 1, 1, 0.0)
     harness.run(1500)
-    assert front.generation == GENERATION + 1 and "f" in harness.source.sessions
+    assert gateway.generation == GENERATION + 1 and "f" in harness.source.sessions
 
 
 def test_nothing_of_an_older_generation_is_taken():
     """Neither at a subscriber nor at a source."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.run(2000)
     last = entry("config/a", b"1", 1)
-    digest = front.store.digest_after([last])
-    old = delta(front.session.session_id, 0, 1, [last], digest, generation=GENERATION - 1)
-    front.heard(harness.now_ms, ("s", 1), old)
-    assert front.version == 0 and front.counts["old_generation"] == 1
+    digest = gateway.store.digest_after([last])
+    old = delta(gateway.session.session_id, 0, 1, [last], digest, generation=GENERATION - 1)
+    gateway.heard(harness.now_ms, ("s", 1), old)
+    assert gateway.version == 0 and gateway.counts["old_generation"] == 1
     assert not harness.source.advance(harness.now_ms, GENERATION - 1, 1, [last], harness.now_ms)
     assert harness.source.version == 0
 
@@ -240,10 +244,10 @@
 def test_senseless_deltas_change_nothing(fields):
     """They are counted."""
     harness = Harness()
-    front = harness.subscriber(prefixes=["config/"])
+    gateway = harness.subscriber(prefixes=["config/"])
     harness.change({"config/a": b"1"})
     harness.run(2000)
-    message = delta(front.session.session_id, 1, 2, [entry("config/a", b"2", 2)], 1)
+    message = delta(gateway.session.session_id, 1, 2, [entry("config/a", b"2", 2)], 1)
     for name, value in fields.items():
         if name == "entries":
             del message.delta.entries[:]
@@ -252,38 +256,42 @@
             setattr(message.delta, name, value)
     if "mark" not in fields:
         marked(message.delta, ["config/"])
-    front.heard(harness.now_ms, ("s", 1), message)
+    gateway.heard(harness.now_ms, ("s", 1), message)
     assert (
-        front.counts["malformed"] == 1 and front.applied_values == {"config/a": b"1"} and front.version == 1
+        gateway.counts["malformed"] == 1
+        and gateway.applied_values == {"config/a": b"1"}
+        and gateway.version == 1
     )
 
 
-def test_what_a_front_refused_is_tried_again_ever_later():
+def test_what_a_gateway_refused_is_tried_again_ever_later():
     """Versions that bring it nothing new don't count; one line; then it is in force."""
     harness = Harness()
-    front = harness.subscriber(prefixes=["config/"])
+    gateway = harness.subscriber(prefixes=["config/"])
     harness.refusal = "no room"
     harness.change({"config/a": b"1"})
     for number in range(60):
         harness.change({"engine/z0/e": b"%d" % number})
         harness.run(1000)
-    assert front.version > 50 and front.applied_version == 0 and front.applied_values == {}
-    assert 5 < front.counts["refused"] < 15 and len(harness.reports) == 1
+    assert gateway.version > 50 and gateway.applied_version == 0 and gateway.applied_values == {}
+    assert 5 < gateway.counts["refused"] < 15 and len(harness.reports) == 1
     assert harness.source.coverage(harness.now_ms).refused == 1
     harness.refusal = None
     harness.run(9000)
-    assert front.applied_version == front.version and front.applied_values == {"config/a": b"1"}
+    assert gateway.applied_version == gateway.version and gateway.applied_values == {"config/a": b"1"}
 
 
 def test_a_stopped_subscriber_says_nothing():
     """What is in force stays."""
     harness = Harness()
-    front = harness.subscriber()
+    gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
-    front.stop()
+    gateway.stop()
     harness.run(3000)
-    assert front.due_ms == float("inf") and not front.outbox and front.applied_values == {"config/a": b"1"}
+    assert (
+        gateway.due_ms == float("inf") and not gateway.outbox and gateway.applied_values == {"config/a": b"1"}
+    )
 
 
 def test_a_subscriber_needs_a_source():
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -143,7 +143,7 @@
 
 
 def test_coverage_is_bounded_while_one_stays_behind():
-    """A front that refuses for days, versions passing by."""
+    """A gateway that refuses for days, versions passing by."""
     census = CoverageTracker(Settings())
     census.add(SessionCoverage(1, 1, 1))
     for version in range(2, 5000):
@@ -230,7 +230,9 @@
         harness.source.advance(harness.now_ms, 1 << 62, version + step, entries, 0.0)
     follow = pb.Follow(session=1 << 63, number=1, prefixes=[""], whole=True)
     for since, whole in ((version - 1, False), (version, False), (0, True)):
-        follow.version, follow.whole, follow.number = since, whole, follow.number + 1
+        follow.version = since
+        follow.whole = whole
+        follow.number = follow.number + 1
         harness.source.heard(harness.now_ms, ("f", 1), pb.Message(follow=follow))
     fetch = pb.FetchPages(session=1 << 63, version=harness.source.version, first=0, count=1 << 31)
     harness.source.heard(harness.now_ms, ("f", 1), pb.Message(fetch=fetch))
@@ -241,16 +243,16 @@
 def test_the_longest_subscription_fits_into_the_envelope():
     """A relay's Follow, with all that it tells, at the most prefixes that are taken."""
     harness = Harness()
-    front = harness.subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
+    gateway = harness.subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
     largest = pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
-    front.make_coverage = lambda: largest
-    front.generation = 1 << 62
-    front.applied.version = 1 << 47
-    front.session.follow_number = 1 << 62
-    front.store.version = 1 << 47
-    front.resync.is_needed = True
-    front.tick(harness.now_ms + 1000)
-    (follow,) = messages_of(front, "follow")
+    gateway.make_coverage = lambda: largest
+    gateway.generation = 1 << 62
+    gateway.applied.version = 1 << 47
+    gateway.session.follow_number = 1 << 62
+    gateway.store.version = 1 << 47
+    gateway.resync.is_needed = True
+    gateway.tick(harness.now_ms + 1000)
+    (follow,) = messages_of(gateway, "follow")
     assert 950 < pb.Message(follow=follow).ByteSize() <= MOST_BODY
     with pytest.raises(ValueError):
         harness.subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -1,7 +1,7 @@
 """Distribution reads and writes the messages and the stored state of revision 0018238.
 
 Same bytes, same meaning. `golden/distribution/messages.json` holds one message of each kind of a scripted run
-(publisher, relays, fronts and a client), with a digest over all of them; `golden/distribution/stored.json`
+(publisher, relays, gateways and a client), with a digest over all of them; `golden/distribution/stored.json`
 what the voters of the publisher had on disk at its end. Relays and subscribers store nothing: what they hold
 in memory at the end is there as well.
 """
@@ -39,7 +39,9 @@
 
     def __init__(self, world):
         """Looks on at each flush of an outbox."""
-        self.world, self.sent, self.before = world, [], world.net.after
+        self.world = world
+        self.sent = []
+        self.before = world.net.after
         world.net.after = self.look
 
     def look(self, host, layer, part):
@@ -56,8 +58,8 @@
 
 
 def play():
-    """Changes are accepted, refused and deleted; a relay and the leader fail; a front comes late."""
-    world = World(SEED, zones=1, fronts=2, settings=SETTINGS, most_records=MOST_RECORDS)
+    """Changes are accepted, refused and deleted; a relay and the leader fail; a gateway comes late."""
+    world = World(SEED, zones=1, gateways=2, settings=SETTINGS, most_records=MOST_RECORDS)
     recorder = Recorder(world)
     world.settle()
     for number in range(4):
@@ -78,8 +80,8 @@
         world.accept({"config/0": b"again %d" % number, "engine/z0/1": b"y%d" % number})
     world.accept({"config/1": None})
     world.net.start("r0a")
-    world.front("late", ["r0b", "r0a"], ["config/"])
-    world.front("later", ["r0b", "r0a"], [""])
+    world.add_gateway("late", ["r0b", "r0a"], ["config/"])
+    world.add_gateway("later", ["r0b", "r0a"], [""])
     world.run(8_000)
     world.net.kill(leader)
     world.run(6_000)
@@ -172,7 +174,7 @@
 
 def effect_at_voter(example):
     """What a client's message does to a new voter alone, which is no leader."""
-    world = World(SEED, zones=0, fronts=0)
+    world = World(SEED, zones=0, gateways=0)
     part = world.part("v1")
     part.heard(world.now("v1"), CLIENT, pb.Message.FromString(bytes.fromhex(example["bytes"])))
     sent = [[name, m.SerializeToString().hex()] for name, m in part.outbox if isinstance(m, pb.Message)]
@@ -228,7 +230,7 @@
         voter: {key: value.hex() for key, value in sorted(disk.items())}
         for voter, disk in sorted(world.disks.items())
     }
-    held = {name: held_by(world.subscriber(name)) for name in (*world.relays, *world.fronts)}
+    held = {name: held_by(world.subscriber(name)) for name in (*world.relays, *world.gateways)}
     stored = {"voters": disks, "held": held, "record": make_record(ENTRIES, 9).hex()}
     base, _ = world.part(world.holder()).group.state
     stored["base"] = base.hex()
@@ -299,7 +301,7 @@
 
 def test_voters_go_on_from_the_stored_state_of_the_old_revision(stored):
     """They elect a leader, and its subscribers get what the old one had accepted."""
-    world = World(SEED, zones=0, fronts=0, settings=SETTINGS, most_records=MOST_RECORDS)
+    world = World(SEED, zones=0, gateways=0, settings=SETTINGS, most_records=MOST_RECORDS)
     for voter in VOTERS:
         world.net.kill(voter)
     for voter in VOTERS:
--- a/tests/test_golden_membership.py
+++ b/tests/test_golden_membership.py
@@ -50,10 +50,16 @@
 
     def __init__(self):
         """Nobody runs yet."""
-        self.now_ms, self.order, self.events = 0.0, count(), []
-        self.members, self.starts = {}, dict.fromkeys(NAMES, 0)
-        self.lost, self.slow = set(), set()  # Pairs (sender, receiver).
-        self.sent, self.sends = [], []
+        self.now_ms = 0.0
+        self.order = count()
+        self.events = []
+        self.members = {}
+        self.starts = dict.fromkeys(NAMES, 0)
+        # Pairs (sender, receiver).
+        self.lost = set()
+        self.slow = set()
+        self.sent = []
+        self.sends = []
 
     def at(self, at_ms, action, *arguments):
         """Calls an action at a time of the script."""
