--- a/lichenquay/distribution/delta_sender.py
+++ b/lichenquay/distribution/delta_sender.py
@@ -2,7 +2,7 @@
 
 import heapq
 from itertools import count
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import marked, size_of
@@ -10,6 +10,9 @@
 from lichenquay.distribution.prefix_view import PrefixView
 from lichenquay.distribution.subscriber_sessions import Audience, SubscriberSession
 
+if TYPE_CHECKING:
+    from lichenquay.distribution.source import Source
+
 INF = float("inf")
 MAX_AGE_MS = 1e12  # Sent where nothing was confirmed.
 
@@ -27,7 +30,7 @@
 class DeltaSender:
     """Sends deltas for one source. A session that has not answered is pushed nothing more."""
 
-    def __init__(self, source):
+    def __init__(self, source: "Source"):
         """Start with nothing to push."""
         self.source = source
         self.settings = source.settings
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -8,6 +8,8 @@
 from functools import partial
 from random import Random
 
+from google.protobuf.message import Message
+
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.key_store import KeyStore
 from lichenquay.distribution.record_log import (
@@ -203,7 +205,7 @@
             self._serve(now_ms, sender, kind, message)
         self._publish(now_ms)
 
-    def _redirect(self, receiver: str, body) -> None:
+    def _redirect(self, receiver: str, body: Message) -> None:
         """Tell a client or a relay who is the leader, as far as it is known here."""
         number = body.request if hasattr(body, "request") else body.session
         leader, generation = self.group.holder
--- a/lichenquay/distribution/snapshot_server.py
+++ b/lichenquay/distribution/snapshot_server.py
@@ -1,16 +1,21 @@
 """Snapshots of a source: offers, and the pages that subscribers fetch, paced."""
 
+from typing import TYPE_CHECKING
+
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import marked
 from lichenquay.distribution.pacing import SnapshotPacer
 from lichenquay.distribution.snapshot import Snapshot
 from lichenquay.distribution.subscriber_sessions import SubscriberSession
 
+if TYPE_CHECKING:
+    from lichenquay.distribution.source import Source
+
 
 class SnapshotServer:
     """Serves snapshots for one source."""
 
-    def __init__(self, source, now_ms: float):
+    def __init__(self, source: "Source", now_ms: float):
         """Start without a snapshot."""
         self.source = source
         self.settings = source.settings
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -18,6 +18,7 @@
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.snapshot_server import SnapshotServer
 from lichenquay.distribution.subscriber_sessions import (
+    Audience,
     SessionRegistry,
     SubscriberSession,
     sorted_prefixes,
@@ -194,7 +195,7 @@
         self.coverage_tracker.mark_present(name)
         return session
 
-    def _remove_session(self, session: SubscriberSession, keep_audience=None) -> None:
+    def _remove_session(self, session: SubscriberSession, keep_audience: Audience | None = None) -> None:
         self.snapshots.pacer.release(session.name)
         if session.coverage is not None:
             self.coverage_tracker.remove(session.coverage)
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -4,6 +4,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
+from google.protobuf.message import Message
+
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.applied_state import AppliedState, Apply, Report, ignore_report
 from lichenquay.distribution.errors import DigestError, SubscriptionError, VersionGapError
@@ -354,7 +356,7 @@
         if trial is not None:
             self.outbox.append((trial.source, pb.Message(follow=self._make_follow(now_ms, trial))))
 
-    def _on_failback_answer(self, now_ms: float, kind: str, body) -> None:
+    def _on_failback_answer(self, now_ms: float, kind: str, body: Message) -> None:
         """Go back to the preferred source if it serves this subscriber."""
         if kind == "not_leader":
             self.failback.cancel()
--- a/lichenquay/membership/anti_entropy.py
+++ b/lichenquay/membership/anti_entropy.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.membership.member_state import precedence
@@ -16,6 +17,9 @@
     append_rows,
 )
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 INF = float("inf")
 MAX_SYNC_MESSAGES = 16
 MAX_PARTITIONS_AT_ONCE = 8
@@ -35,7 +39,7 @@
 class AntiEntropy:
     """Periodic comparison of this member's table with that of another member."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Start without a comparison planned."""
         self.detector = detector
         self.table = detector.table
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -15,7 +15,7 @@
 from lichenquay.membership.errors import InvalidMemberError
 from lichenquay.membership.gossip import Gossip
 from lichenquay.membership.local_health import LocalHealth
-from lichenquay.membership.member_state import MemberRecord, MemberState, MemberSummary, View
+from lichenquay.membership.member_state import MemberRecord, MemberState, MemberSummary, StateChange, View
 from lichenquay.membership.member_table import MemberTable
 from lichenquay.membership.message_format import MAX_INCARNATION, is_valid_name
 from lichenquay.membership.message_handling import MessageHandler
@@ -103,7 +103,7 @@
         return self.messenger.outbox
 
     @property
-    def changes(self):
+    def changes(self) -> list[StateChange]:
         """State changes (StateChange) that the host is to take, in the order of the view's numbers."""
         return self.table.changes
 
--- a/lichenquay/membership/gossip.py
+++ b/lichenquay/membership/gossip.py
@@ -6,11 +6,15 @@
 
 from heapq import nsmallest
 from math import ceil, log2
+from typing import TYPE_CHECKING
 
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.membership.member_table import Member
 from lichenquay.membership.message_format import append_rows, check_size
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 INF = float("inf")
 FANOUT = 3
 MAX_ROWS = 40  # A row takes at least 25 bytes of a message.
@@ -21,7 +25,7 @@
 class Gossip:
     """The updates that still are to be passed on, with the number of times that each was sent."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Start without updates."""
         self.detector = detector
         self.table = detector.table
--- a/lichenquay/membership/message_handling.py
+++ b/lichenquay/membership/message_handling.py
@@ -6,6 +6,8 @@
 `unexpected_ack`, `too_many_relayed` (pings for other members).
 """
 
+from typing import TYPE_CHECKING
+
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.membership.member_state import MemberState
 from lichenquay.membership.member_table import Member
@@ -18,13 +20,16 @@
 )
 from lichenquay.membership.probing import AckKind, AckResult
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 RELAYED_PINGS_PER_PERIOD = 3  # A relayed ping lasts a third of a probe period.
 
 
 class MessageHandler:
     """Handles received messages for one failure detector."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Handle messages of a detector."""
         self.detector = detector
         self.name = detector.name
--- a/lichenquay/membership/messenger.py
+++ b/lichenquay/membership/messenger.py
@@ -1,12 +1,16 @@
 """Outgoing messages: the outbox, the choice of receivers, and the rows that a message must carry."""
 
 from collections.abc import Collection, Iterable
+from typing import TYPE_CHECKING
 
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.membership.member_state import MemberState
 from lichenquay.membership.member_table import Member
 from lichenquay.membership.message_format import row_of
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 MIN_JITTER = 0.9
 MAX_JITTER = 1.1
 
@@ -14,7 +18,7 @@
 class Messenger:
     """Sends for one failure detector: each message carries gossip and what the receiver must know first."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Make an empty outbox."""
         self.detector = detector
         self.table = detector.table
--- a/lichenquay/membership/own_membership.py
+++ b/lichenquay/membership/own_membership.py
@@ -1,8 +1,13 @@
 """This member's own state: refutation, being faulty and the rejoin, the end of an incarnation."""
 
+from typing import TYPE_CHECKING
+
 from lichenquay.membership.member_state import MemberRecord, MemberState
 from lichenquay.membership.message_format import MAX_REFUTATION
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 INF = float("inf")
 MAX_REJOIN_DELAY_FACTOR = 64
 REJOIN_MEMORY_MS = 600_000
@@ -13,7 +18,7 @@
 class OwnMembership:
     """What is claimed of this member, and what it answers."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Start as a member that was never faulty."""
         self.detector = detector
         self._faulty_since_ms = -INF
--- a/lichenquay/membership/probing.py
+++ b/lichenquay/membership/probing.py
@@ -6,10 +6,13 @@
 """
 
 from enum import Enum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from lichenquay.membership import members_pb2 as pb
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 INF = float("inf")
 MAX_EXTRA_PROBES = 8
 MAX_RELAYED_PINGS = 32
@@ -79,7 +82,7 @@
 class Prober:
     """All probes and relayed pings under way, and the order in which members are probed."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Start without a probe, at a random sequence number."""
         self.detector = detector
         self.table = detector.table
--- a/lichenquay/membership/suspicion.py
+++ b/lichenquay/membership/suspicion.py
@@ -1,6 +1,7 @@
 """Suspicion: from a failed probe to the verdicts `faulty` and `removed`."""
 
 from math import log, log10
+from typing import TYPE_CHECKING
 
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.membership.member_state import MemberState
@@ -8,6 +9,9 @@
 from lichenquay.membership.message_format import MAX_ACCUSERS
 from lichenquay.membership.probing import Probe
 
+if TYPE_CHECKING:
+    from lichenquay.membership.failure_detector import FailureDetector
+
 INF = float("inf")
 MAX_CONFIRMATIONS = 3  # More independent accusers do not shorten a suspicion further.
 MIN_SUSPICION_SHARE = 0.76  # Of the suspicion timeout, from the first accusation on.
@@ -19,7 +23,7 @@
 class Suspicion:
     """Plans and takes the verdicts on suspect and faulty members."""
 
-    def __init__(self, detector):
+    def __init__(self, detector: "FailureDetector"):
         """Start with nothing to evaluate."""
         self.detector = detector
         self.table = detector.table
