--- a/lichenquay/distribution/relay.py
+++ b/lichenquay/distribution/relay.py
@@ -29,7 +29,7 @@
         self.name = name
         self.source = Source(name, rng, settings, now_ms)
         self.subscriber = Subscriber(name, publishers, EVERYTHING, rng, settings, now_ms, self._apply, report)
-        self.subscriber.on_store_changed = self._on_store_changed
+        self.subscriber.state.on_changed = self._on_state_changed
         self.subscriber.make_coverage = self._make_coverage
         self.subscriber.outbox = self.source.outbox
         self.outbox = self.source.outbox
@@ -60,10 +60,10 @@
     def _apply(self, now_ms: float, changed: dict[str, bytes | None], is_whole: bool) -> None:
         """Accept every change, as a relay itself uses none."""
 
-    def _on_store_changed(self, now_ms: float, entries: list[pb.Entry] | None) -> None:
+    def _on_state_changed(self, now_ms: float, entries: list[pb.Entry] | None) -> None:
         upper = self.subscriber
         if entries is None:
-            self.source.reset(now_ms, upper.store.copy(), upper.generation)
+            self.source.reset(now_ms, upper.state.store.copy(), upper.generation)
         else:
             confirmed_ms = upper.freshness.newest_confirmed_ms
             self.source.advance(now_ms, upper.generation, upper.version, entries, confirmed_ms)
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -19,6 +19,7 @@
     is_valid_delta,
     is_valid_subscription,
 )
+from lichenquay.distribution.replicated_state import ReplicatedState
 from lichenquay.distribution.resync import Resync
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.snapshot_fetch import SnapshotFetch, is_valid_offer
@@ -29,11 +30,10 @@
 
 
 class Subscriber:
-    """Holds a state (`store`) and has it applied by its host; see AppliedState for `apply`.
+    """Holds a state (`state`) and has it applied by its host; see AppliedState for `apply`.
 
     `report(now_ms, line)` is called for errors. A relay sets two callbacks: `make_coverage()` returns what it
-    reports of its subscribers; `on_store_changed(now_ms, entries)` is called after each change of `store`,
-    with None in place of the entries if the whole state was replaced.
+    reports of its subscribers; `state.on_changed` is called after each change of the state.
     """
 
     def __init__(
@@ -57,16 +57,15 @@
         self.outbox: list[tuple[str, pb.Message]] = []
         self.counts = Counter()
         self.make_coverage: Callable[[], pb.Coverage] | None = None
-        self.on_store_changed: Callable[[float, list[pb.Entry] | None], None] | None = None
         self.session = SourceSession(sources, rng, settings, now_ms)
         self.failback = Failback(sources, rng, settings)
         self.generation = 0
-        self.store = KeyStore()
         self.snapshot_fetch: SnapshotFetch | None = None
         self.freshness = Freshness()
         self.resync = Resync(settings)
         self.report = report or ignore_report
-        self.applied = AppliedState(apply, self.report, settings, self.counts)
+        applied = AppliedState(apply, self.report, settings, self.counts)
+        self.state = ReplicatedState(applied, self.prefixes, self.counts)
         self._is_stopped = False
         self._handlers = {
             "delta": self._on_delta,
@@ -84,22 +83,22 @@
     @property
     def version(self) -> int:
         """The version that is held."""
-        return self.store.version
+        return self.state.store.version
 
     @property
     def digest(self) -> int:
         """The digest of what is held."""
-        return self.store.digest
+        return self.state.store.digest
 
     @property
     def applied_version(self) -> int:
         """The version in force."""
-        return self.applied.version
+        return self.state.applied.version
 
     @property
     def applied_values(self) -> dict[str, bytes]:
         """The values in force."""
-        return self.applied.values
+        return self.state.applied.values
 
     @property
     def newest_version(self) -> int:
@@ -130,7 +129,7 @@
             self.session.next_follow_ms,
             self.session.fail_over_due_ms,
             self.failback.due_ms,
-            self.applied.due_ms,
+            self.state.applied.due_ms,
             self.snapshot_fetch.due_ms if self.snapshot_fetch else INF,
         )
 
@@ -146,8 +145,8 @@
             self._try_failback(now_ms)
         if self.snapshot_fetch and now_ms >= self.snapshot_fetch.due_ms:
             self._send(fetch=self.snapshot_fetch.request(now_ms))
-        if now_ms >= self.applied.due_ms:
-            self.applied.apply_pending(now_ms, self.store)
+        if now_ms >= self.state.applied.due_ms:
+            self.state.applied.apply_pending(now_ms, self.state.store)
             self.session.follow_soon(now_ms)
 
     def stop(self) -> None:
@@ -194,13 +193,15 @@
             return
         self._on_useful_message(now_ms)
         try:
-            self._apply_delta(now_ms, delta)
+            entries = self.state.apply_delta(now_ms, delta)
         except VersionGapError:
             self.counts["gaps"] += 1
             self.session.follow_soon(now_ms)
         except DigestError as error:
             self._on_wrong_digest(now_ms, str(error))
         else:
+            if entries is not None:
+                self._on_delta_applied(now_ms, entries)
             self._record_freshness(delta)
 
     def _on_useful_message(self, now_ms: float) -> None:
@@ -210,38 +211,13 @@
             leave = pb.Leave(session=former.session_id)
             self.outbox.append((former.source, pb.Message(leave=leave)))
 
-    def _apply_delta(self, now_ms: float, delta: pb.Delta) -> None:
-        """Take what is newer than what is held, as a whole.
-
-        Raises VersionGapError or DigestError; then nothing is taken.
-        """
-        if getattr(delta, "from") > self.version:
-            raise VersionGapError(f"a delta from {getattr(delta, 'from')}, version {self.version} is held")
-        if delta.to < self.version:
-            self.counts["old_version"] += 1
-            return
-        fresh = [entry for entry in delta.entries if entry.version > self.version]
-        if self.store.digest_after(fresh) != delta.digest:
-            raise DigestError(f"changes up to version {delta.to} with a wrong digest")
+    def _on_delta_applied(self, now_ms: float, entries: list[pb.Entry]) -> None:
         self.resync.is_needed = False
-        if delta.to > self.version:
-            self._advance(now_ms, delta.to, fresh)
-        if self.snapshot_fetch is not None and self.snapshot_fetch.version <= self.version:
-            self.snapshot_fetch = None
-
-    def _advance(self, now_ms: float, version: int, entries: list[pb.Entry]) -> None:
-        self.store.apply(version, entries)
         if entries:
-            self.counts["deltas"] += 1
             self.resync.attempts = 0
-        self.applied.add_pending(entry.key for entry in entries)
-        # What was refused is not tried again for a version without changes, only after its delay.
-        if entries or not self.applied.has_pending:
-            self.applied.apply_pending(now_ms, self.store)
-        if self.on_store_changed is not None:
-            self.on_store_changed(now_ms, entries)
-        if entries:
             self._send_follow(now_ms)
+        if self.snapshot_fetch is not None and self.snapshot_fetch.version <= self.version:
+            self.snapshot_fetch = None
 
     def _record_freshness(self, delta: pb.Delta) -> None:
         follow_sent_ms = self.session.sent_ms.get(delta.follow)
@@ -295,23 +271,13 @@
         except DigestError as error:
             self._on_wrong_digest(now_ms, str(error))
             return
-        # Otherwise changes that came meanwhile would be undone.
-        if store.version < self.version:
-            self.counts["old_version"] += 1
-            return
-        if not all(key.startswith(self.prefixes) for key in store.entries):
-            self.counts["malformed"] += 1
-            return
-        self.counts["snapshots"] += 1
-        self._replace_store(now_ms, store)
+        if self.state.may_be_replaced_by(store):
+            self._replace_state(now_ms, store)
 
-    def _replace_store(self, now_ms: float, store: KeyStore) -> None:
-        self.store = store
+    def _replace_state(self, now_ms: float, store: KeyStore) -> None:
+        self.counts["snapshots"] += 1
         self.resync.is_needed = False
-        self.applied.set_whole_pending()
-        self.applied.apply_pending(now_ms, store)
-        if self.on_store_changed is not None:
-            self.on_store_changed(now_ms, None)
+        self.state.replace(now_ms, store)
         self._send_follow(now_ms)
 
     def _on_wrong_digest(self, now_ms: float, line: str) -> None:
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -13,6 +13,7 @@
 from lichenquay.distribution.prefix_view import PrefixView
 from lichenquay.distribution.publisher import Publisher
 from lichenquay.distribution.record_log import RequestIndex
+from lichenquay.distribution.replicated_state import ReplicatedState
 from lichenquay.distribution.snapshot_fetch import SnapshotFetch
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
@@ -51,9 +52,9 @@
 
 def _digest_ignored(old):
     def apply_delta(self, now_ms, delta):
-        fresh = [entry for entry in delta.entries if entry.version > self.version]
+        fresh = [entry for entry in delta.entries if entry.version > self.store.version]
         delta.digest = self.store.digest_after(fresh)
-        old(self, now_ms, delta)
+        return old(self, now_ms, delta)
 
     return apply_delta
 
@@ -64,8 +65,10 @@
     def apply_delta(self, now_ms, delta):
         entries = list(delta.entries)
         delta.digest = self.store.digest_after(entries)
-        if delta.to != self.version:
-            self._advance(now_ms, delta.to, entries)
+        if delta.to == self.store.version:
+            return None
+        self.advance(now_ms, delta.to, entries)
+        return entries
 
     return apply_delta
 
@@ -81,7 +84,7 @@
 
 def _install_at_once(old):
     def install_snapshot(self, now_ms, fetch):
-        self._replace_store(now_ms, fetch.result())
+        self._replace_state(now_ms, fetch.result())
 
     return install_snapshot
 
@@ -248,17 +251,19 @@
 
 def _versions_by_text(old):
     def apply_delta(self, now_ms, delta):
-        if str(delta.to) < str(self.version):
-            return
-        old(self, now_ms, delta)
+        if str(delta.to) < str(self.store.version):
+            return None
+        return old(self, now_ms, delta)
 
     return apply_delta
 
 
 rule("no generation check", (Subscriber, "_is_current", _any_generation))
-rule("digest ignored, gap not seen", (Subscriber, "_apply_delta", _any_since))
-rule("digest ignored", (Subscriber, "_apply_delta", _digest_ignored), (PrefixView, "_build", _no_deletions))
-rule("versions compared as text", (Subscriber, "_apply_delta", _versions_by_text))
+rule("digest ignored, gap not seen", (ReplicatedState, "apply_delta", _any_since))
+rule(
+    "digest ignored", (ReplicatedState, "apply_delta", _digest_ignored), (PrefixView, "_build", _no_deletions)
+)
+rule("versions compared as text", (ReplicatedState, "apply_delta", _versions_by_text))
 rule(
     "a snapshot over a newer delta",
     (Subscriber, "_is_wanted", _any_offer),
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -52,7 +52,7 @@
     assert gateway.snapshot_fetch is not None
     held = gateway.version
     last = entry("engine/z0/e0", b"new", held + 1)
-    digest = gateway.store.digest_after([last])
+    digest = gateway.state.store.digest_after([last])
     gateway.heard(harness.now_ms, ("s", 1), delta(gateway.session.session_id, held, held + 1, [last], digest))
     page = pb.Page(session=gateway.session.session_id, generation=GENERATION, version=held, number=0)
     gateway.heard(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -220,7 +220,7 @@
     gateway = harness.subscriber()
     harness.run(2000)
     last = entry("config/a", b"1", 1)
-    digest = gateway.store.digest_after([last])
+    digest = gateway.state.store.digest_after([last])
     old = delta(gateway.session.session_id, 0, 1, [last], digest, generation=GENERATION - 1)
     gateway.heard(harness.now_ms, ("s", 1), old)
     assert gateway.version == 0 and gateway.counts["old_generation"] == 1
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -247,9 +247,9 @@
     largest = pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
     gateway.make_coverage = lambda: largest
     gateway.generation = 1 << 62
-    gateway.applied.version = 1 << 47
+    gateway.state.applied.version = 1 << 47
     gateway.session.follow_number = 1 << 62
-    gateway.store.version = 1 << 47
+    gateway.state.store.version = 1 << 47
     gateway.resync.is_needed = True
     gateway.tick(harness.now_ms + 1000)
     (follow,) = messages_of(gateway, "follow")
