--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -1,25 +1,43 @@
 """Seeded schedules of faults on voters, relays and gateways in virtual time, changes proposed all along."""
 
 from dataclasses import replace
+from enum import Enum
 from random import Random
+from typing import NamedTuple
 
 from distribution_world import LEASE_MS, SETTINGS, VOTERS, World
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.testbed.fleetnet import Weather
 
+
+class FaultKind(Enum):
+    """What can fail."""
+
+    KILL = "kill"
+    FOLDER = "folder"
+    PAUSE = "pause"
+    ISOLATE = "isolate"
+    ONE_WAY = "one way"
+    REGION = "region"
+    STORM = "storm"
+    REFUSE = "refuse"
+    PUBLISHER = "publisher"
+
+
+# Kills and pauses twice as often as the others.
 FAULTS = (
-    "kill",
-    "kill",
-    "folder",
-    "pause",
-    "pause",
-    "cut",
-    "one_way",
-    "region",
-    "storm",
-    "refuse",
-    "publisher",
+    FaultKind.KILL,
+    FaultKind.KILL,
+    FaultKind.FOLDER,
+    FaultKind.PAUSE,
+    FaultKind.PAUSE,
+    FaultKind.ISOLATE,
+    FaultKind.ONE_WAY,
+    FaultKind.REGION,
+    FaultKind.STORM,
+    FaultKind.REFUSE,
+    FaultKind.PUBLISHER,
 )
 REST_MS = 25_000.0  # After the last fault: all that was accepted is in force everywhere.
 KEYS = 12
@@ -33,32 +51,39 @@
 SMALL = replace(SETTINGS, most_changes=16, snapshot_bytes_per_s=20_000, most_snapshots=2, delta_bytes=800)
 
 
+class AcceptedChange(NamedTuple):
+    """A change and the version that was answered."""
+
+    version: int
+    changes: dict
+
+
 class Client:
     """Proposes changes, and goes on asking while one is in doubt."""
 
     def __init__(self, world, rng):
-        """Nothing is asked."""
+        """Nothing is proposed yet."""
         self.world = world
         self.rng = rng
-        self.open = {}
-        self.outcomes = {}
-        self.seen = {}  # request -> version answered
+        self.undecided = {}  # request -> changes
+        self.accepted = {}  # request -> AcceptedChange
 
     def propose(self):
         """A new change, or one that is in doubt again; sometimes one that has been answered."""
         rng = self.rng
-        if self.open and rng.random() < 0.5:
-            request = rng.choice(list(self.open))
-            self.ask(request, self.open[request])
-        elif self.seen and rng.random() < 0.1:
-            request = rng.choice(list(self.seen))
-            self.ask(request, self.seen[request][1])
+        if self.undecided and rng.random() < 0.5:
+            request = rng.choice(list(self.undecided))
+            self.ask(request, self.undecided[request])
+        elif self.accepted and rng.random() < 0.1:
+            request = rng.choice(list(self.accepted))
+            self.ask(request, self.accepted[request].changes)
         else:
             self.world.requests += 1
-            self.open[self.world.requests] = self._change()
-            self.ask(self.world.requests, self.open[self.world.requests])
+            request = self.world.requests
+            self.undecided[request] = self._make_changes()
+            self.ask(request, self.undecided[request])
 
-    def _change(self):
+    def _make_changes(self):
         rng = self.rng
         keys = rng.sample(range(KEYS), rng.choice((1, 1, 2, 3)))
         pad = b"x" * rng.choice((0, 0, 150))
@@ -68,41 +93,47 @@
     def ask(self, request, changes):
         """Asks whoever may be the leader."""
         world = self.world
-        up = [n for n in VOTERS if world.net.hosts[n].up and not world.net.hosts[n].paused]
-        if up:
-            name = world.holder() or self.rng.choice(up)
-            world.propose(changes, request, name, lambda answer: self._answered(answer, changes))
+        hosts = world.net.hosts
+        running = [name for name in VOTERS if hosts[name].up and not hosts[name].paused]
+        if running:
+            name = world.holder() or self.rng.choice(running)
+            world.propose(changes, request, name, lambda answer: self._on_answer(answer, changes))
 
-    def _answered(self, answer, changes):
+    def _on_answer(self, answer, changes):
         if answer.outcome == pb.Proposed.UNKNOWN:
             return
-        self.open.pop(answer.request, None)
+        self.undecided.pop(answer.request, None)
         if answer.outcome == pb.Proposed.ACCEPTED:
-            known = self.seen.setdefault(answer.request, (answer.version, changes))
-            assert known[0] == answer.version, f"request {answer.request}: {known[0]}, then {answer.version}"
+            change = AcceptedChange(answer.version, changes)
+            first = self.accepted.setdefault(answer.request, change).version
+            assert first == answer.version, f"request {answer.request}: {first}, then {answer.version}"
 
 
 def schedule(seed, last_ms=20_000, faults=12, zones=3, gateways=2):
     """Runs one; gives its world, settled. InvariantError, AssertionError where something does not hold."""
     rng = Random(f"distribution/{seed}")
-    small = seed % 2 == 1
-    settings = SMALL if small else SETTINGS
-    world = World(seed, zones, gateways, rng.choice(ROUGH), settings, most_records=24 if small else 1024)
-    client, at = Client(world, rng), 0.0
-    while at < last_ms:
-        at += rng.expovariate(1 / rng.choice((30, 300)))
-        world.net.at(at, client.propose)
+    has_short_history = seed % 2 == 1
+    settings = SMALL if has_short_history else SETTINGS
+    world = World(
+        seed, zones, gateways, rng.choice(ROUGH), settings, most_records=24 if has_short_history else 1024
+    )
+    client = Client(world, rng)
+    at_ms = 0.0
+    while at_ms < last_ms:
+        at_ms += rng.expovariate(1 / rng.choice((30, 300)))
+        world.net.at(at_ms, client.propose)
+    injector = FaultInjector(world, rng)
     for _ in range(faults):
-        world.net.at(rng.uniform(1500, last_ms), Fault(world, rng).happen, rng.choice(FAULTS))
+        world.net.at(rng.uniform(1500, last_ms), injector.inject, rng.choice(FAULTS))
     world.net.run(last_ms)
-    mend(world)
+    end_faults(world)
     world.settle(REST_MS)
     world.accept({"config/last": b"%d" % seed})
     world.settle(REST_MS)
     return world
 
 
-def mend(world):
+def end_faults(world):
     """The end of all faults: everything runs, links are well."""
     world.net.mend(Weather())
     for name in (*VOTERS, *world.relays, *world.gateways):
@@ -112,22 +143,34 @@
         world.part(name).fault = None
 
 
-class Fault:
-    """One fault, and its end."""
+class FaultInjector:
+    """Injects faults, and ends each of them after a while."""
 
     def __init__(self, world, rng):
-        """To happen later."""
+        """Injects nothing yet."""
         self.world = world
         self.net = world.net
         self.rng = rng
-
-    def happen(self, what):
-        """Does it now."""
+        self._actions = {
+            FaultKind.KILL: self._kill,
+            FaultKind.FOLDER: self._lose_folder,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.ISOLATE: self._isolate,
+            FaultKind.ONE_WAY: self._cut_one_way,
+            FaultKind.REGION: self._isolate_region,
+            FaultKind.STORM: self._lose_messages,
+            FaultKind.REFUSE: self._refuse,
+            FaultKind.PUBLISHER: self._fail_publisher,
+        }
+
+    def inject(self, kind):
+        """Injects one fault now, at a random process."""
         names = [*VOTERS, *VOTERS, *self.world.relays, *self.world.gateways]
-        getattr(self, f"_{what}")(self.rng.choice(names))
+        self._actions[kind](self.rng.choice(names))
 
-    def _later(self, act, *args):
-        self.net.at(self.net.now_ms + self.rng.choice((50, 900, 2.5 * LEASE_MS)), act, *args)
+    def _later(self, action, *arguments):
+        delay_ms = self.rng.choice((50, 900, 2.5 * LEASE_MS))
+        self.net.at(self.net.now_ms + delay_ms, action, *arguments)
 
     def _kill(self, name):
         if self.net.hosts[name].up:
@@ -138,16 +181,23 @@
         if not self.net.hosts[name].up:
             self.net.start(name)
 
-    def _publisher(self, name):
+    def _fail_publisher(self, _name):
         name = self.world.holder()
-        if name is not None:
-            (self._kill if self.rng.random() < 0.5 else self._pause)(name)
-
-    def _folder(self, name):
-        """A voter loses its folder, if no other one is without its state: that is what is assumed."""
-        others = [n for n in VOTERS if n != name]
-        well = all(self.net.hosts[n].up and self.world.part(n).group.voter.birth is None for n in others)
-        if name in VOTERS and well and self.net.hosts[name].up:
+        if name is None:
+            return
+        if self.rng.random() < 0.5:
+            self._kill(name)
+        else:
+            self._pause(name)
+
+    def _lose_folder(self, name):
+        """A voter loses its folder, but only while all others have their state, as the design assumes."""
+        hosts = self.net.hosts
+        others = [other for other in VOTERS if other != name]
+        others_have_state = all(
+            hosts[other].up and self.world.part(other).group.voter.birth is None for other in others
+        )
+        if name in VOTERS and others_have_state and hosts[name].up:
             self.net.kill(name)
             self.world.disks[name] = {}
             self.world.lost.add(name)
@@ -156,34 +206,37 @@
     def _pause(self, name):
         self.net.pause(name, self.rng.choice((100, 1200, 2.5 * LEASE_MS)))
 
-    def _cut(self, name):
-        self._split([name], [n for n in self.net.hosts if n != name])
+    def _isolate(self, name):
+        self._partition([name], self._others([name]))
 
-    def _region(self, name):
+    def _isolate_region(self, _name):
         side = self.world.region(self.rng.randrange(len(VOTERS)))
-        self._split(side, [n for n in self.net.hosts if n not in side])
+        self._partition(side, self._others(side))
+
+    def _others(self, names):
+        return [host for host in self.net.hosts if host not in names]
 
-    def _split(self, side, others):
+    def _partition(self, side, others):
         self.net.split(side, others)
         self._later(self._heal, side, others)
 
     def _heal(self, side, others):
         self.net.split(side, others, cut=False)
 
-    def _one_way(self, name):
-        others = [n for n in self.net.hosts if n != name]
+    def _cut_one_way(self, name):
+        others = self._others([name])
         sides = ([name], others) if self.rng.random() < 0.5 else (others, [name])
         self.net.between(*sides, cut=True)
         self._later(lambda: self.net.between(*sides, cut=False))
 
-    def _storm(self, name):
+    def _lose_messages(self, _name):
         """All links lose a third for a while."""
         before = self.net.weather
         self.net.weather = replace(self.net.weather, loss=0.35, doubled=0.1)
         self._later(setattr, self.net, "weather", before)
 
-    def _refuse(self, name):
-        """A gateway that can't apply what comes."""
+    def _refuse(self, _name):
+        """A gateway cannot apply changes for a while."""
         name = self.rng.choice(self.world.gateways)
         if self.net.hosts[name].up:
             part = self.world.part(name)
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -5,7 +5,7 @@
 
 import pytest
 from distribution_harness import entry
-from distribution_mutation import mutations, run
+from distribution_mutation import mutations, run_mutations
 from distribution_world import World
 
 from lichenquay.distribution import distribution_pb2 as pb
@@ -15,23 +15,30 @@
 
 ALL = os.environ.get("DISTRIBUTION_MUTANTS") == "all"
 EVERY = 1 if ALL else int(os.environ.get("DISTRIBUTION_EVERY", 251))
+ENTRIES = [entry("config/a", b"1", 0), entry("config/b", b"2", 0)]
+FIRST_REQUEST = 1000
 
 
 def test_one_message_changed_at_a_time(capsys):
-    """The audit's invariants at each step, and rest at the end."""
-    messages, there, ran, faults = run(1, lambda number: number % EVERY == 0)
+    """The audit's invariants hold at each step, and everything is in force at the end."""
+    result = run_mutations(1, lambda number: number % EVERY == 0)
     with capsys.disabled():
-        print(f"\ndistribution: {messages} messages, {there} mutants, {ran} run, {len(faults)} faults")
-    assert faults == [] and messages > 150 and ran > 5000 // EVERY
+        print(
+            f"\ndistribution: {result.message_count} messages, {result.mutant_count} mutants, "
+            f"{result.mutants_run} run, {len(result.failures)} failures"
+        )
+    assert result.failures == []
+    assert result.message_count > 150
+    assert result.mutants_run > 5000 // EVERY
 
 
 class Client:
-    """Hears answers to proposals."""
+    """Collects answers to proposals."""
 
     due_ms = float("inf")
 
     def __init__(self):
-        """Nothing is heard."""
+        """No answers yet."""
         self.outbox = []
         self.answers = {}
 
@@ -40,29 +47,45 @@
         self.answers.setdefault(message.proposed.request, []).append(message.proposed)
 
 
-def test_a_changed_proposal_gets_one_answer_and_harms_nobody():
-    """Whatever field is odd: accepted, or refused with one line; the next one is served."""
-    world, client = World(3, zones=0), Client()
+def propose_message(request):
+    """A proposal of a client."""
+    return pb.Message(propose=pb.Propose(request=request, entries=ENTRIES))
+
+
+def changed_proposals(world, leader):
+    """Proposals in which one field has another value; requests differ unless that is the field."""
+    for number in range(len(list(mutations(propose_message(1))))):
+        message = propose_message(FIRST_REQUEST + number)
+        mutation = list(mutations(message))[number]
+        if "=" in mutation.name:
+            yield from (changed for _, _, changed in mutation.deliveries(world, leader, message))
+
+
+def test_a_changed_proposal_gets_one_answer_and_the_next_one_is_served():
+    """Accepted, or refused with one line."""
+    world = World(3, zones=0)
+    client = Client()
     world.net.host("client", lambda host: {DISTRIBUTION: client})
     world.run(10_000, lambda: world.holder() is not None)
     leader = world.holder()
     publisher = world.part(leader).publisher
-    entries = [entry("config/a", b"1", 0), entry("config/b", b"2", 0)]
-    asked = []
-    for number in range(len(list(mutations(_propose(1, entries))))):
-        message = _propose(1000 + number, entries)
-        name, change = list(mutations(message))[number]
-        for _, _, odd in change(world, leader, message) if "=" in name else ():
-            asked.append(odd.propose.request)
-            publisher.heard(world.now(leader), ("client", 1), odd)
-            world.run(50)
-    assert len(asked) > 20 and {r: len(a) for r, a in client.answers.items()} == Counter(asked)
-    last = [answers[-1] for answers in client.answers.values()]
-    assert all(a.outcome != pb.Proposed.UNKNOWN for a in last) and world.holder() == leader
-    assert all(a.reason and "\n" not in a.reason for a in last if a.outcome == pb.Proposed.REFUSED)
-    accepted = sorted(a.version for a in last if a.outcome == pb.Proposed.ACCEPTED)
-    assert accepted == list(range(1, publisher.source.version + 1))
-
-
-def _propose(request, entries):
-    return pb.Message(propose=pb.Propose(request=request, entries=entries))
+    requests = []
+    for message in changed_proposals(world, leader):
+        requests.append(message.propose.request)
+        publisher.heard(world.now(leader), ("client", 1), message)
+        world.run(50)
+    assert len(requests) > 20
+    assert {request: len(answers) for request, answers in client.answers.items()} == Counter(requests)
+    assert world.holder() == leader
+    check_answers(client, publisher)
+
+
+def check_answers(client, publisher):
+    """Every last answer is a decision; refusals have one line, and accepted versions are without a gap."""
+    last_answers = [answers[-1] for answers in client.answers.values()]
+    refused = [answer for answer in last_answers if answer.outcome == pb.Proposed.REFUSED]
+    accepted = [answer for answer in last_answers if answer.outcome == pb.Proposed.ACCEPTED]
+    assert len(refused) + len(accepted) == len(last_answers)
+    assert all(answer.reason and "\n" not in answer.reason for answer in refused)
+    versions = sorted(answer.version for answer in accepted)
+    assert versions == list(range(1, publisher.source.version + 1))
