--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -96,7 +96,7 @@
         hosts = world.net.hosts
         running = [name for name in VOTERS if hosts[name].up and not hosts[name].paused]
         if running:
-            name = world.holder() or self.rng.choice(running)
+            name = world.leader() or self.rng.choice(running)
             world.propose(changes, request, name, lambda answer: self._on_answer(answer, changes))
 
     def _on_answer(self, answer, changes):
@@ -182,7 +182,7 @@
             self.net.start(name)
 
     def _fail_publisher(self, _name):
-        name = self.world.holder()
+        name = self.world.leader()
         if name is None:
             return
         if self.rng.random() < 0.5:
--- a/tests/distribution_mutation.py
+++ b/tests/distribution_mutation.py
@@ -94,7 +94,7 @@
     world.net.start("f0-0")
     world.net.start("r0b")
     world.run(1500)
-    world.net.kill(world.holder())
+    world.net.kill(world.leader())
     world.accept({"config/last": b"1"})
     world.settle(REST_MS)
     return sent
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -171,7 +171,7 @@
     world = World(21, gateways=0)
     world.settle()
     world.run(2000)
-    leader = world.holder()
+    leader = world.leader()
     publisher, now_ms = world.part(leader).publisher, world.now(leader) + 2 * LEASE_MS
     known = publisher.source.sessions.get("r0a") or next(iter(publisher.source.sessions.values()))
     follow = pb.Follow(session=known.session_id, number=known.follow_number + 1)
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -19,18 +19,19 @@
 FIVE_VOTERS = (*VOTERS, "v4", "v5")
 DISK_MS = (0.5, 4.0)
 DRIFT = 0.02
+PAUSED_RETRY_MS = 5
 SETTINGS = Settings()
 
 
 class VoterPart:
-    """A voter's process: its group, its publisher, its disk."""
+    """A voter's process: its lease group, its publisher, its disk."""
 
     def __init__(self, world, host):
-        """Begins."""
+        """Starts."""
         self.world = world
         self.host = host
-        owner = group_settings(world.settings, world.lease_ms)
-        owner = replace(owner, most_records=world.most_records)
+        lease_settings = group_settings(world.settings, world.lease_ms)
+        lease_settings = replace(lease_settings, most_records=world.most_records)
         disk = world.disks.setdefault(host.name, {})
         fresh = not disk and host.name not in world.lost
         self.group, self.publisher = make(
@@ -38,54 +39,52 @@
             host.incarnation,
             world.voters,
             host.rng,
-            owner,
+            lease_settings,
             world.settings,
             host.now_ms(),
             dict(disk),
             fresh=fresh,
         )
-        told = self.publisher.on_lease_event
-        self.group.claimant.told = lambda now_ms, what: self._told(told, now_ms, what)
+        self.group.claimant.told = self._on_lease_event
         self.group.want(host.now_ms(), True)
         self.outbox = []
-        self.done = []
-        self._settle()
+        self._flush()
 
-    def _told(self, told, now_ms, what):
-        told(now_ms, what)
-        if what == "holds":
+    def _on_lease_event(self, now_ms, event):
+        self.publisher.on_lease_event(now_ms, event)
+        if event == "holds":
             self.world.audit.on_leader(self.group)
 
     @property
     def due_ms(self):
-        """When `tick` is wanted."""
+        """When to call `tick`."""
         return min(self.group.due_ms, self.publisher.due_ms)
 
     def tick(self, now_ms):
-        """What is due."""
+        """Does what is due."""
         if now_ms >= self.group.due_ms:
             self.group.tick(now_ms)
         if now_ms >= self.publisher.due_ms:
             self.publisher.tick(now_ms)
-        self._settle()
+        self._flush()
 
     def heard(self, now_ms, sender, message):
-        """A message."""
+        """Handles a message."""
         part = self.group if isinstance(message, LeaseMessage) else self.publisher
         part.heard(now_ms, sender, message)
-        self._settle()
+        self._flush()
 
-    def propose(self, now_ms, entries, request, done):
+    def propose(self, now_ms, entries, request, on_outcome):
         """A proposal of a client in this process."""
-        self.publisher.propose(now_ms, entries, request, done)
-        self._settle()
+        self.publisher.propose(now_ms, entries, request, on_outcome)
+        self._flush()
 
     def stored(self, now_ms, number):
-        """The disk has a record."""
+        """Handles that the disk has a record."""
         self.group.stored(now_ms, number, True)
-        self._settle()
+        self._flush()
 
-    def _settle(self):
+    def _flush(self):
         for part in (self.group, self.publisher):
             self.outbox += part.outbox
             part.outbox.clear()
@@ -105,14 +104,14 @@
                 disk.pop(key, None)
             else:
                 disk[key] = value
-        self._tell(life, number)
+        self._report_stored(life, number)
 
-    def _tell(self, life, number):
+    def _report_stored(self, life, number):
         net = self.world.net
         if self.host.life != life:
             return
         if self.host.paused:
-            net.at(net.now_ms + 5, self._tell, life, number)
+            net.at(net.now_ms + PAUSED_RETRY_MS, self._report_stored, life, number)
             return
         net.call(self.host.name, DISTRIBUTION, "stored", number)
 
@@ -121,11 +120,11 @@
     """A gateway's process: a subscriber whose values the audit compares."""
 
     def __init__(self, world, host, sources, prefixes):
-        """Begins."""
+        """Starts."""
         self.world = world
         self.host = host
         self.fault = None
-        self.lines = []
+        self.reports = []
         self.applied = []
         self.subscriber = Subscriber(
             host.name,
@@ -135,28 +134,28 @@
             world.settings,
             host.now_ms(),
             self.apply,
-            lambda now_ms, line: self.lines.append(line),
+            lambda now_ms, line: self.reports.append(line),
         )
         self.outbox = self.subscriber.outbox
 
-    def apply(self, now_ms, changed, whole):
-        """Takes all, or nothing while `fault` is set."""
+    def apply(self, now_ms, changed, is_whole):
+        """Applies everything, or nothing while `fault` is set."""
         if self.fault is not None:
             return self.fault
-        self.applied.append((self.subscriber.version, dict(changed), whole))
+        self.applied.append((self.subscriber.version, dict(changed), is_whole))
         return None
 
     @property
     def due_ms(self):
-        """When `tick` is wanted."""
+        """When to call `tick`."""
         return self.subscriber.due_ms
 
     def tick(self, now_ms):
-        """What is due."""
+        """Does what is due."""
         self.subscriber.tick(now_ms)
 
     def heard(self, now_ms, sender, message):
-        """A message."""
+        """Handles a message."""
         with self.world.audit.around_message(self.host.name, self.subscriber, message):
             self.subscriber.heard(now_ms, sender, message)
         self.world.audit.check_gateway(self.host, self.subscriber, now_ms)
@@ -166,7 +165,7 @@
     """A relay's process."""
 
     def __init__(self, world, host):
-        """Begins."""
+        """Starts."""
         self.world = world
         self.host = host
         self.relay = Relay(host.name, world.voters, host.rng, world.settings, host.now_ms())
@@ -174,15 +173,15 @@
 
     @property
     def due_ms(self):
-        """When `tick` is wanted."""
+        """When to call `tick`."""
         return self.relay.due_ms
 
     def tick(self, now_ms):
-        """What is due."""
+        """Does what is due."""
         self.relay.tick(now_ms)
 
     def heard(self, now_ms, sender, message):
-        """A message."""
+        """Handles a message."""
         with self.world.audit.around_message(self.host.name, self.relay.subscriber, message):
             self.relay.heard(now_ms, sender, message)
         self.world.audit.check_relay(self.host, self.relay, now_ms)
@@ -202,7 +201,7 @@
         lease_ms=LEASE_MS,
         voters=VOTERS,
     ):
-        """Begins."""
+        """Starts."""
         self.settings = settings
         self.most_records = most_records
         self.disks = {}
@@ -243,8 +242,8 @@
 
     def region(self, number):
         """All names of a region: its voter, its zones."""
-        zones = [str(z) for z in range(self.zones) if z % len(VOTERS) == number]
-        hosts = [n for n in (*self.relays, *self.gateways) if n[1] in zones]
+        zones = [str(zone) for zone in range(self.zones) if zone % len(VOTERS) == number]
+        hosts = [name for name in (*self.relays, *self.gateways) if name[1] in zones]
         return [VOTERS[number], *hosts]
 
     def _after(self, host, layer, part):
@@ -253,9 +252,9 @@
                 size = message.ByteSize()
                 self.longest = max(self.longest, size)
                 require(size <= MOST_BODY, f"{host.name}: a message of {size} bytes: {message}")
-                published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHING_KINDS
-                holds = not published or part.group.holds(host.now_ms())
-                require(holds, f"{host.name} publishes without the lease: {message}")
+                is_published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHING_KINDS
+                may_be_sent = not is_published or part.group.holds(host.now_ms())
+                require(may_be_sent, f"{host.name} publishes without the lease: {message}")
 
     # What a test does.
 
@@ -272,8 +271,8 @@
         """The clock of a process."""
         return self.net.hosts[name].now_ms()
 
-    def holder(self):
-        """The name of the voter that holds the lease; None: none."""
+    def leader(self):
+        """The name of the voter that holds the lease, None if there is none."""
         for name in self.voters:
             host = self.net.hosts[name]
             if host.up and not host.paused and self.part(name).group.holds(host.now_ms()):
@@ -281,51 +280,52 @@
         return None
 
     def run(self, ms, done=None):
-        """Goes on for some time, or until done()."""
+        """Runs for some time, or until done()."""
         return self.net.run(self.net.now_ms + ms, done)
 
     def settle(self, ms=20_000):
-        """Until a voter holds, and all that run have all that is accepted in force."""
-        assert self.run(ms, self.settled), f"not settled after {ms} ms: {self.behind()}"
+        """Runs until there is a leader, and all that run have all that is accepted in force."""
+        assert self.run(ms, self.settled), f"not settled after {ms} ms: {self.lagging()}"
 
     def settled(self):
         """Whether all that run have in force all that is accepted."""
-        return self.holder() is not None and not self.behind()
+        return self.leader() is not None and not self.lagging()
 
-    def behind(self):
+    def lagging(self):
         """The gateways whose version in force is not the newest, or not confirmed."""
         newest = self.audit.newest
-        names = [n for n in self.gateways if self.net.hosts[n].up]
         return [
-            n
-            for n in names
-            if not self.audit.is_current(self.subscriber(n), newest)
-            or self.subscriber(n).is_stale(self.now(n))
+            name for name in self.gateways if self.net.hosts[name].up and not self._is_current(name, newest)
         ]
 
-    def propose(self, changes, request=None, via=None, done=None):
-        """Proposes {key: value or None} at the holder; gives a list that its answers come into."""
+    def _is_current(self, name, newest):
+        subscriber = self.subscriber(name)
+        return self.audit.is_current(subscriber, newest) and not subscriber.is_stale(self.now(name))
+
+    def propose(self, changes, request=None, voter=None, on_outcome=None):
+        """Proposes {key: value or None} to the leader or a voter; returns a list of the answers."""
         self.requests += 1
-        answers, request = [], request or self.requests
-        name = via or self.holder()
+        request = request or self.requests
+        voter = voter or self.leader()
+        answers = []
 
-        def answered(now_ms, proposed):
+        def on_answer(now_ms, proposed):
             answers.append(proposed)
             self.audit.on_answer(proposed, changes, self.net.now_ms)
-            if done is not None:
-                done(proposed)
+            if on_outcome is not None:
+                on_outcome(proposed)
 
-        if name is not None:
+        if voter is not None:
             entries = [entry_of(key, value) for key, value in changes.items()]
-            self.net.call(name, DISTRIBUTION, "propose", entries, request, answered)
+            self.net.call(voter, DISTRIBUTION, "propose", entries, request, on_answer)
         return answers
 
     def accept(self, changes, ms=10_000):
-        """Proposes until it is accepted; gives its version."""
-        until = self.net.now_ms + ms
-        self.requests = self.requests + 1
+        """Proposes until it is accepted; returns its version."""
+        until_ms = self.net.now_ms + ms
+        self.requests += 1
         request = self.requests
-        while self.net.now_ms < until:
+        while self.net.now_ms < until_ms:
             answers = self.propose(changes, request)
             self.run(500, lambda answers=answers: bool(answers))
             if answers and answers[-1].outcome == pb.Proposed.ACCEPTED:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -30,7 +30,7 @@
 
 def status_of(world):
     """What the publisher knows."""
-    name = world.holder()
+    name = world.leader()
     return world.part(name).publisher.status(world.now(name))
 
 
@@ -39,9 +39,9 @@
     world = settled(1)
     begun = world.net.now_ms
     version = world.accept({"config/limits": b"1", "engine/z1/e7": b"up"})
-    world.run(1000, lambda: not world.behind())
-    assert not world.behind() and world.net.now_ms - begun < 1000
-    held = [world.subscriber(n).applied_version for n in world.gateways]
+    world.run(1000, lambda: not world.lagging())
+    assert not world.lagging() and world.net.now_ms - begun < 1000
+    held = [world.subscriber(name).applied_version for name in world.gateways]
     assert held == [version] * len(world.gateways)
 
 
@@ -58,14 +58,14 @@
 def test_another_publisher_goes_on_with_deltas():
     """Versions go on without a gap, and nobody needs a further snapshot."""
     world = settled(3)
-    versions = [world.accept({f"config/k{n}": b"1"}) for n in range(5)]
+    versions = [world.accept({f"config/k{number}": b"1"}) for number in range(5)]
     world.run(1000)
-    first = world.holder()
+    first = world.leader()
     world.net.kill(first)
     versions.append(world.accept({"config/k0": b"2"}))
     world.settle()
-    assert versions == list(range(1, 7)) and world.holder() != first
-    assert not any(world.subscriber(n).counts["snapshots"] for n in world.gateways + world.relays)
+    assert versions == list(range(1, 7)) and world.leader() != first
+    assert not any(world.subscriber(name).counts["snapshots"] for name in world.gateways + world.relays)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -76,22 +76,22 @@
     """
     world = settled(seed, voters=FIVE_VOTERS)
     version = world.accept({"config/limits": b"%d" % seed})
-    leader = world.holder()
-    other = next(n for n in FIVE_VOTERS if n != leader)
+    leader = world.leader()
+    other = next(name for name in FIVE_VOTERS if name != leader)
     for name in (leader, other, *world.relays[seed % 2 :: 2]):
         world.net.kill(name)
     begun = world.net.now_ms
     world.accept({"config/limits": b"next", "config/more": b"1"})
     world.settle(7000)
     assert world.net.now_ms - begun < 7000
-    assert all(world.subscriber(n).applied_version > version for n in world.gateways)
+    assert all(world.subscriber(name).applied_version > version for name in world.gateways)
 
 
 @pytest.mark.parametrize("pause_ms", (1.2 * LEASE_MS, 4 * LEASE_MS))
 def test_a_publisher_paused_past_its_lease_publishes_nothing(pause_ms):
     """The world demands of each message that its sender holds the lease; here others go on meanwhile."""
     world = settled(5)
-    first = world.holder()
+    first = world.leader()
     world.net.pause(first, pause_ms)
     world.run(pause_ms - 5)
     version = world.accept({"config/limits": b"2"})
@@ -102,10 +102,10 @@
 def test_a_proposal_in_doubt_is_asked_again_and_made_once():
     """The publisher is cut off with a record under way: UNKNOWN; then the same request gets one version."""
     world = settled(6)
-    first = world.holder()
-    others = [n for n in world.net.hosts if n != first]
+    first = world.leader()
+    others = [name for name in world.net.hosts if name != first]
     world.net.split([first], others)
-    answers = world.propose({"config/limits": b"1"}, request=77, via=first)
+    answers = world.propose({"config/limits": b"1"}, request=77, voter=first)
     world.run(3 * LEASE_MS)
     assert [a.outcome for a in answers] == [pb.Proposed.UNKNOWN]
     world.net.split([first], others, cut=False)
@@ -121,8 +121,8 @@
 def test_a_voter_that_is_not_the_leader_names_it():
     """To clients and to relays."""
     world = settled(7)
-    leader = world.holder()
-    other = next(n for n in VOTERS if n != leader)
+    leader = world.leader()
+    other = next(name for name in VOTERS if name != leader)
     part = world.part(other)
     propose = pb.Propose(request=5, entries=[entry_of("config/a", b"1")])
     part.publisher.heard(world.now(other), ("client", 1), pb.Message(propose=propose))
@@ -133,7 +133,7 @@
 def test_a_client_gets_its_answer_by_message():
     """Accepted with its version, or refused with one clear line."""
     world = settled(8)
-    leader = world.holder()
+    leader = world.leader()
     publisher = world.part(leader).publisher
     heard = []
     world.net.host("client", lambda host: {DISTRIBUTION: Client(heard)})
@@ -177,9 +177,9 @@
     bad = world.accept({"config/limits": b"9", "config/more": b"1"})
     world.run(3000)
     assert (gateway.subscriber.applied_version, gateway.subscriber.version) == (good, bad)
-    assert gateway.subscriber.applied_values == {"config/limits": b"1"} and len(gateway.lines) == 1
+    assert gateway.subscriber.applied_values == {"config/limits": b"1"} and len(gateway.reports) == 1
     assert status_of(world).refused == 1 and status_of(world).in_force == good
-    assert world.behind() == ["f0-0"]
+    assert world.lagging() == ["f0-0"]
     gateway.fault = None
     world.settle()
     world.run(3000)
@@ -191,7 +191,7 @@
     world = settled(10)
     world.accept({"config/limits": b"1"})
     world.settle()
-    others = [n for n in world.net.hosts if n != "f1-0"]
+    others = [name for name in world.net.hosts if name != "f1-0"]
     world.net.split(["f1-0"], others)
     version = world.accept({"config/limits": b"2"})
     gateway = world.subscriber("f1-0")
@@ -238,7 +238,7 @@
         world.net.start(name)
     world.accept({"config/k0": b"last"})
     world.settle(7000)
-    assert not any(world.subscriber(n).counts["snapshots"] for n in world.gateways)
+    assert not any(world.subscriber(name).counts["snapshots"] for name in world.gateways)
 
 
 def test_a_new_gateway_holds_only_what_it_subscribed_to():
@@ -261,23 +261,23 @@
     world = settled(13, gateways=1, settings=slower(beat), lease_ms=beat * LEASE_MS)
     world.accept({"config/limits": b"0"})
     world.settle()
-    leader = VOTERS.index(world.holder())
+    leader = VOTERS.index(world.leader())
     side = world.region(leader if with_leader else (leader + 1) % 3)
-    others = [n for n in world.net.hosts if n not in side]
-    voter, gateway = side[0], next(n for n in side if n in world.gateways)
+    others = [name for name in world.net.hosts if name not in side]
+    voter, gateway = side[0], next(name for name in side if name in world.gateways)
     before = world.subscriber(gateway).applied_version
     world.net.split(side, others)
     for minute in range(minutes):
-        world.run(10_000 * beat, lambda: world.holder() in others)
+        world.run(10_000 * beat, lambda: world.leader() in others)
         world.accept({"config/limits": b"%d" % minute, f"config/k{minute % 7}": b"1"})
         world.run(60_000 - 100)
         assert not world.part(voter).group.holds(world.now(voter))
     assert world.subscriber(gateway).applied_version == before and world.subscriber(gateway).is_stale(
         world.now(gateway)
     )
-    answers = world.propose({"config/limits": b"x"}, via=voter)
+    answers = world.propose({"config/limits": b"x"}, voter=voter)
     assert [a.outcome for a in answers] == [pb.Proposed.UNKNOWN]
     world.net.split(side, others, cut=False)
     world.settle(5000 * beat)
     assert world.subscriber(gateway).applied_version == world.audit.newest
-    assert not any(world.subscriber(n).counts["snapshots"] for n in side[1:])
+    assert not any(world.subscriber(name).counts["snapshots"] for name in side[1:])
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -66,8 +66,8 @@
     world = World(3, zones=0)
     client = Client()
     world.net.host("client", lambda host: {DISTRIBUTION: client})
-    world.run(10_000, lambda: world.holder() is not None)
-    leader = world.holder()
+    world.run(10_000, lambda: world.leader() is not None)
+    leader = world.leader()
     publisher = world.part(leader).publisher
     requests = []
     for message in changed_proposals(world, leader):
@@ -76,7 +76,7 @@
         world.run(50)
     assert len(requests) > 20
     assert {request: len(answers) for request, answers in client.answers.items()} == Counter(requests)
-    assert world.holder() == leader
+    assert world.leader() == leader
     check_answers(client, publisher)
 
 
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -64,7 +64,7 @@
     world.settle()
     for number in range(4):
         world.accept({f"config/{number}": b"value %d" % number, f"engine/z0/{number}": b"x" * 300})
-    leader = world.holder()
+    leader = world.leader()
     follower = next(name for name in VOTERS if name != leader)
     request = pb.Propose(request=7_001, entries=ENTRIES[:1])
     world.propose({"config/plain": b"value"}, 7_001)
@@ -232,7 +232,7 @@
     }
     held = {name: held_by(world.subscriber(name)) for name in (*world.relays, *world.gateways)}
     stored = {"voters": disks, "held": held, "record": make_record(ENTRIES, 9).hex()}
-    base, _ = world.part(world.holder()).group.state
+    base, _ = world.part(world.leader()).group.state
     stored["base"] = base.hex()
     stored["fold"] = fold(b"", [make_record(ENTRIES, 9), make_record(ENTRIES[:1], 10), b"\xff"]).hex()
     return {"messages": messages, "stored": stored}
@@ -312,12 +312,12 @@
         world.net.start(voter)
     state = pb.State.FromString(bytes.fromhex(stored["base"]))
     world.audit.states[state.version] = {entry.key: (entry.value, entry.version) for entry in state.entries}
-    assert world.run(10_000, lambda: world.holder() is not None)
-    store = world.part(world.holder()).publisher.source.history.store
+    assert world.run(10_000, lambda: world.leader() is not None)
+    store = world.part(world.leader()).publisher.source.history.store
     assert (store.version, store.digest) == (version, stored["held"]["later"]["digest"])
     assert {key: value for key, (value, _) in store.entries.items()} == values
     answers = []
-    leader = world.holder()
+    leader = world.leader()
     world.part(leader).propose(
         world.now(leader), ENTRIES[:1], 7_001, lambda now_ms, proposed: answers.append(proposed)
     )
