--- a/lichenquay/distribution/snapshot_server.py
+++ b/lichenquay/distribution/snapshot_server.py
@@ -46,7 +46,7 @@
         source.send(session.name, offer=marked(offer, session.audience.view.prefixes))
 
     def _snapshot(self, now_ms: float, session: SubscriberSession) -> Snapshot:
-        """Return the snapshot of a session's audience, made anew unless the present one will do."""
+        """Return the snapshot of a session's audience, made again unless the present one is usable."""
         audience = session.audience
         if not self._is_usable(now_ms, session):
             audience.snapshot_made_ms = now_ms
@@ -70,7 +70,7 @@
         return now_ms < audience.snapshot_made_ms + self.settings.report_ms
 
     def on_fetch(self, now_ms: float, session: SubscriberSession, fetch: pb.FetchPages) -> None:
-        """Take a request for pages of the snapshot that was offered, or offer one anew."""
+        """Take a request for pages of the snapshot that was offered, or offer one again."""
         snapshot = session.audience.snapshot
         is_offered = snapshot is not None and fetch.version == snapshot.version
         if not is_offered or session.name not in self.pacer.slots:
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -64,7 +64,7 @@
         return self.registry.sessions
 
     def reset(self, now_ms: float, store: KeyStore, generation: int) -> None:
-        """Go on from another state, which belongs to the source from now on; sessions begin anew."""
+        """Go on from another state, which belongs to the source from now on; all sessions end."""
         self._begin(now_ms, store, generation)
         self.is_open = True
         self.counts["resets"] += 1
@@ -240,7 +240,7 @@
 
     def _answer(self, now_ms: float, session: SubscriberSession, follow: pb.Follow) -> None:
         if session.version > self.version:
-            # Its former source was ahead of this one, or it lies. A subscriber never goes back.
+            # Its former source was ahead of this one, or the version is false. A subscriber never goes back.
             self.counts["ahead"] += 1
             session.audience.ready.pop(session.name, None)
             self.send_wait(session.name, session.session_id)
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -40,7 +40,7 @@
 
 
 class FailureDetector:
-    """One process's membership: its table, its probes, and what it says to other members."""
+    """One process's membership: its table, its probes, and the messages that it sends."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this member is leaving, and still tells the others."""
+        """Whether this member is leaving, and still informs the others."""
         return self._leave_rounds_left > 0
 
     def members(self) -> list[MemberSummary]:
@@ -146,7 +146,7 @@
     # Calls of the host.
 
     def leave(self, now_ms: float) -> None:
-        """Leave the group: the others are told several times, then `end_reason` is LEFT."""
+        """Leave the group: the others are informed several times, then `end_reason` is LEFT."""
         self._begin_call(now_ms)
         if not self.end_reason and not self.is_leaving:
             self.table.apply(self.now_ms, self.own.with_state(MemberState.LEFT))
@@ -200,7 +200,7 @@
     def _on_pause(self, late_ms: float) -> None:
         """Start observing afresh after this process was paused.
 
-        All deadlines have passed and all acks are late, so what was asked before says nothing about others.
+        All deadlines have passed and all acks are late, so probes under way say nothing about others.
         """
         self.counts["local_pause"] += 1
         self.health.record_pause(self.now_ms)
--- a/lichenquay/membership/message_handling.py
+++ b/lichenquay/membership/message_handling.py
@@ -2,7 +2,7 @@
 
 What is dropped is counted by its cause: `malformed` (no kind, or fields that cannot be), `out_of_range` (a
 row or sender out of bounds), `own_name` (sent under this member's name), `old_incarnation` and `final_state`
-(of an incarnation that is over; its sender is told so), `table_full`, `misrouted` (meant for another member),
+(of an incarnation that is over; its sender is informed), `table_full`, `misrouted` (for another member),
 `unexpected_ack`, `too_many_relayed` (pings for other members).
 """
 
--- a/lichenquay/membership/messenger.py
+++ b/lichenquay/membership/messenger.py
@@ -61,12 +61,12 @@
         required: Iterable[Member] = (),
         with_gossip: bool = True,
     ) -> None:
-        """Send a message with the rows of `required` members and, unless told otherwise, gossip."""
+        """Send a message with the rows of `required` members and, by default, gossip."""
         self.detector.gossip.piggyback(message, list(required), with_gossip)
         self.outbox.append((receiver, message))
 
     def send_with_status(self, receiver: str, message: pb.Message, subject: str | None = None) -> None:
-        """Send a message that first tells the receiver if it is not considered alive.
+        """Send a message that first informs the receiver if it is not considered alive.
 
         A message about a third member (`subject`) carries that member's row as well.
         """
--- a/lichenquay/membership/suspicion.py
+++ b/lichenquay/membership/suspicion.py
@@ -72,7 +72,7 @@
     def on_accusation(self, member: Member, row: pb.Row, is_first: bool) -> None:
         """Count another member's accusation, and probe the suspect here too.
 
-        So who reaches the suspect tells it, and who does not is a further witness.
+        One that reaches the suspect informs it, and one that does not is a further accuser.
         """
         detector = self.detector
         free_places = MAX_ACCUSERS - len(member.accusers)
--- a/tests/distribution/changes.py
+++ b/tests/distribution/changes.py
@@ -1,4 +1,4 @@
-"""Clients that propose changes all the time, and the audit of what became of each."""
+"""Clients that propose changes all the time, and the audit of their outcomes."""
 
 import threading
 import time
@@ -11,17 +11,17 @@
 from lichenquay.distribution import distribution_pb2 as pb
 
 HOT_KEY = "config/hot"  # all clients change it
-ASK_S = 2.0  # of one call; an answer in doubt is asked for again with the same request
+REQUEST_S = 2.0  # of one call; an answer in doubt is asked for again with the same request
 PAUSE_S = 0.02
 
 
 @dataclass
 class Change:
-    """One proposal: entries {key: value or None}. `begun_ms`, `known_ms`: asked first, outcome known."""
+    """One proposal: entries {key: value or None}. `started_ms`, `known_ms`: asked first, outcome known."""
 
     request: int
     entries: dict
-    begun_ms: float
+    started_ms: float
     known_ms: float = float("inf")
     outcome: int = pb.Proposed.UNKNOWN
     version: int = 0
@@ -43,11 +43,14 @@
         """count: changes at most."""
         super().__init__(daemon=True, name=name)
         addresses = [installation.address(name, voter) for voter in voters]
-        self.client = Client(FLEET, addresses, ASK_S)
+        self.client = Client(FLEET, addresses, REQUEST_S)
         self.client.socket.bind(("127.0.0.1", 0))
         installation.links.targets[name] = self.client.socket.getsockname()
-        self.count, self.number = count, number_from
-        self.changes, self.stopped, self.fault = [], threading.Event(), None
+        self.count = count
+        self.number = number_from
+        self.changes = []
+        self.stopped = threading.Event()
+        self.error = None
 
     def run(self):
         """Each third change is to a key of its own, the others to the hot one."""
@@ -57,8 +60,8 @@
                 key = f"config/{self.name}-{self.number}" if self.number % 3 == 0 else HOT_KEY
                 self.propose({key: f"{self.name} {self.number}".encode()})
                 self.stopped.wait(PAUSE_S)
-        except Exception as fault:  # told to the test by `rest`
-            self.fault = fault
+        except Exception as error:
+            self.error = error
 
     def propose(self, values, seconds=30.0):
         """One change, asked for until its outcome is known or the time is up."""
@@ -68,25 +71,27 @@
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             try:
-                said = self.client.propose(entries_of(values), request)
+                answer = self.client.propose(entries_of(values), request)
             except NoAnswerError:
-                if self.stopped.is_set() and seconds <= ASK_S:
+                if self.stopped.is_set() and seconds <= REQUEST_S:
                     break
                 continue
-            change.outcome, change.version, change.reason = said.outcome, said.version, said.reason
+            change.outcome = answer.outcome
+            change.version = answer.version
+            change.reason = answer.reason
             change.known_ms = time.monotonic() * 1000
             break
         return change
 
-    def rest(self, seconds=30.0):
-        """Ends with the change that is under way; its fault, if it had one."""
+    def finish(self, seconds=30.0):
+        """Ends with the pending change; raises what ended the thread."""
         self.stopped.set()
         if self.is_alive():
             self.join(seconds)
             assert not self.is_alive(), "a change is in doubt for too long"
         self.client.socket.close()
-        if self.fault is not None:
-            raise self.fault
+        if self.error is not None:
+            raise self.error
 
 
 def accepted(changes):
@@ -106,13 +111,13 @@
     return state
 
 
-def settled(subscribers, changes, seconds=20.0):
+def wait_settled(subscribers, changes, seconds=20.0):
     """Waits until all that was accepted is in force at all of them, and nothing else."""
-    wanted = expected(changes)
+    expected_values = expected(changes)
     try:
-        until(lambda: all(h.values() == wanted for h in subscribers), seconds)
+        until(lambda: all(h.values() == expected_values for h in subscribers), seconds)
     except AssertionError:
-        raise AssertionError(_difference(subscribers, wanted)) from None
+        raise AssertionError(_difference(subscribers, expected_values)) from None
 
 
 def audit(subscribers, changes):
@@ -130,7 +135,7 @@
 def _audit_order(made):
     """What began after another was known has a higher version."""
     for change in made:
-        later = [c for c in made if c.begun_ms > change.known_ms and c.version < change.version]
+        later = [c for c in made if c.started_ms > change.known_ms and c.version < change.version]
         assert not later, f"versions against the order of time: {change} and {later[0]}"
 
 
@@ -175,16 +180,16 @@
             assert digest == step.digest, f"{subscriber.name}: another state at version {step.version}"
 
 
-def _difference(subscribers, wanted):
+def _difference(subscribers, expected_values):
     for subscriber in subscribers:
         values = subscriber.values()
-        if values != wanted:
-            missing = sorted(set(wanted.items()) - set(values.items()))[:3]
-            more = sorted(set(values.items()) - set(wanted.items()))[:3]
+        if values != expected_values:
+            missing = sorted(set(expected_values.items()) - set(values.items()))[:3]
+            more = sorted(set(values.items()) - set(expected_values.items()))[:3]
             held = subscriber.subscriber
             return (
                 f"{subscriber.name} follows {held.source} at version {held.version}, "
                 f"in force {held.applied_version}: "
                 f"missing {missing}, more {more}, counts {dict(held.counts)}"
             )
-    return "they came just now"
+    return "the values arrived just now"
--- a/tests/distribution/discovery_server.py
+++ b/tests/distribution/discovery_server.py
@@ -6,7 +6,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qs, urlsplit
 
-LOOK_S = 0.01
+POLL_S = 0.01
 
 
 class DiscoveryServer:
@@ -14,7 +14,9 @@
 
     def __init__(self, port):
         """`port`: of loopback."""
-        self.events, self.calls, self.down = [], 0, False
+        self.events = []
+        self.calls = 0
+        self.down = False
         discovery = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -27,19 +29,19 @@
                 discovery.answer(self)
 
             def log_message(self, *_):
-                """Says nothing."""
+                """Logs nothing."""
 
         self.server = ThreadingHTTPServer(("127.0.0.1", port), Handler)
         self.server.daemon_threads = True
         self.address = f"127.0.0.1:{port}"
 
     def __enter__(self):
-        """It serves."""
+        """Starts to serve."""
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
         return self
 
     def __exit__(self, *_):
-        """It is no more."""
+        """Stops."""
         self.server.shutdown()
         self.server.server_close()
 
@@ -54,14 +56,14 @@
         asked = parse_qs(urlsplit(handler.path).query)
         after, end = int(asked["after"][0]), time.monotonic() + int(asked["patience"][0]) / 1000
         while len(self.events) <= after and time.monotonic() < end:
-            time.sleep(LOOK_S)
+            time.sleep(POLL_S)
         body = json.dumps({"no": len(self.events), "items": self.events[after:]}).encode()
         handler.send_response(503 if self.down else 200)
         handler.send_header("Content-Length", str(len(body)))
         handler.end_headers()
         try:
             handler.wfile.write(body)
-        except OSError:  # whoever asked has gone
+        except OSError:  # The client has closed its connection.
             return
 
 
--- a/tests/distribution/installation.py
+++ b/tests/distribution/installation.py
@@ -44,7 +44,9 @@
     def __init__(self, path, subscribers=4, seed=1, figures=FIGURES, refuses=(), discovery=""):
         """refuses: names of subscribers that refuse a value with b"refuse" in it. discovery: voters'."""
         super().__init__(Path(path))
-        self.figures, self.seed, self.discovery = figures, seed, discovery
+        self.figures = figures
+        self.seed = seed
+        self.discovery = discovery
         self.fronts = tuple(f"s{i}" for i in range(1, subscribers + 1))
         names = (*VOTERS, *RELAYS, *self.fronts, *CLIENTS, FRONT)
         self.links = Links(names, seed)
--- a/tests/distribution/recording_subscriber.py
+++ b/tests/distribution/recording_subscriber.py
@@ -1,4 +1,4 @@
-"""Subscribers without a front: the real decisions over real UDP, and all that each of them put in force."""
+"""Subscribers without a gateway: the real code over real UDP, with a record of all that each put in force."""
 
 import random
 import selectors
@@ -16,8 +16,8 @@
 SETTINGS = Settings(report_ms=200.0, silent_ms=800.0, stale_ms=1200.0, expire_ms=3000.0, merge_ms=20.0)
 PREFIXES = ["config/"]
 REFUSED = b"refuse"  # in a value: a subscriber that refuses does not put it in force
-TURN_S = 0.02
-MOST_AT_ONCE = 64  # datagrams of one socket in a turn
+POLL_S = 0.02
+MAX_READS = 64  # Datagrams of one socket at once.
 
 
 def clock_ms():
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True)
 class Step:
-    """What was put in force at once."""
+    """What was put in force in one step."""
 
     at_ms: float
     version: int
     digest: int
     changed: dict
-    whole: bool
+    is_whole: bool
 
 
 class RecordingSubscriber:
@@ -41,30 +41,35 @@
 
     def __init__(self, name, fleet, sources, addresses, seed, refuses=False):
         """sources: in order of preference. addresses: {source: (host, port)}."""
-        self.name, self.addresses, self.refuses = name, addresses, refuses
+        self.name = name
+        self.addresses = addresses
+        self.refuses = refuses
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
         self.socket.setblocking(False)
         self.address = self.socket.getsockname()
-        self.steps, self.refusals, self.deaf_until_ms = [], 0, 0.0
-        self.read_each_ms, self.read_at_ms = 0.0, 0.0
+        self.steps = []
+        self.refusals = 0
+        self.deaf_until_ms = 0.0
+        self.read_interval_ms = 0.0
+        self.next_read_ms = 0.0
         layers = {DISTRIBUTION: distribution_fingerprint(fleet)}
         self.envelope = Envelope(fleet, 0, name, (), layers)
         self.incarnation = int(time.time() * 1000)
         rng = random.Random(f"{seed}:{name}")
         self.subscriber = Subscriber(name, sources, PREFIXES, rng, SETTINGS, clock_ms(), self.apply)
 
-    def apply(self, now_ms, changed, whole):
-        """As a front does: all of it, or a line that says why not."""
+    def apply(self, now_ms, changed, is_whole):
+        """Applies everything as a gateway does, or returns a line that says why not."""
         if self.refuses and any(REFUSED in value for value in changed.values() if value):
             self.refusals += 1
             return "a value that is refused here"
-        held = self.subscriber
-        self.steps.append(Step(now_ms, held.version, held.digest, dict(changed), whole))
+        version, digest = self.subscriber.version, self.subscriber.digest
+        self.steps.append(Step(now_ms, version, digest, dict(changed), is_whole))
         return None
 
     def is_fresh(self):
-        """Whether it was confirmed lately."""
+        """Whether its version was confirmed lately."""
         return not self.subscriber.is_stale(clock_ms())
 
     def values(self):
@@ -75,12 +80,12 @@
         """When that value was first in force here; None: never."""
         return next((step.at_ms for step in self.steps if step.changed.get(key) == value), None)
 
-    # turns, in the reading thread
+    # Called in the reading thread.
 
-    def turn(self):
-        """What came, as far as this one reads now, and what is due."""
+    def run_once(self):
+        """Handles the datagrams that it reads now, and does what is due."""
         now_ms = clock_ms()
-        for data in self._come(now_ms):
+        for data in self._receive(now_ms):
             try:
                 name, incarnation, _, body = self.envelope.open(data)
             except Dropped:  # of another test
@@ -90,11 +95,11 @@
             self.subscriber.tick(now_ms)
         self._send()
 
-    def _come(self, now_ms):
-        if now_ms < max(self.deaf_until_ms, self.read_at_ms):
+    def _receive(self, now_ms):
+        if now_ms < max(self.deaf_until_ms, self.next_read_ms):
             return
-        self.read_at_ms = now_ms + self.read_each_ms
-        for _ in range(1 if self.read_each_ms else MOST_AT_ONCE):
+        self.next_read_ms = now_ms + self.read_interval_ms
+        for _ in range(1 if self.read_interval_ms else MAX_READS):
             try:
                 yield self.socket.recv(2048)
             except BlockingIOError:
@@ -110,12 +115,14 @@
 
 
 class ReaderThread(threading.Thread):
-    """Reads for all subscribers of one test."""
+    """Receives for all subscribers of one test."""
 
     def __init__(self):
-        """Begins with `start`."""
+        """Runs from `start` on."""
         super().__init__(daemon=True, name="subscribers")
-        self.subscribers, self.stopped, self.fault = [], threading.Event(), None
+        self.subscribers = []
+        self.stopped = threading.Event()
+        self.error = None
         self.poll = selectors.DefaultSelector()
 
     def add(self, subscriber):
@@ -124,24 +131,24 @@
         self.poll.register(subscriber.socket, selectors.EVENT_READ, subscriber)
 
     def run(self):
-        """Until `stop`; a fault is kept, and told by it."""
+        """Runs until `stop`, which raises an exception of this thread."""
         try:
             while not self.stopped.is_set():
-                if not self.poll.select(TURN_S):
+                if not self.poll.select(POLL_S):
                     self.stopped.wait(0.001)
                 for subscriber in self.subscribers:
-                    subscriber.turn()
-                self.stopped.wait(0.002)  # risk: one that reads slowly is always ready
-        except Exception as fault:  # told to the test by `stop`
-            self.fault = fault
+                    subscriber.run_once()
+                self.stopped.wait(0.002)  # A slow reader's socket is always ready.
+        except Exception as error:
+            self.error = error
 
     def stop(self):
-        """All sockets are closed. Raises what ended the thread."""
+        """Closes all sockets; raises what ended the thread."""
         self.stopped.set()
         if self.is_alive():
             self.join(5)
         for subscriber in self.subscribers:
             subscriber.socket.close()
         self.poll.close()
-        if self.fault is not None:
-            raise self.fault
+        if self.error is not None:
+            raise self.error
--- a/tests/distribution/test_distribution_audit.py
+++ b/tests/distribution/test_distribution_audit.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "steps, said",
+    "steps, message",
     [
         ([(2, 20, {"config/a": b"2"}), (1, 10, {"config/a": b"1"})], "versions in turn"),
         ([(2, 20, {"config/a": b"2"}), (2, 20, {"config/a": b"2"})], "one version twice"),
@@ -50,9 +50,9 @@
         ([(4, 41, {"config/b": b"3"})], "another state at version 4"),
     ],
 )
-def test_a_broken_history_is_found(steps, said):
+def test_a_broken_history_is_found(steps, message):
     """Each by its own line."""
-    with pytest.raises(AssertionError, match=said):
+    with pytest.raises(AssertionError, match=message):
         audit([GOOD, recorded(*steps)], CHANGES)
 
 
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -29,7 +29,10 @@
 
     def __init__(self, installation, name=FRONT, more="", known=()):
         """Its links to relays are the faulty ones. more: settings. known: engines of its configuration."""
-        self.installation, self.name, self.more, self.known = installation, name, more, list(known)
+        self.installation = installation
+        self.name = name
+        self.more = more
+        self.known = list(known)
         self.port, self.listen = listening_ports(2)
         installation.links.targets[name] = ("127.0.0.1", self.listen)
 
--- a/tests/distribution/test_distribution_processes.py
+++ b/tests/distribution/test_distribution_processes.py
@@ -9,7 +9,7 @@
 from contextlib import contextmanager
 
 import pytest
-from changes import Proposer, accepted, audit, settled
+from changes import Proposer, accepted, audit, wait_settled
 from installation import CLIENTS, FLEET, LEASE_MS, RELAYS, VOTERS, Installation
 from recording_subscriber import REFUSED
 from running import until
@@ -33,10 +33,10 @@
         for proposer in proposers:
             proposer.stopped.set()
     for proposer in proposers:
-        proposer.rest()
+        proposer.finish()
     changes = changes_of(proposers)
     assert all(change.outcome != pb.Proposed.UNKNOWN for change in changes)
-    settled(installation.recording.values(), changes)
+    wait_settled(installation.recording.values(), changes)
     audit(installation.recording.values(), changes)
 
 
@@ -135,9 +135,10 @@
     """Changes come to the others as fast as before: within half a second."""
     with Installation(tmp_path) as installation:
         slow_reader = installation.recording["s2"]
-        slow_reader.read_each_ms = 150.0
+        slow_reader.read_interval_ms = 150.0
         for link in installation.links.between(VOTERS, ["r1"], both=False):
-            link.least_ms, link.most_ms = 300.0, 600.0
+            link.least_ms = 300.0
+            link.most_ms = 600.0
         swift = installation.recording["s4"]
         until(lambda: swift.subscriber.source == "r2", 20)
         with under_change(installation) as proposers:
@@ -174,10 +175,10 @@
         installation.links.heal()
         again = first.propose({"config/inside": b"4"})
         assert again.outcome == pb.Proposed.ACCEPTED
-        first.rest()
-        second.rest()
+        first.finish()
+        second.finish()
         known = [change for change in changes_of([first, second]) if change is not in_doubt]
-        settled(subscribers.values(), known)
+        wait_settled(subscribers.values(), known)
         audit(subscribers.values(), known)
 
 
@@ -202,7 +203,7 @@
         assert proposer.propose({"config/good": b"1"}).outcome == pb.Proposed.ACCEPTED
         assert proposer.propose({"config/good": REFUSED}).outcome == pb.Proposed.ACCEPTED
         others = [subscriber for name, subscriber in installation.recording.items() if name != "s1"]
-        settled(others, proposer.changes)
+        wait_settled(others, proposer.changes)
         refusing = installation.recording["s1"]
         until(lambda: refusing.refusals > 0)
         assert refusing.values() == {"config/good": b"1"}
@@ -210,7 +211,7 @@
         status = proposers_status(installation)
         assert (status.newest, status.in_force, status.subscribers) == (2, 1, 4)
         assert proposer.propose({"config/good": b"3"}).outcome == pb.Proposed.ACCEPTED
-        settled(installation.recording.values(), proposer.changes)
+        wait_settled(installation.recording.values(), proposer.changes)
         until(lambda: proposers_status(installation).in_force == 3)
-        proposer.rest()
+        proposer.finish()
         audit(others, proposer.changes)
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -7,7 +7,7 @@
 from lichenquay.distribution.messages import marked
 from lichenquay.distribution.settings import Settings
 
-MANY = {f"engine/z0/e{n}": b"v" * 60 for n in range(40)}
+MANY = {f"engine/z0/e{number}": b"v" * 60 for number in range(40)}
 
 
 def filled(settings=None, changes=MANY):
@@ -70,25 +70,27 @@
     harness.run(1500)
     for number in range(50):
         harness.subscriber(f"f{number}")
-    sent = []
-    begun = harness.now_ms
-    size = 0
+    started_ms = harness.now_ms
+    page_bytes = 0
 
     def count_pages(message):
-        nonlocal size
-        size += message.ByteSize() if message.HasField("page") else 0
-        sent.append(message.WhichOneof("kind"))
+        nonlocal page_bytes
+        if message.HasField("page"):
+            page_bytes += message.ByteSize()
         return message
 
     harness.run(500, count_pages)
     harness.change({"config/urgent": b"1"})
     harness.deliver(count_pages)
     assert ready.applied_values.get("config/urgent") == b"1"
-    while any(s.version == 0 for s in harness.subscribers.values()) and harness.now_ms < begun + 60_000:
+    while (
+        any(subscriber.version == 0 for subscriber in harness.subscribers.values())
+        and harness.now_ms < started_ms + 60_000
+    ):
         harness.run(100, count_pages)
-        rate = size / (harness.now_ms - begun + 50) * 1000
+        rate = page_bytes / (harness.now_ms - started_ms + 50) * 1000
         assert rate <= settings.snapshot_bytes_per_s * 1.05, f"{rate:.0f} bytes a second"
-    assert all(s.version for s in harness.subscribers.values())
+    assert all(subscriber.version for subscriber in harness.subscribers.values())
     assert harness.source.counts["paced"] > 10 and len(harness.source.snapshots.pacer.slots) <= 4
 
 
@@ -99,7 +101,7 @@
     harness.change({"config/a": b"1"})
     harness.run(1500)
 
-    def spoil(message):
+    def change_digest(message):
         for kind in ("delta", "offer"):
             if message.HasField(kind):
                 body = getattr(message, kind)
@@ -108,7 +110,7 @@
         return message
 
     harness.change({"config/a": b"2"})
-    harness.run(600_000, spoil, step_ms=50)
+    harness.run(600_000, change_digest, step_ms=50)
     assert gateway.applied_version == 1 and gateway.applied_values == {"config/a": b"1"}
     assert len(harness.reports) == 1 and harness.source.counts["offers"] <= 15
     harness.run(70_000)
@@ -158,8 +160,10 @@
         if expected == 2:
             right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **fields)
             harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=right))
-        told = pb.Follow(version=version, in_force=version, digest=digest, number=2, below=below, **fields)
-        harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=told))
+        reported = pb.Follow(
+            version=version, in_force=version, digest=digest, number=2, below=below, **fields
+        )
+        harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=reported))
         if version == 1 << 40:
             assert messages_of(harness.source, "wait")
             continue
@@ -177,7 +181,7 @@
     follow = pb.Follow(session=known.session_id, number=known.follow_number + 1)
     publisher.heard(now_ms, (known.name, known.incarnation), pb.Message(follow=follow))
     publisher.tick(now_ms)
-    assert [m.WhichOneof("kind") for _, m in publisher.outbox] == ["not_leader"]
+    assert [message.WhichOneof("kind") for _, message in publisher.outbox] == ["not_leader"]
 
 
 def check_other_prefixes():
@@ -186,12 +190,12 @@
     gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
 
-    def other(message):
+    def change_prefixes(message):
         if message.HasField("follow") and message.follow.number == 1:
             message.follow.prefixes[:] = ["engine/"]
         return message
 
-    harness.run(5000, other)
+    harness.run(5000, change_prefixes)
     assert gateway.version == 1 and gateway.applied_values == {"config/a": b"1"}
 
 
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -1,4 +1,4 @@
-"""Parts of distribution in hand: bounds, pacing, bad input, and each rule that has a test of its own."""
+"""Sources and subscribers without a network: limits, pacing, invalid input, and rules with their checks."""
 
 import pytest
 from distribution_broken import BROKEN
@@ -11,18 +11,17 @@
 from lichenquay.distribution.subscriber import Subscriber
 
 pytestmark = pytest.mark.together
+ALL_CHECKS = [check for checks in RULE_CHECKS.values() for check in checks]
 
 
-@pytest.mark.parametrize(
-    "check", [p for checks in RULE_CHECKS.values() for p in checks], ids=lambda p: p.__name__
-)
+@pytest.mark.parametrize("check", ALL_CHECKS, ids=lambda check: check.__name__)
 def test_a_rule_check_passes_with_the_right_code(check):
     """What the broken rules below are found by holds with the right ones."""
     check()
 
 
 @pytest.mark.parametrize("rule", RULE_CHECKS)
-def test_rules_broken_on_purpose_are_found_by_their_probe(rule):
+def test_rules_broken_on_purpose_are_found_by_their_check(rule):
     """Each by the first of its checks."""
     with BROKEN[rule](), pytest.raises(AssertionError):
         RULE_CHECKS[rule][0]()
@@ -103,12 +102,12 @@
     gateway, other = harness.subscriber(), harness.subscriber("other")
     seen = []
 
-    def cut(message):
-        mine = message.HasField("page") and message.page.session == gateway.session.session_id
-        seen.append(mine)
-        return None if mine and sum(seen) > 2 else message
+    def drop_after_two_pages(message):
+        is_of_gateway = message.HasField("page") and message.page.session == gateway.session.session_id
+        seen.append(is_of_gateway)
+        return None if is_of_gateway and sum(seen) > 2 else message
 
-    harness.run(3000, cut)
+    harness.run(3000, drop_after_two_pages)
     assert gateway.version == 0 and gateway.applied_values == {} and not harness.applied[1:]
     assert len(other.applied_values) == 40
     harness.run(6000)
@@ -118,12 +117,12 @@
 def test_a_fetch_that_takes_longer_than_a_session_lives_is_finished():
     """Many that fetch at once, pages in quick succession for half a minute: none begins anew."""
     settings = Settings(most_changes=8, snapshot_bytes_per_s=20_000)
-    harness = filled(settings, {f"config/k{n}": bytes(60) for n in range(600)})
+    harness = filled(settings, {f"config/k{number}": bytes(60) for number in range(600)})
     gateways = [harness.subscriber(f"f{number}") for number in range(8)]
-    begun = harness.now_ms
-    while not all(gateway.version for gateway in gateways) and harness.now_ms < begun + 60_000:
+    started_ms = harness.now_ms
+    while not all(gateway.version for gateway in gateways) and harness.now_ms < started_ms + 60_000:
         harness.run(500)
-    assert harness.now_ms - begun > 1.3 * settings.expire_ms
+    assert harness.now_ms - started_ms > 1.3 * settings.expire_ms
     assert all(gateway.version == 600 and gateway.counts["snapshots"] == 1 for gateway in gateways)
     assert not harness.source.counts["expired"] and not any(
         gateway.counts["failovers"] for gateway in gateways
@@ -140,17 +139,17 @@
 
 
 def test_a_source_that_fails_again_and_again_is_tried_ever_later():
-    """Risk: a relay that answers now and then costs each of its subscribers `silent_ms` every time."""
+    """Otherwise a relay that answers now and then costs each subscriber `silent_ms` every time."""
     harness = Harness()
     gateway = harness.subscriber(sources=("lost", "s"))
     tried = []
 
-    def note(message):
+    def record_trial(message):
         if message.HasField("follow") and message.follow.number == 1:
             tried.append(harness.now_ms)
         return message
 
-    harness.run(400_000, note)
+    harness.run(400_000, record_trial)
     tried = tried[2:]  # without those of its start and of its failover
     gaps = [later - sooner for sooner, later in zip(tried, tried[1:], strict=False)]
     silent_ms = harness.settings.silent_ms
@@ -159,7 +158,7 @@
 
 
 def test_a_leave_ends_only_the_session_that_it_names():
-    """Risk: a Leave that comes late would end the session that its sender has by now."""
+    """Otherwise a late Leave would end the session that its sender has by now."""
     harness = Harness()
     gateway = harness.subscriber()
     harness.change({"config/a": b"1"})
@@ -178,10 +177,10 @@
     """At the subscriber when it is made, and at the source."""
     harness = Harness()
     with pytest.raises(ValueError):
-        harness.subscriber(prefixes=[f"config/{n}" for n in range(17)])
+        harness.subscriber(prefixes=[f"config/{number}" for number in range(17)])
     with pytest.raises(ValueError):
-        harness.subscriber(prefixes=["config/" + f"{n}" * 57 for n in range(16)])
-    follow = pb.Follow(session=1, prefixes=[f"config/{n}" for n in range(17)])
+        harness.subscriber(prefixes=["config/" + f"{number}" * 57 for number in range(16)])
+    follow = pb.Follow(session=1, prefixes=[f"config/{number}" for number in range(17)])
     harness.source.heard(harness.now_ms, ("f", 1), pb.Message(follow=follow))
     assert harness.source.counts["malformed"] == 1 and not harness.source.sessions
 
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -1,4 +1,4 @@
-"""What distribution keeps: stores, the history and its views, coverage, the log's records, and the check."""
+"""The state of distribution: key stores, history and views, coverage, records, and validation."""
 
 from unittest.mock import patch
 
@@ -10,7 +10,7 @@
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution import history as history_module
-from lichenquay.distribution import key_store as store_module
+from lichenquay.distribution import key_store as key_store_module
 from lichenquay.distribution.coverage_tracker import CoverageTracker, SessionCoverage
 from lichenquay.distribution.history import History
 from lichenquay.distribution.key_store import KeyStore
@@ -29,7 +29,10 @@
 
 pytestmark = pytest.mark.together
 
-KEYS = [f"config/{n}" for n in range(4)] + [f"engine/z{n % 2}/{n}" for n in range(4)]
+KEYS = [
+    *(f"config/{number}" for number in range(4)),
+    *(f"engine/z{number % 2}/{number}" for number in range(4)),
+]
 CHANGES = st.lists(
     st.tuples(st.integers(1, 3), st.dictionaries(st.sampled_from(KEYS), st.none() | st.binary(max_size=3))),
     max_size=40,
@@ -37,46 +40,51 @@
 PREFIXES = st.sampled_from([("",), ("config/",), ("engine/z0/",), ("config/", "engine/z1/"), ("config/1",)])
 
 
-def digest_by_hand(store, prefixes):
+def digest_of_all(store, prefixes):
     """By a pass over all keys."""
-    held = [(k, *v) for k, v in store.entries.items() if k.startswith(prefixes)]
-    return sum(digest_of(*what) for what in held) % 2**64
+    digests = [
+        digest_of(key, stored.value, stored.version)
+        for key, stored in store.entries.items()
+        if key.startswith(prefixes)
+    ]
+    return sum(digests) % 2**64
 
 
 @budget(max_examples=60, deadline=None)
 @given(CHANGES, PREFIXES, st.integers(2, 12), st.integers(30, 400))
-def test_a_delta_of_any_two_versions_leads_to_the_state_and_digest(changes, prefixes, most, most_bytes):
+def test_a_delta_of_any_two_versions_leads_to_the_state_and_digest(changes, prefixes, most, max_bytes):
     """Whatever was merged on the way to this source, trimmed, or made before its view was."""
     history = History(KeyStore(), Settings(most_changes=most))
     states = {0: KeyStore()}
     early = history.view(prefixes)
     for skip, change in changes:
         version = history.store.version + skip
-        history.add(version, [entry(k, v, version) for k, v in change.items()])
+        history.add(version, [entry(key, value, version) for key, value in change.items()])
         states[version] = history.store.copy()
     late = history._make_view(prefixes)
-    newest = history.store.version
     for view in (early, late):
-        assert view.digest == digest_by_hand(history.store, prefixes)
+        assert view.digest == digest_of_all(history.store, prefixes)
         for version, state in states.items():
             if version < history.floor:
                 assert view.digest_at(version) is None or version >= view.floor
                 continue
-            assert view.digest_at(version) == digest_by_hand(state, prefixes)
-            _walk(view, state, prefixes, newest, most_bytes, history.store)
+            assert view.digest_at(version) == digest_of_all(state, prefixes)
+            check_deltas(view, state, prefixes, max_bytes, history.store)
 
 
-def _walk(view, state, prefixes, newest, most_bytes, last):
-    mine = KeyStore()
-    mine.apply(state.version, [e for e in state.entries_with(prefixes)])
+def check_deltas(view, state, prefixes, max_bytes, newest_store):
+    """Deltas from a state on lead to the newest one, each with the right digest."""
+    store = KeyStore()
+    store.apply(state.version, state.entries_with(prefixes))
     for _ in range(100):
-        part = view.delta(mine.version, newest, most_bytes)
-        assert mine.digest_after(part.entries) == part.digest
-        assert part.version > mine.version or part.version == newest
-        mine.apply(part.version, part.entries)
-        if mine.version == newest:
+        content = view.delta(store.version, newest_store.version, max_bytes)
+        assert store.digest_after(content.entries) == content.digest
+        assert content.version > store.version or content.version == newest_store.version
+        store.apply(content.version, content.entries)
+        if store.version == newest_store.version:
             break
-    assert mine.entries == {k: v for k, v in last.entries.items() if k.startswith(prefixes)}
+    expected = {key: stored for key, stored in newest_store.entries.items() if key.startswith(prefixes)}
+    assert store.entries == expected
 
 
 def test_a_version_inside_a_merged_change_goes_on_too():
@@ -86,8 +94,8 @@
     history.add(5, [entry("config/a", b"3", 3), entry("config/b", b"5", 5)])
     view = history.view(("",))
     assert view.digest_at(3) is None and view.digest_at(1) is not None
-    assert [e.key for e in view.delta(4, 5, 900).entries] == ["config/b"]
-    assert [e.key for e in view.delta(2, 5, 900).entries] == ["config/a", "config/b"]
+    assert [change.key for change in view.delta(4, 5, 900).entries] == ["config/b"]
+    assert [change.key for change in view.delta(2, 5, 900).entries] == ["config/a", "config/b"]
 
 
 def test_the_history_is_bounded_by_number_and_bytes():
@@ -104,18 +112,19 @@
     """Ten thousand keys, a hundred sessions elsewhere: a change of one key is two digests and its sends."""
     harness = Harness()
     for start in range(0, 10_000, 10):
-        harness.change({f"engine/z{n % 9}/e{n}": b"up" for n in range(start, start + 10)})
+        numbers = range(start, start + 10)
+        harness.change({f"engine/z{number % 9}/e{number}": b"up" for number in numbers})
     for number in range(100):
         zone = number % 5
         follow = pb.Follow(session=number + 1, number=1, prefixes=[f"engine/z{zone}/"], version=1000)
         store = harness.source.history.store
-        follow.digest = digest_by_hand(store, (f"engine/z{zone}/",))
+        follow.digest = digest_of_all(store, (f"engine/z{zone}/",))
         harness.source.heard(harness.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
     harness.source.outbox.clear()
     harness.now_ms += 1000
     calls = []
     with (
-        patch.object(store_module, "digest_of", lambda *a: calls.append(a) or digest_of(*a)),
+        patch.object(key_store_module, "digest_of", lambda *a: calls.append(a) or digest_of(*a)),
         patch.object(history_module, "digest_of", lambda *a: calls.append(a) or digest_of(*a)),
     ):
         harness.change({"engine/z3/e3": b"down"})
@@ -129,36 +138,40 @@
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 9), st.booleans()), max_size=40))
 def test_coverage_by_increments_is_the_one_by_counting(steps):
     """Sessions come, change and go."""
-    census, shares = CoverageTracker(Settings()), {}
-    for name, version, gone in steps:
-        if name in shares:
-            census.remove(shares.pop(name))
-        if not gone:
-            shares[name] = SessionCoverage(1, version, version % 2)
-            census.add(shares[name])
-        said_ = census.coverage(7)
-        assert said_.subscribers == len(shares)
-        assert said_.refused == sum(s.refused for s in shares.values())
-        assert said_.oldest == min([7, *(s.oldest_version for s in shares.values())])
+    tracker = CoverageTracker(Settings())
+    sessions = {}
+    for name, version, is_removed in steps:
+        if name in sessions:
+            tracker.remove(sessions.pop(name))
+        if not is_removed:
+            sessions[name] = SessionCoverage(1, version, version % 2)
+            tracker.add(sessions[name])
+        coverage = tracker.coverage(7)
+        assert coverage.subscribers == len(sessions)
+        assert coverage.refused == sum(session.refused for session in sessions.values())
+        assert coverage.oldest == min([7, *(session.oldest_version for session in sessions.values())])
 
 
 def test_coverage_is_bounded_while_one_stays_behind():
     """A gateway that refuses for days, versions passing by."""
-    census = CoverageTracker(Settings())
-    census.add(SessionCoverage(1, 1, 1))
+    tracker = CoverageTracker(Settings())
+    tracker.add(SessionCoverage(1, 1, 1))
     for version in range(2, 5000):
-        census.add(SessionCoverage(1, version, 0))
+        tracker.add(SessionCoverage(1, version, 0))
         if version > 2:
-            census.remove(SessionCoverage(1, version - 1, 0))
-        assert len(census._versions) < 100 and census.oldest_version(version) == 1
+            tracker.remove(SessionCoverage(1, version - 1, 0))
+        assert len(tracker._versions) < 100 and tracker.oldest_version(version) == 1
 
 
 @budget(max_examples=40, deadline=None)
 @given(CHANGES, st.integers(0, 40))
 def test_the_fold_is_the_same_in_one_go_and_in_two(changes, cut):
     """Whatever part of the log each voter has folded."""
-    made = [make_record([entry(k, v, 0) for k, v in c.items()], n + 1) for n, (_, c) in enumerate(changes)]
-    assert fold(fold(b"", made[:cut]), made[cut:]) == fold(b"", made)
+    records = [
+        make_record([entry(key, value, 0) for key, value in change.items()], request)
+        for request, (_, change) in enumerate(changes, 1)
+    ]
+    assert fold(fold(b"", records[:cut]), records[cut:]) == fold(b"", records)
 
 
 def test_a_record_that_cannot_be_read_counts_as_a_change_without_entries():
@@ -171,7 +184,7 @@
 def test_requests_are_bounded_and_keep_their_versions():
     """Over folds too."""
     requests = RequestIndex(10, [8, 9, 10])
-    assert [requests.version_of(r) for r in (7, 8, 10)] == [None, 8, 10]
+    assert [requests.version_of(request) for request in (7, 8, 10)] == [None, 8, 10]
     for number in range(MAX_REMEMBERED_REQUESTS + 5):
         requests.add(1000 + number, 11 + number)
     assert len(requests._versions) == MAX_REMEMBERED_REQUESTS and requests.version_of(8) is None
@@ -202,8 +215,10 @@
     """Whatever its bytes are."""
     store = KeyStore()
     store.apply(1, [entry("config/old", b"1", 1)])
-    fault = find_change_error(entries, store, Settings(most_keys=1))
-    assert line in fault and "\n" not in fault and len(fault) < 160
+    error = find_change_error(entries, store, Settings(most_keys=1))
+    assert line in error
+    assert "\n" not in error
+    assert len(error) < 160
 
 
 def test_the_longest_change_fits_and_the_check_of_a_kind_is_asked():
@@ -221,23 +236,25 @@
 
 def test_the_longest_messages_fit_into_the_envelope():
     """At versions and numbers far beyond what an installation reaches."""
-    harness, version = Harness(), 1 << 47
+    harness = Harness()
+    version = 1 << 47
     harness.source.generation = 1 << 62
-    small = {f"config/{n}": b"" for n in range(22)}
+    small = {f"config/{number}": b"" for number in range(22)}
     for step, change in enumerate(({LONG: bytes(640)}, small, {LONG: None})):
-        entries = [entry(k, v, version + step) for k, v in change.items()]
+        entries = [entry(key, value, version + step) for key, value in change.items()]
         assert find_change_error(entries, harness.source.history.store, Settings()) is None
         harness.source.advance(harness.now_ms, 1 << 62, version + step, entries, 0.0)
     follow = pb.Follow(session=1 << 63, number=1, prefixes=[""], whole=True)
-    for since, whole in ((version - 1, False), (version, False), (0, True)):
-        follow.version = since
-        follow.whole = whole
-        follow.number = follow.number + 1
+    for held, wants_snapshot in ((version - 1, False), (version, False), (0, True)):
+        follow.version = held
+        follow.whole = wants_snapshot
+        follow.number += 1
         harness.source.heard(harness.now_ms, ("f", 1), pb.Message(follow=follow))
     fetch = pb.FetchPages(session=1 << 63, version=harness.source.version, first=0, count=1 << 31)
     harness.source.heard(harness.now_ms, ("f", 1), pb.Message(fetch=fetch))
-    sizes = {m.WhichOneof("kind"): m.ByteSize() for _, m in harness.source.outbox}
-    assert max(sizes.values()) <= MOST_BODY and {"delta", "offer", "page"} <= set(sizes)
+    sizes = {message.WhichOneof("kind"): message.ByteSize() for _, message in harness.source.outbox}
+    assert max(sizes.values()) <= MOST_BODY
+    assert {"delta", "offer", "page"} <= set(sizes)
 
 
 def test_the_longest_subscription_fits_into_the_envelope():
@@ -265,7 +282,7 @@
     view = History(store, Settings()).view(("",))
     snapshot = Snapshot(view, store, Settings())
     assert max(map(len, snapshot.pages)) <= 960 and snapshot.bytes < 1.2 * store.bytes
-    back = KeyStore()
+    fetched = KeyStore()
     for number in range(len(snapshot.pages)):
-        back.apply(7, snapshot.page(number).entries)
-    assert back.digest == store.digest == snapshot.digest
+        fetched.apply(7, snapshot.page(number).entries)
+    assert fetched.digest == store.digest == snapshot.digest
