--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -21,6 +21,8 @@
 from lichenquay.distribution.subscriber import Subscriber
 from lichenquay.fleet.message_envelope import DISTRIBUTION
 
+pytestmark = pytest.mark.together
+
 GOLDEN = Path(__file__).parent / "golden" / "distribution"
 SEED = 11
 MOST_RECORDS = 6  # So few that a base is folded.
