--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -8,7 +8,7 @@
 from lichenquay.config.fleet_settings import NAME_PATTERN, parse_address
 from lichenquay.control_plane.client import Client, NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.validation import fault_of_entry
+from lichenquay.distribution.validation import find_entry_error
 
 # Exit codes; 2 is that of a wrong command line.
 REJECTED = 1
@@ -109,7 +109,7 @@
 
 def propose_change(entry, voters, fleet, seconds, json_path):
     """Proposes one entry until its outcome is known or the time is up."""
-    if fault := fault_of_entry(entry):
+    if fault := find_entry_error(entry):
         exit_with("refused", 0, fault, REJECTED, json_path)
     try:
         with Client(fleet, voters, seconds) as client:
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -153,7 +153,7 @@
             away = (
                 silent
                 or holder[0] in (None, self.name)
-                or self.state_of(holder[0]) in (None, "cut", "left", "gone")
+                or self.state_of(holder[0]) in (None, "faulty", "left", "removed")
             )
             self.group.set_candidate(
                 now_ms, away and not self.leaving and self.state_of(self.name) == "alive"
--- a/lichenquay/testbed/baseline_policies.py
+++ b/lichenquay/testbed/baseline_policies.py
@@ -1,5 +1,5 @@
 """Two other ways to tell who is there, small but honest, to weigh against `members` in the same network
-(docs/design/members.md).
+(docs/design/membership.md).
 
 `Phi`: heartbeats to `watchers` members next in the ring (all of them in a small fleet), judged by phi-accrual
 (Hayashibara et al. 2004): a normal distribution of the last 200 gaps, its deviation 100 ms at least, `pause_ms`
@@ -20,7 +20,7 @@
 
 from lichenquay.membership import members_pb2 as pb
 
-ALIVE, CUT = "alive", "cut"
+ALIVE, CUT = "alive", "faulty"
 ORDERS = {}  # The rings of the names last asked for: the same at all members.
 
 
--- /dev/null
+++ b/tests/distribution_rule_checks.py
@@ -0,0 +1,213 @@
+"""Tests of one rule each, which the rule broken on purpose (tests/distribution_broken.py) must fail."""
+
+from distribution_harness import GENERATION, Harness, delta, entry, messages_of
+from distribution_world import LEASE_MS, World
+
+from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.messages import marked
+from lichenquay.distribution.settings import Settings
+
+MANY = {f"engine/z0/e{number}": b"v" * 60 for number in range(40)}
+
+
+def filled(settings=None, changes=MANY):
+    """A source that holds keys, and whose history does not reach back to its beginning."""
+    harness = Harness(settings or Settings(most_changes=8))
+    for key, value in changes.items():
+        harness.change({key: value})
+    return harness
+
+
+def check_snapshot_below_what_is_held():
+    """A relay that started anew offers a state older than what is held: it is not taken."""
+    harness = Harness()
+    gateway = harness.subscriber()
+    harness.change({"config/a": b"1"})
+    harness.change({"config/a": b"2"})
+    harness.run(2000)
+    assert gateway.applied_version == 2
+    old = pb.SnapshotOffer(
+        session=gateway.session.session_id, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
+    )
+    gateway.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
+    assert (
+        gateway.snapshot_fetch is None and gateway.applied_version == 2 and not messages_of(gateway, "fetch")
+    )
+
+
+def check_changes_while_a_snapshot_is_fetched():
+    """A delta that comes between the pages is not taken back by them."""
+    harness = filled()
+    gateway = harness.subscriber()
+    harness.run(2000)
+    offer = pb.SnapshotOffer(
+        session=gateway.session.session_id,
+        generation=GENERATION,
+        version=gateway.version,
+        digest=1,
+        pages=1,
+        bytes=40,
+    )
+    gateway.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
+    assert gateway.snapshot_fetch is not None
+    held = gateway.version
+    last = entry("engine/z0/e0", b"new", held + 1)
+    digest = gateway.state.store.digest_after([last])
+    gateway.heard(harness.now_ms, ("s", 1), delta(gateway.session.session_id, held, held + 1, [last], digest))
+    page = pb.Page(session=gateway.session.session_id, generation=GENERATION, version=held, number=0)
+    gateway.heard(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
+    assert (
+        gateway.version == gateway.applied_version == held + 1
+        and gateway.applied_values["engine/z0/e0"] == b"new"
+    )
+
+
+def check_pacing():
+    """Fifty that begin at once: bytes a second bounded, all get it, and a change goes ahead of the pages."""
+    settings = Settings(most_changes=8, snapshot_bytes_per_s=50_000, most_snapshots=4)
+    harness = filled(settings)
+    ready = harness.subscriber("ready")
+    harness.run(1500)
+    for number in range(50):
+        harness.subscriber(f"f{number}")
+    started_ms = harness.now_ms
+    page_bytes = 0
+
+    def count_pages(message):
+        nonlocal page_bytes
+        if message.HasField("page"):
+            page_bytes += message.ByteSize()
+        return message
+
+    harness.run(500, count_pages)
+    harness.change({"config/urgent": b"1"})
+    harness.deliver(count_pages)
+    assert ready.applied_values.get("config/urgent") == b"1"
+    while (
+        any(subscriber.version == 0 for subscriber in harness.subscribers.values())
+        and harness.now_ms < started_ms + 60_000
+    ):
+        harness.run(100, count_pages)
+        rate = page_bytes / (harness.now_ms - started_ms + 50) * 1000
+        assert rate <= settings.snapshot_bytes_per_s * 1.05, f"{rate:.0f} bytes a second"
+    assert all(subscriber.version for subscriber in harness.subscribers.values())
+    assert harness.source.counts["paced"] > 10 and len(harness.source.snapshots.pacer.slots) <= 4
+
+
+def check_digest_that_never_matches():
+    """Ten minutes of wrong digests: a handful of snapshots, one line, what is in force stays."""
+    harness = Harness()
+    gateway = harness.subscriber()
+    harness.change({"config/a": b"1"})
+    harness.run(1500)
+
+    def change_digest(message):
+        for kind in ("delta", "offer"):
+            if message.HasField(kind):
+                body = getattr(message, kind)
+                body.digest ^= 1
+                marked(body, [""])
+        return message
+
+    harness.change({"config/a": b"2"})
+    harness.run(600_000, change_digest, step_ms=50)
+    assert gateway.applied_version == 1 and gateway.applied_values == {"config/a": b"1"}
+    assert len(harness.reports) == 1 and harness.source.counts["offers"] <= 15
+    harness.run(70_000)
+    assert gateway.applied_version == 2
+
+
+def check_slow_subscriber():
+    """One that hears nothing is sent its retries only; others are not delayed; it resumes by version."""
+    harness = Harness()
+    gateway, slow = harness.subscriber("f"), harness.subscriber("slow")
+    harness.run(2000)
+    to_slow = 0
+
+    def drop(message):
+        nonlocal to_slow
+        session = message.delta.session if message.HasField("delta") else 0
+        if session == slow.session.session_id:
+            to_slow += 1
+            return None
+        return message
+
+    for number in range(200):
+        version = harness.change({f"config/k{number}": b"v"})
+        harness.run(20, drop)
+        assert gateway.version >= version - 5
+    assert to_slow <= 20, f"{to_slow} deltas within 4 s to one that heard none"
+    harness.run(5000)
+    assert (
+        slow.applied_values == gateway.applied_values
+        and len(slow.applied_values) == 200
+        and not slow.counts["snapshots"]
+    )
+
+
+def check_lying_relay():
+    """A version that nobody made, or with a wrong digest, counts for nothing."""
+    harness = Harness()
+    harness.change({"config/a": b"1"})
+    harness.change({"config/b": b"1"})
+    fields = {"session": 5, "prefixes": [""]}
+    below = pb.Coverage(subscribers=100, oldest=2)
+    held = harness.source.history.store.digest
+    for version, digest, expected in ((1 << 40, 0, 0), (2, 12345, 0), (2, held, 2), (2, 12345, 2)):
+        session = harness.source.sessions.get("r")
+        if session is not None:
+            harness.source._remove_session(session)
+        if expected == 2:
+            right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **fields)
+            harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=right))
+        reported = pb.Follow(
+            version=version, in_force=version, digest=digest, number=2, below=below, **fields
+        )
+        harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=reported))
+        if version == 1 << 40:
+            assert messages_of(harness.source, "wait")
+            continue
+        assert harness.source.coverage(harness.now_ms).oldest == expected
+
+
+def check_lease_over():
+    """A publisher that runs again after a pause, and hears a relay first, says that it is not the leader."""
+    world = World(21, gateways=0)
+    world.settle()
+    world.run(2000)
+    leader = world.leader()
+    publisher, now_ms = world.part(leader).publisher, world.now(leader) + 2 * LEASE_MS
+    known = publisher.source.sessions.get("r0a") or next(iter(publisher.source.sessions.values()))
+    follow = pb.Follow(session=known.session_id, number=known.follow_number + 1)
+    publisher.heard(now_ms, (known.name, known.incarnation), pb.Message(follow=follow))
+    publisher.tick(now_ms)
+    assert [message.WhichOneof("kind") for _, message in publisher.outbox] == ["not_leader"]
+
+
+def check_other_prefixes():
+    """A source that understood other prefixes serves nothing that is taken for what was asked for."""
+    harness = Harness()
+    gateway = harness.subscriber()
+    harness.change({"config/a": b"1"})
+
+    def change_prefixes(message):
+        if message.HasField("follow") and message.follow.number == 1:
+            message.follow.prefixes[:] = ["engine/"]
+        return message
+
+    harness.run(5000, change_prefixes)
+    assert gateway.version == 1 and gateway.applied_values == {"config/a": b"1"}
+
+
+RULE_CHECKS = {
+    "marks not checked": (check_other_prefixes,),
+    "the lease not asked before a message is served": (check_lease_over,),
+    "a snapshot over a newer delta": (
+        check_snapshot_below_what_is_held,
+        check_changes_while_a_snapshot_is_fetched,
+    ),
+    "snapshots not paced": (check_pacing,),
+    "no back-off after a wrong digest": (check_digest_that_never_matches,),
+    "pushed without an answer to the last push": (check_slow_subscriber,),
+    "a relay's version believed": (check_lying_relay,),
+}
