--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -44,11 +44,11 @@
 def check(file, settings):
     """Check a settings file: a world, own settings of a front or a control process, or a front's JSON."""
     if str(file).endswith(".json"):
-        from lichenquay.gateway.service import CannotStart, open_from, read_config
+        from lichenquay.gateway.configuration import StartError, read_config, read_deployment_settings
 
         try:
-            open_from(read_config({"BALANCER_CONFIG": file})[-1], 1)
-        except CannotStart as why:
+            read_deployment_settings(read_config({"BALANCER_CONFIG": file}).settings, 1)
+        except StartError as why:
             raise click.ClickException(str(why)) from None
     elif settings:
         for line in warnings_of(read_file(file, read_settings)):
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -5,7 +5,7 @@
 
 from lichenquay.config.reader import BadSettings, read_control, read_file
 from lichenquay.control_plane.runtime import control_of
-from lichenquay.process import hear_signals
+from lichenquay.process import install_signal_handlers
 
 STARTING, SERVING, LEAVING, ENDED = "starting", "serving", "leaving", "ended"
 LOOK_S = 0.02  # between two looks at whether leaving is over
@@ -41,10 +41,10 @@
         calls = {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
-            signal.SIGUSR1: self.tell,
+            signal.SIGUSR1: self.log_counters,
             signal.SIGHUP: self.tell_settings_stay,
         }
-        hear_signals(self.reactor, calls)
+        install_signal_handlers(self.reactor, calls)
         self.host.begin()
         self.state = SERVING
 
@@ -64,7 +64,7 @@
         self.host.close()
         self.reactor.stop()
 
-    def tell(self):
+    def log_counters(self):
         """SIGUSR1: counters and what is in force, as lines on standard error."""
         for line in [*self.host.lines(), f"state: {self.state}"]:
             print(line, file=sys.stderr, flush=True)
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -19,10 +19,10 @@
 class Applies(Protocol):
     """A front, as far as distributed configuration goes."""
 
-    def put_gate(self, gate):
+    def apply_connection_rules(self, gate):
         """The gate in force; None: the file's."""
 
-    def put_engines(self, whole, rows):
+    def apply_endpoints(self, whole, rows):
         """Engines of the list: all there are, or those that changed."""
 
 
@@ -60,10 +60,10 @@
             self.fault = str(bad)
             return self.fault
         if gate_changed:
-            self.apply_to.put_gate(gate)
+            self.apply_to.apply_connection_rules(gate)
             self.log.info("gate", version=self.subscriber.version, distributed=gate is not None)
         if self.engines_known and (rows or whole):
-            self.apply_to.put_engines(whole, rows)
+            self.apply_to.apply_endpoints(whole, rows)
         return None
 
     def put_first_list(self):
@@ -75,7 +75,7 @@
         caught_up = subscriber.version == subscriber.in_force == subscriber.newest
         if self.engines_follow and not self.engines_known and caught_up and COMPLETE_KEY in subscriber.values:
             self.engines_known = True
-            self.apply_to.put_engines(True, self._rows(subscriber.values))
+            self.apply_to.apply_endpoints(True, self._rows(subscriber.values))
 
     def _rows(self, changed):
         """The engines that changed, those that are gone first. Errors: BadEngineError."""
--- a/lichenquay/gateway/__main__.py
+++ b/lichenquay/gateway/__main__.py
@@ -1,9 +1,9 @@
-"""`run`: one real front, from its start to its exit."""
+"""`run`: one gateway, from its start to its exit."""
 
-from lichenquay.process import block_signals, run
+from lichenquay.process import block_signals, run_service
 
-# Risk: a signal during the start (a third of a second of imports, then the door) ends the process without a word. From
-# this first line on they wait, and are heard once `Service.run` has its handlers.
+# A signal during the start (a third of a second of imports, then the listener) must not end the process
+# without an answer. From this first line on signals wait, until `Service.run` installs its handlers.
 block_signals()
 
 import os  # noqa: E402
@@ -12,8 +12,9 @@
 
 from twisted.internet import reactor  # noqa: E402
 
-from lichenquay.gateway.service import CannotStart, Service  # noqa: E402
+from lichenquay.gateway.configuration import StartError  # noqa: E402
+from lichenquay.gateway.service import Service  # noqa: E402
 
-# Risk: the reactor's own clock is the wall's; where that steps back an hour, nothing due happens for an hour.
+# The reactor's own clock is the wall's: where that steps back an hour, nothing due would happen for an hour.
 reactor.seconds = time.monotonic
-sys.exit(run("lichenquay.gateway", reactor, lambda: Service(reactor, os.environ), CannotStart))
+sys.exit(run_service("lichenquay.gateway", reactor, lambda: Service(reactor, os.environ), StartError))
--- a/lichenquay/gateway/attempt_lifecycle.py
+++ b/lichenquay/gateway/attempt_lifecycle.py
@@ -1,127 +1,191 @@
-"""Certainty: what may be concluded of one attempt at its engine, from POST to ending. Free of I/O; times come in.
-
-Another attempt of a query may go out only when the one before surely is not running and cannot come to run. Proofs:
-
-- nothing of its POST was written (`HELD`);
-- its own end: a whole answer that is none but its (`ended`);
-- 'unknown' (or an answered DELETE) to a call written once it was known there; or twice, `APART_MS` apart, to calls written
-  after its connection had ended from the engine's side, or `STILL_MS` after the POST: an engine that answers two calls
-  in a row stands not still, and has read what there was to read (`unknown`);
-- its process is gone: refused twice, `APART_MS` apart, with no connection to it open any more, the last ended by its side,
-  and no word that it leaves (`refused`);
-- its time there is over: nothing that could have reached it for as long as it remembers, and the longest that an
-  engine may stand still before it reads what it has (`passed`).
-
-'Unknown' is no proof while the POST's connection is open and silent (`SENT`): the engine may read it later, after calls on
-other connections. Nor is it after that connection was ended from this side: what had come whole is still read.
+"""The lifecycle of one attempt at its engine, from its POST to its end: a state machine, free of I/O.
+
+Another attempt of a query may be sent only when the one before surely is not running and cannot come to run.
+An attempt is over by one of the rules that `Proof` lists; each is a method here, and times come in with the
+calls.
+
+'Unknown' from the engine is no proof while the POST's connection is open and silent (`SENT`): the engine may
+read the POST later, after calls on other connections. Nor is it after that connection was closed by the
+gateway: what had arrived whole is still read.
 """
 
-HELD, SENT, CUT, KNOWN, OVER = "held", "sent", "cut", "known", "over"
-FORGOTTEN_MS = 2000.0  # PROTOCOL: a query that has not been asked for this long is over
-STILL_MS = 500.0  # an engine reads what it has no later than this (seen: up to 370 ms)
-APART_MS = 45.0  # between two words that count as two; the front asks 50 ms apart
+from enum import Enum, StrEnum
+
+FORGOTTEN_MS = 2000.0  # PROTOCOL: an engine drops a query that has not been polled for this long
+READ_DELAY_MS = 500.0  # an engine reads what it has received no later than this (seen: up to 370 ms)
+MIN_SPACING_MS = 45.0  # between two replies that count as two; the gateway polls 50 ms apart
+
+
+class AttemptState(Enum):
+    """What is known of an attempt at its engine."""
+
+    UNSENT = "unsent"  # nothing of its POST was written
+    SENT = "sent"  # its POST was written; nothing is known of it
+    # the engine closed the connection of its POST, or the last one that it replied on
+    DISCONNECTED = "disconnected"
+    ACKNOWLEDGED = "acknowledged"  # the engine replied for it
+    OVER = "over"  # it is not running, and cannot come to run
+
 
+class Proof(StrEnum):
+    """By which rule an attempt is over; an attempt of which nothing was written needs none."""
 
-class Life:
-    """One attempt's life at its engine. All times are milliseconds of one clock that does not run backwards by more
-    than it is apart; a call's time is when its first byte was written."""
+    END_REPORTED = "end reported"  # a whole reply of its own that is an end
+    NO_LONGER_KNOWN = "no longer known"  # one 'unknown' to a call written since it was acknowledged
+    # Two 'unknown' at least `MIN_SPACING_MS` apart, to calls written after its connection was closed by the
+    # engine ...
+    UNKNOWN_AFTER_DISCONNECT = "unknown after disconnect"
+    # ... or `READ_DELAY_MS` after its POST: an engine that replies twice is not paused, and has read all
+    # there was.
+    UNKNOWN_LONG_AFTER_POST = "unknown long after POST"
+    # Two refused connections at least `MIN_SPACING_MS` apart, while nothing shows that its process may live.
+    PROCESS_GONE = "process gone"
+    # No call that could have reached it for as long as it is remembered, and as an engine may take to read
+    # one.
+    FORGOTTEN = "forgotten"
+
+
+class AttemptLifecycle:
+    """One attempt, its state and the proof that it is over.
+
+    Times are milliseconds of one monotonic clock; a call's time is when its first byte was written.
+    """
 
     __slots__ = (
-        "state",
-        "written_ms",
-        "asked_ms",
-        "before_ms",
-        "since_ms",
-        "unknown_ms",
-        "refused_ms",
+        "first_refused_ms",
+        "first_unknown_ms",
+        "last_poll_ms",
+        "posted_ms",
+        "previous_poll_ms",
         "proof",
+        "state",
+        "state_since_ms",
     )
 
     def __init__(self):
-        self.state, self.proof = HELD, None
-        self.written_ms = self.since_ms = 0.0  # its POST; since when it is cut or known
-        self.asked_ms = self.before_ms = (
-            0.0  # the last call that may have kept its engine at it, and the one before
-        )
-        self.unknown_ms = self.refused_ms = None  # first word of two
-
-    # what happens
-
-    def wrote(self, now):
-        """The first byte of its POST."""
-        if self.state == HELD:
-            self.state, self.written_ms, self.asked_ms = SENT, now, now
-
-    def asked(self, now):
-        """A call for its news or pages was written: it may keep the engine at it."""
-        self.before_ms, self.asked_ms = self.asked_ms, max(self.asked_ms, now)
-
-    def cut(self, now):
-        """The engine's side ended the connection of its POST before an answer came, or the one on which it was last answered
-        for. Not what this side ends over an answer that makes no sense: the POST may lie there unread."""
-        if self.state in (SENT, KNOWN):
-            self.state, self.since_ms, self.unknown_ms = CUT, now, None
-
-    def known(self, now):
-        """An answer of its own that is not its end: the engine has it."""
-        self.heard()
-        if self.state in (SENT, CUT):
-            self.state, self.since_ms, self.unknown_ms = KNOWN, now, None
-
-    def ended(self):
-        """Its own end, told whole."""
-        self.over("its own end")
-
-    def heard(self):
-        """Something at its address answered."""
-        self.refused_ms = None
+        """An attempt of which nothing was written."""
+        self.state = AttemptState.UNSENT
+        self.proof: Proof | None = None
+        self.posted_ms = 0.0
+        self.state_since_ms = 0.0  # since when it is disconnected or acknowledged
+        self.last_poll_ms = 0.0  # the last call that may have kept its engine at it ...
+        self.previous_poll_ms = 0.0  # ... and the one before
+        self.first_unknown_ms: float | None = None  # the first of two
+        self.first_refused_ms: float | None = None
 
     @property
-    def counts_ms(self):
-        """Since when a call must have been written for 'unknown' to say something of the POST."""
-        return self.written_ms + STILL_MS if self.state == SENT else self.since_ms
-
-    def unknown(self, written_ms, now, other=False, keeps=True):
-        """To a call written at `written_ms` came the answer that it is not known there, or (`keeps` is false) to DELETE. `other`:
-        the engine is leaving or has left the list, and the answer came on a connection on which it has not answered for
-        this before: its address may be another engine's by now."""
-        self.heard()
-        if keeps and written_ms == self.asked_ms:
-            self.asked_ms = self.before_ms  # that call kept nobody at it
-        if not self.may_run or other and self.state != CUT or written_ms < self.counts_ms:
-            return self.state == OVER  # written before: it may have overtaken the POST
-        if self.state == KNOWN:
-            self.over("no longer known")
-        elif self.unknown_ms is None:
-            self.unknown_ms = now
-        elif written_ms >= self.unknown_ms and now - self.unknown_ms >= APART_MS:
-            self.over("cut off and unknown" if self.state == CUT else "long sent and unknown")
-        return self.state == OVER
-
-    def refused(self, now, alive):
-        """Its address refused a connection. `alive`: a connection to the engine is open that its process would have ended, or was until
-        this side ended it; or the list has told that it leaves, and it may work on behind a closed door."""
-        if alive or self.state == HELD:
-            self.refused_ms = None
-        elif self.refused_ms is None:
-            self.refused_ms = now
-        elif now - self.refused_ms >= APART_MS:
-            self.over("gone")
-        return self.state == OVER
-
-    def passed(self, now):
-        """Whether it is over, by now if not before."""
-        if self.state not in (HELD, OVER) and now > self.asked_ms + FORGOTTEN_MS + STILL_MS:
-            self.over("its time is over")
-        return self.state == OVER
-
-    # what follows
-
-    def over(self, proof):
-        if self.state != OVER:
-            self.state, self.proof = OVER, proof
+    def may_run(self) -> bool:
+        """Whether it may be running, or come to run."""
+        return self.state in (AttemptState.SENT, AttemptState.DISCONNECTED, AttemptState.ACKNOWLEDGED)
 
     @property
-    def may_run(self):
-        """Whether it may be running, or come to run."""
-        return self.state in (SENT, CUT, KNOWN)
+    def is_over(self) -> bool:
+        """Whether it surely is not running, and cannot come to run, having been sent."""
+        return self.state is AttemptState.OVER
+
+    def post_written(self, now_ms: float) -> None:
+        """The first byte of its POST was written."""
+        if self.state is AttemptState.UNSENT:
+            self.state = AttemptState.SENT
+            self.posted_ms = now_ms
+            self.last_poll_ms = now_ms
+
+    def poll_written(self, now_ms: float) -> None:
+        """A call for its progress or pages was written: it may keep the engine at it."""
+        self.previous_poll_ms = self.last_poll_ms
+        self.last_poll_ms = max(self.last_poll_ms, now_ms)
+
+    def poll_not_written(self) -> None:
+        """The last call did not reach the engine: it kept the engine at nothing."""
+        self.last_poll_ms = self.previous_poll_ms
+
+    def connection_closed_by_engine(self, now_ms: float) -> None:
+        """The engine closed the connection of its POST before a reply, or the one that it last replied on.
+
+        Not what the gateway closes over a reply that makes no sense: the POST may lie there unread.
+        """
+        if self.state in (AttemptState.SENT, AttemptState.ACKNOWLEDGED):
+            self._enter(AttemptState.DISCONNECTED, now_ms)
+
+    def acknowledged(self, now_ms: float) -> None:
+        """A reply of its own that is not its end: the engine has it."""
+        self.engine_replied()
+        if self.state in (AttemptState.SENT, AttemptState.DISCONNECTED):
+            self._enter(AttemptState.ACKNOWLEDGED, now_ms)
+
+    def end_reported(self) -> None:
+        """Its own end, reported whole."""
+        self._end(Proof.END_REPORTED)
+
+    def engine_replied(self) -> None:
+        """Something at its address replied: an earlier refusal does not count."""
+        self.first_refused_ms = None
+
+    def unknown_reported(
+        self,
+        written_ms: float,
+        now_ms: float,
+        may_be_other_engine: bool = False,
+        is_poll: bool = True,
+    ) -> bool:
+        """A reply to a call written at `written_ms`: it is not known there, or (no poll) it was cancelled.
+
+        may_be_other_engine: the engine is leaving or has left the endpoint list, and the reply came on a
+        connection on which it has not replied for this attempt before: its address may be another engine's by
+        now. Returns whether the attempt is over.
+        """
+        self.engine_replied()
+        if is_poll and written_ms == self.last_poll_ms:
+            self.poll_not_written()
+        if not self._counts_as_unknown(written_ms, may_be_other_engine):
+            return self.is_over
+        if self.state is AttemptState.ACKNOWLEDGED:
+            self._end(Proof.NO_LONGER_KNOWN)
+        elif self.first_unknown_ms is None:
+            self.first_unknown_ms = now_ms
+        elif written_ms >= self.first_unknown_ms and now_ms - self.first_unknown_ms >= MIN_SPACING_MS:
+            is_disconnected = self.state is AttemptState.DISCONNECTED
+            self._end(Proof.UNKNOWN_AFTER_DISCONNECT if is_disconnected else Proof.UNKNOWN_LONG_AFTER_POST)
+        return self.is_over
+
+    def connection_refused(self, now_ms: float, process_may_live: bool) -> bool:
+        """Its address refused a connection.
+
+        process_may_live: a connection to the engine is open that the end of its process would have closed, or
+        was until the gateway closed it; or the engine drains, and may work on without accepting connections.
+        Returns whether the attempt is over.
+        """
+        if process_may_live or self.state is AttemptState.UNSENT:
+            self.first_refused_ms = None
+        elif self.first_refused_ms is None:
+            self.first_refused_ms = now_ms
+        elif now_ms - self.first_refused_ms >= MIN_SPACING_MS:
+            self._end(Proof.PROCESS_GONE)
+        return self.is_over
+
+    def time_passed(self, now_ms: float) -> bool:
+        """The time is `now_ms`. Returns whether the attempt is over, by now if not before."""
+        is_forgotten = now_ms > self.last_poll_ms + FORGOTTEN_MS + READ_DELAY_MS
+        if self.may_run and is_forgotten:
+            self._end(Proof.FORGOTTEN)
+        return self.is_over
+
+    def _counts_as_unknown(self, written_ms, may_be_other_engine):
+        """Whether 'unknown' says something of the POST; a call written before may have overtaken it."""
+        if not self.may_run:
+            return False
+        if may_be_other_engine and self.state is not AttemptState.DISCONNECTED:
+            return False
+        is_sent = self.state is AttemptState.SENT
+        counts_from_ms = self.posted_ms + READ_DELAY_MS if is_sent else self.state_since_ms
+        return written_ms >= counts_from_ms
+
+    def _enter(self, state, now_ms):
+        self.state = state
+        self.state_since_ms = now_ms
+        self.first_unknown_ms = None
+
+    def _end(self, proof):
+        if not self.is_over:
+            self.state = AttemptState.OVER
+            self.proof = proof
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -1,328 +1,373 @@
-"""A client's connection: what is said on it, in order, and the answers back to it."""
+"""A client's connection: its frames, in order, and the answers back to it."""
 
 import fcntl
 import struct
 import termios
 import traceback
+from typing import NamedTuple
 
 from twisted.internet.protocol import Protocol
 
 from lichenquay.gateway import frames
 from lichenquay.gateway.engine_connection import send_now
+from lichenquay.gateway.errors import GatewayError
+from lichenquay.gateway.frames import AnswerCode, FrameError, FrameReader, FrameType
+from lichenquay.gateway.stream_numbers import StreamNumbers
 
 CLOSE_S = 0.3  # for the other side to close as well; then again, while it still reads its last answers
-REST_S, MOST_SENSELESS = 0.05, 16  # after a request that makes no sense; so many of them end a connection
-MOST_STREAMS = 4096  # numbers of streams that are kept of a connection
-MOST_UNSENT = (
-    65_536  # bytes of answers that a client has not read before nothing more is taken in from it, and
-)
-# bytes of requests that wait for that before it is read no further
+PAUSE_S = 0.05  # in which nothing is read, after an invalid request
+MAX_INVALID_REQUESTS = 16  # more of them end a connection
+# Bytes of answers that a client has not read, before no more requests of its are accepted; and bytes of
+# requests that wait for that, before it is read no further.
+MAX_UNSENT_BYTES = 65_536
+ANSWER_COUNTERS = {
+    AnswerCode.COMPLETED: "answers completed",
+    AnswerCode.REJECTED: "answers rejected",
+    AnswerCode.FAILED: "answers failed",
+}
 
 
-def untaken(transport):
-    """Bytes that the machine holds for a connection whose other side has not taken them; 0 where it does not say."""
-    try:
-        return struct.unpack("i", fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0]
-    except OSError:
-        return 0
+class InvalidRequestError(GatewayError):
+    """A well-formed request that makes no query; the text is its answer."""
 
+    code = AnswerCode.FAILED
 
-class BadQuery(ValueError):
-    """A well-formed request that makes no query; the text says why."""
 
-    code = frames.KILLED
+class HeldRequest(NamedTuple):
+    """A request that waits while its client does not read its answers."""
 
+    payload: bytes
+    received_ms: float
 
-class Streams:
-    """The numbers of the streams that a connection has used: all up to one, and some above."""
 
-    __slots__ = ("below", "above")
-
-    def __init__(self):
-        self.below, self.above = 0, set()
-
-    def use(self, stream):
-        """False if it was used before."""
-        if stream <= self.below or stream in self.above:
-            return False
-        self.above.add(stream)
-        while self.below + 1 in self.above:
-            self.below += 1
-            self.above.discard(self.below)
-        return True
+def unacknowledged_bytes(transport):
+    """Bytes that the kernel holds until the other side has received them; 0 where it cannot say."""
+    try:
+        buffer = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, b"\0" * 4)
+    except OSError:
+        return 0
+    return struct.unpack("i", buffer)[0]
 
 
 class ClientConnection(Protocol):
-    """One client's connection. While it does not read its own answers it is `stuck`: `unsent` bytes of them wait in the transport,
-    which asks for more (`resumeProducing`) once it is empty. Until then its requests are `kept`; what else it says is heard. Risk:
-    with nothing read, a cancel waits in the machine while its query is sent again."""
-
-    def __init__(self, desk, address):
-        self.desk, self.reader, self.open, self.unsent, self.used = (
-            desk,
-            frames.FrameReader(),
-            {},
-            0,
-            Streams(),
-        )
-        self.place = desk.gate.opened(address, desk.gate_ms(), self)
-        self.up, self.stuck, self.bad, self.told, self.heard_s = True, False, False, False, desk.seconds()
-        self.known, self.begun_s, self.senseless, self.rests = False, self.heard_s, 0, None
-        self.kept, self.kept_size = {}, 0  # requests that wait while it is stuck, by stream
-        self.wanted_ms, self.ending = (
-            0.0,
-            None,
-        )  # until when its last answers are waited for; a timer once it closes
+    """One client's connection.
+
+    While its client does not read its answers it is `is_backlogged`: `unsent_bytes` of them wait in the
+    transport, which asks for more (`resumeProducing`) once it is empty. Until then its requests are held;
+    other frames are handled. With nothing read, a cancellation would wait in the kernel while its query is
+    sent again.
+
+    `record` is what connection admission keeps of it. `is_open`: frames are handled and answers written.
+    `is_rejecting_input`: nothing more is read from it, and what was accepted on it is still answered.
+    """
+
+    def __init__(self, intake, address):
+        """`intake`: all clients' connections; `address`: the client's."""
+        self.intake = intake
+        self.record = intake.connection_admission.opened(address, intake.admission_ms(), self)
+        self.reader = FrameReader()
+        self.streams = StreamNumbers()
+        self.open_queries = {}  # by stream
+        self.held_requests: dict[int, HeldRequest] = {}  # by stream
+        self.held_request_bytes = 0
+        self.unsent_bytes = 0
+        self.invalid_requests = 0
+        self.is_open = True
+        self.is_backlogged = False
+        self.is_rejecting_input = False
+        self.has_sent_frame = False  # its client has, whole
+        self.go_away_sent = False
+        self.last_activity_s = intake.seconds()
+        self.frame_started_s = self.last_activity_s
+        self.linger_until_ms = 0.0  # its client may still read its last answers
+        self.pause_timer = None
+        self.close_timer = None
+
+    # Reading.
 
     def connectionMade(self):
+        """It is up."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
-        self.desk.opened(self)
+        self.intake.connection_opened(self)
 
     def dataReceived(self, data):
-        if self.bad or not self.up:
-            return (
-                self.rest()
-            )  # risk: unread, it hides that the client leaves, or resets our last words on closing
-        before, self.heard_s = self.reader.unfinished(), self.desk.seconds()
-        try:
-            for kind, stream, payload in self.reader.feed(data):
-                if not self.known:
-                    self.desk.gate.spoke(self.place, self.desk.gate_ms())
-                self.known, self.begun_s = True, self.heard_s
-                if self.stuck and kind == frames.QUERY:
-                    self.keep(stream, payload)
-                else:
-                    self.heard(kind, stream, payload)
-            grown = self.reader.unfinished() - before
-            if not before:
-                self.begun_s = self.heard_s
-            if grown > 0 and not self.desk.fits(before + grown, before):
-                raise frames.BadFrame("too much that is not whole")
-            self.hold(grown)
-        except frames.BadFrame as bad:
-            self.hold(-before)
-            self.reader.held = None
-            self.ends(str(bad))
-
-    def keep(self, stream, payload):
-        self.use(stream)
-        self.kept[stream] = bytes(payload), self.desk.now_ms()
-        self.count_kept(len(payload))
-        if self.kept_size > MOST_UNSENT:
-            self.transport.pauseProducing()
-
-    def count_kept(self, more):
-        self.kept_size += more
-        self.hold(more)
-
-    def forget(self, *streams):
-        for stream in streams:
-            self.count_kept(-len(self.kept.pop(stream)[0]))
-
-    def hear_kept(self):
-        """In turn, what was kept; its time counts from when it was read."""
-        try:
-            while self.kept and not self.stuck and self.up and not self.bad:
-                stream, (payload, read_ms) = next(iter(self.kept.items()))
-                self.forget(stream)
-                self.taken(stream, payload, read_ms)
-        except frames.BadFrame as bad:
-            self.ends(str(bad))
-
-    def hold(self, more):
-        """So many bytes more, or less, that it makes the front hold."""
-        if more:
-            self.desk.held += more
-            self.desk.gate.holds(self.place, more)
-
-    def gives_way(self):
-        """Its place goes to another one: what was taken on it gets its final answer now, then it is closed."""
-        self.desk.metrics.count("clients closed for room")
-        if self.is_idle():
-            self.tell_no_more()
-            return self.close()
-        self.ends("its place is needed by others", frames.DEFERRED)
-        for q in list(self.open.values()):
-            self.desk.admit.give_up(q)
-
-    def ends(self, why, code=frames.KILLED):
-        """Nothing more is read from it; what was taken on it is still answered."""
-        if self.bad:
+        """Frames, which may be cut anywhere."""
+        if self.is_rejecting_input or not self.is_open:
+            # It is read all the same: unread bytes would hide that the client leaves, and reset our last
+            # answers.
+            self._pause_reading()
             return
-        self.desk.metrics.count("bad frames" if code == frames.KILLED else "busy clients closed for room")
-        self.desk.log("client", f"client: {why}; connection closed")
-        self.put(frames.answer(0, code, why.encode()))
-        self.bad = True
-        for stream in list(self.kept):  # taken, for its client: it gets its answer, if it reads
-            self.forget(stream)
-            self.put(frames.answer(stream, code, why.encode()))
-        self.desk.gate.goes(self.place, self.desk.gate_ms())
-        self.close_if_done()
-
-    def heard(self, kind, stream, payload):
-        if kind == frames.QUERY:
-            self.use(stream)
-            self.taken(stream, payload, self.desk.now_ms())
-        elif kind == frames.LEFT:
-            q = self.open.pop(stream, None)
-            if q is not None:
-                self.leave(q)
-            elif stream in self.kept:
-                self.forget(stream)
-        elif kind == frames.IS_READY:
-            frames.read_fields(payload)
-            self.put(frames.readiness(stream, 0 if self.desk.ready() else 1))
+        buffered_before = self.reader.buffered_bytes()
+        self.last_activity_s = self.intake.seconds()
+        try:
+            for frame in self.reader.feed(data):
+                self._on_frame(frame)
+            growth = self.reader.buffered_bytes() - buffered_before
+            if not buffered_before:
+                self.frame_started_s = self.last_activity_s
+            if growth > 0 and not self.intake.has_memory_for(buffered_before + growth, buffered_before):
+                raise FrameError("too much that is not whole")
+            self._account_bytes(growth)
+        except FrameError as error:
+            self._account_bytes(-buffered_before)
+            self.reader.discard()
+            self.reject_input(str(error))
+
+    def _on_frame(self, frame):
+        if not self.has_sent_frame:
+            self.intake.connection_admission.spoke(self.record, self.intake.admission_ms())
+        self.has_sent_frame = True
+        self.frame_started_s = self.last_activity_s
+        if frame.type == FrameType.QUERY:
+            self._on_query(frame)
+        elif frame.type == FrameType.CANCEL:
+            self._on_cancel(frame.stream)
+        elif frame.type == FrameType.READINESS_CHECK:
+            frames.read_fields(frame.payload)
+            self.write(frames.encode_readiness(frame.stream, self.intake.is_ready()))
         else:
-            raise frames.BadFrame(f"a frame of type {kind}")
-
-    def use(self, stream):
-        if stream == 0 or not self.used.use(stream):
-            raise frames.BadFrame(f"stream {stream} is not new")
-        if len(self.used.above) > MOST_STREAMS:
-            raise frames.BadFrame("too many numbers of streams left out")
+            raise FrameError(f"a frame of type {frame.type}")
 
-    def taken(self, stream, payload, read_ms):
-        request = frames.read_query(payload)
-        self.desk.metrics.count("queries taken in")
-        try:
-            q = self.desk.query(self, stream, *request, read_ms)
-        except BadQuery as bad:
-            return self.makes_no_sense(stream, bad)
-        except Exception:  # risk: a fault met for one query ends the connection, and others with it
-            self.desk.metrics.count("faults")
-            self.desk.log("fault", traceback.format_exc())
-            self.desk.metrics.count("answers killed")
-            return self.put(frames.answer(stream, frames.KILLED, b"a fault in the front"))
-        self.open[stream] = self.desk.refs[q.ref] = q
-        self.desk.gate.asked(self.place, self.desk.gate_ms())
-        self.hold(len(q.statement))
-        self.desk.admit.take(q)
-
-    def makes_no_sense(self, stream, why):
-        """Answered at once, and read on after a rest.
-        Risk: one that comes back at once with the same thing takes the turns of others."""
-        self.desk.metrics.count("queries that make no sense")
-        self.desk.metrics.count(self.desk.ANSWERS[why.code])
-        self.put(frames.answer(stream, why.code, str(why).encode()))
-        self.senseless += why.code == frames.KILLED
-        if (
-            self.senseless > MOST_SENSELESS
-            or why.code == frames.KILLED
-            and self.desk.gate.senseless(self.place, self.desk.gate_ms())
-        ):
-            raise frames.BadFrame("too many requests that make no sense")
-        self.rest()
-
-    def rest(self):
-        """Read on after a while. Risk: what nobody wants, at full speed, takes the turns of others."""
-        if self.rests is None:
+    def _on_query(self, frame):
+        self.streams.claim(frame.stream)
+        if self.is_backlogged:
+            self._hold_request(frame)
+        else:
+            self._accept_request(frame.stream, frame.payload, self.intake.now_ms())
+
+    def _on_cancel(self, stream):
+        query = self.open_queries.pop(stream, None)
+        if query is not None:
+            self._cancel_query(query)
+        elif stream in self.held_requests:
+            self._drop_held_request(stream)
+
+    def _pause_reading(self):
+        """Reads on after a while: what is not wanted, at full speed, must not take the turns of others."""
+        if self.pause_timer is None:
             self.transport.pauseProducing()
-            self.rests = self.desk.reactor.callLater(REST_S, self.read_on)
+            self.pause_timer = self.intake.reactor.callLater(PAUSE_S, self._resume_reading)
 
-    def read_on(self):
-        self.rests = None
-        if self.kept_size <= MOST_UNSENT:
+    def _resume_reading(self):
+        self.pause_timer = None
+        if self.held_request_bytes <= MAX_UNSENT_BYTES:
             self.transport.resumeProducing()
 
-    def answer(self, q, code, body):
-        if self.open.pop(q.stream, None) is not None:
-            self.let_go(q)
-            self.heard_s = self.desk.seconds()  # it is idle from now on
-            self.wanted_ms = max(self.wanted_ms, q.deadline_ms)
-            self.put(frames.answer(q.stream, code, *body))
-            self.desk.metrics.count(self.desk.ANSWERS[code])
-            self.close_if_done()
-
-    def leave(self, q):
-        self.let_go(q)
-        self.desk.admit.left(q)
-
-    def let_go(self, q):
-        """Risk: timers keep a query until its client's time is up, and with it a statement of any length and its
-        connection."""
-        self.hold(-len(q.statement))
-        self.desk.gate.answered(self.place, self.desk.gate_ms())
-        self.desk.refs.pop(q.ref, None)
-        q.statement, q.client = b"", None
+    # Requests.
 
-    def is_idle(self):
-        """Nothing that was taken on it waits for an answer."""
-        return not self.open and not self.kept
+    def _accept_request(self, stream, payload, received_ms):
+        request = frames.read_query(payload)
+        self.intake.metrics.count("queries received")
+        try:
+            query = self.intake.make_query(self, stream, request, received_ms)
+        except InvalidRequestError as error:
+            self._answer_invalid(stream, error)
+            return
+        except Exception:  # a fault met for one query must not end the connection, and others with it
+            self.intake.metrics.count("faults")
+            self.intake.log("fault", traceback.format_exc())
+            self.intake.metrics.count(ANSWER_COUNTERS[AnswerCode.FAILED])
+            self.write(frames.encode_answer(stream, AnswerCode.FAILED, b"a fault in the front"))
+            return
+        self.open_queries[stream] = query
+        self.intake.open_request_ids[query.request_id] = query
+        self.intake.connection_admission.asked(self.record, self.intake.admission_ms())
+        self._account_bytes(len(query.statement))
+        self.intake.adapter.query_received(query)
+
+    def _answer_invalid(self, stream, error):
+        """Answered at once, and read on after a pause: its client may repeat it at once."""
+        self.intake.metrics.count("requests invalid")
+        self.intake.metrics.count(ANSWER_COUNTERS[error.code])
+        self.write(frames.encode_answer(stream, error.code, str(error).encode()))
+        if error.code == AnswerCode.FAILED:
+            self.invalid_requests += 1
+        if self.invalid_requests > MAX_INVALID_REQUESTS or self._exceeds_invalid_request_rate(error):
+            raise FrameError("too many requests that make no sense")
+        self._pause_reading()
+
+    def _exceeds_invalid_request_rate(self, error):
+        if error.code != AnswerCode.FAILED:
+            return False
+        return self.intake.connection_admission.senseless(self.record, self.intake.admission_ms())
+
+    def _cancel_query(self, query):
+        self._release_query(query)
+        self.intake.adapter.client_gone(query)
+
+    def _release_query(self, query):
+        """Timers refer to a query until its deadline: it must not keep all that it held."""
+        self._account_bytes(-len(query.statement))
+        self.intake.connection_admission.answered(self.record, self.intake.admission_ms())
+        self.intake.open_request_ids.pop(query.request_id, None)
+        query.statement = b""
+        query.client = None
+
+    def _hold_request(self, frame):
+        self.held_requests[frame.stream] = HeldRequest(bytes(frame.payload), self.intake.now_ms())
+        self._account_held_request(len(frame.payload))
+        if self.held_request_bytes > MAX_UNSENT_BYTES:
+            self.transport.pauseProducing()
 
-    def close_if_done(self):
-        if self.bad and not self.open:
-            self.close()
+    def _drop_held_request(self, stream):
+        self._account_held_request(-len(self.held_requests.pop(stream).payload))
 
-    def put(self, data):
-        if not self.up:
+    def _accept_held_requests(self):
+        """In order; their time counts from when they were received."""
+        try:
+            while (
+                self.held_requests and not self.is_backlogged and self.is_open and not self.is_rejecting_input
+            ):
+                stream, request = next(iter(self.held_requests.items()))
+                self._drop_held_request(stream)
+                self._accept_request(stream, request.payload, request.received_ms)
+        except FrameError as error:
+            self.reject_input(str(error))
+
+    def _account_held_request(self, size_bytes):
+        self.held_request_bytes += size_bytes
+        self._account_bytes(size_bytes)
+
+    def _account_bytes(self, size_bytes):
+        """The gateway holds so many bytes more, or less, for this connection."""
+        if size_bytes:
+            self.intake.held_bytes += size_bytes
+            self.intake.connection_admission.holds(self.record, size_bytes)
+
+    # Answers.
+
+    def send_answer(self, query, code, body):
+        """The final answer of a query, its body given in pieces."""
+        if self.open_queries.pop(query.stream, None) is None:
+            return
+        self._release_query(query)
+        self.last_activity_s = self.intake.seconds()  # it is idle from now on
+        self.linger_until_ms = max(self.linger_until_ms, query.deadline_ms)
+        self.write(frames.encode_answer(query.stream, code, *body))
+        self.intake.metrics.count(ANSWER_COUNTERS[code])
+        self._close_if_answered()
+
+    def send_go_away(self):
+        """Tells the client to send no more requests on this connection."""
+        if not self.go_away_sent:
+            self.go_away_sent = True
+            self.write(frames.encode_frame(FrameType.GO_AWAY, 0))
+
+    def write(self, data):
+        """Writes a frame, unless clients that do not read make the gateway hold too much already."""
+        if not self.is_open:
             return
-        rest = data if self.unsent else send_now(self.transport, data)
+        rest = data if self.unsent_bytes else send_now(self.transport, data)
         if not rest:
             return
-        self.unsent += len(rest)
-        self.hold(len(rest))
-        if self.desk.held > self.desk.room:
-            self.desk.metrics.count("clients that do not read")
-            self.desk.log("client", "client: does not read its answers; connection closed")
-            return self.transport.abortConnection()
-        self.transport.write(bytes(rest))  # risk: anything else is refused there, and an answer is cut off
-        self.stuck = self.stuck or self.unsent > MOST_UNSENT
+        self.unsent_bytes += len(rest)
+        self._account_bytes(len(rest))
+        if self.intake.held_bytes > self.intake.max_held_bytes:
+            self.intake.metrics.count("clients not reading")
+            self.intake.log("client", "client: does not read its answers; connection closed")
+            self.transport.abortConnection()
+            return
+        # the transport refuses what is not bytes, and would cut an answer off
+        self.transport.write(bytes(rest))
+        self.is_backlogged = self.is_backlogged or self.unsent_bytes > MAX_UNSENT_BYTES
 
     def resumeProducing(self):
-        self.hold(-self.unsent)
-        self.unsent = 0
-        if self.stuck:
-            self.stuck = False
-            self.hear_kept()
-            if self.rests is None and self.kept_size <= MOST_UNSENT:
+        """The transport has sent all that was written."""
+        self._account_bytes(-self.unsent_bytes)
+        self.unsent_bytes = 0
+        if self.is_backlogged:
+            self.is_backlogged = False
+            self._accept_held_requests()
+            if self.pause_timer is None and self.held_request_bytes <= MAX_UNSENT_BYTES:
                 self.transport.resumeProducing()
-        if self.ending is not None:
-            self.shut()
+        if self.close_timer is not None:
+            self._close_output()
 
     def stopProducing(self):
-        self.up = False
+        """The transport is closing."""
+        self.is_open = False
+
+    # Its end.
+
+    @property
+    def is_idle(self):
+        """Whether nothing that was accepted on it waits for an answer."""
+        return not self.open_queries and not self.held_requests
+
+    def evict(self):
+        """Gives its place to another: its queries get their final answers now, then it is closed."""
+        self.intake.metrics.count("clients evicted")
+        if self.is_idle:
+            self.send_go_away()
+            self.close()
+            return
+        self.reject_input("its place is needed by others", AnswerCode.REJECTED)
+        for query in list(self.open_queries.values()):
+            self.intake.adapter.evict(query)
+
+    def reject_input(self, reason, code=AnswerCode.FAILED):
+        """Nothing more is read from it; what was accepted on it is still answered."""
+        if self.is_rejecting_input:
+            return
+        self.intake.metrics.count("invalid frames" if code == AnswerCode.FAILED else "busy clients evicted")
+        self.intake.log("client", f"client: {reason}; connection closed")
+        self.write(frames.encode_answer(0, code, reason.encode()))
+        self.is_rejecting_input = True
+        # its client has sent them: it gets their answers, if it reads
+        for stream in list(self.held_requests):
+            self._drop_held_request(stream)
+            self.write(frames.encode_answer(stream, code, reason.encode()))
+        self.intake.connection_admission.goes(self.record, self.intake.admission_ms())
+        self._close_if_answered()
 
     def close(self):
-        """Ends the connection, on which nothing is open: our side once what is written has gone, all of it once the client
-        has ended its own, or after a while. Risk: closing on unread bytes, or at a fixed time, takes back last words that a
-        client has not read yet."""
-        if self.up:
-            self.up = False
-            self.desk.gate.goes(self.place, self.desk.gate_ms())
-            self.ending = self.desk.reactor.callLater(CLOSE_S, self.over)
-            if not self.unsent:
-                self.shut()
-
-    def shut(self):
+        """Closes the connection, on which no query is open.
+
+        The gateway's side is closed once what is written has gone, all of it once the client has closed its
+        own, or after a while. Closing over unread bytes, or at a fixed time, would take back last answers
+        that a client has not read yet.
+        """
+        if not self.is_open:
+            return
+        self.is_open = False
+        self.intake.connection_admission.goes(self.record, self.intake.admission_ms())
+        self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
+        if not self.unsent_bytes:
+            self._close_output()
+
+    def _close_if_answered(self):
+        if self.is_rejecting_input and not self.open_queries:
+            self.close()
+
+    def _close_output(self):
         """No more comes from this side."""
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
 
-    def over(self):
-        """What a slow client has not taken is waited for as long as its queries might have taken."""
-        rest = self.unsent or untaken(self.transport)
-        if rest and self.desk.now_ms() < self.wanted_ms:
-            self.ending = self.desk.reactor.callLater(CLOSE_S, self.over)
-        elif rest:
+    def _finish_closing(self):
+        """What a slow client has not received is waited for as long as its queries might have taken."""
+        unreceived_bytes = self.unsent_bytes or unacknowledged_bytes(self.transport)
+        if unreceived_bytes and self.intake.now_ms() < self.linger_until_ms:
+            self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
+        elif unreceived_bytes:
             self.transport.abortConnection()
         else:
             self.transport.loseConnection()
 
-    def tell_no_more(self):
-        if not self.told:
-            self.told = True
-            self.put(frames.frame(frames.NO_MORE, 0))
-
     def connectionLost(self, reason):
-        self.up = False
-        self.hold(-self.unsent - self.reader.unfinished())
-        self.unsent, self.reader.held = 0, None
-        self.forget(*self.kept)
-        for timer in (self.rests, self.ending):
+        """Its client has gone, and with it all that was held for it."""
+        self.is_open = False
+        self._account_bytes(-self.unsent_bytes - self.reader.buffered_bytes())
+        self.unsent_bytes = 0
+        self.reader.discard()
+        for stream in list(self.held_requests):
+            self._drop_held_request(stream)
+        for timer in (self.pause_timer, self.close_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        queries, self.open = self.open, {}
-        for q in queries.values():  # what was taken on it ends at its engine
-            self.leave(q)
-        self.desk.closed(self)
+        queries = self.open_queries
+        self.open_queries = {}
+        for query in queries.values():  # what was accepted on it ends at its engine
+            self._cancel_query(query)
+        self.intake.connection_closed(self)
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -1,228 +1,275 @@
-"""Admit: a query to the controller, and the controller's answers back. The door makes no choice."""
+"""The adapter between the network side and the admission controller; it decides nothing.
+
+Events from the network side are queued and delivered to the controller in turns, in order; the controller's
+instructions (`GatewayPort`) are carried out at once.
+"""
 
 import heapq
 import traceback
+from collections.abc import Callable
 from dataclasses import dataclass
 
 from lichenquay.admission import domain
-from lichenquay.gateway import frames
+from lichenquay.gateway.frames import AnswerCode
 
-FAULT_MS = 250.0  # before what failed at its time is tried again
+RETRY_FAILED_TIMER_MS = 250.0  # before a timer's call that raised an exception is called again
+TURN_TOLERANCE_MS = 0.01  # a turn is not moved forward by less
+REJECTED_TEXT = b"no room in time; trying again is harmless"
+FAILED_TEXT = b"not finished in time"
 
 
 @dataclass(eq=False)
-class FrontQuery(domain.Query):
-    """A query as the front keeps it: whom to answer, and what goes to engines unchanged."""
+class GatewayQuery(domain.Query):
+    """A query as the gateway keeps it: whom to answer, and what goes to engines unchanged."""
 
-    client: object = None
+    client: object = None  # its connection, until it is answered
     stream: int = 0
-    ref: str = ""
-    token: str = ""  # by which engines drop its repeats
+    request_id: str = ""
+    idempotency_key: str = ""  # by which engines drop its repeats
     statement: bytes = b""
     grant_mb: float = 0.0  # of its next attempts
-    rank_asked: int | None = None
-    told: bool = False  # the controller knows it
-    flight: object = None  # its latest attempt
-
-
-class Admit:
-    """The controller's door. What happens is kept for the next turn; turns are `step_ms` apart at least."""
-
-    def __init__(self, opening, reactor, engines, now_ms, metrics, log):
-        self.reactor, self.engines, self.clock_ms, self.metrics, self.log_line = (
-            reactor,
-            engines,
-            now_ms,
-            metrics,
-            log,
-        )
-        self.step_ms, self.most = opening.gateway.min_turn_ms, opening.permissions.max_attempts
-        self.reports_cost = opening.capabilities.reports_cost
-        self.events, self.timers, self.timed, self.next = [], [], 0, None
-        self.now_ms = self.turned_ms = now_ms()
-        self.open, self.numbers = set(), 0
-        self.route = self.quota = (
-            None  # quota: the fleet's account of what tenants may spend, where there is one
-        )
-        self.controller = opening.controller(self)
-
-    # what happens, from the network's side
-
-    def happen(self, call, *what):
-        self.events.append((call, what))
-        self.poke(self.turned_ms + self.step_ms)
-
-    def take(self, q):
-        self.numbers += 1
-        q.id = self.numbers
-        self.open.add(q)
-        self.happen(self.taken, q)
-
-    def taken(self, q):
-        """Risk: hundreds of queries taken back at once go out to engines and are called off there."""
-        if not q.is_done:
-            q.told = True
-            if self.quota is not None:
-                q.over_quota = self.quota.beyond(q)
-            self.controller.admit(q)
-
-    def left(self, q):
-        """Its client waits no longer."""
-        if not q.is_done:
-            q.is_done = True
-            self.open.discard(q)
-            if self.quota is not None:
-                self.quota.over(q)
-            self.metrics.count("queries left by their clients")
-            self.happen(self.gone, q)
-
-    def gone(self, q):
-        if q.told:
-            self.controller.on_client_gone(q)
-
-    def noted(self, attempt, what, amount):
-        self.happen(self.note, attempt, what, amount)
-
-    def note(self, attempt, what, amount):
-        if attempt.outcome is None:
-            self.controller.on_progress(attempt, what, amount)
-
-    def back(self, flight, ending, cost, report, result):
-        """An attempt ended; a whole result is the client's at once, so that none can come between."""
-        q = flight.query
-        if ending == domain.Outcome.COMPLETED:
-            self.answer(q, frames.FINISHED, result)
-        took = self.clock_ms() - flight.attempt.sent_ms
-        self.happen(self.ended, flight.attempt, ending, took, cost if self.reports_cost else None, report)
-
-    def ended(self, attempt, ending, took, cost, report):
-        attempt.outcome = ending
-        if self.quota is not None and ending == domain.Outcome.COMPLETED:
-            self.quota.finished(attempt.query, cost)
-        self.controller.on_attempt_ended(attempt, took, cost, report)
+    requested_priority: int | None = None
+    is_known_to_controller: bool = False  # the controller knows it
+    attempt_in_flight: object = None  # its latest
+
+
+class ControllerAdapter:
+    """The controller's `GatewayPort`, and the queue of its events; turns are `min_turn_ms` apart at least."""
+
+    def __init__(self, settings, reactor, engines, now_ms: Callable[[], float], metrics, log):
+        """`engines`: the connections to them; `now_ms`: the clock. `router` is set by the owner."""
+        self.reactor = reactor
+        self.engines = engines
+        self.clock_ms = now_ms
+        self.metrics = metrics
+        self.log_line = log
+        self.min_turn_ms = settings.gateway.min_turn_ms
+        self.max_attempts = settings.permissions.max_attempts
+        self.reports_cost = settings.capabilities.reports_cost
+        self.router = None
+        self.quota = None  # the fleet's account of what tenants may spend, where there is one
+        self.open_queries: set[GatewayQuery] = set()
+        self.last_query_id = 0
+        self.events: list[tuple[Callable, tuple]] = []
+        # a heap; the number keeps those of one time in order
+        self.timers: list[tuple[float, int, Callable]] = []
+        self.last_timer_number = 0
+        self.next_turn = None  # the reactor's timer, and when it is due
+        self.next_turn_ms = 0.0
+        self.now_ms = now_ms()
+        self.last_turn_ms = self.now_ms
+        self.controller = settings.controller(self)
+
+    # Events from the network side.
+
+    def query_received(self, query: GatewayQuery) -> None:
+        """A client asked; the query gets its identifier."""
+        self.last_query_id += 1
+        query.id = self.last_query_id
+        self.open_queries.add(query)
+        self._enqueue(self._admit, query)
+
+    def client_gone(self, query: GatewayQuery) -> None:
+        """Its client has cancelled it or closed its connection."""
+        if query.is_done:
+            return
+        query.is_done = True
+        self.open_queries.discard(query)
+        if self.quota is not None:
+            self.quota.over(query)
+        self.metrics.count("queries cancelled by their clients")
+        self._enqueue(self._cancel, query)
+
+    def progress_reported(self, attempt: domain.Attempt, kind: domain.ProgressKind, amount: float) -> None:
+        """An engine reported on an attempt in flight."""
+        self._enqueue(self._on_progress, attempt, kind, amount)
+
+    def attempt_ended(self, in_flight, outcome, cost, load_report, result) -> None:
+        """An attempt ended; a whole result goes to the client at once, so that nothing can come between."""
+        query = in_flight.query
+        if outcome == domain.Outcome.COMPLETED:
+            self.answer(query, AnswerCode.COMPLETED, result)
+        took_ms = self.clock_ms() - in_flight.attempt.sent_ms
+        reported_cost = cost if self.reports_cost else None
+        self._enqueue(self._on_attempt_ended, in_flight.attempt, outcome, took_ms, reported_cost, load_report)
+
+    def endpoints_updated(self, engines: list, whole: bool) -> None:
+        """The endpoint list changed: these are all engines (`whole`), or those that changed."""
+        self._enqueue(self.controller.endpoints_updated, engines, whole)
+
+    def endpoints_stale(self, max_ms: float) -> None:
+        """The endpoint list may be out of date until it is confirmed, for `max_ms` at most."""
+        self._enqueue(self.controller.mark_endpoints_stale, max_ms)
+
+    def endpoints_confirmed(self) -> None:
+        """The endpoint list is up to date."""
+        self._enqueue(self.controller.endpoints_confirmed)
+
+    def evict(self, query: GatewayQuery) -> None:
+        """Its place is needed by another one: the controller's final answer, in the next turn."""
+        self._enqueue(self.controller.give_final_answer, query)
 
-    def listed(self, engines, whole):
-        self.happen(self.controller.endpoints_updated, engines, whole)
+    def evict_all(self) -> None:
+        """The gateway has to end: what is still open gets the controller's final answer."""
+        for query in list(self.open_queries):
+            self.evict(query)
 
-    def list_doubted(self, most_ms):
-        self.happen(self.controller.mark_endpoints_stale, most_ms)
+    def may_send(self, in_flight) -> bool:
+        """Whether an attempt is still allowed at the time that it is by now."""
+        return self.controller.may_dispatch(in_flight.attempt, max(self.now_ms, self.clock_ms()))
 
-    def list_confirmed(self):
-        self.happen(self.controller.endpoints_confirmed)
+    # Delivery of the events.
 
-    def give_up(self, q):
-        """Its place is needed by another one: the controller's final answer, in the next turn."""
-        self.happen(self.controller.give_final_answer, q)
-
-    def time_up(self):
-        """The front itself has to end: what is still open gets the controller's final answer now."""
-        for q in list(self.open):
-            self.give_up(q)
-
-    # turns
-
-    def poke(self, at_ms):
-        if self.next is None:
-            self.next = self.reactor.callLater(max(0.0, at_ms - self.clock_ms()) / 1000, self.turn)
-            self.next_ms = at_ms
-        elif at_ms < self.next_ms - 0.01:
-            self.next.reset(max(0.0, at_ms - self.clock_ms()) / 1000)
-            self.next_ms = at_ms
-
-    def turn(self):
-        self.next = None
-        self.now_ms = now = self.turned_ms = max(self.now_ms, self.clock_ms())
-        events, self.events = self.events, []
-        for call, what in events:
-            self.guarded(call, what)
-        due = []  # what they set in turn is for a later turn
-        while self.timers and self.timers[0][0] <= now:
-            due.append(heapq.heappop(self.timers)[2])
-        for call in due:
-            self.guarded(call, ())
+    def _admit(self, query):
+        # One that was cancelled in the same turn must not go out to an engine and be cancelled there.
+        if query.is_done:
+            return
+        query.is_known_to_controller = True
+        if self.quota is not None:
+            query.over_quota = self.quota.beyond(query)
+        self.controller.admit(query)
+
+    def _cancel(self, query):
+        if query.is_known_to_controller:
+            self.controller.on_client_gone(query)
+
+    def _on_progress(self, attempt, kind, amount):
+        if attempt.outcome is None:
+            self.controller.on_progress(attempt, kind, amount)
+
+    def _on_attempt_ended(self, attempt, outcome, took_ms, cost, load_report):
+        attempt.outcome = outcome
+        if self.quota is not None and outcome == domain.Outcome.COMPLETED:
+            self.quota.finished(attempt.query, cost)
+        self.controller.on_attempt_ended(attempt, took_ms, cost, load_report)
+
+    # Turns.
+
+    def run_turn(self) -> None:
+        """Delivers the events that are queued, then calls the timers that are due."""
+        self.next_turn = None
+        now_ms = max(self.now_ms, self.clock_ms())
+        self.now_ms = now_ms
+        self.last_turn_ms = now_ms
+        events = self.events
+        self.events = []
+        for call, arguments in events:
+            self._call_guarded(call, arguments)
+        due_calls = []  # what they set in turn is for a later turn
+        while self.timers and self.timers[0][0] <= now_ms:
+            due_calls.append(heapq.heappop(self.timers)[2])
+        for call in due_calls:
+            self._call_guarded(call, ())
         if self.events:
-            self.poke(now + self.step_ms)
+            self.schedule_turn(now_ms + self.min_turn_ms)
         elif self.timers:
-            self.poke(max(self.timers[0][0], now + self.step_ms))
-
-    def guarded(self, call, what):
-        """Risk: a fault met for one query takes the front, and all that it holds, with it."""
+            self.schedule_turn(max(self.timers[0][0], now_ms + self.min_turn_ms))
+
+    def schedule_turn(self, at_ms: float) -> None:
+        """The next turn is at `at_ms` at the latest."""
+        delay_s = max(0.0, at_ms - self.clock_ms()) / 1000
+        if self.next_turn is None:
+            self.next_turn = self.reactor.callLater(delay_s, self.run_turn)
+            self.next_turn_ms = at_ms
+        elif at_ms < self.next_turn_ms - TURN_TOLERANCE_MS:
+            self.next_turn.reset(delay_s)
+            self.next_turn_ms = at_ms
+
+    def _enqueue(self, call, *arguments):
+        self.events.append((call, arguments))
+        self.schedule_turn(self.last_turn_ms + self.min_turn_ms)
+
+    def _call_guarded(self, call, arguments):
+        """A fault met for one query must not end the gateway, and all that it holds."""
         try:
-            call(*what)
+            call(*arguments)
         except Exception:
             self.metrics.count("faults")
             self.log_line("fault", traceback.format_exc())
-            if not what:  # it was to happen at a time: the beat must not end with it
-                self.call_at(self.now_ms + FAULT_MS, call)
-            q = getattr(what[0], "query", what[0]) if what else None
-            for q in (
-                [q] if isinstance(q, FrontQuery) else [x for x in self.open if x.deadline_ms <= self.now_ms]
-            ):
-                if q.flight is not None:
-                    self.route.give_up(q.flight)
-                self.fail(q)
-
-    # the door
-
-    def start_attempt(self, q, engine, patience_ms):
-        attempt = domain.Attempt(q, len(q.attempts), engine, self.now_ms)
-        q.attempts.append(attempt)
-        if q.is_done or len(q.attempts) > self.most or patience_ms <= 0:
+            if not arguments:  # a timer's: what is periodic must not end with it
+                self.call_at(self.now_ms + RETRY_FAILED_TIMER_MS, call)
+            for query in self._affected_queries(arguments):
+                if query.attempt_in_flight is not None:
+                    self.router.cancel(query.attempt_in_flight)
+                self.fail(query)
+
+    def _affected_queries(self, arguments):
+        """The query that a fault was met for, or else those whose deadline has passed."""
+        subject = arguments[0] if arguments else None
+        query = getattr(subject, "query", subject)
+        if isinstance(query, GatewayQuery):
+            return [query]
+        return [query for query in self.open_queries if query.deadline_ms <= self.now_ms]
+
+    # GatewayPort: the controller's instructions.
+
+    def start_attempt(self, query, engine, timeout_ms):
+        """See GatewayPort. What may not be sent ends as never sent, in a later turn."""
+        attempt = domain.Attempt(query, len(query.attempts), engine, self.now_ms)
+        query.attempts.append(attempt)
+        if query.is_done or len(query.attempts) > self.max_attempts or timeout_ms <= 0:
             self.metrics.count("attempts never sent")
-            self.happen(self.ended, attempt, domain.Outcome.NEVER_SENT, 0.0, None, None)
+            self._enqueue(self._on_attempt_ended, attempt, domain.Outcome.NEVER_SENT, 0.0, None, None)
         else:
-            q.flight = self.route.down(attempt, patience_ms)
+            query.attempt_in_flight = self.router.start(attempt, timeout_ms)
         return attempt
 
-    def set_grant(self, q, memory_mb, priority):
-        q.grant_mb, q.rank_asked = memory_mb, priority
-        if q.flight is not None:
-            self.route.rerank(q.flight, priority)
-
-    def may_go(self, flight):
-        """The controller's last look at an attempt, at the time that it is by now."""
-        return self.controller.may_dispatch(flight.attempt, max(self.now_ms, self.clock_ms()))
+    def set_grant(self, query, memory_mb, priority):
+        """See GatewayPort."""
+        query.grant_mb = memory_mb
+        query.requested_priority = priority
+        if query.attempt_in_flight is not None:
+            self.router.set_priority(query.attempt_in_flight, priority)
 
     def cancel_attempt(self, attempt):
-        flight = attempt.query.flight
-        if flight is not None and flight.attempt is attempt:
-            self.route.give_up(flight)
-
-    def reject(self, q, pause_ms):
-        self.answer(q, frames.DEFERRED, [b"no room in time; trying again is harmless"])
-
-    def fail(self, q):
-        self.answer(q, frames.KILLED, [b"not finished in time"])
-
-    def answer(self, q, code, body):
-        if not q.is_done:
-            q.is_done = True
-            self.open.discard(q)
-            if self.quota is not None and code != frames.FINISHED:
-                self.quota.over(q)
-            q.client.answer(q, code, body)
-            q.client = q.flight = (
-                None  # risk: timers keep a query for long after its end, and all that it holds
-            )
+        """See GatewayPort."""
+        in_flight = attempt.query.attempt_in_flight
+        if in_flight is not None and in_flight.attempt is attempt:
+            self.router.cancel(in_flight)
+
+    def reject(self, query, retry_after_ms):
+        """See GatewayPort; PROTOCOL has no Retry-After."""
+        self.answer(query, AnswerCode.REJECTED, [REJECTED_TEXT])
+
+    def fail(self, query):
+        """See GatewayPort."""
+        self.answer(query, AnswerCode.FAILED, [FAILED_TEXT])
+
+    def answer(self, query: GatewayQuery, code: AnswerCode, body: list[bytes]) -> None:
+        """The final answer of a query; it has one at most."""
+        if query.is_done:
+            return
+        query.is_done = True
+        self.open_queries.discard(query)
+        if self.quota is not None and code != AnswerCode.COMPLETED:
+            self.quota.over(query)
+        query.client.send_answer(query, code, body)
+        # Timers refer to a query for long after its end: it must not keep all that it held.
+        query.client = None
+        query.attempt_in_flight = None
 
     def call_at(self, at_ms, call):
-        self.timed += 1
-        heapq.heappush(self.timers, (at_ms, self.timed, call))
-        self.poke(max(at_ms, self.now_ms + self.step_ms))
+        """See GatewayPort."""
+        self.last_timer_number += 1
+        heapq.heappush(self.timers, (at_ms, self.last_timer_number, call))
+        self.schedule_turn(max(at_ms, self.now_ms + self.min_turn_ms))
 
     def send_health_check(self, engine):
-        """PROTOCOL knows no probe; a site that allows them tells how."""
+        """See GatewayPort; PROTOCOL has no health check."""
 
     def watch_endpoints(self, on=True):
-        """The bulletin is followed all the time."""
+        """See GatewayPort; the endpoint list is watched all the time."""
 
-    fetch_endpoints = watch_endpoints
+    def fetch_endpoints(self):
+        """See GatewayPort; the endpoint list is watched all the time."""
 
-    def close_idle(self, engine):
-        self.engines.close_idle(engine)
+    def close_idle_connections(self, engine):
+        """See GatewayPort."""
+        self.engines.close_idle_connections(engine)
 
-    def send_to_peer(self, whom, content):
-        """Fronts share nothing."""
+    def send_to_peer(self, peer, content):
+        """See GatewayPort; the platform's gateways share nothing."""
 
     def log(self, text):
+        """See GatewayPort."""
         self.log_line("controller", text)
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -1,73 +1,114 @@
-"""Send: the call that starts an attempt on its engine."""
+"""Dispatch: the call that starts an attempt on its engine."""
+
+from collections.abc import Callable
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from lichenquay.admission import domain
-from lichenquay.gateway import http
-from lichenquay.gateway.engine_call import Broken, NeverSent, NotConnected, Silent
+from lichenquay.gateway.attempt_in_flight import AttemptInFlight
+from lichenquay.gateway.engine_call import (
+    ConnectionBrokenError,
+    EngineCallError,
+    NeverSentError,
+    NotConnectedError,
+    ReplyTimeoutError,
+)
+from lichenquay.gateway.engine_protocol import is_poll_reply
+from lichenquay.gateway.http import Status
+
+
+class Dispatcher:
+    """Sends attempts, and hands them to the relay once their first call has a reply, broke or is late."""
 
+    def __init__(
+        self,
+        engines,
+        relay,
+        tracker,
+        metrics,
+        call_at: Callable[[float, Callable], None],
+        may_send: Callable[[AttemptInFlight], bool],
+        now_ms: Callable[[], float],
+    ):
+        """`call_at`: the controller's timers; `may_send`: asked just before an attempt's first byte."""
+        self.engines = engines
+        self.relay = relay
+        self.tracker = tracker
+        self.metrics = metrics
+        self.call_at = call_at
+        self.may_send = may_send
+        self.now_ms = now_ms
 
-class Send:
-    def __init__(self, engines, relay, metrics, wake, may_go, now_ms):
-        self.engines, self.relay, self.metrics, self.wake, self.now_ms = engines, relay, metrics, wake, now_ms
-        self.may_go = may_go
+    def dispatch(self, in_flight: AttemptInFlight, data: bytes) -> None:
+        """Sends an attempt, and cancels it at its deadline."""
+        self.tracker.dispatched()
+        self.call_at(in_flight.deadline_ms, lambda: self._on_deadline(in_flight))
+        self._post(in_flight, data).addErrback(self.relay.on_fault, in_flight)
 
-    def down(self, flight, call):
-        self.metrics.opened()
-        self.wake(flight.until_ms, lambda: flight.over or self.relay.call_off(flight))
-        self.post(flight, call).addErrback(self.relay.fault, flight)
+    def _on_deadline(self, in_flight):
+        if not in_flight.is_over:
+            self.relay.cancel(in_flight)
 
     @inlineCallbacks
-    def post(self, flight, call):
-        """Its answer, or that it broke or is late, whatever comes first; then the relay asks for news. The call stays out
-        when it is late: it may not have been read, and its answer tells that it has."""
-        first = Deferred()
-        flight.call = self.engines.call(
-            flight.engine,
-            call,
-            http.is_news,
-            new=True,
-            address=flight.host,
-            owner=flight,
-            may_go=lambda: self.may_go(flight),
-            on_written=lambda: flight.life.wrote(self.now_ms()),
-            on_late=lambda: first.callback(Silent()),
+    def _post(self, in_flight, data):
+        """The first call: its reply, or that it broke or is late, whatever comes first; then the relay polls.
+
+        The call stays out when it is late: it may not have been read, and its reply says that it has.
+        """
+        first_outcome = Deferred()
+        in_flight.first_call = self.engines.start_call(
+            in_flight.engine,
+            data,
+            is_poll_reply,
+            starts_attempt=True,
+            address=in_flight.address,
+            attempt=in_flight,
+            may_send=lambda: self.may_send(in_flight),
+            on_written=lambda: in_flight.lifecycle.post_written(self.now_ms()),
+            on_timeout=lambda: first_outcome.callback(ReplyTimeoutError()),
         )
-        flight.call.answer.addCallbacks(
-            lambda reply: self.answered(flight, first, reply),
-            lambda failure: self.broke(flight, first, failure),
+        in_flight.first_call.reply.addCallbacks(
+            lambda reply: self._on_reply(in_flight, first_outcome, reply),
+            lambda failure: self._on_failure(in_flight, first_outcome, failure),
         )
-        reply = yield first
-        if isinstance(reply, NeverSent):
-            return self.metrics.end(flight, domain.Outcome.NEVER_SENT)
-        if isinstance(reply, NotConnected):
-            return self.metrics.end(flight, domain.Outcome.NOT_CONNECTED)
-        if isinstance(reply, Exception):
-            # Risk: it may have run, and may run on. Its news, asked for on another connection, tell: the engine
-            # goes on with it, gives its end again, or knows nothing of it, which proves little (`certainty`).
-            self.metrics.count(f"first calls {type(reply).__name__.lower()}")
-            reply, flight.missed = None, True
-        yield self.relay.follow(flight, reply)
+        outcome = yield first_outcome
+        if isinstance(outcome, NeverSentError):
+            self.tracker.end(in_flight, domain.Outcome.NEVER_SENT)
+            return
+        if isinstance(outcome, NotConnectedError):
+            self.tracker.end(in_flight, domain.Outcome.NOT_CONNECTED)
+            return
+        reply = outcome
+        if isinstance(outcome, Exception):
+            # It may have run, and may run on. Polls on another connection tell: the engine goes on with it,
+            # reports its end again, or does not know it, which proves little (see `attempt_lifecycle`).
+            label = outcome.label if isinstance(outcome, EngineCallError) else type(outcome).__name__
+            self.metrics.count(f"first calls {label}")
+            reply = None
+            in_flight.missed_reply = True
+        yield self.relay.follow(in_flight, reply)
 
-    def answered(self, flight, first, reply):
-        """Risk: what the first call tells late is lost, or taken twice; the loop that asks for news takes it up."""
-        flight.call = None
-        flight.connection = reply.connection
-        self.relay.heard(flight, reply)
-        if first.called:
+    def _on_reply(self, in_flight, first_outcome, reply):
+        """A late reply to the first call must be neither lost nor used twice: the relay's poll uses it."""
+        in_flight.first_call = None
+        in_flight.connection = reply.connection
+        self.relay.record_reply(in_flight, reply)
+        if first_outcome.called:
             self.metrics.count("first calls answered late")
-            if (
-                not flight.over and reply.status != 200
-            ):  # its result is told again to whoever asks for the news
-                flight.late = reply
+            # A result is repeated to whoever polls.
+            if not in_flight.is_over and reply.status != Status.OK:
+                in_flight.late_reply = reply
         else:
-            first.callback(reply)
-        flight.wake()
+            first_outcome.callback(reply)
+        in_flight.end_pauses()
 
-    def broke(self, flight, first, failure):
-        flight.connection, flight.call = flight.connection or flight.call.went_on, None
-        if failure.check(Broken):  # not what this side ended: what has come whole there is still read
-            flight.life.cut(self.now_ms())
-        if not first.called:
-            return first.callback(failure.value)
-        flight.wake()
+    def _on_failure(self, in_flight, first_outcome, failure):
+        in_flight.connection = in_flight.connection or in_flight.first_call.last_connection
+        in_flight.first_call = None
+        # Not where the gateway closed the connection: what has arrived whole there is still read.
+        if failure.check(ConnectionBrokenError):
+            in_flight.lifecycle.connection_closed_by_engine(self.now_ms())
+        if first_outcome.called:
+            in_flight.end_pauses()
+        else:
+            first_outcome.callback(failure.value)
--- /dev/null
+++ b/lichenquay/gateway/endpoint_events.py
@@ -0,0 +1,86 @@
+"""The answers of the discovery service: the endpoint list as numbered events (the operators' PROTOCOL).
+
+An edge module, free of I/O: the names on the wire end here.
+"""
+
+from typing import Any, NamedTuple
+
+from lichenquay.admission import domain
+from lichenquay.endpoint_record import EndpointRecord
+from lichenquay.gateway.errors import GatewayError
+
+STATES = {
+    "SERVING": domain.EndpointState.SERVING,
+    "DRAINING": domain.EndpointState.DRAINING,
+    "DELETED": domain.EndpointState.REMOVED,
+}
+MAX_PORT = 65_535
+UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+
+
+class EndpointListError(GatewayError, ValueError):
+    """An answer or event that cannot be read; the text says why."""
+
+
+class EndpointList(NamedTuple):
+    """What one event says: all engines that there are (`is_whole`), or those that changed."""
+
+    is_whole: bool
+    records: list[EndpointRecord]
+
+
+class EndpointEvent(NamedTuple):
+    """An event and its number, which is higher than those before it."""
+
+    number: int
+    endpoints: EndpointList
+
+
+class EndpointEvents(NamedTuple):
+    """An answer: the number of the last event, and those events that were asked for, in order."""
+
+    last_number: int
+    events: list[EndpointEvent]
+
+
+def _read_record(target):
+    host, _, port = target["endpoint"].rpartition(":")
+    if target["state"] not in STATES or not host or not 0 < int(port) <= MAX_PORT:
+        raise EndpointListError(f"engine {target['uid']!r}: its state or address is not valid")
+    return EndpointRecord(
+        uid=str(target["uid"]),
+        address=f"{host}:{int(port)}",
+        zone=str(target.get("az", "")),
+        kind=str(target.get("model", "")),
+        cell=int(target.get("pod_group") or 0),
+        state=STATES[target["state"]],
+        advertised_weight=float(target.get("capacity_hint", 1.0)),
+        started_ms=float(target.get("boot_ms") or 0),
+    )
+
+
+def read_endpoint_list(item: Any) -> EndpointList:
+    """The endpoint list in one event, as parsed from JSON. Errors: EndpointListError."""
+    try:
+        roster = item["roster"]
+        records = [_read_record(target) for target in roster["targets"]]
+        return EndpointList(bool(roster["all"]), records)
+    except UNREADABLE as error:
+        raise EndpointListError(f"an event that cannot be read: {error}") from None
+
+
+def read_events(answer: Any, after: int = 0) -> EndpointEvents:
+    """The events after number `after` in an answer, as parsed from JSON. Errors: EndpointListError."""
+    try:
+        events = [
+            EndpointEvent(int(item["no"]), read_endpoint_list(item))
+            for item in answer["items"]
+            if int(item["no"]) > after
+        ]
+        last_number = int(answer["no"])
+    except UNREADABLE as error:
+        raise EndpointListError(f"an answer that cannot be read: {error}") from None
+    numbers = [event.number for event in events]
+    if numbers != sorted(numbers):
+        raise EndpointListError(f"event numbers go back: {numbers[:20]}")
+    return EndpointEvents(last_number, events)
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -1,122 +1,143 @@
-"""One call to an engine: its bytes, what answers it, and the ways in which it ends without an answer."""
+"""One call to an engine: its bytes, which replies it accepts, and the ways in which it ends without one."""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
 
 from twisted.internet.defer import Deferred
 
 from lichenquay.admission import domain
+from lichenquay.gateway.errors import GatewayError
+from lichenquay.gateway.http import Reply
+
+
+class EngineCallError(GatewayError):
+    """A call that ended without a reply. `label`: what counters call it."""
+
+    label = "failed"
+
+
+class NotConnectedError(EngineCallError):
+    """No connection came up: nothing was sent."""
+
+    label = "not connected"
+
+    def __init__(self, is_refused: bool = False):
+        """`is_refused`: the address itself refused it."""
+        super().__init__("refused" if is_refused else "no connection in time")
+        self.is_refused = is_refused
+
+
+class NeverSentError(EngineCallError):
+    """It was cancelled, or no longer allowed, before a byte was written.
+
+    It says nothing of the engine, other than NotConnectedError.
+    """
+
+    label = "never sent"
+
+
+class ConnectionBrokenError(EngineCallError):
+    """The connection ended after bytes had been written, and before the reply was whole."""
+
+    label = "broken"
 
 
-class NotConnected(Exception):
-    """No connection came up: nothing was sent. `refused`: the address itself said so."""
-
-    def __init__(self, refused=False):
-        """`refused`: the address itself said so."""
-        super().__init__("refused" if refused else "no connection in time")
-        self.refused = refused
-
-
-class NeverSent(Exception):
-    """It was given up, or is no longer allowed, before a byte was written. Risk: an engine is blamed for it
-    as for one that cannot be reached, and is left alone."""
-
-
-class Broken(Exception):
-    """The connection ended after bytes had been written, and before the answer was whole."""
-
-
-class Garbled(Exception):
-    """An answer that cannot be read, or none to the call."""
-
-
-class Silent(Exception):
-    """No answer in time on a connection that is up."""
-
-
-class Call:
-    """One call: its bytes, what answers to it make sense, and who waits for one. `new`: it starts a
-    attempt. `connection`: the connection that the query's last answer came on. `carrier`: the one that
-    this call is out on, `went_on` also when it is not any more. `on_late`: told instead when there is no
-    answer in time; the call stays out, for its answer still settles something."""
-
-    __slots__ = (
-        "engine",
-        "address",
-        "owner",
-        "data",
-        "fits",
-        "urgent",
-        "fresh",
-        "new",
-        "connection",
-        "carrier",
-        "went_on",
-        "on_written",
-        "on_late",
-        "may_go",
-        "answer",
-        "ended",
-        "written",
-        "tries",
-    )
-
-    def __init__(
-        self,
-        engine,
-        data,
-        fits,
-        urgent=False,
-        fresh=False,
-        new=False,
-        connection=None,
-        on_written=None,
-        on_late=None,
-        may_go=None,
-        address=None,
-        owner=None,
-    ):
-        """See the class. `address`: where it goes, if not where the engine is now."""
-        self.engine, self.address, self.data, self.fits = engine, address or engine.address, data, fits
-        self.owner = owner  # the attempt that it is for
-        self.urgent, self.fresh, self.new, self.connection = urgent, fresh, new, connection
-        self.on_written, self.on_late, self.may_go, self.carrier, self.went_on = (
-            on_written,
-            on_late,
-            may_go,
-            None,
-            None,
-        )
-        self.answer, self.ended, self.written, self.tries = Deferred(), False, False, 0
-
-    def withdraw(self):
-        """True if nothing of it has been written; then nothing will be."""
-        if not self.written:
-            self.end(NeverSent())
-        return not self.written
-
-    def abandon(self):
-        """Nobody waits for its answer any more: its connection goes."""
-        self.ended = True
-        if self.carrier is not None:
-            self.carrier.drop()
-
-    def void(self):
-        """Nobody waits for it; or it would start something on an engine that drains or is gone, or at an
-        address that the engine has left. Risk: a drain is told while the connection is still on its way."""
-        if self.new and (
-            self.engine.state != domain.EndpointState.SERVING or self.engine.address != self.address
-        ):
+class UnreadableReplyError(EngineCallError):
+    """A reply that cannot be read, or is none to the call."""
+
+    label = "unreadable"
+
+
+class ReplyTimeoutError(EngineCallError):
+    """No reply in time on a connection that is up."""
+
+    label = "timed out"
+
+
+@dataclass(eq=False, slots=True)
+class EngineCall:
+    """One call.
+
+    engine, address: where it goes; the address is the engine's at this time, unless one is given.
+    data: its bytes.
+    accepts: whether a reply is one to this call.
+    attempt: what it is for; a connection's last reply to another attempt may come once more, late.
+    is_urgent: it goes before others, and may use reserved descriptors.
+    needs_new_connection: an idle connection will not do.
+    starts_attempt: it starts work at the engine, which has to be serving.
+    preferred_connection: the one that the attempt's last reply came on.
+    may_send: asked in the instant before the first byte.
+    on_written: called as the first byte is written.
+    on_timeout: called when there is no reply in time, in place of the call's end; the call stays out, as its
+    reply still settles something.
+    """
+
+    engine: domain.Engine
+    data: bytes
+    accepts: Callable[[Reply], bool]
+    is_urgent: bool = False
+    needs_new_connection: bool = False
+    starts_attempt: bool = False
+    preferred_connection: object = None
+    on_written: Callable[[], None] | None = None
+    on_timeout: Callable[[], None] | None = None
+    may_send: Callable[[], bool] | None = None
+    address: str | None = None
+    attempt: object = None
+    reply: Deferred = field(default_factory=Deferred)  # of a Reply
+    connection: object = None  # the one that it is out on
+    last_connection: object = None  # the same, also when it is out no more
+    is_over: bool = False
+    is_written: bool = False
+    connection_attempts: int = 0  # connections that broke before a byte was written
+
+    def __post_init__(self):
+        """The engine's address now, where none is given."""
+        self.address = self.address or self.engine.address
+
+    def withdraw(self) -> bool:
+        """Ends the call if nothing of it has been written; returns whether nothing has been, and will be."""
+        if not self.is_written:
+            self.end(NeverSentError())
+        return not self.is_written
+
+    def abandon(self) -> None:
+        """Nobody waits for its reply any more: its connection is closed."""
+        self.is_over = True
+        if self.connection is not None:
+            self.connection.abort()
+
+    def withdraw_if_engine_left(self) -> bool:
+        """Withdraws what would start work on an engine that has left; returns whether the call is over.
+
+        An engine that drains, is gone or has moved has left. It is asked whenever the call may go: a drain
+        may be announced while its connection comes up.
+        """
+        is_serving = self.engine.state == domain.EndpointState.SERVING
+        has_moved = self.engine.address != self.address
+        if self.starts_attempt and (not is_serving or has_moved):
             self.withdraw()
-        return self.ended
+        return self.is_over
+
+    def check_before_sending(self) -> bool:
+        """Whether it still may go, in the instant before its first byte; otherwise it is withdrawn.
 
-    def stands(self):
-        """Asked in the instant before its first byte: whether it still may go. Risk: what was decided when
-        the connection was asked for is not right any more once it is up."""
-        if not self.void() and self.may_go is not None and not self.may_go():
+        What was decided when the connection was asked for may not be right any more once it is up.
+        """
+        if not self.withdraw_if_engine_left() and self.may_send is not None and not self.may_send():
             self.withdraw()
-        return not self.ended
-
-    def end(self, outcome):
-        """Its one end: an answer, or an exception; what comes later is nothing any more. Risk: it ends
-        before its caller has it, where it may not go out on the idle connection at hand; `answer` stays."""
-        if not self.ended:
-            self.ended = True
-            self.answer.errback(outcome) if isinstance(outcome, Exception) else self.answer.callback(outcome)
+        return not self.is_over
+
+    def end(self, outcome: Reply | EngineCallError) -> None:
+        """Its one end: a reply, or an error; what comes later is ignored.
+
+        It may end before its caller has it, where it may not go out on the idle connection at hand; `reply`
+        keeps the outcome.
+        """
+        if self.is_over:
+            return
+        self.is_over = True
+        if isinstance(outcome, Exception):
+            self.reply.errback(outcome)
+        else:
+            self.reply.callback(outcome)
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -6,49 +6,64 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from lichenquay.gateway.engine_call import Broken, Garbled, NotConnected
-from lichenquay.gateway.http import MOST_PAGE, BadReply, ReplyReader
+from lichenquay.gateway.engine_call import ConnectionBrokenError, NotConnectedError, UnreadableReplyError
+from lichenquay.gateway.engine_protocol import MAX_PAGE_BYTES
+from lichenquay.gateway.http import ReplyError, ReplyReader, Status
 
 
 def send_now(transport, data):
-    """Sends what the machine takes at once, on a connection with nothing unsent; what is left. It saves a
-    turn of the reactor, and telling the machine twice what to watch, for each message."""
+    """Sends what the kernel accepts at once, on a connection with nothing unsent; returns what is left.
+
+    It saves a turn of the reactor, and two changes of what the kernel watches, for each message.
+    """
     try:
-        sent = transport.socket.send(data, MSG_DONTWAIT)
+        sent_bytes = transport.socket.send(data, MSG_DONTWAIT)
     except OSError:  # full, or broken: the transport will find out
-        sent = 0
-    return memoryview(data)[sent:] if sent < len(data) else b""
+        sent_bytes = 0
+    return memoryview(data)[sent_bytes:] if sent_bytes < len(data) else b""
 
 
 class EngineConnection(Protocol):
-    """One connection to an engine."""
-
-    ended = False  # it is no more
-
-    def __init__(self, hub, first):
-        """`hub`: the connections that it is one of; `first`: the call that it was asked for."""
-        self.hub, self.engine, self.call, self.idle_since = hub, first.engine, first, 0.0
-        self.address, self.owner = first.address, None  # whose its last call was
-        self.silent_s, self.whole = inf, True  # when its call has waited too long; it went out at once
-        self.late = False  # its call has, and its answer is still hoped for
-        self.rested = 0.0  # before its call
-        self.reader = ReplyReader(MOST_PAGE)
-        self.ended_here = False  # by this side, so that nothing tells when its process ends
-        self.last = None  # (whose, head and rows) of the last answer 200 on it
-        self.nameless = None  # the last answer on it, where it names no query
+    """One connection to an engine, owned by its pool.
+
+    `attempt` is that of its last call. `is_overdue`: its call has waited too long, and its reply is still
+    hoped for. `closed_locally`: the gateway closed it, so that nothing tells when the engine's process ends.
+    """
+
+    def __init__(self, pool, first_call):
+        """`pool`: the connections that it is one of; `first_call`: the call that it was opened for."""
+        self.pool = pool
+        self.engine = first_call.engine
+        self.address = first_call.address
+        self.call = first_call
+        self.attempt = None
+        self.reader = ReplyReader(MAX_PAGE_BYTES)
+        self.idle_since_s = 0.0
+        self.idle_before_call_s = 0.0
+        self.reply_due_s = inf
+        self.sent_at_once = True  # all its calls, whole
+        self.is_overdue = False
+        self.is_closed = False
+        self.closed_locally = False
+        self._last_result = None  # (attempt, headers and body) of the last result on it
+        self._last_anonymous_reply = None  # the last reply on it, where it names no query
 
     def connectionMade(self):
-        """It is up: its first call goes out, if that still may."""
+        """It is up: its first call is sent, if that still may go."""
         self.transport.setTcpNoDelay(True)
-        self.hub.connections.add(self)
-        if self.clean():
-            call, self.call = self.call, None
-            self.put(call) if call.stands() else self.hub.free(self)
+        self.pool.connections.add(self)
+        if not self.is_clean():
+            self.abort(ConnectionBrokenError("reset when new"))
+            return
+        call = self.call
+        self.call = None
+        if call.check_before_sending():
+            self.send(call)
         else:
-            self.drop(Broken("reset when new"))
+            self.pool.release(self)
 
-    def clean(self):
-        """Nothing has come on it that is not read yet, nor its end: no call goes out on one that closes."""
+    def is_clean(self):
+        """Whether neither unread bytes nor an end have come on it: no call is sent on one that closes."""
         try:
             self.transport.socket.recv(1, MSG_PEEK | MSG_DONTWAIT)
         except BlockingIOError:
@@ -57,114 +72,129 @@
             pass
         return False
 
-    def put(self, call):
+    def send(self, call):
         """Sends a call on it; nothing else is out on it."""
-        self.call, call.written, call.carrier, call.went_on = call, True, self, self
-        self.owner = call.owner
-        now = self.hub.reactor.seconds()
-        self.silent_s, self.rested = (
-            now + self.hub.silent_ms / 1000,
-            now - self.idle_since if self.idle_since else 0.0,
-        )
+        self.call = call
+        self.attempt = call.attempt
+        call.is_written = True
+        call.connection = self
+        call.last_connection = self
+        now_s = self.pool.reactor.seconds()
+        self.reply_due_s = now_s + self.pool.reply_timeout_ms / 1000
+        self.idle_before_call_s = now_s - self.idle_since_s if self.idle_since_s else 0.0
         if call.on_written:
             call.on_written()
         rest = send_now(self.transport, call.data)
         if rest:
-            self.whole = False
+            self.sent_at_once = False
             self.transport.write(bytes(rest))
 
     def dataReceived(self, data):
-        """Part of an answer; bytes that belong to none end the connection."""
+        """Part of a reply; bytes that belong to none close the connection."""
         try:
             reply = self.reader.feed(data)
             if self.call is None:
-                raise BadReply("bytes that nobody asked for")
-        except BadReply as bad:
-            return self.drop(Garbled(str(bad)))
+                raise ReplyError("bytes without a call")
+        except ReplyError as error:
+            self.abort(UnreadableReplyError(str(error)))
+            return
         if reply is not None:
-            self.answered(reply)
-
-    def answered(self, reply):
-        """Risk: an answer to an earlier call, or a copy of one, is taken for the answer to this."""
-        if not self.call.fits(reply):
-            return self.drop(Garbled("no answer to this call"))
-        if self.copied(reply):
-            return self.drop(Garbled("the same answer as another query's before"))
-        call, self.call, reply.connection = self.call, None, self
-        call.carrier = None
-        self.nameless = None if reply.status == 200 else reply
-        # Risk: more may come late on one on which an answer did. Or a copy of a refusal or an error, which
-        # names no query, would be the answer to the next POST there: 'never ran' of one that runs, and a
-        # mutating query is sent again.
-        if reply.keep and self.whole and not self.late and reply.status < 500:
-            self.hub.free(self)
+            self._on_reply(reply)
+
+    def _on_reply(self, reply):
+        """A whole reply, which must not be one to an earlier call, or a copy of one."""
+        if not self.call.accepts(reply):
+            self.abort(UnreadableReplyError("no reply to this call"))
+            return
+        if self._is_copy(reply):
+            self.abort(UnreadableReplyError("a copy of the result of another attempt"))
+            return
+        call = self.call
+        self.call = None
+        call.connection = None
+        reply.connection = self
+        self._last_anonymous_reply = None if reply.status == Status.OK else reply
+        # More may come late on a connection on which one reply did. A copy of a refusal or an error, which
+        # names no query, would be taken for the reply to the next POST there: 'never ran' of one that runs.
+        is_refusal_or_error = reply.status >= Status.SERVER_ERROR
+        if reply.keep_alive and self.sent_at_once and not self.is_overdue and not is_refusal_or_error:
+            self.pool.release(self)
         else:
-            self.drop()
+            self.abort()
         call.end(reply)
 
-    def mistakable(self, call):
-        """Whether a late copy of the last answer here, to another attempt, would do as an answer to this
-        call. Risk: the copy of a 204 says that an engine has given up what it has not been told to yet; of a
-        202, that it has read what still lies there: the next query in its key's order goes out too soon."""
-        return call.owner is not self.owner and self.nameless is not None and call.fits(self.nameless)
-
-    def copied(self, reply):
-        """Whether an answer is, to the byte, the last one that came on this connection for another
-        attempt. Risk: a copy of that one comes later than the rest between two calls, on a machine that
-        stands still, and would be taken as the answer to this call: served with what no engine made for it.
-        The engine says it again on another connection. Only 200 is compared, which brings rows: other answers
-        are the same for many queries (500 and 204 carry nothing), and a 500 taken for a copy sends its query
-        on to ask for news, which may be those of another query that a bad client's id names (seen on the
-        bench: bad clients served)."""
-        if reply.status != 200:
+    def last_reply_could_answer(self, call):
+        """Whether a late copy of the last reply here, to another attempt, would pass for one to this call.
+
+        The copy of a 204 would say that an engine has cancelled what it has not been told of yet; that of a
+        202, that it has read what still lies there, and the next query of its ordering key would go out too
+        soon.
+        """
+        last_reply = self._last_anonymous_reply
+        return call.attempt is not self.attempt and last_reply is not None and call.accepts(last_reply)
+
+    def _is_copy(self, reply):
+        """Whether a result is, to the byte, the last one that came on this connection for another attempt.
+
+        A copy may arrive late, between two calls, and would serve a client with rows that no engine made for
+        its query. The engine repeats its reply on another connection. Only results are compared: other
+        replies are the same for many queries, and a 500 taken for a copy would have its query polled, where
+        the reply may be that of another query with the same request id.
+        """
+        if reply.status != Status.OK:
+            return False
+        content = (tuple(reply.headers.items()), bytes(reply.body))
+        last_result = self._last_result
+        self._last_result = (self.call.attempt, content)
+        if last_result is None:
             return False
-        what, last = (tuple(reply.headers.items()), bytes(reply.body)), self.last
-        self.last = (self.call.owner, what)
-        return last is not None and last[0] is not self.call.owner and last[1] == what
-
-    def drop(self, why=None):
-        """Ends the connection at once."""
-        self.ended_here = (
-            self.ended_here or not self.ended
-        )  # its loss, told later, does not change who ended it
-        call, self.call = self.call, None
-        self.hub.lost(self)
+        last_attempt, last_content = last_result
+        return last_attempt is not self.call.attempt and last_content == content
+
+    def abort(self, error=None):
+        """Closes the connection at once; its call ends with `error`."""
+        # Its loss, which is reported later, does not change who closed it.
+        self.closed_locally = self.closed_locally or not self.is_closed
+        call = self.call
+        self.call = None
+        self.pool.on_connection_closed(self)
         self.transport.abortConnection()
         if call is not None:
-            call.carrier = None
-            self.hub.failed(call, why or Broken("ended from this side"))
+            call.connection = None
+            self.pool.on_connection_failed(call, error or ConnectionBrokenError("closed by the gateway"))
 
     def connectionLost(self, reason):
-        """Its end may be that of an answer; else its call is broken."""
-        self.ended = True
-        reply = self.call and self.reader.closed()
+        """Its end may be that of a reply; else its call is broken."""
+        self.is_closed = True
+        reply = self.reader.connection_closed() if self.call else None
         if reply is not None:
-            return self.answered(reply)
-        if self.call is not None and not self.late:
-            self.hub.aged(self.rested)
-        self.drop(Broken(reason.getErrorMessage()))
+            self._on_reply(reply)
+            return
+        if self.call is not None and not self.is_overdue:
+            self.pool.on_reused_connection_broken(self.idle_before_call_s)
+        self.abort(ConnectionBrokenError(reason.getErrorMessage()))
 
 
 class ConnectionFactory(ClientFactory):
-    """Makes one connection, for the call that it was asked for."""
+    """Makes one connection, for the call that it was opened for."""
 
     noisy = False
 
-    def __init__(self, hub, call):
-        """`hub`: the connections that it will be one of."""
-        self.hub, self.call = hub, call
+    def __init__(self, pool, call):
+        """`pool`: the connections that it will be one of."""
+        self.pool = pool
+        self.call = call
 
     def buildProtocol(self, address):
         """The connection, once it is up."""
-        return EngineConnection(self.hub, self.call)
+        return EngineConnection(self.pool, self.call)
 
     def clientConnectionFailed(self, connector, reason):
-        """Refused, or silent: that is the engine. Reset before this side knew that it was up: that is the
-        connection."""
-        self.hub.open -= 1
-        refused = reason.check(ConnectionRefusedError) is not None
-        if refused or reason.check(TimeoutError):
-            self.call.end(NotConnected(refused))
+        """Refused or silent: that is the engine. Reset before this side knew it was up: the connection."""
+        self.pool.open_count -= 1
+        is_refused = reason.check(ConnectionRefusedError) is not None
+        if is_refused or reason.check(TimeoutError):
+            self.call.end(NotConnectedError(is_refused))
         else:
-            self.hub.failed(self.call, NotConnected())
-        self.hub.serve()
+            self.pool.on_connection_failed(self.call, NotConnectedError())
+        self.pool.send_waiting()
--- a/lichenquay/gateway/engine_pool.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -1,4 +1,4 @@
-"""Engines as the front reaches them: the connections to all of them, out of a budget of descriptors.
+"""The connections to all engines, within a budget of descriptors.
 
 An engine is its uid: connections belong to the engine, never to its address, which another may have later.
 """
@@ -7,185 +7,234 @@
 from dataclasses import dataclass, field
 
 from lichenquay.admission import domain
-from lichenquay.gateway.engine_call import Call, NotConnected, Silent
-from lichenquay.gateway.engine_connection import ConnectionFactory
+from lichenquay.gateway.engine_call import EngineCall, NotConnectedError, ReplyTimeoutError
+from lichenquay.gateway.engine_connection import ConnectionFactory, EngineConnection
 
-REST_S = 0.03  # between an answer and another query's call: a copy of the answer may come behind it
-LEAST_STALE_S = 0.1  # what has rested for less is not taken for closing, whatever breaks
-FRESHER, OLDER = (
-    0.5,
-    1.0006,
-)  # of the rest on which a call broke, no more from then on; and more again, twice in 30 s
-MOST_UNWRITTEN = 3  # connections tried for a call of which nothing has been written
+MIN_IDLE_S = 0.03  # between a reply and another query's call: a copy of the reply may come behind it
+MIN_STALE_S = 0.1  # what has been idle for less is not taken for stale, whatever breaks
+STALE_SHARE_AFTER_BREAK = 0.5  # of the idle time after which a call broke: no connection is used after more
+STALE_GROWTH = 1.0006  # that limit grows again by this at each check, twice as long in 30 s
+IDLE_SHARE = 0.5  # of the time for which engines keep an idle connection, it is used
+MAX_CONNECTION_ATTEMPTS = 3  # connections tried for a call of which nothing has been written
 
 
 @dataclass(eq=False)
-class FrontEngine(domain.Engine):
-    """An engine, its address as the bulletin last gave it, and its idle connections, the oldest first."""
+class GatewayEngine(domain.Engine):
+    """An engine, its address as the endpoint list last gave it, and its idle connections, oldest first."""
 
     address: str = ""
-    idle: deque = field(default_factory=deque)
-
-
-class Engines:
-    """All connections to engines: `budget` descriptors for calls (set from the limits), `reserve` more for
-    urgent ones."""
-
-    def __init__(self, reactor, reserve, connect_ms, silent_ms, idle_ms):
-        """`idle_ms`: for how long engines keep an idle connection; half of that is used."""
-        self.reactor, self.budget, self.reserve = reactor, 0, reserve
-        self.connect_ms, self.silent_ms, self.idle_s = connect_ms, silent_ms, idle_ms / 2000
-        self.stale_s = self.idle_s  # a connection that has rested longer may be closing
-        self.waiting, self.connections, self.open, self.most = deque(), set(), 0, 0
-
-    def later(self, ms, call):
-        """Calls `call` in so many milliseconds; the timer."""
-        return self.reactor.callLater(max(0.0, ms) / 1000, call)
-
-    def call(self, *call, **more):
-        """A call on its way; its `answer` is a Deferred of a Reply. `fresh`: on a new connection."""
-        call = Call(*call, **more)
-        self.send(call)
+    idle_connections: deque = field(default_factory=deque)
+
+
+class EnginePool:
+    """All connections to engines: `descriptor_budget`, and `urgent_reserve` more for urgent calls.
+
+    The budget is 0 until it is set from the configured limits. Calls beyond it wait in order.
+    """
+
+    def __init__(
+        self,
+        reactor,
+        urgent_reserve: int,
+        connect_timeout_ms: float,
+        reply_timeout_ms: float,
+        keep_alive_ms: float,
+    ):
+        """`keep_alive_ms`: for how long engines keep an idle connection."""
+        self.reactor = reactor
+        self.descriptor_budget = 0
+        self.urgent_reserve = urgent_reserve
+        self.connect_timeout_ms = connect_timeout_ms
+        self.reply_timeout_ms = reply_timeout_ms
+        self.max_idle_s = keep_alive_ms * IDLE_SHARE / 1000
+        self.stale_after_s = self.max_idle_s  # a connection that has been idle for longer may be closing
+        self.waiting_calls: deque[EngineCall] = deque()
+        self.connections: set[EngineConnection] = set()
+        self.open_count = 0  # connections up or coming up
+        self.max_open_count = 0
+
+    def call_later(self, delay_ms, call):
+        """Calls `call` in so many milliseconds; returns the timer."""
+        return self.reactor.callLater(max(0.0, delay_ms) / 1000, call)
+
+    def start_call(self, engine, data, accepts, **options) -> EngineCall:
+        """A call on its way; its `reply` is a Deferred of a Reply. `options`: as of `EngineCall`."""
+        call = EngineCall(engine, data, accepts, **options)
+        self._submit(call)
         return call
 
-    def ask(self, *call, **more):
-        """Like `call`: its `answer` alone."""
-        return self.call(*call, **more).answer
-
-    def send(self, call):
-        """Puts a call on its way, or in the queue: an urgent one goes to its head."""
-        if not self.go(call):
-            (self.waiting.appendleft if call.urgent else self.waiting.append)(call)
-
-    def failed(self, call, why):
-        """A connection that broke before a byte was written proves nothing of the engine: another is
-        tried."""
-        call.tries += 1
-        if call.written or call.tries >= MOST_UNWRITTEN:
-            call.end(why if call.written else NotConnected())
-        else:
-            self.send(call)
-
-    def aged(self, rested):
-        """A call broke on a connection that had rested. Risk: something on the way ends idle connections
-        sooner than the engines say, and shows it only to the next call: a POST that may have run."""
-        if rested > LEAST_STALE_S:
-            self.stale_s = max(LEAST_STALE_S, min(self.stale_s, rested * FRESHER))
-
-    def idle(self, call):
-        """The connection that the query's last answer came on, else the last of those that have rested, not
-        too long. Risk: connections to an address that the engine has left reach another."""
-        if call.fresh:
+    def pick_idle_connection(self, call):
+        """The connection of the attempt's last reply, else the one that was idle for the shortest time.
+
+        Not one that was idle for too short or too long, nor one to an address that the engine has left.
+        """
+        if call.needs_new_connection:
             return None
-        now = self.reactor.seconds()
-        connection = call.connection
+        now_s = self.reactor.seconds()
+        preferred = call.preferred_connection
         if (
-            connection is not None
-            and connection.owner is call.owner
-            and connection in call.engine.idle
-            and now - connection.idle_since <= self.stale_s
+            preferred is not None
+            # once it was another's, a copy of that one's reply may come
+            and preferred.attempt is call.attempt
+            and preferred in call.engine.idle_connections
+            and now_s - preferred.idle_since_s <= self.stale_after_s
         ):
-            return connection  # once it was another's, a copy of that one's answer may be on its way
-        for connection in reversed(call.engine.idle):
-            rested = now - connection.idle_since
-            if rested > self.stale_s:
+            return preferred
+        for connection in reversed(call.engine.idle_connections):
+            idle_s = now_s - connection.idle_since_s
+            if idle_s > self.stale_after_s:
                 return None
-            if rested >= REST_S and connection.address == call.address and not connection.mistakable(call):
+            is_same_address = connection.address == call.address
+            if idle_s >= MIN_IDLE_S and is_same_address and not connection.last_reply_could_answer(call):
                 return connection
         return None
 
-    def alive(self, engine, address):
-        """A connection to it is open on which nothing is overdue: its process is there, or had ended it."""
-        return any(x.engine is engine and x.address == address and not x.late for x in self.connections)
+    def has_live_connection(self, engine, address):
+        """Whether a connection to it is open, and not overdue: the end of its process would close it."""
+        return any(
+            connection.engine is engine and connection.address == address and not connection.is_overdue
+            for connection in self.connections
+        )
+
+    def send_waiting(self):
+        """Sends calls that wait for a descriptor, in order; they wait rather than fail."""
+        while self.waiting_calls:
+            call = self.waiting_calls.popleft()
+            if not self._try_to_send(call):
+                self.waiting_calls.appendleft(call)
+                return
+
+    def check_connections(self):
+        """Closes connections whose call has waited too long, and those that are stale."""
+        now_s = self.reactor.seconds()
+        self.stale_after_s = min(self.max_idle_s, self.stale_after_s * STALE_GROWTH)
+        overdue = [
+            connection
+            for connection in self.connections
+            if connection.call is not None and connection.reply_due_s < now_s and not connection.is_overdue
+        ]
+        for connection in overdue:
+            if connection.call is None or connection not in self.connections:
+                continue  # ended by what the one before set off
+            if connection.call.on_timeout:
+                connection.is_overdue = True
+                connection.call.on_timeout()
+            else:
+                connection.abort(ReplyTimeoutError())
+        stale = [
+            connection
+            for connection in self.connections
+            if connection.call is None and now_s - connection.idle_since_s > self.stale_after_s
+        ]
+        self._close_unused(stale)
+
+    def close_idle_connections(self, engine):
+        """Closes the connections to an engine that carry no call."""
+        self._close_unused(list(engine.idle_connections))
+
+    # What connections report.
+
+    def release(self, connection):
+        """Its call has a reply: another may use it."""
+        connection.idle_since_s = self.reactor.seconds()
+        connection.engine.idle_connections.append(connection)
+        self.send_waiting()
+
+    def on_connection_closed(self, connection):
+        """It has ended: its descriptor is for a call that waits."""
+        if self._forget(connection):
+            self.send_waiting()
+
+    def on_connection_failed(self, call, error):
+        """One that broke before a byte was written proves nothing of the engine: another is tried."""
+        call.connection_attempts += 1
+        if call.is_written:
+            call.end(error)
+        elif call.connection_attempts >= MAX_CONNECTION_ATTEMPTS:
+            call.end(NotConnectedError())
+        else:
+            self._submit(call)
+
+    def on_reused_connection_broken(self, idle_s):
+        """A call broke on a connection that had been idle for `idle_s`.
+
+        Something on the way may close idle connections sooner than the engines say, and shows it only to the
+        next
+        call: a POST that may have run.
+        """
+        if idle_s > MIN_STALE_S:
+            self.stale_after_s = max(MIN_STALE_S, min(self.stale_after_s, idle_s * STALE_SHARE_AFTER_BREAK))
+
+    # Descriptors.
+
+    def _submit(self, call):
+        """Sends a call, or queues it: an urgent one goes to the head."""
+        if self._try_to_send(call):
+            return
+        if call.is_urgent:
+            self.waiting_calls.appendleft(call)
+        else:
+            self.waiting_calls.append(call)
 
-    def go(self, call):
+    def _try_to_send(self, call):
         """Puts a call on an idle connection or a new one; False if it has to wait for a descriptor."""
-        if call.void():
+        if call.withdraw_if_engine_left():
             return True
-        while (connection := self.idle(call)) is not None:
-            if connection.clean():
-                if call.stands():
-                    connection.engine.idle.remove(connection)
-                    connection.put(call)
+        while (connection := self.pick_idle_connection(call)) is not None:
+            if connection.is_clean():
+                if call.check_before_sending():
+                    connection.engine.idle_connections.remove(connection)
+                    connection.send(call)
                 return True
-            connection.drop()
-        if self.open >= self.budget + (self.reserve if call.urgent else 0) and not self.spare():
+            connection.abort()
+        budget = self.descriptor_budget + (self.urgent_reserve if call.is_urgent else 0)
+        if self.open_count >= budget and not self._free_descriptor():
             return False
-        self.open += 1
-        self.most = max(self.most, self.open)
-        host, _, port = call.address.rpartition(":")
-        self.reactor.connectTCP(
-            host, int(port), ConnectionFactory(self, call), timeout=self.connect_ms / 1000
-        )
+        self._connect(call)
         return True
 
-    def spare(self):
-        """Ends the connection that has been idle longest, so that another can be opened."""
-        connection = min(
-            (x for x in self.connections if x.engine.idle and x.engine.idle[0] is x),
-            key=lambda x: x.idle_since,
+    def _connect(self, call):
+        self.open_count += 1
+        self.max_open_count = max(self.max_open_count, self.open_count)
+        host, _, port = call.address.rpartition(":")
+        factory = ConnectionFactory(self, call)
+        self.reactor.connectTCP(host, int(port), factory, timeout=self.connect_timeout_ms / 1000)
+
+    def _free_descriptor(self):
+        """Closes the connection that was idle longest, for another to be opened; whether there is one."""
+        longest_idle = min(
+            (
+                connection
+                for connection in self.connections
+                if connection.engine.idle_connections and connection.engine.idle_connections[0] is connection
+            ),
+            key=lambda connection: connection.idle_since_s,
+            default=None,
+        )
+        # Replies that may never come must leave room for the calls that poll elsewhere.
+        connection = longest_idle or min(
+            (connection for connection in self.connections if connection.is_overdue),
+            key=lambda connection: connection.reply_due_s,
             default=None,
         )
-        if (
-            connection is None
-        ):  # risk: answers that may never come leave no room for the calls that ask elsewhere
-            connection = min((x for x in self.connections if x.late), key=lambda x: x.silent_s, default=None)
         if connection is None:
             return False
-        self.forget(connection)
-        connection.drop(Silent())
+        self._forget(connection)
+        connection.abort(ReplyTimeoutError())
         return True
 
-    def free(self, connection):
-        """Its call has been answered: another may use it."""
-        connection.idle_since = self.reactor.seconds()
-        connection.engine.idle.append(connection)
-        self.serve()
-
-    def forget(self, connection):
-        """Takes it out of the account of descriptors; whether it was in there."""
-        known = connection in self.connections
-        if known:
-            self.connections.discard(connection)
-            self.open -= 1
-            if connection in connection.engine.idle:
-                connection.engine.idle.remove(connection)
-        return known
-
-    def lost(self, connection):
-        """It has ended: its descriptor is for a call that waits."""
-        if self.forget(connection):
-            self.serve()
-
-    def serve(self):
-        """Calls that wait for a descriptor, in turn: connections are shared rather than a call failed."""
-        while self.waiting:
-            call = self.waiting.popleft()
-            if not self.go(call):
-                self.waiting.appendleft(call)
-                return
-
-    def watch(self):
-        """Ends connections whose call has waited too long, and those that are stale."""
-        now, self.stale_s = self.reactor.seconds(), min(self.idle_s, self.stale_s * OLDER)
-        for connection in [
-            x for x in self.connections if x.call is not None and x.silent_s < now and not x.late
-        ]:
-            if connection.call is None or connection not in self.connections:
-                continue
-            if connection.call.on_late:
-                connection.late = True
-                connection.call.on_late()
-            else:
-                connection.drop(Silent())
-        self.end([x for x in self.connections if x.call is None and now - x.idle_since > self.stale_s])
-
-    def close_idle(self, engine):
-        """Ends the connections to an engine on which no call is out."""
-        self.end(list(engine.idle))
+    def _forget(self, connection):
+        """Takes it out of the account of descriptors; returns whether it was in there."""
+        if connection not in self.connections:
+            return False
+        self.connections.discard(connection)
+        self.open_count -= 1
+        if connection in connection.engine.idle_connections:
+            connection.engine.idle_connections.remove(connection)
+        return True
 
-    def end(self, connections):
-        """Risk: each end makes room for a call that waited, and it may be out on one of the others by now."""
+    def _close_unused(self, connections):
         for connection in connections:
+            # Each end makes room for a call that waited, and that may be out on one of the others by now.
             if connection.call is None:
-                connection.drop()
+                connection.abort()
--- a/lichenquay/gateway/frames.py
+++ b/lichenquay/gateway/frames.py
@@ -1,114 +1,189 @@
-"""Frames between clients and fronts (the operators' PROTOCOL): reading and writing, free of I/O.
+"""The frame protocol between clients and gateways (the operators' PROTOCOL), free of I/O.
 
-What is read is a slice of the buffer that it came in; only an unfinished frame is kept, as a copy.
+An edge module: the names of fields on the wire end here. What is read is a slice of the buffer that it came
+in; only an unfinished frame is kept, as a copy.
 """
 
 import struct
+from collections.abc import Iterable, Iterator
+from enum import IntEnum
+from typing import NamedTuple
+
+from lichenquay.gateway.errors import GatewayError
+
+
+class FrameType(IntEnum):
+    """The types of frame."""
+
+    QUERY = 2
+    ANSWER = 4
+    CANCEL = 8
+    READINESS_CHECK = 16
+    READINESS = 32
+    GO_AWAY = 64
+
+
+class AnswerCode(IntEnum):
+    """The codes of an answer."""
+
+    COMPLETED = 0
+    REJECTED = 14
+    FAILED = 2
+
+
+class RequestField(NamedTuple):
+    """A field of a request."""
+
+    name: str  # of the attribute of `ClientRequest`
+    label: str  # what answers to clients call it
+    is_required: bool = True
+
 
-QUERY, ANSWER, LEFT, IS_READY, READINESS, NO_MORE = 2, 4, 8, 16, 32, 64
-FINISHED, DEFERRED, KILLED = 0, 14, 2  # the codes of an answer
-# the fields of a request, in our words
 FIELDS = {
-    "service": "group",
-    "ref": "ref",
-    "allow": "allowed",
-    "project": "tenant",
-    "effort": "work",
-    "memory": "memory",
-    "replay": "token",
-    "lookup": "key",
+    "service": RequestField("group", "group"),
+    "ref": RequestField("request_id", "ref"),
+    "allow": RequestField("timeout_ms", "allowed"),
+    "project": RequestField("tenant", "tenant"),
+    "effort": RequestField("estimated_work_ms", "work"),
+    "memory": RequestField("estimated_memory_mb", "memory"),
+    "replay": RequestField("idempotency_key", "token", is_required=False),
+    "lookup": RequestField("ordering_key", "key", is_required=False),
 }
-OPTIONAL = {"token", "key"}  # said where a query's class is tokened, or its queries keep an order
-LEAST, MOST = 5, 262_144  # PROTOCOL: what `length` may count
-LENGTH, HEAD, SIZE = struct.Struct("<I"), struct.Struct("<IBI"), struct.Struct("<H")
+MIN_FRAME_LENGTH = 5  # PROTOCOL: of what `length` counts: the type and the stream
+MAX_FRAME_LENGTH = 262_144  # PROTOCOL
+LENGTH = struct.Struct("<I")
+HEADER = struct.Struct("<IBI")  # length, type, stream
+VALUE_SIZE = struct.Struct("<H")
 
 
-class BadFrame(ValueError):
+class FrameError(GatewayError, ValueError):
     """Bytes that are no frame; the text says why."""
 
 
+class Frame(NamedTuple):
+    """A whole frame; `payload` is good until the next read."""
+
+    type: int  # a `FrameType`, or a number that is none
+    stream: int
+    payload: memoryview
+
+
+class ClientRequest(NamedTuple):
+    """A request as its client wrote it. Fields are text, None where the client left them out."""
+
+    statement: memoryview  # good until the next read
+    repeated: RequestField | None = None  # a field that the client wrote twice
+    group: str | None = None
+    request_id: str | None = None
+    timeout_ms: str | None = None
+    tenant: str | None = None
+    estimated_work_ms: str | None = None
+    estimated_memory_mb: str | None = None
+    idempotency_key: str | None = None
+    ordering_key: str | None = None
+
+
 class FrameReader:
     """Whole frames out of what a connection delivers, cut anywhere."""
 
-    __slots__ = ("held", "need")
+    __slots__ = ("_buffer", "_needed_bytes")
 
     def __init__(self):
-        self.held, self.need = None, LENGTH.size
-
-    def unfinished(self):
-        return len(self.held or b"")
-
-    def feed(self, data):
-        """Yields (type, stream, payload); a payload is a slice, good until the next read."""
-        if self.held is not None:
-            self.held += data
-            if len(self.held) < self.need:
+        """Starts between two frames."""
+        self._buffer = None  # the start of an unfinished frame
+        self._needed_bytes = LENGTH.size  # in the buffer, before there is something to read
+
+    def buffered_bytes(self) -> int:
+        """The bytes of an unfinished frame that are kept."""
+        return len(self._buffer or b"")
+
+    def discard(self) -> None:
+        """Drops what is kept of an unfinished frame."""
+        self._buffer = None
+
+    def feed(self, data: bytes) -> Iterator[Frame]:
+        """Yields the frames that `data` completes. Errors: FrameError."""
+        if self._buffer is not None:
+            self._buffer += data
+            if len(self._buffer) < self._needed_bytes:
                 return
-            data, self.held = self.held, None
-        view, at, end = memoryview(data), 0, len(data)
+            data = self._buffer
+            self._buffer = None
+        view = memoryview(data)
+        position = 0
+        end = len(data)
         while True:
-            if end - at < LENGTH.size:
-                self.need = LENGTH.size
+            if end - position < LENGTH.size:
+                self._needed_bytes = LENGTH.size
                 break
-            length = LENGTH.unpack_from(view, at)[0]
-            if not LEAST <= length <= MOST:
-                raise BadFrame(f"a frame of {length} bytes")
-            self.need = LENGTH.size + length
-            if end - at < self.need:
+            length = LENGTH.unpack_from(view, position)[0]
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH:
+                raise FrameError(f"a frame of {length} bytes")
+            self._needed_bytes = LENGTH.size + length
+            if end - position < self._needed_bytes:
                 break
-            _, kind, stream = HEAD.unpack_from(view, at)
-            yield kind, stream, view[at + HEAD.size : at + self.need]
-            at += self.need
-        if at < end:
-            self.held = bytearray(view[at:])
+            _, frame_type, stream = HEADER.unpack_from(view, position)
+            yield Frame(frame_type, stream, view[position + HEADER.size : position + self._needed_bytes])
+            position += self._needed_bytes
+        if position < end:
+            self._buffer = bytearray(view[position:])
 
 
-def read_fields(payload):
-    """The fields, as a list of (name, value) texts, and the rest of the payload."""
+def read_fields(payload: memoryview) -> tuple[list[tuple[str, str]], memoryview]:
+    """The fields, as a list of (name, value) texts, and the rest of the payload. Errors: FrameError."""
     try:
-        count, at, fields = payload[0], 1, []
-        for _ in range(count):
-            size = payload[at]
-            name, at = payload[at + 1 : at + 1 + size], at + 1 + size
-            size = SIZE.unpack_from(payload, at)[0]
-            value, at = payload[at + 2 : at + 2 + size], at + 2 + size
-            if at > len(payload):
-                raise BadFrame("fields overrun their frame")
+        fields = []
+        position = 1
+        for _ in range(payload[0]):
+            name_end = position + 1 + payload[position]
+            name = payload[position + 1 : name_end]
+            value_start = name_end + VALUE_SIZE.size
+            value_end = value_start + VALUE_SIZE.unpack_from(payload, name_end)[0]
+            value = payload[value_start:value_end]
+            if value_end > len(payload):
+                raise FrameError("fields overrun their frame")
             fields.append((str(name, "utf-8", "replace"), str(value, "utf-8", "replace")))
-        return fields, payload[at:]
+            position = value_end
+        return fields, payload[position:]
     except (IndexError, struct.error):
-        raise BadFrame("fields overrun their frame") from None
-
-
-def read_query(payload):
-    """What a request says, in our words; a name that it says twice; its statement. Unknown fields are left alone."""
-    fields, body = read_fields(payload)
-    said, twice = {}, None
-    for name, value in fields:
-        name = FIELDS.get(name)
-        if name in said:
-            twice = name
-        if name:
-            said[name] = value
-    return said, twice, body
-
-
-def write_fields(fields):
-    parts = [bytes([len(fields)])]
-    for name, value in fields:
-        name, value = name.encode(), value.encode()
-        parts += bytes([len(name)]), name, SIZE.pack(len(value)), value
+        raise FrameError("fields overrun their frame") from None
+
+
+def read_query(payload: memoryview) -> ClientRequest:
+    """The request in a QUERY frame; fields with unknown names are ignored. Errors: FrameError."""
+    fields, statement = read_fields(payload)
+    values = {}
+    repeated = None
+    for wire_name, value in fields:
+        field = FIELDS.get(wire_name)
+        if field is None:
+            continue
+        if field.name in values:
+            repeated = field
+        values[field.name] = value
+    return ClientRequest(statement, repeated, **values)
+
+
+def encode_fields(fields: Iterable[tuple[str, str]]) -> bytes:
+    """The start of a payload: (name, value) texts."""
+    pairs = [(name.encode(), value.encode()) for name, value in fields]
+    parts = [bytes([len(pairs)])]
+    for name, value in pairs:
+        parts += bytes([len(name)]), name, VALUE_SIZE.pack(len(value)), value
     return b"".join(parts)
 
 
-def frame(kind, stream, *payload):
+def encode_frame(frame_type: int, stream: int, *payload: bytes) -> bytes:
     """A frame, its payload given in pieces."""
-    return b"".join((HEAD.pack(LEAST + sum(map(len, payload)), kind, stream), *payload))
+    length = MIN_FRAME_LENGTH + sum(map(len, payload))
+    return b"".join((HEADER.pack(length, frame_type, stream), *payload))
 
 
-def answer(stream, code, *body):
-    return frame(ANSWER, stream, bytes([code, 0]), *body)
+def encode_answer(stream: int, code: int, *body: bytes) -> bytes:
+    """The answer to the request on `stream`, without fields; stream 0: to the connection."""
+    return encode_frame(FrameType.ANSWER, stream, bytes([code, 0]), *body)
 
 
-def readiness(stream, code):
-    return frame(READINESS, stream, bytes([code, 0]))
+def encode_readiness(stream: int, is_ready: bool) -> bytes:
+    """The answer to a readiness check."""
+    return encode_frame(FrameType.READINESS, stream, bytes([0 if is_ready else 1, 0]))
--- a/lichenquay/gateway/http.py
+++ b/lichenquay/gateway/http.py
@@ -1,24 +1,45 @@
-"""HTTP/1.1 as engines and the bulletin speak it: requests written, answers read, free of I/O.
+"""HTTP/1.1 as engines and the discovery service speak it: requests written, replies read, free of I/O.
 
-The names that PROTOCOL gives to an engine's calls and answers end here.
+An edge module. What the requests and replies mean is `engine_protocol`'s and `endpoint_events`'.
 """
 
 import re
+from enum import IntEnum
+from typing import NamedTuple
 
-from lichenquay.admission import domain
+from lichenquay.gateway.errors import GatewayError
 
-MOST_HEAD = 16_384  # also of all interim answers before a real one
-MOST_BODY = 8 << 20  # of a list: 48,000 engines at once; pages are held to their own limit
-MOST_PAGE = 6_000  # PROTOCOL: bytes of a page
-FIRST = re.compile(r"HTTP/1\.([01]) ([1-9]\d\d)(?: [^\x00-\x1f\x7f]*)?\Z")
+MAX_HEAD_BYTES = 16_384  # also of all interim replies before a real one
+MAX_BODY_BYTES = 8 << 20  # of an endpoint list: 48,000 engines at once; pages have a limit of their own
+STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-9]\d\d)(?: [^\x00-\x1f\x7f]*)?\Z")
 HEADER = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*)\Z")
+HEAD_END = b"\r\n\r\n"
+LINE_END = b"\r\n"
 
 
-class BadReply(ValueError):
-    """Bytes that are no answer; the text says why."""
+class Status(IntEnum):
+    """The status codes that mean something here."""
 
+    OK = 200
+    ACCEPTED = 202
+    NO_CONTENT = 204
+    NOT_MODIFIED = 304
+    SERVER_ERROR = 500
+    SERVICE_UNAVAILABLE = 503
+    GATEWAY_TIMEOUT = 504
 
-def request(verb, path, host, headers=(), body=b""):
+
+class ReplyError(GatewayError, ValueError):
+    """Bytes that are no reply; the text says why."""
+
+
+class _Body(NamedTuple):
+    content: bytes | memoryview
+    has_trailing_bytes: bool
+
+
+def encode_request(verb: str, path: str, host: str, headers=(), body: bytes = b"") -> bytes:
+    """A request; `headers` are pairs of a name and a value."""
     lines = [f"{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"]
     lines += [f"{name}: {value}\r\n" for name, value in headers]
     if body or verb in ("POST", "PUT"):
@@ -28,254 +49,183 @@
 
 
 class Reply:
-    """An answer: headers by lower-case name; the body a slice of what was read."""
+    """A reply: headers by lower-case name; the body a slice of what was read.
+
+    keep_alive: whether the connection may be used again. has_trailing_bytes: bytes came behind it that do not
+    belong to it. connection: the one that it came on, set by that connection.
+    """
 
-    __slots__ = ("status", "headers", "body", "keep", "more", "connection")
+    __slots__ = ("body", "connection", "has_trailing_bytes", "headers", "keep_alive", "status")
 
-    def __init__(self, status, headers, keep):
-        self.status, self.headers, self.body, self.keep, self.connection = status, headers, b"", keep, None
-        self.more = False  # bytes came behind it that do not belong to it
+    def __init__(self, status: int, headers: dict[str, str], keep_alive: bool):
+        """A reply whose body is not read yet."""
+        self.status = status
+        self.headers = headers
+        self.keep_alive = keep_alive
+        self.body = b""
+        self.connection = None
+        self.has_trailing_bytes = False
 
-    def whole(self, name, least=0):
-        """A header as a whole number from `least` up; None if it is missing or none."""
+    def header_as_int(self, name: str, minimum: int = 0) -> int | None:
+        """A header as a whole number from `minimum` up; None if it is missing or no such number."""
         value = self.headers.get(name, "")
-        return int(value) if value.isascii() and value.isdigit() and int(value) >= least else None
+        if value.isascii() and value.isdigit() and int(value) >= minimum:
+            return int(value)
+        return None
 
 
 class ReplyReader:
-    """One answer at a time out of what a connection delivers, cut anywhere. What comes behind a whole answer spoils
-    the connection, not the answer."""
-
-    __slots__ = ("held", "reply", "at", "length", "most")
-
-    def __init__(self, most=MOST_BODY):
-        self.most = most
-        self.begin()
-
-    def begin(self):
-        self.held, self.reply, self.at, self.length = None, None, 0, None
-
-    def feed(self, data):
-        """The answer once it is whole, else None."""
-        if self.held is not None:
-            self.held += data
-            data, self.held = self.held, None
-        while self.reply is None:
-            end = data.find(b"\r\n\r\n", self.at)
-            if end > MOST_HEAD or end < 0 and len(data) > MOST_HEAD:
-                raise BadReply("a head that is too long")
-            if end < 0:
-                return self.keep(data)
-            self.head(str(data[self.at : end], "latin-1"))
-            self.at = end + 4
-            if 100 <= self.reply.status < 200:  # an interim answer: the real one follows
-                self.reply = None
-        body = self.chunks(data) if self.length == "chunked" else self.plain(data)
+    """One reply at a time out of what a connection delivers, cut anywhere.
+
+    What comes behind a whole reply spoils the connection, not the reply.
+    """
+
+    __slots__ = ("_body_length", "_buffer", "_is_chunked", "_max_body_bytes", "_position", "_reply")
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES):
+        """Starts between two replies; a longer body is a ReplyError."""
+        self._max_body_bytes = max_body_bytes
+        self._begin()
+
+    def _begin(self):
+        self._buffer = None
+        self._reply = None  # once its head is read
+        self._position = 0  # behind the last head read
+        self._body_length = None  # None: until the connection closes, unless the body is chunked
+        self._is_chunked = False
+
+    def feed(self, data: bytes) -> Reply | None:
+        """The reply once it is whole, else None. Errors: ReplyError."""
+        if self._buffer is not None:
+            self._buffer += data
+            data = self._buffer
+            self._buffer = None
+        while self._reply is None:
+            head_end = data.find(HEAD_END, self._position)
+            if head_end > MAX_HEAD_BYTES or (head_end < 0 and len(data) > MAX_HEAD_BYTES):
+                raise ReplyError("a head that is too long")
+            if head_end < 0:
+                self._keep(data)
+                return None
+            self._read_head(str(data[self._position : head_end], "latin-1"))
+            self._position = head_end + len(HEAD_END)
+            if 100 <= self._reply.status < 200:  # an interim reply: the real one follows
+                self._reply = None
+        body = self._chunked_body(data) if self._is_chunked else self._plain_body(data)
         if body is None:
-            return self.keep(data)
-        return self.done(*body)
-
-    def keep(self, data):
-        self.held = data if isinstance(data, bytearray) else bytearray(data)
+            self._keep(data)
+            return None
+        return self._finish(body)
 
-    def done(self, body, more=False):
-        reply, reply.body, reply.more = self.reply, body, more
-        reply.keep = reply.keep and not more
-        self.begin()
+    def connection_closed(self) -> Reply | None:
+        """The reply, if its body went on until the connection closed."""
+        if self._reply is None or self._is_chunked or self._body_length is not None:
+            return None
+        content = bytes(self._buffer[self._position :]) if self._buffer else b""
+        return self._finish(_Body(content, has_trailing_bytes=False))
+
+    def _keep(self, data):
+        self._buffer = data if isinstance(data, bytearray) else bytearray(data)
+
+    def _finish(self, body):
+        reply = self._reply
+        reply.body = body.content
+        reply.has_trailing_bytes = body.has_trailing_bytes
+        reply.keep_alive = reply.keep_alive and not body.has_trailing_bytes
+        self._begin()
         return reply
 
-    def head(self, text):
-        first, *lines = text.split("\r\n")
-        said = FIRST.match(first)
-        if not said:
-            raise BadReply(f"no status: {first[:60]!r}")
+    def _read_head(self, text):
+        first_line, *lines = text.split("\r\n")
+        status_line = STATUS_LINE.match(first_line)
+        if not status_line:
+            raise ReplyError(f"no status: {first_line[:60]!r}")
+        headers = self._read_headers(lines)
+        connection = headers.get("connection", "").lower()
+        is_http_1_1 = status_line.group(1) == "1"
+        keep_alive = connection != "close" and (is_http_1_1 or connection == "keep-alive")
+        self._reply = Reply(int(status_line.group(2)), headers, keep_alive)
+        self._read_framing(self._reply)
+
+    def _read_headers(self, lines):
         headers = {}
         for line in lines:
-            found = HEADER.match(line)
-            if not found:
-                raise BadReply(f"no header: {line[:60]!r}")
-            name, value = found.group(1).lower(), found.group(2).rstrip()
+            header = HEADER.match(line)
+            if not header:
+                raise ReplyError(f"no header: {line[:60]!r}")
+            name = header.group(1).lower()
+            value = header.group(2).rstrip()
             if headers.setdefault(name, value) != value:
-                raise BadReply(f"said twice: {line[:60]!r}")
-        keep = headers.get("connection", "").lower()
-        self.reply = Reply(
-            int(said.group(2)), headers, keep != "close" and (said.group(1) == "1" or keep == "keep-alive")
-        )
-        if self.reply.status in (204, 304) or self.reply.status < 200:
-            self.length = 0
-        elif "transfer-encoding" in headers:
-            if headers["transfer-encoding"].lower() != "chunked":
-                raise BadReply("an encoding that is not known")
-            self.length = "chunked"
-        elif "content-length" in headers:
-            self.length = self.reply.whole("content-length")
-            if self.length is None or self.length > self.most:
-                raise BadReply("a length that cannot be")
-        elif self.reply.keep:
-            raise BadReply("an answer without a length")  # risk: a part of it is taken for the whole
-        else:
-            self.length = None  # until the connection closes
-
-    def plain(self, data):
-        have = len(data) - self.at
-        if self.length is None and have > self.most:
-            raise BadReply("a body that is too long")
-        if self.length is None or have < self.length:
+                raise ReplyError(f"two values of one header: {line[:60]!r}")
+        return headers
+
+    def _read_framing(self, reply):
+        """How far the body goes."""
+        self._is_chunked = False
+        self._body_length = None
+        if reply.status in (Status.NO_CONTENT, Status.NOT_MODIFIED) or reply.status < 200:
+            self._body_length = 0
+        elif "transfer-encoding" in reply.headers:
+            if reply.headers["transfer-encoding"].lower() != "chunked":
+                raise ReplyError("an encoding that is not known")
+            self._is_chunked = True
+        elif "content-length" in reply.headers:
+            self._body_length = reply.header_as_int("content-length")
+            if self._body_length is None or self._body_length > self._max_body_bytes:
+                raise ReplyError("a length that cannot be")
+        elif reply.keep_alive:
+            # Without this, a part of the reply would be taken for the whole.
+            raise ReplyError("a reply without a length")
+
+    def _plain_body(self, data):
+        available = len(data) - self._position
+        if self._body_length is None and available > self._max_body_bytes:
+            raise ReplyError("a body that is too long")
+        if self._body_length is None or available < self._body_length:
             return None
-        return memoryview(data)[self.at : self.at + self.length], have > self.length
-
-    def chunks(self, data):
-        pieces, at = [], self.at
-        if len(data) - at > 2 * self.most + MOST_HEAD:
-            raise BadReply("a body that is too long")
+        content = memoryview(data)[self._position : self._position + self._body_length]
+        return _Body(content, has_trailing_bytes=available > self._body_length)
+
+    def _chunked_body(self, data):
+        chunks = []
+        position = self._position
+        if len(data) - position > 2 * self._max_body_bytes + MAX_HEAD_BYTES:
+            raise ReplyError("a body that is too long")
         while True:
-            end = data.find(b"\r\n", at)
-            if end < 0:
-                if len(data) - at > MOST_HEAD:
-                    raise BadReply("a chunk without a size")
+            line_end = data.find(LINE_END, position)
+            if line_end < 0:
+                if len(data) - position > MAX_HEAD_BYTES:
+                    raise ReplyError("a chunk without a size")
                 return None
-            try:
-                size = int(bytes(data[at:end]).split(b";")[0], 16)
-            except ValueError:
-                raise BadReply("a chunk without a size") from None
-            at = end + 2
+            size = self._chunk_size(data[position:line_end])
+            position = line_end + len(LINE_END)
             if size == 0:
                 break
-            if not 0 < size <= self.most:
-                raise BadReply("a body that is too long")
-            if len(data) < at + size + 2:
+            if not 0 < size <= self._max_body_bytes:
+                raise ReplyError("a body that is too long")
+            chunk_end = position + size
+            if len(data) < chunk_end + len(LINE_END):
                 return None
-            if data[at + size : at + size + 2] != b"\r\n":
-                raise BadReply("a chunk of another size")
-            pieces.append(bytes(data[at : at + size]))
-            at += size + 2
-        while (end := data.find(b"\r\n", at)) != at:  # trailers
-            if end < 0:
-                if len(data) - at > MOST_HEAD:
-                    raise BadReply("trailers that are too long")
-                return None
-            at = end + 2
-        return b"".join(pieces), len(data) > at + 2
-
-    def closed(self):
-        """The connection ended: the answer, if its body went on until then."""
-        if self.reply is None or self.length is not None:
+            if data[chunk_end : chunk_end + len(LINE_END)] != LINE_END:
+                raise ReplyError("a chunk of another size")
+            chunks.append(bytes(data[position:chunk_end]))
+            position = chunk_end + len(LINE_END)
+        trailers_end = self._skip_trailers(data, position)
+        if trailers_end is None:
             return None
-        return self.done(bytes(self.held[self.at :]) if self.held else b"")
-
-
-# what is said to engines
-
-
-def start(host, ref, group, patience_ms, grant_mb, rank, statement, token="", key=""):
-    headers = [("X-Hop-Id", ref), ("X-Sort", group), ("X-Budget", max(1, int(patience_ms)))]
-    if token:  # by it, engines drop repeats
-        headers.append(("X-Replay-Key", token))
-    if key:
-        headers.append(("X-Thing", key))
-    if grant_mb > 0:
-        headers.append(("X-Mem-Limit", f"{grant_mb:.1f}"))
-    if rank is not None:
-        headers.append(("X-Nice", rank))
-    return request("POST", "/o", host, headers, statement)
-
-
-def page(host, ref, n):
-    """Page n of the result; 0 is the news."""
-    return request("GET", f"/o/{ref}/{n}", host)
-
-
-def priority(host, ref, rank):
-    return request("PUT", f"/o/{ref}", host, body=b"%d" % rank)
-
+        return _Body(b"".join(chunks), has_trailing_bytes=len(data) > trailers_end)
 
-def give_up(host, ref):
-    return request("DELETE", f"/o/{ref}", host)
-
-
-# what engines say
-
-NOTES = {
-    "share": domain.ProgressKind.PROGRESS,
-    "short": domain.ProgressKind.SPILLING,
-    "held": domain.ProgressKind.WAITING,
-}
-# what the settings call the values of a load report; an engine may use either name
-COLUMNS = {
-    "inflight": "active",
-    "queue": "waiting",
-    "util": "cpu",
-    "latency_ms": "avg_ms",
-    "qps": "rps",
-    "eps": "err_rps",
-}
-
-
-def rows(body):
-    """Whole rows of three columns, and no more of them than a page holds."""
-    text = bytes(body)
-    return (
-        len(text) <= MOST_PAGE and (not text or text[-1] == 10) and text.count(b"\t") == 2 * text.count(b"\n")
-    )
-
-
-def is_news(reply):
-    """An answer to the first call or to one for news, as PROTOCOL lists them."""
-    if reply.status == 200:
-        return (
-            reply.whole("x-parts", 1)
-            and "x-part-no" not in reply.headers
-            and rows(reply.body)
-            and (reply.body or not reply.more)
-        )
-    return reply.status in (202, 500) or is_full(reply)
-
-
-def is_page(n):
-    return lambda reply: (
-        reply.status == 500
-        or (reply.status == 200 and reply.whole("x-part-no") == n and len(reply.body) and rows(reply.body))
-    )
-
-
-def is_done(reply):
-    """An answer to a call that brings nothing; 500: the engine knows the query no longer."""
-    return reply.status in (204, 500)
-
-
-def is_full(reply):
-    return reply.status in (503, 504) and reply.headers.get("x-no-effect") == "1"
-
-
-def note_of(reply):
-    """(what, amount) of a note; None where there is none. Risk: an engine that stands still goes on answering 202."""
-    what, amount = NOTES.get(reply.headers.get("x-tell")), number(reply, "x-amount")
-    return None if what is None or amount is None else (what, amount)
-
-
-def number(reply, name):
-    try:
-        value = float(reply.headers[name])
-    except (KeyError, ValueError):
-        return None
-    return value if 0 <= value < 1e12 else None
-
-
-def report_of(reply):
-    """A load report: name:value pairs; None where there is none or it cannot be read."""
-    report = {}
-    for part in reply.headers.get("x-report", "").split(";"):
-        name, _, value = part.strip().partition(":")
+    def _chunk_size(self, line):
         try:
-            value = float(value)
+            return int(bytes(line).split(b";")[0], 16)
         except ValueError:
-            continue
-        if 0 <= value < 1e12:
-            report[COLUMNS.get(name, name)] = value
-    return report or None
+            raise ReplyError("a chunk without a size") from None
 
-
-def cost_of(reply):
-    """(work in ms, memory in MB) of a good end; None where it is not told."""
-    work, memory = number(reply, "x-cpu-ms"), number(reply, "x-mem-used")
-    return None if work is None or memory is None else (work, memory)
+    def _skip_trailers(self, data, position):
+        while (line_end := data.find(LINE_END, position)) != position:
+            if line_end < 0:
+                if len(data) - position > MAX_HEAD_BYTES:
+                    raise ReplyError("trailers that are too long")
+                return None
+            position = line_end + len(LINE_END)
+        return position + len(LINE_END)
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -1,261 +1,222 @@
-"""Take in: which of the clients' connections and queries are taken, within what limits, and which are closed in time."""
+"""Request intake: which queries of clients are accepted, and bounds on what the gateway holds for them."""
 
-import errno
-import os
 import re
-from socket import AF_INET, AF_INET6, MSG_DONTWAIT
+from collections.abc import Callable
 
 from twisted.internet.protocol import Factory
 
 from lichenquay.connection_admission import decide
 from lichenquay.gateway import frames
-from lichenquay.gateway.client_connection import BadQuery, ClientConnection
-from lichenquay.gateway.controller_adapter import FrontQuery
-from lichenquay.gateway.statement import tables_of
-
-MOST_OPEN = 32  # PROTOCOL: open requests on one connection
-REF = re.compile(r"[0-9a-fA-F]{16}\Z")
-MARK = re.compile(r"[!-~]{0,256}\Z")  # a token or key; risk: another header, or another call, is said in it
-IDLE_S = 4.5  # PROTOCOL: clients close idle connections after 4 s; some hold theirs for good
-WHOLE_S = 2.0  # for a first frame, and for one that has begun: LATER owes an answer or a close within 3 s
-QUIET_S = 0.02  # a client that has something to say says it by then, when there is no room for others
-PATIENCE_S = 0.03  # room that is about to come is waited for this long before a connection is refused
-FLOOD, MOST_WAITS = 20, 12  # refusals, and waits for room, in a second, from which on nobody is waited for
-ACCEPTS, REFUSALS = 8, 64  # connections accepted, and refused, at a time
-BACKLOG = 4096  # refusing is quick; what the machine drops comes again after a second
-ROOM_EACH = 16  # one frame or statement takes this part of the free room at most
-MOST_MS, MOST_MB = (
-    86_400_000.0,
-    1_048_576.0,
-)  # a day, and a terabyte: what is said to need more makes no sense
-
-
-class NoRoom(BadQuery):
-    """It would make one at another time."""
-
-    code = frames.DEFERRED
-
-
-def amount(said, name, most):
+from lichenquay.gateway.client_connection import ClientConnection, InvalidRequestError
+from lichenquay.gateway.client_listener import ClientListener
+from lichenquay.gateway.controller_adapter import GatewayQuery
+from lichenquay.gateway.frames import AnswerCode, ClientRequest
+from lichenquay.gateway.statement import table_group_of
+
+MAX_OPEN_QUERIES = 32  # PROTOCOL: on one connection
+REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
+# Of an idempotency or ordering key, which becomes a header of a call: nothing that could be another header.
+KEY = re.compile(r"[!-~]{0,256}\Z")
+IDLE_TIMEOUT_S = 4.5  # PROTOCOL: clients close idle connections after 4 s; some hold theirs for good
+# for a first frame, and for one that has begun: an answer or a close is owed within 3 s
+FRAME_TIMEOUT_S = 2.0
+MEMORY_SHARE = 16  # one frame or statement takes this part of the free memory at most
+MAX_AMOUNT_MS = 86_400_000.0  # a day: what is said to need more is no valid request
+MAX_AMOUNT_MB = 1_048_576.0  # a terabyte
+QUOTED_CHARS = 40  # of a client's field, in the answer
+
+
+class RequestRejectedError(InvalidRequestError):
+    """A request that would make a query at another time."""
+
+    code = AnswerCode.REJECTED
+
+
+def _amount(request: ClientRequest, name: str, maximum: float) -> float:
+    """A field as a number from 0 to `maximum`. Errors: InvalidRequestError."""
+    text = getattr(request, name)
     try:
-        got = float(said[name])
+        value = float(text)
     except ValueError:
-        got = -1.0
-    if not 0 <= got <= most:
-        raise BadQuery(f"{name}: {said[name][:40]!r}")
-    return got
+        value = -1.0
+    if not 0 <= value <= maximum:
+        raise InvalidRequestError(f"{_label(name)}: {text[:QUOTED_CHARS]!r}")
+    return value
 
 
-def refuse(skt, text):
-    """Tells a connection that is not taken why, and ends it, without a transport of its own. Risk: refusing costs more than
-    serving. What has come is read first, as closing on unread bytes may take the words back."""
-    try:
-        skt.send(frames.answer(0, frames.DEFERRED, text), MSG_DONTWAIT)
-        skt.recv(65_536, MSG_DONTWAIT)
-    except OSError:  # nothing has come, or it has gone already
-        pass
-    skt.close()
-
-
-class TakeIn(Factory):
-    """All clients' connections: at most `most` at a time; more wait to be accepted. What they make the front hold
-    (open queries' statements, frames that are not whole, answers that are not read) has `room` bytes, all together."""
-
-    ANSWERS = {
-        frames.FINISHED: "answers finished",
-        frames.DEFERRED: "answers deferred",
-        frames.KILLED: "answers killed",
-    }
+def _label(name):
+    return next(field.label for field in frames.FIELDS.values() if field.name == name)
+
+
+class RequestIntake(Factory):
+    """All clients' connections.
+
+    At most `max_connections` at a time, of which connection admission decides. What clients make the gateway
+    hold (open queries' statements, unfinished frames, unread answers) has `max_held_bytes`, all together.
+    """
+
     noisy = False
 
-    def __init__(self, opening, reactor, admit, metrics, log, now_ms, ready):
-        self.groups, self.tenants = opening.groups, opening.tenants
-        self.admit, self.metrics, self.log, self.now_ms, self.ready = admit, metrics, log, now_ms, ready
-        self.reactor, self.seconds = reactor, reactor.seconds
-        self.connections, self.refs, self.port, self.accept, self.most_connections = {}, {}, None, None, 0
-        self.most = self.room = self.held = self.turned = self.waits = 0
-        self.full = False  # nothing more is taken in: the front ends
-        self.turned_s = 0.0  # since when `turned` counts refusals, for a second
-        self.gate, self.waits_s = decide.Gate(decide.Rules(0, 0), self.gate_ms()), None
-
-    def gate_ms(self):
+    def __init__(
+        self,
+        settings,
+        reactor,
+        adapter,
+        metrics,
+        log,
+        now_ms: Callable[[], float],
+        is_ready: Callable[[], bool],
+    ):
+        """`adapter`: where queries go; `is_ready`: what readiness checks are answered.
+
+        Nothing is accepted until `set_bounds`.
+        """
+        self.groups = settings.groups
+        self.tenants = settings.tenants
+        self.reactor = reactor
+        self.seconds = reactor.seconds
+        self.adapter = adapter
+        self.metrics = metrics
+        self.log = log
+        self.now_ms = now_ms
+        self.is_ready = is_ready
+        self.connections: dict[ClientConnection, bool] = {}  # in the order in which they were opened
+        self.max_connections_seen = 0
+        self.open_request_ids: dict[str, GatewayQuery] = {}
+        self.max_connections = 0
+        self.max_held_bytes = 0
+        self.held_bytes = 0
+        self.is_stopping = False  # nothing more is accepted: the gateway ends
+        self.connection_admission = decide.Gate(decide.Rules(0, 0), self.admission_ms())
+        self.listener = ClientListener(reactor, self, metrics)
+
+    def admission_ms(self) -> float:
+        """The clock of connection admission."""
         return self.seconds() * 1000
 
-    def bound(self, room, rules):
-        """Limits, as they are now; what is open stays open."""
-        self.most, self.room = rules.most, room
-        self.gate.change(rules)
-
-    def listen(self, host, port):
-        self.port = self.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
-        self.accept, self.port.doRead = self.port.doRead, self.come
-        self.in_hand = os.open(os.devnull, os.O_RDONLY)
-
-    def come(self):
-        """Risk: what is returned to the reactor here ends the listening."""
-        self.accept_some()
-
-    def accept_some(self, last=False):
-        """Accepts what has come; the gate says what is taken. True if more may wait. Risk: what waits in the listening queue is
-        told nothing. Room that comes in a moment, as those before have had their time to speak, is waited for, but not in a
-        flood, nor as the door closes (`last`)."""
-        now, taken = self.seconds(), 0
-        if now - self.turned_s > 1.0:
-            self.turned_s, self.turned, self.waits = now, 0, 0
-        if (
-            not last
-            and self.turned < FLOOD
-            and self.waits < MOST_WAITS
-            and self.gate.is_full()
-            and self.gate.soon(now * 1000)
-            and now - (self.waits_s or now) < PATIENCE_S
-        ):
-            self.waits_s, self.waits = self.waits_s or now, self.waits + 1
-            self.port.pauseProducing()
-            self.reactor.callLater(QUIET_S / 2, self.accept_on)
-            return
-        self.waits_s = None
-        for _ in range(REFUSALS):
-            try:
-                skt, address = self.port.socket.accept()
-            except BlockingIOError:
-                return False
-            except OSError as why:
-                return self.no_descriptor() if why.errno in (errno.EMFILE, errno.ENFILE) else False
-            verdict = self.gate.arrives(address[0], self.gate_ms())
-            if verdict.answer == decide.REFUSE:
-                self.turned += 1
-                self.metrics.count(f"connections refused: {verdict.why}")
-                refuse(skt, b"%s; come back in %.0f ms" % (verdict.why.encode(), max(1.0, verdict.again_ms)))
-                continue
-            self.make_way(verdict)
-            skt.setblocking(False)
-            try:
-                self.reactor.adoptStreamConnection(
-                    skt.fileno(), AF_INET6 if len(address) > 2 else AF_INET, self
-                )
-            except OSError:  # no descriptor for its copy
-                self.metrics.count("connections refused: no descriptor")
-            finally:
-                skt.close()
-            taken += 1
-            if taken == ACCEPTS:
-                break
-        return True
-
-    def close_door(self):
-        """No more connections. Risk: what the machine accepted, and nobody here, is reset with the door."""
-        for _ in range(BACKLOG):
-            if not self.accept_some(last=True):
-                break
-        self.port.stopListening()
-        self.port = None
-        self.tell_no_more()
-
-    def no_descriptor(self):
-        """Risk: at the limit, what waits to be accepted waits for ever and keeps the reactor busy. The descriptor in hand is
-        given for it, so that it can be told."""
-        self.metrics.count("connections refused: no descriptor")
-        os.close(self.in_hand)
-        try:
-            refuse(self.port.socket.accept()[0], b"no descriptor; come back in 1000 ms")
-            return True
-        except OSError:
-            return False
-        finally:
-            self.in_hand = os.open(os.devnull, os.O_RDONLY)
-
-    def make_way(self, verdict):
-        if verdict.abort is not None:
-            verdict.abort.what.transport.abortConnection()
-            self.gate.closed(verdict.abort, self.gate_ms())
-        if verdict.end is not None:
-            verdict.end.what.gives_way()
-
-    def accept_on(self):
-        if self.port is not None:
-            self.port.resumeProducing()
+    def set_bounds(self, max_held_bytes: int, rules: decide.Rules) -> None:
+        """Sets the limits; what is open stays open."""
+        self.max_connections = rules.most
+        self.max_held_bytes = max_held_bytes
+        self.connection_admission.change(rules)
+
+    # Connections.
 
     def buildProtocol(self, address):
+        """The connection of a client that was accepted."""
         return ClientConnection(self, getattr(address, "host", ""))
 
-    def opened(self, connection):
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """A connection is up."""
         self.connections[connection] = True
-        self.most_connections = max(self.most_connections, len(self.connections))
+        self.max_connections_seen = max(self.max_connections_seen, len(self.connections))
 
-    def closed(self, connection):
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """A connection has ended."""
         self.connections.pop(connection, None)
-        self.gate.closed(connection.place, self.gate_ms())
-
-    def query(self, connection, stream, said, twice, body, now):
-        if self.full:
-            raise NoRoom("this front ends")
-        if len(connection.open) >= MOST_OPEN:
-            raise NoRoom(f"more than {MOST_OPEN} open requests")
-        if twice:
-            raise BadQuery(f"{twice}: said twice")
-        for name in frames.FIELDS.values():
-            if name not in said and name not in frames.OPTIONAL and (name != "tenant" or self.tenants):
-                raise BadQuery(f"{name}: missing")
-        group, tenant = self.groups.get(said["group"]), self.tenants.get(said.get("tenant"))
-        if group is None:
-            raise BadQuery(f"group: {said['group'][:40]!r}")
-        if tenant is None and self.tenants:
-            raise BadQuery(f"tenant: {said['tenant'][:40]!r}")
-        token, key = said.get("token", ""), said.get("key", "")
-        if not MARK.match(token) or not MARK.match(key):
-            raise BadQuery(f"token or key: {token[:40]!r}, {key[:40]!r}")
-        if not REF.match(said["ref"]):
-            raise BadQuery(f"ref: {said['ref'][:40]!r}")
-        if said["ref"] in self.refs:  # risk: one query's result becomes the answer to another statement
-            raise BadQuery("ref: it is open already")
-        if not self.fits(len(body)):
-            raise NoRoom("no room for its statement")
-        verdict = self.gate.asks(connection.place, len(body), self.gate_ms())
-        if verdict.answer == decide.REFUSE:
-            raise NoRoom(f"{verdict.why}; come back in {max(1.0, verdict.again_ms):.0f} ms")
-        if verdict.end is not None:  # the youngest of its queries has its final answer now
-            self.admit.give_up(next(reversed(verdict.end.what.open.values())))
-        statement = bytes(body)  # it outlives the buffer
-        longest = group.queue_timeout_ms or MOST_MS
-        return FrontQuery(
-            0,
-            group,
-            now,
-            now + min(longest, amount(said, "allowed", 2 * longest)),
-            tenant,
-            key,
-            amount(said, "work", MOST_MS),
-            amount(said, "memory", MOST_MB),
-            tables_of(str(statement, "utf-8", "replace")),
-            has_idempotency_key=bool(token),
-            client=connection,
-            stream=stream,
-            ref=said["ref"],
-            token=token,
-            statement=statement,
-        )
+        self.connection_admission.closed(connection.record, self.admission_ms())
+
+    def stop_listening(self) -> None:
+        """No more connections; clients are told to send no more requests."""
+        self.listener.close()
+        self.send_go_away()
 
-    def fits(self, size, had=0):
-        """Risk: a few that send much take the room of the many that send little."""
-        return size <= (self.room - self.held + had) / ROOM_EACH
+    def send_go_away(self) -> None:
+        """Tells all clients to send no more requests on their connections."""
+        for connection in list(self.connections):
+            connection.send_go_away()
 
-    def tell_no_more(self):
+    def close_expired(self) -> None:
+        """Closes connections without a whole frame in time, and idle ones."""
+        now_s = self.seconds()
         for connection in list(self.connections):
-            connection.tell_no_more()
-
-    def sweep(self):
-        """Closes what has outlived its use: connections without a whole frame in time, and idle ones."""
-        now = self.seconds()
-        for connection in [x for x in self.connections if x.up and not x.bad]:
-            if now - connection.begun_s > WHOLE_S and (
-                not connection.known or connection.reader.unfinished()
-            ):
-                connection.ends("no whole frame in time")
-            elif connection.is_idle() and now - connection.heard_s > IDLE_S:
-                connection.tell_no_more()
+            if not connection.is_open or connection.is_rejecting_input:
+                continue
+            awaits_frame = not connection.has_sent_frame or connection.reader.buffered_bytes()
+            if awaits_frame and now_s - connection.frame_started_s > FRAME_TIMEOUT_S:
+                connection.reject_input("no whole frame in time")
+            elif connection.is_idle and now_s - connection.last_activity_s > IDLE_TIMEOUT_S:
+                connection.send_go_away()
                 connection.close()
 
-    def close_all(self):
-        for connection in [x for x in self.connections if x.is_idle()]:
+    def close_idle(self) -> None:
+        """Closes all connections on which nothing waits for an answer."""
+        for connection in [connection for connection in self.connections if connection.is_idle]:
             connection.close()
+
+    def has_memory_for(self, size_bytes: int, held_before: int = 0) -> bool:
+        """Whether there is memory for this, `held_before` bytes of which are held already.
+
+        A few that send much must not take the memory of the many that send little.
+        """
+        return size_bytes <= (self.max_held_bytes - self.held_bytes + held_before) / MEMORY_SHARE
+
+    # Queries.
+
+    def make_query(
+        self, connection: ClientConnection, stream: int, request: ClientRequest, received_ms: float
+    ) -> GatewayQuery:
+        """The query that a request makes. Errors: InvalidRequestError, RequestRejectedError."""
+        if self.is_stopping:
+            raise RequestRejectedError("this front ends")
+        if len(connection.open_queries) >= MAX_OPEN_QUERIES:
+            raise RequestRejectedError(f"more than {MAX_OPEN_QUERIES} open requests")
+        self._check_fields(request)
+        self._check_room(connection, len(request.statement))
+        group = self.groups[request.group]
+        statement = bytes(request.statement)  # it outlives the buffer
+        max_timeout_ms = group.queue_timeout_ms or MAX_AMOUNT_MS
+        timeout_ms = min(max_timeout_ms, _amount(request, "timeout_ms", 2 * max_timeout_ms))
+        return GatewayQuery(
+            id=0,
+            group=group,
+            arrived_ms=received_ms,
+            deadline_ms=received_ms + timeout_ms,
+            tenant=self.tenants.get(request.tenant),
+            ordering_key=request.ordering_key or "",
+            estimated_work_ms=_amount(request, "estimated_work_ms", MAX_AMOUNT_MS),
+            estimated_memory_mb=_amount(request, "estimated_memory_mb", MAX_AMOUNT_MB),
+            table_group=table_group_of(str(statement, "utf-8", "replace")),
+            has_idempotency_key=bool(request.idempotency_key),
+            client=connection,
+            stream=stream,
+            request_id=request.request_id,
+            idempotency_key=request.idempotency_key or "",
+            statement=statement,
+        )
+
+    def _check_fields(self, request):
+        """Errors: InvalidRequestError, with the first field that is missing or not valid."""
+        if request.repeated:
+            raise InvalidRequestError(f"{request.repeated.label}: said twice")
+        for field in frames.FIELDS.values():
+            is_required = field.is_required and (field.name != "tenant" or self.tenants)
+            if is_required and getattr(request, field.name) is None:
+                raise InvalidRequestError(f"{field.label}: missing")
+        if request.group not in self.groups:
+            raise InvalidRequestError(f"group: {request.group[:QUOTED_CHARS]!r}")
+        if self.tenants and request.tenant not in self.tenants:
+            raise InvalidRequestError(f"tenant: {request.tenant[:QUOTED_CHARS]!r}")
+        idempotency_key = request.idempotency_key or ""
+        ordering_key = request.ordering_key or ""
+        if not KEY.match(idempotency_key) or not KEY.match(ordering_key):
+            raise InvalidRequestError(
+                f"token or key: {idempotency_key[:QUOTED_CHARS]!r}, {ordering_key[:QUOTED_CHARS]!r}"
+            )
+        if not REQUEST_ID.match(request.request_id):
+            raise InvalidRequestError(f"ref: {request.request_id[:QUOTED_CHARS]!r}")
+        # Without this, one query's result would become the answer to another statement.
+        if request.request_id in self.open_request_ids:
+            raise InvalidRequestError("ref: it is open already")
+
+    def _check_room(self, connection, statement_bytes):
+        """Errors: RequestRejectedError. A query of another client may be evicted for this one."""
+        if not self.has_memory_for(statement_bytes):
+            raise RequestRejectedError("no room for its statement")
+        admission_ms = self.admission_ms()
+        verdict = self.connection_admission.asks(connection.record, statement_bytes, admission_ms)
+        if verdict.answer == decide.REFUSE:
+            raise RequestRejectedError(f"{verdict.why}; come back in {max(1.0, verdict.again_ms):.0f} ms")
+        if verdict.end is not None:  # the youngest of its queries has its final answer now
+            evicted_connection = verdict.end.what
+            self.adapter.evict(next(reversed(evicted_connection.open_queries.values())))
