--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -1,366 +1,358 @@
-"""The program's phases, from start to exit, as named states of one object."""
+"""The running gateway: its parts, and its phases from start to exit."""
 
 import gc
-import json
-import os
-import resource
 import signal
 import time
+from collections.abc import Mapping
+from dataclasses import replace
+from enum import StrEnum
 
 from twisted.internet.error import CannotListenError
 
 from lichenquay.admission import domain
-from lichenquay.connection_admission.decide import Rules
-from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection, flat
-from lichenquay.gateway.controller_adapter import Admit
-from lichenquay.gateway.discovery import BadList, Discovery, DiscoveryFactory, read_events
-from lichenquay.gateway.dispatch import Send
-from lichenquay.gateway.engine_pool import Engines, FrontEngine
-from lichenquay.gateway.metrics import Log, Metrics
-from lichenquay.gateway.request_intake import TakeIn
-from lichenquay.gateway.result_relay import Relay
-from lichenquay.gateway.routing import Route
-from lichenquay.process import hear_signals
-
-STARTED_S = time.time() - time.monotonic()  # risk: the wall clock steps, and no timer fires, or all at once
-STARTING, SERVING, LEAVING, DRAINING, ENDED = "starting", "serving", "leaving", "draining", "ended"
-NEWS_MS = 250.0  # PROTOCOL: an engine answers a call for news after this at the latest
-SILENT_MS = (
-    1.2 * NEWS_MS
-)  # then it is asked on another connection, before its query is late or counts as lost
-LISTEN_ON_MS = 450.0  # PROTOCOL: new connections go on coming 0.4 s after SIGTERM; what came last is accepted
-REQUESTS_ON_MS = 200.0  # PROTOCOL: and requests on open ones for this long more
-DEADLINE_MS = 3000.0  # PROTOCOL: SIGKILL comes no sooner than the longest deadline, 3 s at most, ...
-KILLED_MS = 700.0  # ... and this long more after SIGTERM
-TOLD_MS = 7000.0  # PROTOCOL: what the bulletin has to tell counts as told this much later at the latest
-LAST_MS = 300.0  # before that, what is still open gets its final answer
-RESERVE = 48  # descriptors for the reactor, accepting, the bulletin and DELETEs
-CLIENTS_SHARE = 3  # PROTOCOL: clients hold a third of the descriptors at most
-WATCH_MS = 25.0  # between two looks at calls that have waited too long
-SWEEP_MS = 250.0  # between two looks at connections that have outlived their use
-BASE_MB, LEAST_MB = (
-    32.0,
-    4.0,
-)  # memory of the program itself (docs/evaluation.md); what clients may fill at least
-CLIENTS_PART = 0.5  # of the memory beyond that
-
-
-class CannotStart(Exception):
-    """Something that the program needs is missing; the text names it."""
-
-
-def open_from(settings, seed):
-    try:
-        opening = DeploymentSettings(SettingsSection(flat(settings)), seed)
-        if not opening.groups:
-            raise SettingsError("no classes")
-    except (SettingsError, AttributeError) as bad:
-        raise CannotStart(f"settings: {bad}") from None
-    return opening
-
-
-def now_ms():
-    return (STARTED_S + time.monotonic()) * 1000
-
-
-def read_config(environment):
-    path = environment.get("BALANCER_CONFIG")
-    if not path:
-        raise CannotStart("BALANCER_CONFIG is not set")
-    try:
-        with open(path, encoding="utf-8") as file:
-            config = json.load(file)
-        listen = environment.get("BALANCER_LISTEN") or config["listen"]
-        host, _, port = listen.rpartition(":")
-        discovery_host, _, discovery_port = config["bulletin"].rpartition(":")
-        sockets = min(int(config["limits"]["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        room = int(max(LEAST_MB, (float(config["limits"]["memory_mb"]) - BASE_MB) * CLIENTS_PART)) << 20
-        return (
-            (host, int(port)),
-            (discovery_host, int(discovery_port)),
-            sockets,
-            room,
-            int(config["seed"], 16),
-            config["known"],
-            config["settings"],
-        )
-    except OSError as bad:
-        raise CannotStart(f"configuration {path}: {bad.strerror}") from None
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as bad:
-        raise CannotStart(f"configuration {path}: {type(bad).__name__}: {bad}") from None
-
-
-def read_more(environment):
-    """The settings of our own features, where this installation has some: None on the platform, which then imports nothing for it."""
-    path = environment.get("LICHENQUAY_SETTINGS")
-    if not path:
-        return None
-    from lichenquay.config.reader import BadSettings, read_file, read_settings
-
-    try:
-        return read_file(path, read_settings)
-    except BadSettings as bad:
-        raise CannotStart(str(bad)) from None
-
-
-def fleet_of(more, reactor, seed, pressed, apply_to):
-    """This front among others, or following distributed configuration, where its settings say so."""
-    if more is None:
-        return None
-    distribution = more.distribution if more.HasField("distribution") else None
-    if more.HasField("fleet"):
-        from lichenquay.fleet.gateway_runtime import Fleet
-
-        return Fleet(reactor, more.fleet, seed, pressed, distribution=distribution, apply_to=apply_to)
-    if distribution is not None:
-        from lichenquay.fleet.follower_runtime import Follower
-
-        return Follower(reactor, distribution, seed, apply_to)
-    return None
-
-
-def shared_of(more):
-    """What of the settings counts from the next start only."""
-    if more is None:
-        return None, None
-    return tuple(getattr(more, part) if more.HasField(part) else None for part in ("fleet", "distribution"))
-
-
-def rules_for(more, most, distributed=None):
-    """`distributed`: a gate that takes the place of the file's."""
-    if more is None:
-        return Rules(most, 0, lag_ms=0.0)
-    from lichenquay.config.reader import rules_of
-
-    return rules_of(more.gate if distributed is None else distributed, most)
+from lichenquay.gateway import configuration, service_report
+from lichenquay.gateway.attempt_in_flight import AttemptTracker
+from lichenquay.gateway.clock import now_ms, wall_clock_step_ms
+from lichenquay.gateway.configuration import StartError
+from lichenquay.gateway.controller_adapter import ControllerAdapter
+from lichenquay.gateway.discovery import Discovery, DiscoveryFactory
+from lichenquay.gateway.dispatch import Dispatcher
+from lichenquay.gateway.endpoint_events import EndpointListError, read_events
+from lichenquay.gateway.engine_pool import EnginePool, GatewayEngine
+from lichenquay.gateway.log import Log
+from lichenquay.gateway.metrics import Metrics
+from lichenquay.gateway.request_intake import RequestIntake
+from lichenquay.gateway.result_relay import ResultRelay
+from lichenquay.gateway.routing import Router
+from lichenquay.process import install_signal_handlers
+
+POLL_REPLY_MS = 250.0  # PROTOCOL: an engine answers a poll after this at the latest
+# Then it is polled on another connection, before its query is late or counts as lost.
+REPLY_TIMEOUT_MS = 1.2 * POLL_REPLY_MS
+DEFAULT_CONNECT_TIMEOUT_MS = POLL_REPLY_MS  # where the settings name none
+DEFAULT_KEEP_ALIVE_MS = 4 * POLL_REPLY_MS  # likewise
+# PROTOCOL: what the discovery service has to tell counts as told this much later at the latest.
+ENDPOINTS_TOLD_WITHIN_MS = 7000.0
+# PROTOCOL: new connections go on coming 0.4 s after SIGTERM; the last of them is accepted.
+ACCEPT_AFTER_SIGTERM_MS = 450.0
+REQUESTS_AFTER_ACCEPTING_MS = 200.0  # PROTOCOL: and requests on open ones for this long more
+MAX_DEADLINE_MS = 3000.0  # PROTOCOL: SIGKILL comes no sooner than the longest deadline, 3 s at most, ...
+SIGKILL_AFTER_DEADLINE_MS = 700.0  # ... and this long more after SIGTERM
+FINAL_ANSWERS_BEFORE_MS = 300.0  # before SIGKILL, what is still open gets its final answer
+RESERVED_DESCRIPTORS = 48  # for the reactor, accepting, discovery and cancellations
+CLIENT_DESCRIPTOR_SHARE = 3  # PROTOCOL: clients hold a third of the descriptors at most
+CHECK_CALLS_EACH_MS = 25.0  # for calls that have waited too long
+CHECK_CLIENTS_EACH_MS = 250.0  # for connections that have outlived their use
+CHECK_DRAINED_EACH_MS = 10.0
+
+
+class ServicePhase(StrEnum):
+    """The phases of a gateway, in order."""
+
+    STARTING = "starting"
+    SERVING = "serving"
+    LEAVING = "leaving"  # after SIGTERM: still accepts connections and requests
+    DRAINING = "draining"  # until all that was accepted is answered
+    ENDED = "ended"
 
 
 class Service:
-    def __init__(self, reactor, environment):
-        self.state, self.reactor, self.environment, self.watch_ms = STARTING, reactor, environment, 0.0
-        self.listen, self.discovery_at, sockets, room, seed, known, self.settings = read_config(environment)
-        opening = open_from(self.settings, seed)
-        self.opening, self.by_uid = opening, {}
+    """A gateway: its parts, made from the configuration, and its phases."""
+
+    def __init__(self, reactor, environment: Mapping[str, str]):
+        """Reads the configuration that the environment names. Errors: StartError."""
+        self.phase = ServicePhase.STARTING
+        self.reactor = reactor
+        self.environment = environment
+        self.config = configuration.read_config(environment)
+        self.settings = configuration.read_deployment_settings(self.config.settings, self.config.seed)
+        self.engines_by_id: dict[str, GatewayEngine] = {}
+        self.next_check_ms = 0.0
+        self.sigkill_expected_ms = 0.0
         self.log = Log(time.monotonic)
-        self.metrics = Metrics(lambda *ending: self.admit.back(*ending))
-        self.engines = Engines(
-            reactor,
-            RESERVE // 2,
-            opening.capabilities.connect_timeout_ms or NEWS_MS,
-            SILENT_MS,
-            opening.idle_ms or 4 * NEWS_MS,
+        self.metrics = Metrics()
+        self._make_stages()
+        self.feature_settings = configuration.read_feature_settings(environment)
+        self.distributed_rules = None  # of connection admission
+        self._set_bounds()
+        self.endpoints_are_distributed = (
+            self.feature_settings is not None and self.feature_settings.distribution.engines
         )
-        self.admit = Admit(opening, reactor, self.engines, now_ms, self.metrics, self.log)
-        self.relay = Relay(self.engines, self.metrics, self.admit.noted, now_ms, self.log)
-        self.send = Send(
-            self.engines, self.relay, self.metrics, self.admit.call_at, self.admit.may_go, now_ms
+        self.discovery_factory = None
+        self.fleet = configuration.make_fleet(
+            self.feature_settings, reactor, self.config.seed, self.adapter.controller.is_under_pressure, self
         )
-        self.route = self.admit.route = Route(self.send, self.relay)
-        self.clients = TakeIn(opening, reactor, self.admit, self.metrics, self.log, now_ms, self.is_ready)
-        self.more, self.distributed_gate = read_more(environment), None
-        self.bound(sockets, room)
-        self.list_distributed = self.more is not None and self.more.distribution.engines
-        self.following = None
-        self.fleet = fleet_of(self.more, reactor, seed, self.admit.controller.is_under_pressure, self)
         try:
-            self.discovery = Discovery(known, self.news, self.log, self.admit.list_confirmed)
-        except BadList as bad:
-            raise CannotStart(f"known: {bad}") from None
-
-    def bound(self, sockets, room):
-        """Shares of the configured limits: of descriptors for engines and clients, of memory for what clients send."""
-        self.engines.budget = sockets - sockets // CLIENTS_SHARE - RESERVE
-        self.sockets = sockets
-        most = sockets // CLIENTS_SHARE + RESERVE // 4
-        self.clients.bound(room, rules_for(self.more, most, self.distributed_gate))
-
-    def put_gate(self, gate):
-        """A distributed gate takes the place of the file's; None: the file's again. What is open stays open."""
-        self.distributed_gate = gate
-        self.bound(self.sockets, self.clients.room)
-
-    def put_engines(self, whole, rows):
-        """Distributed engines take the place of discovery's: all there are, or those that changed."""
-        self.news(whole, rows)
+            self.discovery = Discovery(
+                self.config.known_endpoints, self.on_endpoints, self.log, self.adapter.endpoints_confirmed
+            )
+        except EndpointListError as error:
+            raise StartError(f"known: {error}") from None
+
+    def _make_stages(self):
+        """The stages of a query's way; each refers to the next."""
+        self.engines = EnginePool(
+            self.reactor,
+            urgent_reserve=RESERVED_DESCRIPTORS // 2,
+            connect_timeout_ms=self.settings.capabilities.connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS,
+            reply_timeout_ms=REPLY_TIMEOUT_MS,
+            keep_alive_ms=self.settings.idle_ms or DEFAULT_KEEP_ALIVE_MS,
+        )
+        self.adapter = ControllerAdapter(
+            self.settings, self.reactor, self.engines, now_ms, self.metrics, self.log
+        )
+        self.attempts = AttemptTracker(self.metrics, self.adapter.attempt_ended)
+        self.relay = ResultRelay(
+            self.engines, self.attempts, self.metrics, self.adapter.progress_reported, now_ms, self.log
+        )
+        self.dispatcher = Dispatcher(
+            self.engines,
+            self.relay,
+            self.attempts,
+            self.metrics,
+            self.adapter.call_at,
+            self.adapter.may_send,
+            now_ms,
+        )
+        self.router = Router(self.dispatcher, self.relay)
+        self.adapter.router = self.router
+        self.clients = RequestIntake(
+            self.settings, self.reactor, self.adapter, self.metrics, self.log, now_ms, self.is_ready
+        )
+
+    def _set_bounds(self):
+        """Shares of the configured limits: of descriptors for engines and clients, of memory for clients."""
+        max_descriptors = self.config.max_descriptors
+        client_descriptors = max_descriptors // CLIENT_DESCRIPTOR_SHARE
+        self.engines.descriptor_budget = max_descriptors - client_descriptors - RESERVED_DESCRIPTORS
+        rules = configuration.connection_rules(
+            self.feature_settings, client_descriptors + RESERVED_DESCRIPTORS // 4, self.distributed_rules
+        )
+        self.clients.set_bounds(self.config.client_memory_bytes, rules)
+
+    # Distributed configuration.
+
+    def apply_connection_rules(self, rules):
+        """Distributed rules take the place of the file's; None: the file's again. What is open stays open."""
+        self.distributed_rules = rules
+        self._set_bounds()
+
+    def apply_endpoints(self, whole, records):
+        """Distributed endpoints take the place of discovery's: all there are, or those that changed."""
+        self.on_endpoints(whole, records)
         self.discovery.confirm()
 
-    def news(self, whole, rows):
-        named, gone = [], set(self.by_uid.values()) if whole else set()
-        for uid, address, place, kind, cell, state, units, started in rows:
-            e = self.by_uid.get(uid)
-            if e is None:
-                e = self.by_uid[uid] = FrontEngine(uid)
-            if e.address != address:
-                self.engines.close_idle(e)
-                e.address = address
-            # Risk: the clock that it started by has stepped since this front took its own from it.
-            started += now_ms() - time.time() * 1000 if started else 0.0
-            self.opening.describe(e, place, kind, cell, state, units, started)
-            named.append(e)
-            (gone.add if state == domain.EndpointState.REMOVED else gone.discard)(e)
-        self.admit.listed(named, whole)
-        for e in gone:  # no longer listed; its address may be another's by now
-            e.state = domain.EndpointState.REMOVED
-            self.engines.close_idle(e)
-            self.by_uid.pop(e.id, None)
-
-    # the phases
+    # The endpoint list.
+
+    def on_endpoints(self, whole, records):
+        """The endpoint list changed: `records` are all engines (`whole`), or those that changed."""
+        named = []
+        removed = set(self.engines_by_id.values()) if whole else set()
+        for record in records:
+            engine = self._update_engine(record)
+            named.append(engine)
+            if record.state == domain.EndpointState.REMOVED:
+                removed.add(engine)
+            else:
+                removed.discard(engine)
+        self.adapter.endpoints_updated(named, whole)
+        for engine in removed:  # its address may be another's by now
+            engine.state = domain.EndpointState.REMOVED
+            self.engines.close_idle_connections(engine)
+            self.engines_by_id.pop(engine.id, None)
+
+    def _update_engine(self, record):
+        engine = self.engines_by_id.get(record.uid)
+        if engine is None:
+            engine = GatewayEngine(record.uid)
+            self.engines_by_id[record.uid] = engine
+        if engine.address != record.address:
+            self.engines.close_idle_connections(engine)
+            engine.address = record.address
+        # The wall clock by which it started may have stepped since this gateway took its own from it.
+        started_ms = record.started_ms + wall_clock_step_ms() if record.started_ms else record.started_ms
+        self.settings.describe(
+            engine, record.zone, record.kind, record.cell, record.state, record.advertised_weight, started_ms
+        )
+        return engine
+
+    # Starting.
 
     def start(self):
+        """Listens; the rest follows once the reactor runs. Errors: StartError."""
         if self.fleet is not None:
-            why = self.fleet.open()
-            if why:
-                raise CannotStart(why)
+            error = self.fleet.open()
+            if error:
+                raise StartError(error)
         try:
-            self.clients.listen(*self.listen)
-        except CannotListenError as bad:
-            raise CannotStart(
-                f"cannot listen on {'%s:%d' % self.listen}: {bad.socketError.strerror}"
-            ) from None
-        self.admit.list_doubted(TOLD_MS)
-        self.follow_discovery()
+            self.clients.listener.open(*self.config.listen_address)
+        except CannotListenError as error:
+            reason = error.socketError.strerror
+            raise StartError(f"cannot listen on {self.config.listen_address}: {reason}") from None
+        self.adapter.endpoints_stale(ENDPOINTS_TOLD_WITHIN_MS)
+        self._follow_discovery()
         self.reactor.callWhenRunning(self.run)
 
-    def follow_discovery(self):
-        """Where the list does not come as distributed configuration."""
-        if self.list_distributed:
+    def _follow_discovery(self):
+        """Where the endpoint list does not come as distributed configuration."""
+        if self.endpoints_are_distributed:
             return
-        self.following = DiscoveryFactory(
-            self.reactor, self.discovery, *self.discovery_at, self.engines.connect_ms
+        self.discovery_factory = DiscoveryFactory(
+            self.reactor, self.discovery, *self.config.discovery_address, self.engines.connect_timeout_ms
         )
 
     def run(self):
-        calls = {
+        """Serves, and handles signals."""
+        handlers = {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
-            signal.SIGUSR1: self.tell,
-            signal.SIGHUP: self.read_again,
+            signal.SIGUSR1: self.log_counters,
+            signal.SIGHUP: self.reload,
         }
-        hear_signals(self.reactor, calls)
-        self.admit.turn()
+        install_signal_handlers(self.reactor, handlers)
+        self.adapter.run_turn()
         gc.collect()
         gc.freeze()
-        self.sweep()
-        self.watch()
-        self.state = SERVING
+        self._check_clients()
+        self._check_calls()
+        self.phase = ServicePhase.SERVING
         if self.fleet is not None:
             self.fleet.begin()
-            self.admit.quota = self.fleet.quota
+            self.adapter.quota = self.fleet.quota
         self.log(
             "service",
-            f"serving on {'%s:%d' % self.listen}, {len(self.by_uid)} engines known; {self.engines.budget} "
-            f"descriptors for engines, {self.clients.most} for clients, {self.clients.room >> 20} MB for them",
-        )
-
-    def is_ready(self):
-        """Risk: with the bulletin out of reach for long, a front that would serve by its last list is never taken in."""
-        return (
-            self.state == SERVING
-            and bool(self.by_uid)
-            and (self.discovery.answered or not self.admit.controller.are_endpoints_stale(now_ms()))
+            f"serving on {self.config.listen_address}, {len(self.engines_by_id)} engines known; "
+            f"{self.engines.descriptor_budget} descriptors for engines, "
+            f"{self.clients.max_connections} for clients, {self.clients.max_held_bytes >> 20} MB for them",
         )
 
-    def sweep(self):
-        self.engines.later(SWEEP_MS, self.sweep)
-        self.clients.sweep()
-
-    def watch(self):
-        now, clients = self.reactor.seconds() * 1000, self.clients
-        lag, self.watch_ms = max(0.0, now - self.watch_ms) if self.watch_ms else 0.0, now + WATCH_MS
-        used = max(
-            (self.engines.open + len(clients.connections) + RESERVE // 2) / self.sockets,
-            clients.held / max(1, clients.room),
-        )
-        clients.gate.measured(used, lag, now)
-        self.engines.later(WATCH_MS, self.watch)
-        self.engines.watch()
-
-    def read_again(self):
-        """SIGHUP: bulletin and limits as the configuration now has them, or nothing where any of it cannot be read.
-        Risk: half of a new configuration, or none and no bulletin either. Nothing that is open is touched."""
-        if self.state in (STARTING, ENDED):
+    # Serving.
+
+    def is_ready(self) -> bool:
+        """Whether clients should come here.
+
+        With the discovery service out of reach for long, a gateway serves by its last endpoint list, and is
+        ready.
+        """
+        if self.phase != ServicePhase.SERVING or not self.engines_by_id:
+            return False
+        return self.discovery.is_confirmed or not self.adapter.controller.are_endpoints_stale(now_ms())
+
+    def _check_clients(self):
+        self.engines.call_later(CHECK_CLIENTS_EACH_MS, self._check_clients)
+        self.clients.close_expired()
+
+    def _check_calls(self):
+        check_ms = self.reactor.seconds() * 1000
+        lag_ms = max(0.0, check_ms - self.next_check_ms) if self.next_check_ms else 0.0
+        self.next_check_ms = check_ms + CHECK_CALLS_EACH_MS
+        self.clients.connection_admission.measured(self._used_share(), lag_ms, check_ms)
+        self.engines.call_later(CHECK_CALLS_EACH_MS, self._check_calls)
+        self.engines.check_connections()
+
+    def _used_share(self):
+        """The larger of the shares of descriptors and of clients' memory that are used up."""
+        clients = self.clients
+        descriptors = self.engines.open_count + len(clients.connections) + RESERVED_DESCRIPTORS // 2
+        memory_share = clients.held_bytes / max(1, clients.max_held_bytes)
+        return max(descriptors / self.config.max_descriptors, memory_share)
+
+    def reload(self):
+        """SIGHUP: discovery and limits by the new configuration, or nothing where any of it cannot be read.
+
+        Half of a new configuration is never in force. Nothing that is open is closed.
+        """
+        if self.phase in (ServicePhase.STARTING, ServicePhase.ENDED):
             return
         try:
-            listen, discovery_at, sockets, room, seed, known, settings = read_config(self.environment)
-            open_from(settings, seed)
-            more = read_more(self.environment)
-            distributed = self.list_distributed and self.discovery.answered
-            if read_events(known)[0] > self.discovery.no and not distributed:
-                self.discovery.follow(known)
-        except (CannotStart, BadList) as bad:
-            self.metrics.count("configurations not taken")
-            return self.log("service", f"{bad}; the old configuration stays in force")
-        self.metrics.count("configurations read again")
-        if (listen, settings) != (self.listen, self.settings) or shared_of(more) != shared_of(self.more):
+            new_config = configuration.read_config(self.environment)
+            configuration.read_deployment_settings(new_config.settings, new_config.seed)
+            new_feature_settings = configuration.read_feature_settings(self.environment)
+            self._apply_known_endpoints(new_config.known_endpoints)
+        except (StartError, EndpointListError) as error:
+            self.metrics.count("configurations rejected")
+            self.log("service", f"{error}; the old configuration stays in force")
+            return
+        self.metrics.count("configurations reloaded")
+        if self._needs_restart(new_config, new_feature_settings):
             self.log(
                 "service",
-                "new settings, another address to listen on or another fleet: these count from the next start",
+                "new settings, another listen address or another fleet: these count from the next start",
             )
-        self.more = more
-        self.bound(sockets, room)
-        if discovery_at != self.discovery_at and self.following is not None:
-            self.following.stop()
-            self.discovery_at = discovery_at
-            self.follow_discovery()
+        old_config = self.config
+        self.config = replace(
+            new_config, listen_address=old_config.listen_address, settings=old_config.settings
+        )
+        self.feature_settings = new_feature_settings
+        self._set_bounds()
+        has_moved = self.config.discovery_address != old_config.discovery_address
+        if has_moved and self.discovery_factory is not None:
+            self.discovery_factory.stop()
+            self._follow_discovery()
+
+    def _apply_known_endpoints(self, known_endpoints):
+        """Applies the configuration's endpoint list, if that is newer. Errors: EndpointListError."""
+        is_newer = read_events(known_endpoints).last_number > self.discovery.last_number
+        distributed = self.endpoints_are_distributed and self.discovery.is_confirmed
+        if is_newer and not distributed:
+            self.discovery.apply(known_endpoints)
+
+    def _needs_restart(self, new_config, new_feature_settings):
+        if new_config.listen_address != self.config.listen_address:
+            return True
+        if new_config.settings != self.config.settings:
+            return True
+        old_start_only = configuration.start_only_settings(self.feature_settings)
+        return configuration.start_only_settings(new_feature_settings) != old_start_only
+
+    # Ending.
 
     def leave(self):
-        """SIGTERM: listen on for as long as PROTOCOL says; answer all that is taken; tell clients to go."""
-        if self.state != SERVING:
+        """SIGTERM: accepts as long as PROTOCOL says, answers all that was accepted, tells clients to go."""
+        if self.phase != ServicePhase.SERVING:
             return
-        longest = max(g.queue_timeout_ms or DEADLINE_MS for g in self.opening.groups.values())
-        self.state, self.killed_ms = LEAVING, now_ms() + min(DEADLINE_MS, longest) + KILLED_MS
-        self.clients.tell_no_more()
-        self.engines.later(LISTEN_ON_MS, self.close_door)
-        self.engines.later(self.killed_ms - LAST_MS - now_ms(), self.admit.time_up)
-
-    def close_door(self):
-        self.clients.close_door()
+        self.phase = ServicePhase.LEAVING
+        longest_ms = max(group.queue_timeout_ms or MAX_DEADLINE_MS for group in self.settings.groups.values())
+        self.sigkill_expected_ms = now_ms() + min(MAX_DEADLINE_MS, longest_ms) + SIGKILL_AFTER_DEADLINE_MS
+        self.clients.send_go_away()
+        self.engines.call_later(ACCEPT_AFTER_SIGTERM_MS, self._stop_listening)
+        final_answers_ms = self.sigkill_expected_ms - FINAL_ANSWERS_BEFORE_MS
+        self.engines.call_later(final_answers_ms - now_ms(), self.adapter.evict_all)
+
+    def _stop_listening(self):
+        self.clients.stop_listening()
         if self.fleet is not None:
             self.fleet.leave()
-        self.engines.later(REQUESTS_ON_MS, self.drain)
-
-    def drain(self):
-        """Until all that was taken is answered, what was given up is over, and the answers have gone."""
-        self.state = DRAINING
-        left_ms = self.killed_ms - now_ms()
-        late = left_ms < LAST_MS / 2
-        if left_ms < LAST_MS:  # risk: what came since `time_up` ends with the program, without an answer
-            self.clients.full = True
-            self.admit.time_up()
-        if (not self.admit.open and not self.admit.events or left_ms < 0) and (self.metrics.out == 0 or late):
-            self.clients.close_all()
-            if late or not self.clients.connections and (self.fleet is None or self.fleet.is_over()):
-                self.state = ENDED
-                if self.following is not None:
-                    self.following.stopped = True
-                if self.fleet is not None:
-                    self.fleet.close()
-                return self.reactor.stop()
-        self.engines.later(10.0, self.drain)
-
-    def tell(self):
-        counters = self.metrics.lines() + [
-            f"clients now: {len(self.clients.connections)}",
-            f"clients at most: {self.clients.most_connections}",
-            f"engine connections now: {self.engines.open}",
-            f"engine connections at most: {self.engines.most}",
-            f"engines listed: {len(self.by_uid)}",
-            f"attempts out: {self.metrics.out}",
-            f"queries open: {len(self.admit.open)}",
-            f"descriptors: {len(os.listdir('/proc/self/fd'))}",
-            f"cpu seconds: {time.process_time():.2f}",
-            f"memory MB at most: {peak_mb()}",
-            f"state: {self.state}",
-            f"gate: {self.clients.gate.state}",
-            *(
-                f"holds most: {name}{' (known)' * known}: {connections} connections, {queries} queries, {held} bytes"
-                for name, known, connections, queries, held in self.clients.gate.top(5)
-            ),
-            *(self.fleet.lines() if self.fleet is not None else ()),
-        ]
-        for line in counters:
-            self.log.line(line)
-
+        self.engines.call_later(REQUESTS_AFTER_ACCEPTING_MS, self._drain)
+
+    def _drain(self):
+        """Until all that was accepted is answered, what was cancelled is over, and the answers have gone."""
+        self.phase = ServicePhase.DRAINING
+        left_ms = self.sigkill_expected_ms - now_ms()
+        is_late = left_ms < FINAL_ANSWERS_BEFORE_MS / 2
+        if left_ms < FINAL_ANSWERS_BEFORE_MS:
+            # What came since the final answers were asked for would end with the process, unanswered.
+            self.clients.is_stopping = True
+            self.adapter.evict_all()
+        all_answered = not self.adapter.open_queries and not self.adapter.events
+        nothing_in_flight = self.attempts.in_flight_count == 0
+        if (all_answered or left_ms < 0) and (nothing_in_flight or is_late):
+            self.clients.close_idle()
+            fleet_is_over = self.fleet is None or self.fleet.is_over()
+            if is_late or (not self.clients.connections and fleet_is_over):
+                self._end()
+                return
+        self.engines.call_later(CHECK_DRAINED_EACH_MS, self._drain)
+
+    def _end(self):
+        self.phase = ServicePhase.ENDED
+        if self.discovery_factory is not None:
+            self.discovery_factory.stop_reconnecting()
+        if self.fleet is not None:
+            self.fleet.close()
+        self.reactor.stop()
 
-def peak_mb():
-    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
+    def log_counters(self):
+        """SIGUSR1, and at the end: counters and the present state, as lines of the log."""
+        for line in service_report.lines(self):
+            self.log.line(line)
--- /dev/null
+++ b/lichenquay/gateway/service_report.py
@@ -0,0 +1,42 @@
+"""What a gateway reports on SIGUSR1 and at its end."""
+
+import os
+import resource
+import time
+
+LARGEST_ACCOUNTS = 5  # client accounts that are named
+
+
+def lines(service) -> list[str]:
+    """Counters and the present state of a `Service`, one a line."""
+    clients = service.clients
+    engines = service.engines
+    return [
+        *service.metrics.lines(),
+        f"client connections: {len(clients.connections)}",
+        f"client connections at most: {clients.max_connections_seen}",
+        f"engine connections: {engines.open_count}",
+        f"engine connections at most: {engines.max_open_count}",
+        f"engines listed: {len(service.engines_by_id)}",
+        f"attempts in flight: {service.attempts.in_flight_count}",
+        f"queries open: {len(service.adapter.open_queries)}",
+        f"descriptors: {len(os.listdir('/proc/self/fd'))}",
+        f"cpu seconds: {time.process_time():.2f}",
+        f"memory MB at most: {_peak_memory_mb()}",
+        f"state: {service.phase}",
+        f"connection admission: {clients.connection_admission.state}",
+        *_account_lines(clients.connection_admission),
+        *(service.fleet.lines() if service.fleet is not None else ()),
+    ]
+
+
+def _account_lines(connection_admission):
+    """The client accounts with most connections."""
+    for name, is_known, connections, queries, held_bytes in connection_admission.top(LARGEST_ACCOUNTS):
+        known = " (known)" if is_known else ""
+        held = f"{connections} connections, {queries} queries, {held_bytes} bytes"
+        yield f"largest client: {name}{known}: {held}"
+
+
+def _peak_memory_mb():
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
--- a/lichenquay/gateway/statement.py
+++ b/lichenquay/gateway/statement.py
@@ -1,15 +1,20 @@
-"""Which group of tables a statement reads or writes (the operators' PROTOCOL): a lexer of our own, free of I/O.
+"""Which group of tables a statement reads or writes (the operators' PROTOCOL): a lexer, free of I/O.
 
-The group is the number behind the underscore in a schema's name: 17 in `sales_17.orders`. Names in strings and
-comments, quoted names that are no schemas, and the schema `staging` do not count.
+An edge module. The group is the number behind the underscore in a schema's name: 17 in `sales_17.orders`.
+Names in strings and comments, quoted names that are no schemas, and the schema `staging` do not count.
 """
 
 import re
+from collections.abc import Iterator
 from itertools import chain
+from typing import NamedTuple
 
 TOKEN = re.compile(
     r"""
-    (?P<skip> [\s\d=<>+*,;:%!|&?@#^~\[\]{}]+ | --[^\n]* | '(?:[^']|'')*(?:'|\Z) | (?P<tag>\$(?:[A-Za-z_]\w*)?\$) (?:.|\n)*? (?:(?P=tag)|\Z) )
+    (?P<skip> [\s\d=<>+*,;:%!|&?@#^~\[\]{}]+
+        | --[^\n]*
+        | '(?:[^']|'')*(?:'|\Z)
+        | (?P<tag>\$(?:[A-Za-z_]\w*)?\$) (?:.|\n)*? (?:(?P=tag)|\Z) )
   | (?P<open> /\* )
   | "(?P<quoted> (?:[^"]|"")* ) (?:"|\Z)
   | `(?P<ticked> [^`]* ) (?:`|\Z)
@@ -18,75 +23,115 @@
 """,
     re.X,
 )
-COMMENT = re.compile(r"/\*|\*/")
+COMMENT_MARK = re.compile(r"/\*|\*/")
 GROUP = re.compile(r"_(\d+)\Z")
+IGNORED_SCHEMA = "staging"
 TABLE_FOLLOWS = frozenset(("from", "join", "into", "update", "using", "table", "copy", "truncate"))
 TABLE_ENDS = frozenset(
     ("where", "select", "set", "on", "group", "order", "having", "limit", "values", "returning")
 )
 
 
-def tokens(text):
-    """(text, is a name, is quoted) of each token that counts."""
-    at, end = 0, len(text)
-    while at < end:
-        found = TOKEN.match(text, at)
-        kind, at = found.lastgroup, found.end()
+class Token(NamedTuple):
+    """A token that counts: a name, or a mark."""
+
+    text: str
+    is_name: bool
+    is_quoted: bool
+
+
+class DottedName(NamedTuple):
+    """A name of several parts, and whether it is where a table is named."""
+
+    parts: list[str]
+    is_table: bool
+
+
+END = Token("", is_name=False, is_quoted=False)
+
+
+def tokens(text: str) -> Iterator[Token]:
+    """The tokens of a statement that count."""
+    position = 0
+    while position < len(text):
+        match = TOKEN.match(text, position)
+        kind = match.lastgroup
+        position = match.end()
         if kind == "open":
-            depth = 1
-            while depth:  # block comments nest
-                mark = COMMENT.search(text, at)
-                if mark is None:
-                    return
-                depth, at = depth + (1 if mark.group() == "/*" else -1), mark.end()
+            position = _comment_end(text, position)
+            if position is None:
+                return
         elif kind == "quoted":
-            yield found.group(kind).replace('""', '"'), True, True
+            yield Token(match.group(kind).replace('""', '"'), is_name=True, is_quoted=True)
         elif kind == "ticked":
-            yield found.group(kind), True, True
+            yield Token(match.group(kind), is_name=True, is_quoted=True)
         elif kind == "word":
-            yield found.group(kind), True, False
+            yield Token(match.group(kind), is_name=True, is_quoted=False)
         elif kind == "other":
-            yield found.group(kind), False, False
+            yield Token(match.group(kind), is_name=False, is_quoted=False)
+
+
+def _comment_end(text, position):
+    """Behind the comment that was opened; block comments nest. None: it is not closed."""
+    depth = 1
+    while depth:
+        mark = COMMENT_MARK.search(text, position)
+        if mark is None:
+            return None
+        depth += 1 if mark.group() == "/*" else -1
+        position = mark.end()
+    return position
 
 
-def names(text):
-    """Each dotted name, and whether it stands where a table is named."""
-    table = call = named = dotted = False
-    parts, around = [], []
-    for token, is_name, quoted in chain(tokens(text), [("", False, False)]):
-        if is_name and dotted:
-            parts.append(token)
-            dotted = False
+def dotted_names(text: str) -> Iterator[DottedName]:
+    """The names of several parts in a statement."""
+    expects_table = False
+    in_call = False  # in the parentheses of a function call
+    after_name = False
+    after_dot = False
+    parts = []
+    outer = []  # (expects_table, in_call) around each open parenthesis
+    for token in chain(tokens(text), [END]):
+        if token.is_name and after_dot:
+            parts.append(token.text)
+            after_dot = False
             continue
-        if token == "." and not is_name and parts:
-            dotted = True
+        if token.text == "." and not token.is_name and parts:
+            after_dot = True
             continue
         if len(parts) > 1:
-            yield parts, table
-        parts, dotted, before, named = [], False, named, False
-        if is_name:
-            word = "" if quoted else token.lower()
-            if word in TABLE_FOLLOWS:
-                table = not call  # as in extract(day from o_1.at)
-            elif word in TABLE_ENDS:
-                table = call = False
+            yield DottedName(parts, expects_table)
+        parts = []
+        after_dot = False
+        follows_name = after_name
+        after_name = False
+        if token.is_name:
+            keyword = "" if token.is_quoted else token.text.lower()
+            if keyword in TABLE_FOLLOWS:
+                expects_table = not in_call  # as in extract(day from o_1.at)
+            elif keyword in TABLE_ENDS:
+                expects_table = False
+                in_call = False
             else:
-                parts, named = [token], True
-        elif token == "(":
-            around.append((table, call))
-            table, call = False, before
-        elif token == ")" and around:
-            table, call = around.pop()
+                parts = [token.text]
+                after_name = True
+        elif token.text == "(":
+            outer.append((expects_table, in_call))
+            expects_table = False
+            in_call = follows_name
+        elif token.text == ")" and outer:
+            expects_table, in_call = outer.pop()
 
 
-def tables_of(text):
+def table_group_of(text: str) -> str | None:
     """The number of the group of tables, as text; None where the statement names none."""
-    doubtful = None
-    for parts, is_table in names(text):
-        schema = parts[-2] if is_table or len(parts) == 2 else parts[-3]
-        found = GROUP.search(schema)
-        if found and schema.lower() != "staging":
-            if is_table:
-                return found.group(1)
-            doubtful = doubtful or found.group(1)
-    return doubtful
+    fallback = None  # a name that may be a column's
+    for name in dotted_names(text):
+        is_schema_next_to_last = name.is_table or len(name.parts) == 2
+        schema = name.parts[-2] if is_schema_next_to_last else name.parts[-3]
+        match = GROUP.search(schema)
+        if match and schema.lower() != IGNORED_SCHEMA:
+            if name.is_table:
+                return match.group(1)
+            fallback = fallback or match.group(1)
+    return fallback
--- /dev/null
+++ b/lichenquay/gateway/stream_numbers.py
@@ -0,0 +1,27 @@
+"""The stream numbers that a client has used on its connection."""
+
+from lichenquay.gateway.frames import FrameError
+
+MAX_SKIPPED_STREAMS = 4096  # numbers kept above the first that was left out
+
+
+class StreamNumbers:
+    """All numbers up to one, and some above: clients count up, and may leave some out."""
+
+    __slots__ = ("_above", "_all_up_to")
+
+    def __init__(self):
+        """None is used; 0 is the connection's own."""
+        self._all_up_to = 0
+        self._above: set[int] = set()
+
+    def claim(self, stream: int) -> None:
+        """Marks a number as used. Errors: FrameError, where it was used before or too many were left out."""
+        if stream <= self._all_up_to or stream in self._above:
+            raise FrameError(f"stream {stream} is not new")
+        self._above.add(stream)
+        while self._all_up_to + 1 in self._above:
+            self._all_up_to += 1
+            self._above.discard(self._all_up_to)
+        if len(self._above) > MAX_SKIPPED_STREAMS:
+            raise FrameError("too many numbers of streams left out")
--- a/lichenquay/load/client_connection.py
+++ b/lichenquay/load/client_connection.py
@@ -69,7 +69,7 @@
         """Answers go to their queries; one for a stream that is not known is counted as strange."""
         now = self.worker.now_ms()
         for kind, stream, payload in self.reader.feed(data):
-            if kind == frames.ANSWER:
+            if kind == frames.FrameType.ANSWER:
                 ask = self.open.pop(stream, None)
                 if ask is not None:
                     self.old[stream] = ask
@@ -80,7 +80,7 @@
                     self.worker.strange += 1
                 else:
                     self.worker.told += 1
-            elif kind == frames.NO_MORE:
+            elif kind == frames.FrameType.GO_AWAY:
                 self.told = True
                 self.worker.replace(self)
         self.worker.more(self)
@@ -94,7 +94,7 @@
         self.streams += 1
         ask.line, ask.stream = self, self.streams
         self.open[self.streams] = ask
-        fields = frames.write_fields(
+        fields = frames.encode_fields(
             [
                 ("service", ask.group),
                 ("ref", ask.ref),
@@ -104,7 +104,7 @@
                 ("memory", f"{ask.claim:.0f}"),
             ]
         )
-        self.transport.write(frames.frame(frames.QUERY, self.streams, fields, statement_of(ask.task)))
+        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, self.streams, fields, statement_of(ask.task)))
 
 
 class LineFactory(ClientFactory):
--- a/lichenquay/load/null.py
+++ b/lichenquay/load/null.py
@@ -22,9 +22,9 @@
     def dataReceived(self, data):
         self.transport.write(
             b"".join(
-                frames.answer(stream, frames.FINISHED)
+                frames.encode_answer(stream, frames.AnswerCode.COMPLETED)
                 for kind, stream, _ in self.reader.feed(data)
-                if kind == frames.QUERY
+                if kind == frames.FrameType.QUERY
             )
         )
 
--- a/lichenquay/load/worker.py
+++ b/lichenquay/load/worker.py
@@ -175,7 +175,7 @@
         if ask.line.open.pop(ask.stream, None) is not None:
             ask.left = True
             ask.line.old[ask.stream] = ask
-            ask.line.transport.write(frames.frame(frames.LEFT, ask.stream))
+            ask.line.transport.write(frames.encode_frame(frames.FrameType.CANCEL, ask.stream))
 
     def more(self, line):
         waiting = self.waiting.get(line.address)
@@ -192,10 +192,10 @@
         us = max(1, min(MOST_US, int((now - ask.at_ms) * 1000)))
         self.latency["all"].record_value(us)
         self.latency[ask.group].record_value(us)
-        if ask.code == frames.FINISHED and self.job["rows"]:
+        if ask.code == frames.AnswerCode.COMPLETED and self.job["rows"]:
             body = bytes(frames.read_fields(payload[1:])[1])
             ask.odd = body.count(b"\n") != ask.task.rows or body.count(ask.ref.encode()) != ask.task.rows
-        if ask.code == frames.DEFERRED and ask.tries < self.job["repeats"] and not self.stopped:
+        if ask.code == frames.AnswerCode.REJECTED and ask.tries < self.job["repeats"] and not self.stopped:
             reactor.callLater(self.chance.uniform(0.02, 0.2), self.again, ask)
         if self.job["closed"]:
             self.pace(ask.line)
--- a/lichenquay/process.py
+++ b/lichenquay/process.py
@@ -1,39 +1,41 @@
-"""What a front and a control process do alike round their service: signals, start and exit code."""
+"""What a gateway and a control process do alike around their service: signals, start and exit code."""
 
 import signal
 import sys
+from collections.abc import Callable, Mapping
 
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
-def block_signals():
-    """From the program's first line on: what comes during its start waits for `hear_signals`.
+def block_signals() -> None:
+    """From the program's first line on: what comes during its start waits for `install_signal_handlers`.
 
-    Risk: a signal during a third of a second of imports ends the process without a word.
+    A signal during a third of a second of imports would end the process without an answer.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def hear_signals(reactor, calls):
-    """calls: {signal: call}, each in the reactor's turn. What came since the first line is heard now."""
-    for number, call in calls.items():
-        signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, calls)
+def install_signal_handlers(reactor, handlers: Mapping[int, Callable[[], None]]) -> None:
+    """Calls each signal's handler in a turn of the reactor; signals that were blocked come now."""
+    for number, handler in handlers.items():
+        signal.signal(number, lambda *_, handler=handler: reactor.callFromThread(handler))
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)
 
 
-def run(name, reactor, make, failure):
-    """Runs a service until it stops the reactor. The exit code: 1 where it could not start.
+def run_service(name: str, reactor, make_service: Callable, start_error: type[Exception]) -> int:
+    """Runs a service until it stops the reactor; returns the exit code, 1 where it could not start.
 
-    make() gives the service, or raises `failure`, as its start() does; tell() says its last lines.
+    make_service: makes the service, or raises `start_error`, as its `start` does. Its `log_counters` is
+    called last.
     """
     try:
-        service = make()
+        service = make_service()
         service.start()
-    except failure as why:
-        print(f"{name}: {why}", file=sys.stderr)
+    except start_error as error:
+        print(f"{name}: {error}", file=sys.stderr)
         return 1
     reactor.run()
-    for number in SIGNALS:  # risk: told once more to stop, it ends by the signal after all
+    for number in HANDLED_SIGNALS:  # one more signal to stop must not end it without its last lines
         signal.signal(number, signal.SIG_IGN)
-    service.tell()
+    service.log_counters()
     return 0
--- a/lichenquay/testbed/faulty_gateway.py
+++ b/lichenquay/testbed/faulty_gateway.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.protocol import ClientCreator, Factory, Protocol
 
-from lichenquay.gateway import frames, http
+from lichenquay.gateway import engine_protocol, frames, http
 
 FAULTS = (
     "none",
@@ -81,7 +81,7 @@
         while True:
             try:
                 reply = yield call(
-                    self.bulletin, http.request("GET", f"/bulletins?after={self.no}&patience=1000", "b")
+                    self.bulletin, http.encode_request("GET", f"/bulletins?after={self.no}&patience=1000", "b")
                 )
                 self.take(json.loads(reply.body))
             except Exception:
@@ -96,45 +96,45 @@
         return BadLine(self)
 
     @inlineCallbacks
-    def serve(self, line, stream, said, statement):
-        group = self.groups[said["group"]]
+    def serve(self, line, stream, request, statement):
+        group = self.groups[request.group]
         bad = self.turn % 10 == 5
         if bad and self.fault == "silent":
             self.turn += 1
             return
         if bad and self.fault == "makes up":
             self.turn += 1
-            return line.transport.write(frames.answer(stream, frames.FINISHED, b"1\ta\tb\n"))
+            return line.transport.write(frames.encode_answer(stream, frames.AnswerCode.COMPLETED, b"1\ta\tb\n"))
         address = self.pick()
         try:
             if bad and self.fault == "copies":
-                self.run(self.pick(), said, statement).addErrback(lambda _: None)
-            result = yield self.run(address, said, statement)
+                self.run(self.pick(), request, statement).addErrback(lambda _: None)
+            result = yield self.run(address, request, statement)
             if bad and self.fault == "runs twice" and group["effect"] == "unsafe":
-                result = yield self.run(self.pick(), said, statement)
+                result = yield self.run(self.pick(), request, statement)
         except Exception:
             result = None
         if bad and self.fault == "late":
             yield wait(group["deadline_us"] / 1e6 + 0.2)
         if result is None:
-            return line.transport.write(frames.answer(stream, frames.KILLED, b"no"))
+            return line.transport.write(frames.encode_answer(stream, frames.AnswerCode.FAILED, b"no"))
         if bad and self.fault == "rows":
             result = result[:-1] + b"x\n" + result[-8:]
-        answer = frames.answer(stream, frames.FINISHED, result)
+        answer = frames.encode_answer(stream, frames.AnswerCode.COMPLETED, result)
         if bad and self.fault == "strange":
-            answer += frames.answer(stream + 90_000, frames.FINISHED, result)
+            answer += frames.encode_answer(stream + 90_000, frames.AnswerCode.COMPLETED, result)
         line.transport.write(answer * (2 if bad and self.fault == "twice" else 1))
 
     @inlineCallbacks
-    def run(self, address, said, statement):
-        reply = yield call(address, http.start("e", said["ref"], said["group"], 4000, 0, None, statement))
+    def run(self, address, request, statement):
+        reply = yield call(address, engine_protocol.encode_start("e", request.request_id, request.group, 4000, 0, None, statement))
         while reply.status == 202:
-            reply = yield call(address, http.page("e", said["ref"], 0))
+            reply = yield call(address, engine_protocol.encode_page("e", request.request_id, 0))
         if reply.status != 200:
             return None
         pages = [reply.body]
-        for n in range(1, reply.whole("x-parts")):
-            page = yield call(address, http.page("e", said["ref"], n))
+        for n in range(1, engine_protocol.page_count(reply)):
+            page = yield call(address, engine_protocol.encode_page("e", request.request_id, n))
             pages.append(page.body)
         return b"".join(pages)
 
@@ -151,9 +151,9 @@
 
     def dataReceived(self, data):
         for kind, stream, payload in self.reader.feed(data):
-            if kind == frames.QUERY:
-                said, _, body = frames.read_query(bytes(payload))
-                self.front.serve(self, stream, said, bytes(body))
+            if kind == frames.FrameType.QUERY:
+                request = frames.read_query(bytes(payload))
+                self.front.serve(self, stream, request, bytes(request.statement))
 
 
 @click.command()
--- a/lichenquay/testbed/flood.py
+++ b/lichenquay/testbed/flood.py
@@ -40,7 +40,7 @@
         self.flood.asked += 1
         ref = f"f{self.flood.number:03x}{self.flood.asked:012x}"
         task = Task(ref, "report", 400.0, 64.0, 2, 3, str(1 + self.flood.asked % 40))
-        fields = frames.write_fields(
+        fields = frames.encode_fields(
             [
                 ("service", "report"),
                 ("ref", ref),
@@ -50,14 +50,14 @@
                 ("memory", "64"),
             ]
         )
-        self.transport.write(frames.frame(frames.QUERY, self.stream, fields, statement_of(task)))
+        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, statement_of(task)))
 
     def dataReceived(self, data):
         for kind, stream, payload in self.reader.feed(data):
-            if kind == frames.ANSWER and stream == 0:
+            if kind == frames.FrameType.ANSWER and stream == 0:
                 self.told = True
                 self.flood.refused.append((time.monotonic() - self.begun_s) * 1000)
-            elif kind == frames.ANSWER:
+            elif kind == frames.FrameType.ANSWER:
                 self.flood.count[f"code {payload[0]}"] += 1
                 self.ask()
 
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -49,7 +49,7 @@
     def one(self, name, number, at):
         ref = f"d{number:015x}"
         task = Task(ref, "manifest", 30.0, 16.0, 1, 1, str(1 + number % 40))
-        fields = frames.write_fields(
+        fields = frames.encode_fields(
             [
                 ("service", "manifest"),
                 ("ref", ref),
@@ -65,14 +65,14 @@
                 line.settimeout(ALLOWED_MS / 1000 + 1)
                 line.bind((self.source % (2 + number % 200), 0))
                 line.connect(self.address)
-                line.sendall(frames.frame(frames.QUERY, 1, fields, statement_of(task)))
+                line.sendall(frames.encode_frame(frames.FrameType.QUERY, 1, fields, statement_of(task)))
                 sent, reader = time.monotonic(), frames.FrameReader()
                 while not answers:
                     data = line.recv(65536)
                     if not data:
                         break
                     for kind, stream, payload in reader.feed(data):
-                        if kind == frames.ANSWER and stream == 1:
+                        if kind == frames.FrameType.ANSWER and stream == 1:
                             answers, code = answers + 1, payload[0]
                             body = bytes(frames.read_fields(payload[1:])[1])
         except OSError:
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -47,11 +47,11 @@
         self.life = record.Life(settings.name, boot_ms())
         self.gate, self.controller = None, controller
 
-    def put_gate(self, gate):
+    def apply_connection_rules(self, gate):
         """The gate that is in force, where a front's own would be put."""
         self.gate = gate
 
-    def put_engines(self, whole, rows):
+    def apply_endpoints(self, whole, rows):
         """The engines that are in force go to the controller, where there is one."""
         if self.controller is not None:
             self.controller.take(whole, rows)
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -1,4 +1,4 @@
-"""A controller in a hollow front: production's `Admit` and controller over the distributed engines, with a
+"""A controller in a hollow front: production's `ControllerAdapter` and controller over the distributed engines, with a
 trickle of queries whose engines answer by themselves.
 
 No query leaves the process: what the controller submits is answered after its work's time, as by an idle
@@ -14,20 +14,20 @@
 from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.gateway import frames
-from lichenquay.gateway.controller_adapter import Admit, FrontQuery
+from lichenquay.gateway.controller_adapter import ControllerAdapter, GatewayQuery
 from lichenquay.testbed.world import settings_of
 
 WORK_MS = 20.0  # Of every query.
 ASKED, OPEN, FAULTS = "queries asked", "queries open", "faults"
 ANSWERS = {
-    frames.FINISHED: "queries finished",
-    frames.DEFERRED: "queries deferred",
-    frames.KILLED: "queries killed",
+    frames.AnswerCode.COMPLETED: "queries finished",
+    frames.AnswerCode.REJECTED: "queries deferred",
+    frames.AnswerCode.FAILED: "queries killed",
 }
 
 
 class Metrics:
-    """What the front's metrics are to `Admit`."""
+    """What the front's metrics are to `ControllerAdapter`."""
 
     def __init__(self):
         """Nothing counted."""
@@ -40,53 +40,53 @@
 
 @dataclass(eq=False)
 class Flight:
-    """An attempt on its way, as `Admit` takes it back."""
+    """An attempt on its way, as `ControllerAdapter` takes it back."""
 
     attempt: domain.Attempt
-    query: FrontQuery
+    query: GatewayQuery
     timer: object = None
 
 
-class InstantRoute:
+class InstantRouter:
     """Engines that are never busy: each attempt is finished after its query's work."""
 
     def __init__(self, reactor):
-        """`admit` is set by its owner."""
-        self.reactor, self.admit = reactor, None
+        """`adapter` is set by its owner."""
+        self.reactor, self.adapter = reactor, None
 
-    def down(self, attempt, patience_ms):
+    def start(self, attempt, timeout_ms):
         """Takes an attempt."""
         flight = Flight(attempt, attempt.query)
         flight.timer = self.reactor.callLater(WORK_MS / 1000, self._finish, flight)
         return flight
 
-    def give_up(self, flight):
+    def cancel(self, flight):
         """It is cancelled, if it is still out."""
         if flight.timer.active():
             flight.timer.cancel()
-            self.admit.back(flight, domain.Outcome.CANCELLED, None, None, [])
+            self.adapter.attempt_ended(flight, domain.Outcome.CANCELLED, None, None, [])
 
-    def rerank(self, flight, priority):
+    def set_priority(self, flight, priority):
         """Engines that are never busy have no use for a priority."""
 
     def _finish(self, flight):
-        self.admit.back(flight, domain.Outcome.COMPLETED, None, None, [])
+        self.adapter.attempt_ended(flight, domain.Outcome.COMPLETED, None, None, [])
 
 
-class Queries(Admit):
-    """`Admit` without clients: an answer is counted."""
+class Queries(ControllerAdapter):
+    """`ControllerAdapter` without clients: an answer is counted."""
 
     def __init__(self, opening, reactor, log):
         """Nobody asks yet."""
         super().__init__(opening, reactor, None, boot_ms, Metrics(), log)
-        self.route = InstantRoute(reactor)
-        self.route.admit = self
+        self.router = InstantRouter(reactor)
+        self.router.adapter = self
 
     def answer(self, q, code, body):
         """By its code; once for each query."""
         if not q.is_done:
             q.is_done = True
-            self.open.discard(q)
+            self.open_queries.discard(q)
             self.metrics.count(ANSWERS[code])
 
 
@@ -111,19 +111,19 @@
         """Engines of the list: all there are, or those that changed."""
         if whole:
             self.engines = {}
-        self.queries.listed([self._engine(row) for row in rows], whole)
+        self.queries.endpoints_updated([self._engine(row) for row in rows], whole)
 
     def counts(self) -> dict[str, int]:
-        """Queries by what became of them, and faults of the controller that `Admit` caught."""
+        """Queries by what became of them, and faults of the controller that `ControllerAdapter` caught."""
         counts = {what: self.queries.metrics.counts[what] for what in (*ANSWERS.values(), FAULTS)}
-        return {ASKED: self.asked, OPEN: len(self.queries.open), **counts}
+        return {ASKED: self.asked, OPEN: len(self.queries.open_queries), **counts}
 
     def close(self) -> None:
         """Asks nothing more."""
         if self.timer.active():
             self.timer.cancel()
-        if self.queries.next is not None and self.queries.next.active():
-            self.queries.next.cancel()
+        if self.queries.next_turn is not None and self.queries.next_turn.active():
+            self.queries.next_turn.cancel()
 
     def _engine(self, row):
         engine = self.engines.setdefault(row.uid, domain.Engine(row.uid))
@@ -135,7 +135,7 @@
     def _ask(self):
         group = self.rng.choice(self.groups)
         now_ms = boot_ms()
-        query = FrontQuery(0, group, now_ms, now_ms + group.queue_timeout_ms, estimated_work_ms=WORK_MS)
+        query = GatewayQuery(0, group, now_ms, now_ms + group.queue_timeout_ms, estimated_work_ms=WORK_MS)
         self.asked += 1
-        self.queries.take(query)
+        self.queries.query_received(query)
         self.timer = self.reactor.callLater(1 / self.per_s, self._ask)
--- a/lichenquay/testbed/scale/probes/discovery.py
+++ b/lichenquay/testbed/scale/probes/discovery.py
@@ -7,8 +7,8 @@
 from twisted.internet.testing import StringTransport
 
 from lichenquay.gateway.discovery import Discovery, DiscoveryConnection
-from lichenquay.gateway.engine_pool import FrontEngine
-from lichenquay.gateway.http import BadReply, ReplyReader
+from lichenquay.gateway.engine_pool import GatewayEngine
+from lichenquay.gateway.http import ReplyError, ReplyReader
 from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms, state_bytes
 
 RUNS = 3
@@ -52,7 +52,7 @@
     def follow() -> None:
         rows.clear()
         following = Discovery({"no": 0, "items": []}, lambda whole, told: rows.append(told), lambda *_: None)
-        following.heard(json.loads(body))
+        following.on_answer(json.loads(body))
 
     for _ in range(RUNS):
         times.append(processor_ms(follow))
@@ -66,19 +66,19 @@
     ]
 
 
-def engines_of(rows: list[tuple]) -> dict[str, FrontEngine]:
+def engines_of(rows: list[tuple]) -> dict[str, GatewayEngine]:
     """The engines as a front's service keeps them, with connections to none of them."""
     return {
-        uid: FrontEngine(uid, place, kind, cell, state, units, started, address=address)
+        uid: GatewayEngine(uid, place, kind, cell, state, units, started, address=address)
         for uid, address, place, kind, cell, state, units, started in rows
     }
 
 
 def accepted(body: bytes) -> bool:
-    """Whether the front's reader takes an answer of this length (http.MOST_BODY)."""
+    """Whether the front's reader takes an answer of this length (http.MAX_BODY_BYTES)."""
     try:
         reply = ReplyReader().feed(HEAD % len(body) + body)
-    except BadReply:
+    except ReplyError:
         return False
     return reply is not None and len(reply.body) == len(body)
 
@@ -90,7 +90,7 @@
         """A list that was told already."""
         self.reactor, self.host, self.stopped = clock, "127.0.0.1:80", False
         self.discovery = Discovery({"no": 1, "items": []}, lambda *_: None, lambda *_: None)
-        self.discovery.heard({"no": 1, "items": []})
+        self.discovery.on_answer({"no": 1, "items": []})
 
 
 def idle(size: int) -> list[Sample]:
@@ -106,7 +106,7 @@
         asked = transport.value()
         transport.clear()
         calls, sent = calls + asked.count(b"GET "), sent + len(asked)
-        clock.advance(connection.patience_ms / 1_000)
+        clock.advance(connection.poll_wait_ms / 1_000)
         connection.dataReceived(answer)
     connection.stop_timer()
     return [
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -5,7 +5,7 @@
 
 from lichenquay.config.fleet_settings import MOST_FRONTS
 from lichenquay.fleet.quota_part import MOST_STATE
-from lichenquay.gateway.http import MOST_BODY
+from lichenquay.gateway.http import MAX_BODY_BYTES
 from lichenquay.testbed.scale import plan
 
 NONE_TODAY = "none today"
@@ -214,7 +214,7 @@
         E,
         lambda at: at("discovery.body", E),
         "bytes",
-        float(MOST_BODY),
+        float(MAX_BODY_BYTES),
         LIST_ADDRESS,
     ),
     Row(
--- a/tests/crossings/hooks.py
+++ b/tests/crossings/hooks.py
@@ -79,7 +79,7 @@
         ("effort", "20.0"),
         ("memory", "96"),
     ]
-    return frames.frame(frames.QUERY, stream, frames.write_fields(fields), statement)
+    return frames.encode_frame(frames.FrameType.QUERY, stream, frames.encode_fields(fields), statement)
 
 
 def told(w, what):
@@ -90,8 +90,8 @@
 def over(w, seconds=5.0):
     """All that was taken has ended, and nothing is held for it any more."""
     service = w.service
-    until(lambda: not service.admit.open and not service.metrics.out and not service.engines.waiting, seconds)
-    assert not service.metrics.counters["faults"] and not service.clients.refs
+    until(lambda: not service.adapter.open_queries and not service.attempts.in_flight_count and not service.engines.waiting_calls, seconds)
+    assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
 
 
 def stays(w, seconds=0.25):
@@ -110,10 +110,10 @@
 def is_ready(port):
     """What a front says of itself; it may have to be asked again."""
     client = PlainClient(port)
-    client.socket.sendall(frames.frame(frames.IS_READY, 1, b"\0"))
+    client.socket.sendall(frames.encode_frame(frames.FrameType.READINESS_CHECK, 1, b"\0"))
     until(lambda: client.read() or client.ended)
     client.socket.close()
     return any(
-        kind == frames.READINESS and payload[0] == 0
+        kind == frames.FrameType.READINESS and payload[0] == 0
         for kind, _, payload in frames.FrameReader().feed(client.got)
     )
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -8,8 +8,7 @@
 from hooks import PlainClient, over, query_frame, stays, told
 from loopback import until, wait
 
-from lichenquay.gateway import client_connection, frames
-from lichenquay.gateway import request_intake as take_in
+from lichenquay.gateway import client_connection, frames, request_intake
 
 BIG = b"x" * 40_000
 
@@ -22,7 +21,7 @@
     return {
         stream: (payload[0], bytes(payload[2:]))
         for kind, stream, payload in frames.FrameReader().feed(client.read())
-        if kind == frames.ANSWER
+        if kind == frames.FrameType.ANSWER
     }
 
 
@@ -37,10 +36,10 @@
     line = line_of(w)
     line.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     q = []
-    w.service.route.send.down = lambda flight, call: q.append(flight)  # nothing goes out: the test answers
+    w.service.router.dispatcher.dispatch = lambda flight, call: q.append(flight)  # nothing goes out: the test answers
     ask(client, stream, **more)
     until(lambda: q)
-    w.service.admit.answer(q[0].query, frames.FINISHED, [BIG])
+    w.service.adapter.answer(q[0].query, frames.AnswerCode.COMPLETED, [BIG])
     return client, line
 
 
@@ -51,11 +50,11 @@
     client = PlainClient(w.port)
     line = line_of(w)
     ask(client, 1)
-    until(lambda: told(w, "answers finished") == 1)  # nobody has read it
-    client.socket.sendall(frames.frame(frames.QUERY, 2)[:7])  # these lie unread when the front closes
+    until(lambda: told(w, "answers completed") == 1)  # nobody has read it
+    client.socket.sendall(frames.encode_frame(frames.FrameType.QUERY, 2)[:7])  # these lie unread when the front closes
     line.close()
     until(lambda: client.read() and client.ended)
-    assert client.ended == "end" and answers(client)[1] == (frames.FINISHED, RESULT)
+    assert client.ended == "end" and answers(client)[1] == (frames.AnswerCode.COMPLETED, RESULT)
     client.socket.close()
     until(lambda: not w.service.clients.connections, 1)
     assert w.posts() == 1
@@ -67,14 +66,14 @@
     client = PlainClient(w.port)
     line = line_of(w)
     ask(client, 1)
-    until(lambda: told(w, "answers finished") == 1)
-    line.tell_no_more()
+    until(lambda: told(w, "answers completed") == 1)
+    line.send_go_away()
     line.close()
     ask(client, 2)
     until(lambda: client.read() and client.ended)
     assert client.ended == "end" and list(answers(client)) == [1]
     stays(w)
-    assert told(w, "queries taken in") == 1
+    assert told(w, "queries received") == 1
 
 
 @pytest.mark.parametrize("rests", [True, False])
@@ -101,9 +100,9 @@
     line.close()
     wait(2 * client_connection.CLOSE_S)
     until(lambda: client.read() and client.ended)
-    assert client.ended == "end" and answers(client)[1] == (frames.FINISHED, BIG)
+    assert client.ended == "end" and answers(client)[1] == (frames.AnswerCode.COMPLETED, BIG)
     until(lambda: not w.service.clients.connections)
-    assert w.service.clients.held == 0
+    assert w.service.clients.held_bytes == 0
 
 
 def test_a_client_that_never_reads_is_held_no_longer_than_its_query(world):
@@ -112,18 +111,18 @@
     line.close()
     until(lambda: not w.service.clients.connections, 0.9 + 2 * client_connection.CLOSE_S)
     client.socket.close()
-    assert w.service.clients.held == 0
+    assert w.service.clients.held_bytes == 0
 
 
 def test_a_bad_frame_before_a_slow_reader_has_its_answer(world):
     w = world(engines=1)
     client, line = slow(w)
     client.socket.sendall(b"\0\0\0\0" + b"y" * 500)
-    until(lambda: line.bad)
+    until(lambda: line.is_rejecting_input)
     wait(2 * client_connection.CLOSE_S)
     until(lambda: client.read() and client.ended)
     got = answers(client)
-    assert client.ended == "end" and got[1] == (frames.FINISHED, BIG) and got[0][0] == frames.KILLED
+    assert client.ended == "end" and got[1] == (frames.AnswerCode.COMPLETED, BIG) and got[0][0] == frames.AnswerCode.FAILED
 
 
 @pytest.mark.parametrize("leaves", ["end", "reset"])
@@ -144,7 +143,7 @@
     except TimeoutError:
         pass  # more than the machine takes: the end comes behind what it took
     client.socket.close() if leaves == "end" else client.reset()
-    until(lambda: told(w, "queries left by their clients") == 1, 1)
+    until(lambda: told(w, "queries cancelled by their clients") == 1, 1)
     until(lambda: w.engines[0].deletes, 1)
     assert line not in w.service.clients.connections
     over(w)
@@ -159,7 +158,7 @@
     ask(client, 1, "report", allow=4000)
     until(lambda: w.posts() == 1)
     client.socket.shutdown(socket.SHUT_WR)
-    until(lambda: told(w, "queries left by their clients") == 1, 0.5)
+    until(lambda: told(w, "queries cancelled by their clients") == 1, 0.5)
     until(lambda: w.engines[0].deletes)
     over(w)
     client.socket.close()
@@ -170,12 +169,12 @@
     the same."""
     w = world(engines=1)
     client, line = slow(w)
-    line.put(frames.answer(0, 0, BIG))
-    line.put(frames.answer(0, 0, BIG))
-    assert line.stuck
+    line.write(frames.encode_answer(0, 0, BIG))
+    line.write(frames.encode_answer(0, 0, BIG))
+    assert line.is_backlogged
     client.socket.close()
     until(lambda: not w.service.clients.connections, 1)
-    assert w.service.clients.held == 0
+    assert w.service.clients.held_bytes == 0
 
 
 @pytest.mark.parametrize("after", [0, 2])
@@ -184,26 +183,26 @@
     more requests."""
     w = world(engines=1)
     client, line = slow(w)
-    w.service.route.send.down = type(w.service.send).down.__get__(w.service.send)
+    w.service.router.dispatcher.dispatch = type(w.service.dispatcher).dispatch.__get__(w.service.dispatcher)
     w.engines[0].ways = ["hold"] * 3
     ask(client, 5, "report", allow=4000)
     until(lambda: w.posts() == 1)
     for _ in range(2):
-        line.put(frames.answer(0, 0, BIG))
-    assert line.stuck
+        line.write(frames.encode_answer(0, 0, BIG))
+    assert line.is_backlogged
     for stream in range(6, 6 + after):
         ask(client, stream, "report", allow=4000)
-    client.socket.sendall(frames.frame(frames.LEFT, 5))
-    until(lambda: told(w, "queries left by their clients") == 1, 0.1)
+    client.socket.sendall(frames.encode_frame(frames.FrameType.CANCEL, 5))
+    until(lambda: told(w, "queries cancelled by their clients") == 1, 0.1)
     until(lambda: w.engines[0].deletes)
-    assert w.posts() == 1 and len(line.kept) == after
+    assert w.posts() == 1 and len(line.held_requests) == after
     w.engines[0].ways = []
     until(
         lambda: {6, 7} <= set(answers(client)) if after else True, 5
     )  # once it reads, what was kept is taken in
     client.socket.close()
     over(w)
-    until(lambda: w.service.clients.held == 0)
+    until(lambda: w.service.clients.held_bytes == 0)
 
 
 def test_half_a_frame_as_the_connection_closes(world):
@@ -211,13 +210,13 @@
     client = PlainClient(w.port)
     line = line_of(w)
     client.socket.sendall((200).to_bytes(4, "little") + b"\2\1\0")
-    until(lambda: w.service.clients.held)
+    until(lambda: w.service.clients.held_bytes)
     line.close()
     client.socket.sendall(b"\0" * 50)
     until(lambda: client.read() or client.ended)
     client.socket.close()
     until(lambda: not w.service.clients.connections)
-    assert w.service.clients.held == 0 and told(w, "queries taken in") == 0
+    assert w.service.clients.held_bytes == 0 and told(w, "queries received") == 0
 
 
 def test_refusals_for_want_of_room_end_no_connection(world, monkeypatch):
@@ -226,9 +225,9 @@
     w = world(engines=1)
     c = w.client()
     with monkeypatch.context() as now:
-        now.setattr(take_in, "MOST_OPEN", 0)
-        assert [answered(c, c.ask())[0] for _ in range(client_connection.MOST_SENSELESS + 2)] == [
-            frames.DEFERRED
+        now.setattr(request_intake, "MAX_OPEN_QUERIES", 0)
+        assert [answered(c, c.ask())[0] for _ in range(client_connection.MAX_INVALID_REQUESTS + 2)] == [
+            frames.AnswerCode.REJECTED
         ] * 18
-    assert answered(c, c.ask())[0] == frames.FINISHED and 0 not in c.answers and not c.closed
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and 0 not in c.answers and not c.closed
     over(w)
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -20,7 +20,7 @@
 
 def test_a_front_without_its_bulletin_is_ready_by_its_last_list(world, monkeypatch):
     """Risk: it serves by that list when all counts as told, and says that it is not ready: it is never taken in."""
-    monkeypatch.setattr(service, "TOLD_MS", 400.0)
+    monkeypatch.setattr(service, "ENDPOINTS_TOLD_WITHIN_MS", 400.0)
     w = world(engines=1, start=False)
     w.bulletin.mute = True
     w.start()
@@ -28,13 +28,13 @@
     assert not w.service.is_ready()
     until(w.service.is_ready, 0.5)
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED and not w.service.discovery.answered
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and not w.service.discovery.is_confirmed
     w.bulletin.mute = False
     w.tell(w.engines[0], "DRAINING")
     for line in list(w.bulletin.lines):
         line.transport.abortConnection()
-    until(lambda: w.service.discovery.no == 2)
-    assert answered(c, c.ask(allow=300))[0] != frames.FINISHED
+    until(lambda: w.service.discovery.last_number == 2)
+    assert answered(c, c.ask(allow=300))[0] != frames.AnswerCode.COMPLETED
     over(w)
 
 
@@ -60,10 +60,10 @@
     w.tell(w.engines[0], "DRAINING")
     wait(0.3)
     b.heard = heard
-    until(lambda: w.service.discovery.no == 2, TOLD_AGAIN_S)
+    until(lambda: w.service.discovery.last_number == 2, TOLD_AGAIN_S)
     assert time.monotonic() - told < TOLD_AGAIN_S
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED and not w.engines[0].posts
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and not w.engines[0].posts
 
 
 def test_an_old_bulletin_tells_nothing_after_the_new_one_is_named(world):
@@ -73,14 +73,14 @@
     new.events = list(old.events)
     w.path.write_text(json.dumps({**w.config, "bulletin": new.address}))
     line = next(iter(old.lines))
-    w.service.read_again()
+    w.service.reload()
     old.events.append({"no": 2, "roster": {"rev": 2, "all": True, "targets": []}})
     line.answer(200, (), old.told(1))
     until(lambda: new.calls > 0)
     wait(0.1)
-    assert w.service.discovery.no == 1 and len(w.service.by_uid) == 2
+    assert w.service.discovery.last_number == 1 and len(w.service.engines_by_id) == 2
     new.add(w.engines[0].row("DRAINING"))
-    until(lambda: w.service.discovery.no == 2)
+    until(lambda: w.service.discovery.last_number == 2)
     w.bulletin = new
     old.port.stopListening()
     for line in list(old.lines):
@@ -94,13 +94,13 @@
     new.events = list(old.events)
     w.path.write_text(json.dumps({**w.config, "bulletin": new.address}))
     w.service.leave()
-    w.service.read_again()
+    w.service.reload()
     until(lambda: new.calls > 0, 1)
     w.bulletin = new
     w.tell(w.engines[0], "DRAINING")
-    until(lambda: w.service.discovery.no == 2, 1)
+    until(lambda: w.service.discovery.last_number == 2, 1)
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED and not w.engines[0].posts
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and not w.engines[0].posts
     until(lambda: w.ended)
     old.port.stopListening()
 
@@ -158,7 +158,7 @@
     until(lambda: w.bulletin.calls > 0, 2)
     until(lambda: is_ready(w.port), 2)
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED and not w.engines[0].posts
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and not w.engines[0].posts
     run.terminate()
     until(lambda: run.poll() is not None, 5)
     said = run.stderr.read()
@@ -177,7 +177,7 @@
     until(lambda: is_ready(w.port), 10)
     assert 7.0 < time.monotonic() - began < 9.0
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 def connects(port):
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -15,6 +15,7 @@
 from ports import listening_port
 
 from lichenquay.gateway import frames, service
+from lichenquay.gateway.service import ServicePhase
 
 
 def with_deadlines(world, ms, **more):
@@ -24,7 +25,7 @@
     w = world(start=False, **more)
     w.path.write_text(json.dumps({**w.config, "settings": settings}))
     w.start()
-    until(lambda: w.service.discovery.answered)
+    until(lambda: w.service.discovery.is_confirmed)
     return w
 
 
@@ -32,7 +33,7 @@
     return {
         stream: payload[0]
         for kind, stream, payload in frames.FrameReader().feed(client.read())
-        if kind == frames.ANSWER
+        if kind == frames.FrameType.ANSWER
     }
 
 
@@ -40,15 +41,15 @@
 def test_what_waits_to_be_accepted_as_the_door_closes_is_answered(world, monkeypatch, waiting):
     """PROTOCOL: a request is taken once its last byte is written to a connection that the machine accepted.
     Risk: closing the door resets what nobody here has accepted yet."""
-    monkeypatch.setattr(service, "LISTEN_ON_MS", 60.0)
+    monkeypatch.setattr(service, "ACCEPT_AFTER_SIGTERM_MS", 60.0)
     w = world(engines=2)
-    w.service.clients.port.pauseProducing()  # this front's turn does not come
+    w.service.clients.listener.port.pauseProducing()  # this front's turn does not come
     crowd = [PlainClient(w.port) for _ in range(waiting)]
     for i, client in enumerate(crowd):
         client.socket.sendall(query_frame(1, ref=f"{i + 1:016x}"))
     w.service.leave()
     until(lambda: all(client.read() and client.ended for client in crowd), 4)
-    assert [answers(client).get(1) for client in crowd] == [frames.FINISHED] * waiting
+    assert [answers(client).get(1) for client in crowd] == [frames.AnswerCode.COMPLETED] * waiting
     until(lambda: w.ended)
 
 
@@ -63,7 +64,7 @@
     w.engines[0].ways, w.engines[0].mute = ["hold"] * 50, mute
     begun, open_ = time.monotonic(), PlainClient(w.port)
     open_.socket.sendall(query_frame(1, "report", deadline_ms))
-    until(lambda: told(w, "queries taken in") == 1)
+    until(lambda: told(w, "queries received") == 1)
     w.service.leave()
     until(lambda: time.monotonic() > begun + at_ms / 1000 or w.ended, 5)
     if not w.ended and open_.ended is None:
@@ -74,7 +75,7 @@
     assert (time.monotonic() - begun) * 1000 < killed_ms + 50
     wait(0.05)
     got = answers(open_)
-    assert 1 in got and told(w, "queries taken in") == len(got) and not w.service.admit.open
+    assert 1 in got and told(w, "queries received") == len(got) and not w.service.adapter.open_queries
     open_.socket.close()
 
 
@@ -84,7 +85,7 @@
     w.engines[0].mute = True
     c, begun = w.client(), time.monotonic()
     c.ask("report", allow=600)
-    until(lambda: told(w, "queries taken in") == 1)
+    until(lambda: told(w, "queries received") == 1)
     w.service.leave()
     while not w.ended and time.monotonic() < begun + 3:
         if not c.closed and len(c.answers) > c.streams - 5:
@@ -92,7 +93,7 @@
         wait(0.005)
     assert w.ended and time.monotonic() - begun < 1.3
     wait(0.05)
-    assert told(w, "queries taken in") == len([s for s in c.answers if s]) and not w.service.admit.open
+    assert told(w, "queries received") == len([s for s in c.answers if s]) and not w.service.adapter.open_queries
 
 
 def test_a_second_stop_and_a_new_configuration_meanwhile_change_nothing(world):
@@ -102,18 +103,18 @@
     stream = c.ask("report", ref="00000000000000aa", allow=4000)
     until(lambda: w.posts() == 1)
     w.service.leave()
-    killed = w.service.killed_ms
+    killed = w.service.sigkill_expected_ms
     for _ in range(3):
         wait(0.02)
         w.service.leave()
-        w.service.read_again()
-    assert w.service.killed_ms == killed and w.service.state == "leaving"
+        w.service.reload()
+    assert w.service.sigkill_expected_ms == killed and w.service.phase == ServicePhase.LEAVING
     w.engines[0].runs["00000000000000aa"] = "ok"
-    assert answered(c, stream) == (frames.FINISHED, RESULT)
+    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
     until(lambda: w.ended)
     w.service.leave()
-    w.service.read_again()  # between its last look and the end
-    assert w.service.state == "ended"
+    w.service.reload()  # between its last look and the end
+    assert w.service.phase == ServicePhase.ENDED
 
 
 @pytest.mark.parametrize(
@@ -151,7 +152,7 @@
     run.stderr.close()
     assert run.returncode == 0 and "Traceback" not in said
     until(lambda: c.closed)
-    assert [c.answers[s][0] for s in streams] == [frames.FINISHED] * len(streams)
+    assert [c.answers[s][0] for s in streams] == [frames.AnswerCode.COMPLETED] * len(streams)
 
 
 STEPS = """
@@ -204,10 +205,10 @@
         wait(HELD_S)
         assert stream not in c.answers
         engine.ways, engine.runs[ref] = [], "ok"  # also where it is on its way there once more
-        assert answered(c, stream, 1) == (frames.FINISHED, RESULT) and time.monotonic() - asked < 3
+        assert answered(c, stream, 1) == (frames.AnswerCode.COMPLETED, RESULT) and time.monotonic() - asked < 3
         engine.ways = list(HOLDS)
         late = c.ask("status", allow=400)
-        assert answered(c, late, 1)[0] in (frames.KILLED, frames.DEFERRED)
+        assert answered(c, late, 1)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
         run.terminate()
         until(lambda: run.poll() is not None, 5)
         assert run.returncode == 0 and "Traceback" not in run.stderr.read()
@@ -227,7 +228,7 @@
         sign.touch()
         wait(0.7)
         assert stream not in c.answers and not idle.closed
-        assert answered(c, stream, 2)[0] in (frames.KILLED, frames.DEFERRED)
+        assert answered(c, stream, 2)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
         assert time.monotonic() - asked < 2 and not idle.closed
 
 
@@ -237,6 +238,6 @@
     real = time.time
     monkeypatch.setattr(service.time, "time", lambda: real() - 3600)
     w.bulletin.add({**w.engines[0].row(), "boot_ms": (real() - 3600) * 1000})
-    until(lambda: w.service.discovery.no == 2)
-    (seen,) = w.service.admit.controller.fleet.values()
-    assert w.service.admit.controller.guards.warmth(seen.engine, w.service.admit.clock_ms()) < 0.35
+    until(lambda: w.service.discovery.last_number == 2)
+    (seen,) = w.service.adapter.controller.fleet.values()
+    assert w.service.adapter.controller.guards.warmth(seen.engine, w.service.adapter.clock_ms()) < 0.35
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -10,14 +10,14 @@
 from lichenquay.gateway import frames
 
 GONE = {"cancel", "end", "reset"}
-DONE = {frames.FINISHED, frames.DEFERRED, frames.KILLED}
+DONE = {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED}
 
 
 class Case:
     """A query in a state. `go_on` takes away what keeps it there."""
 
     def __init__(self, w, group):
-        self.w, self.group, self.service, self.admit = w, group, w.service, w.service.admit
+        self.w, self.group, self.service, self.adapter = w, group, w.service, w.service.adapter
         self.client, self.go_on, self.ref = w.client(), lambda: None, "00000000000000fe"
 
     def ask(self, **more):
@@ -29,21 +29,21 @@
     # states
 
     def read(self):
-        self.admit.step_ms, self.admit.turned_ms = 400.0, self.admit.clock_ms()
+        self.adapter.min_turn_ms, self.adapter.last_turn_ms = 400.0, self.adapter.clock_ms()
         self.ask()
-        until(lambda: told(self.w, "queries taken in") == 1)
+        until(lambda: told(self.w, "queries received") == 1)
 
         def go_on():
-            self.admit.step_ms = 5.0
-            self.admit.poke(0.0)
+            self.adapter.min_turn_ms = 5.0
+            self.adapter.schedule_turn(0.0)
 
         self.go_on = go_on
 
     def held(self):
-        self.admit.list_doubted(2000.0)
+        self.adapter.endpoints_stale(2000.0)
         self.ask()
-        until(lambda: any(self.admit.controller.slots.waiting.values()))
-        self.go_on = self.admit.list_confirmed
+        until(lambda: any(self.adapter.controller.slots.waiting.values()))
+        self.go_on = self.adapter.endpoints_confirmed
 
     def connecting(self):
         connects = HeldConnects(self.w)
@@ -52,14 +52,14 @@
         self.go_on = connects.go_on
 
     def descriptor(self):
-        engines, budget = self.service.engines, self.service.engines.budget
-        engines.budget = 0
+        engines, budget = self.service.engines, self.service.engines.descriptor_budget
+        engines.descriptor_budget = 0
         self.ask()
-        until(lambda: engines.waiting)
+        until(lambda: engines.waiting_calls)
 
         def go_on():
-            engines.budget = budget
-            engines.serve()
+            engines.descriptor_budget = budget
+            engines.send_waiting()
 
         self.go_on = go_on
 
@@ -101,9 +101,9 @@
 
     def given_up(self):
         self.known()
-        (q,) = self.admit.open
+        (q,) = self.adapter.open_queries
         self.engine().mute = True
-        self.admit.give_up(q)
+        self.adapter.evict(q)
         until(lambda: self.stream in self.client.answers)
         self.go_on = lambda: setattr(self.engine(), "mute", False)
 
@@ -118,7 +118,7 @@
         self.after = lambda: answered(self.client, second)[0] in DONE
 
     def cancel(self):
-        self.client.transport.write(frames.frame(frames.LEFT, self.stream))
+        self.client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, self.stream))
 
     def end(self):
         self.client.transport.loseConnection()
@@ -141,11 +141,11 @@
 
     def drains(self):
         self.w.tell(self.engine(), "DRAINING")
-        until(lambda: self.service.discovery.no == 2)
+        until(lambda: self.service.discovery.last_number == 2)
 
     def gone_from_list(self):
         self.w.tell(self.engine(), "DELETED")
-        until(lambda: self.service.discovery.no == 2)
+        until(lambda: self.service.discovery.last_number == 2)
 
     def broken(self):
         for e in self.w.engines:
@@ -161,15 +161,15 @@
         self.service.leave()
 
     def hangs_up(self):
-        self.service.read_again()
+        self.service.reload()
 
     def no_descriptor(self):
-        engines, budget, go_on = self.service.engines, self.service.engines.budget, self.go_on
-        engines.budget = 0
+        engines, budget, go_on = self.service.engines, self.service.engines.descriptor_budget, self.go_on
+        engines.descriptor_budget = 0
 
         def go_on_then():
-            engines.budget = budget
-            engines.serve()
+            engines.descriptor_budget = budget
+            engines.send_waiting()
             go_on()
 
         self.go_on = go_on_then
@@ -206,7 +206,7 @@
     had = case.stream in case.client.answers
     getattr(case, event)()
     if event in GONE and not had:
-        until(lambda: told(w, "queries left by their clients") == 1, 1.0)
+        until(lambda: told(w, "queries cancelled by their clients") == 1, 1.0)
     posts = w.posts() + sum(
         call[1] == "POST" for e in w.engines for call in e.held
     )  # those written, read or not
@@ -225,12 +225,12 @@
             and event in ("broken", "half_answer")
             or event in ("broken", "half_answer", "gone_from_list")
         )
-        assert code == frames.FINISHED or ends_it and code in DONE, code
+        assert code == frames.AnswerCode.COMPLETED or ends_it and code in DONE, code
         assert case.after()
     service = w.service
-    until(lambda: not service.admit.open and not service.metrics.out and not service.engines.waiting, 5)
+    until(lambda: not service.adapter.open_queries and not service.attempts.in_flight_count and not service.engines.waiting_calls, 5)
     wait(0.05)
-    assert not service.metrics.counters["faults"] and not service.clients.refs
-    assert all(not line.unsent for line in service.clients.connections) and service.clients.held == 0
+    assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
+    assert all(not line.unsent_bytes for line in service.clients.connections) and service.clients.held_bytes == 0
     if event == "stops":
         until(lambda: w.ended, 4.5)
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -8,7 +8,8 @@
 from loopback import until
 
 from lichenquay.gateway import frames
-from lichenquay.gateway.service import CannotStart, Service
+from lichenquay.gateway.configuration import StartError
+from lichenquay.gateway.service import Service
 
 
 def changed(**parts):
@@ -65,7 +66,7 @@
     assert [
         answered(c, c.ask(group, allow=2000, replay="a1", **project))
         for group in ("status", "report", "manifest")
-    ] == [(frames.FINISHED, RESULT)] * 3
+    ] == [(frames.AnswerCode.COMPLETED, RESULT)] * 3
     over(w)
 
 
@@ -87,10 +88,10 @@
     w.sent = lambda *sent: None
     c = w.client()
     if name == "a window shorter than the connect limit":  # it may be, within its window
-        assert answered(c, c.ask("manifest", replay="a1"))[0] in (frames.KILLED, frames.DEFERRED)
+        assert answered(c, c.ask("manifest", replay="a1"))[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
     else:
         assert (
-            answered(c, c.ask("manifest", replay="a1"))[0] in (frames.KILLED, frames.DEFERRED)
+            answered(c, c.ask("manifest", replay="a1"))[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
             and w.posts() == 1
         )
     over(w)
@@ -103,9 +104,9 @@
     c = w.client()
     until(lambda: w.service.is_ready())
     q = c.ask("report", allow=5000)
-    assert answered(c, q, 0.3)[0] in (frames.KILLED, frames.DEFERRED)
+    assert answered(c, q, 0.3)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
     over(w)
-    assert told(w, "answers finished") == 0
+    assert told(w, "answers completed") == 0
 
 
 BAD = {
@@ -123,7 +124,7 @@
     settings, word = BAD[name]
     w = world(start=False)
     w.path.write_text(json.dumps({**w.config, "settings": settings}))
-    with pytest.raises(CannotStart) as why:
+    with pytest.raises(StartError) as why:
         Service(reactor_for(w), {"BALANCER_CONFIG": str(w.path)})
     assert word in str(why.value) and "\n" not in str(why.value)
 
@@ -131,14 +132,14 @@
 @pytest.mark.parametrize("content", ["", "{", "[]", "null", '{"name": "n1"}', "\x00", '{"listen": 3}'])
 def test_a_configuration_half_written_changes_nothing_and_is_told(world, content):
     w = world(engines=1)
-    before = w.service.discovery_at, w.service.engines.budget
+    before = w.service.config.discovery_address, w.service.engines.descriptor_budget
     w.path.write_text(content)
-    w.service.read_again()
-    assert (w.service.discovery_at, w.service.engines.budget) == before and told(
-        w, "configurations not taken"
+    w.service.reload()
+    assert (w.service.config.discovery_address, w.service.engines.descriptor_budget) == before and told(
+        w, "configurations rejected"
     ) == 1
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -162,7 +163,7 @@
         line.transport.abortConnection()
     until(lambda: w.bulletin.calls > calls + 1)
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED and list(w.service.by_uid) == ["s-0"]
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and list(w.service.engines_by_id) == ["s-0"]
     w.bulletin.garbage = None
     w.tell(w.engines[0], "DRAINING")
-    until(lambda: w.service.discovery.no == 2, 3)
+    until(lambda: w.service.discovery.last_number == 2, 3)
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -118,7 +118,7 @@
             self.asked[ref], self.refs[self.stream] = time.monotonic(), ref
         try:
             self.socket.sendall(
-                frames.frame(frames.QUERY, self.stream, frames.write_fields(fields.items()), statement)
+                frames.encode_frame(frames.FrameType.QUERY, self.stream, frames.encode_fields(fields.items()), statement)
             )
         except OSError:
             self.broke(self.socket)
@@ -137,10 +137,10 @@
         try:
             while data := s.recv(65_536):
                 for kind, stream, payload in reader.feed(data):
-                    if kind == frames.ANSWER and stream in refs:
+                    if kind == frames.FrameType.ANSWER and stream in refs:
                         with self.lock:
                             self.answers.setdefault(refs[stream], []).append(payload[0])
-                    elif kind == frames.NO_MORE and self.socket is s:
+                    elif kind == frames.FrameType.GO_AWAY and self.socket is s:
                         self.socket = None
         except OSError:
             pass
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -210,7 +210,7 @@
             else:
                 c.running["b"] = running
         c.signal("a", signal.SIGHUP)
-        until(lambda: "configurations read again: 1" in " ".join(" ".join(w) for w in c.told("a")))
+        until(lambda: "configurations reloaded: 1" in " ".join(" ".join(w) for w in c.told("a")))
 
 
 def test_a_folder_of_another_front_is_refused_and_a_clock_set_back_changes_nothing(tmp_path):
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -80,7 +80,7 @@
 
     def dataReceived(self, data):
         for kind, stream, payload in self.reader.feed(data):
-            if kind == frames.ANSWER:
+            if kind == frames.FrameType.ANSWER:
                 if stream and stream in self.answers:
                     BROKEN.append("rule 1: two answers")
                 fields, body = frames.read_fields(payload[1:])
@@ -105,7 +105,7 @@
         }
         pairs = [(n, v) for n, v in fields.items() if v is not None and n != "twice"]
         pairs += [("ref", ref)] if "twice" in fields else []
-        self.transport.write(frames.frame(frames.QUERY, self.streams, frames.write_fields(pairs), statement))
+        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, self.streams, frames.encode_fields(pairs), statement))
         return self.streams
 
 
@@ -148,13 +148,13 @@
         self.clients, self.ended = [], False
         if start:
             self.start()
-            until(lambda: self.service.discovery.answered)
+            until(lambda: self.service.discovery.is_confirmed)
 
     def start(self):
         self.service = Service(reactor_for(self), {"BALANCER_CONFIG": str(self.path)})
         until(lambda: True)
         self.service.start()
-        self.port = self.service.clients.port.getHost().port
+        self.port = self.service.clients.listener.port.getHost().port
 
     def end(self):
         self.ended = True
@@ -202,11 +202,11 @@
         for client in self.clients:
             client.transport.abortConnection()
         if hasattr(self, "service"):
-            self.service.following.stopped = True
-            if self.service.clients.port:
-                self.service.clients.port.stopListening()
+            self.service.discovery_factory.stopped = True
+            if self.service.clients.listener.port:
+                self.service.clients.listener.port.stopListening()
             for line in list(self.service.engines.connections):
-                line.drop()
+                line.abort()
         for thing in (*self.engines, self.bulletin):
             for line in list(thing.lines):
                 line.transport.abortConnection()
--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -17,81 +17,81 @@
 from twisted.internet.error import TimeoutError
 from twisted.python.failure import Failure
 
-from lichenquay.gateway import attempt_lifecycle as c
-from lichenquay.gateway import frames, http
-from lichenquay.gateway.engine_call import Call
+from lichenquay.gateway import engine_protocol, frames
+from lichenquay.gateway.attempt_lifecycle import AttemptLifecycle, AttemptState, Proof
+from lichenquay.gateway.engine_call import EngineCall
 from lichenquay.gateway.engine_connection import EngineConnection
-from lichenquay.gateway.engine_pool import Engines, FrontEngine
+from lichenquay.gateway.engine_pool import EnginePool, GatewayEngine
 
 # the account alone
 
 
 def sent(at=100.0):
-    life = c.Life()
-    life.wrote(at)
+    life = AttemptLifecycle()
+    life.post_written(at)
     return life
 
 
 def test_nothing_written_is_nothing_out_and_stays_so_until_it_is_written():
-    life = c.Life()
-    assert not life.may_run and not life.passed(1e9)
-    life.cut(1.0)
-    life.known(1.0)
-    assert not life.unknown(5.0, 6.0) and not life.refused(7.0, False) and not life.refused(99.0, False)
-    assert life.state == c.HELD
+    life = AttemptLifecycle()
+    assert not life.may_run and not life.time_passed(1e9)
+    life.connection_closed_by_engine(1.0)
+    life.acknowledged(1.0)
+    assert not life.unknown_reported(5.0, 6.0) and not life.connection_refused(7.0, False) and not life.connection_refused(99.0, False)
+    assert life.state == AttemptState.UNSENT
 
 
 def test_unknown_is_no_proof_while_the_first_call_is_not_settled():
     life = sent()
     for at in range(110, 590, 60):
-        assert not life.unknown(at, at + 1.0) and life.may_run
+        assert not life.unknown_reported(at, at + 1.0) and life.may_run
     assert (
-        not life.unknown(601.0, 602.0) and not life.unknown(603.0, 640.0) and not life.unknown(610.0, 630.0)
+        not life.unknown_reported(601.0, 602.0) and not life.unknown_reported(603.0, 640.0) and not life.unknown_reported(610.0, 630.0)
     )
-    assert life.unknown(650.0, 651.0) and life.proof == "long sent and unknown"
+    assert life.unknown_reported(650.0, 651.0) and life.proof == Proof.UNKNOWN_LONG_AFTER_POST
 
 
 def test_unknown_counts_twice_after_a_cut_and_only_of_calls_that_were_written_later():
     life = sent()
-    life.cut(150.0)
-    assert not life.unknown(149.0, 200.0) and not life.unknown(151.0, 160.0)
-    assert not life.unknown(155.0, 300.0)  # it was out when the first came: one look may have answered both
-    assert life.unknown(205.0, 206.0) and life.proof == "cut off and unknown"
+    life.connection_closed_by_engine(150.0)
+    assert not life.unknown_reported(149.0, 200.0) and not life.unknown_reported(151.0, 160.0)
+    assert not life.unknown_reported(155.0, 300.0)  # it was out when the first came: one look may have answered both
+    assert life.unknown_reported(205.0, 206.0) and life.proof == Proof.UNKNOWN_AFTER_DISCONNECT
 
 
 def test_unknown_proves_it_once_it_was_known_by_a_call_written_since():
     life = sent()
-    life.known(150.0)
-    assert not life.unknown(140.0, 160.0) and life.unknown(150.0, 161.0)
+    life.acknowledged(150.0)
+    assert not life.unknown_reported(140.0, 160.0) and life.unknown_reported(150.0, 161.0)
     life = sent()
-    life.known(150.0)
-    assert not life.unknown(160.0, 161.0, other=True)  # perhaps a stranger's word
-    life.cut(170.0)  # the connection on which it was known
-    assert not life.unknown(171.0, 172.0, other=True) and life.unknown(222.0, 223.0, other=True)
+    life.acknowledged(150.0)
+    assert not life.unknown_reported(160.0, 161.0, may_be_other_engine=True)  # perhaps a stranger's word
+    life.connection_closed_by_engine(170.0)  # the connection on which it was known
+    assert not life.unknown_reported(171.0, 172.0, may_be_other_engine=True) and life.unknown_reported(222.0, 223.0, may_be_other_engine=True)
 
 
 def test_two_refusals_prove_it_if_nothing_to_it_is_open_and_nothing_answered_between():
     life = sent()
-    assert not life.refused(200.0, True) and not life.refused(260.0, False) and not life.refused(290.0, False)
-    life.heard()
-    assert not life.refused(400.0, False) and not life.refused(420.0, False) and life.refused(450.0, False)
-    assert life.proof == "gone" and not life.may_run
+    assert not life.connection_refused(200.0, True) and not life.connection_refused(260.0, False) and not life.connection_refused(290.0, False)
+    life.engine_replied()
+    assert not life.connection_refused(400.0, False) and not life.connection_refused(420.0, False) and life.connection_refused(450.0, False)
+    assert life.proof == Proof.PROCESS_GONE and not life.may_run
 
 
 def test_its_time_is_over_by_the_last_call_that_may_have_kept_it():
     life = sent()
-    life.asked(1000.0)
-    assert not life.passed(3499.0)
-    assert not life.unknown(1000.0, 1010.0, other=True)  # that call kept nobody at it
-    assert life.passed(2601.0) and life.proof == "its time is over"
+    life.poll_written(1000.0)
+    assert not life.time_passed(3499.0)
+    assert not life.unknown_reported(1000.0, 1010.0, may_be_other_engine=True)  # that call kept nobody at it
+    assert life.time_passed(2601.0) and life.proof == Proof.FORGOTTEN
 
 
 def test_an_end_of_its_own_is_the_end():
     life = sent()
-    life.ended()
-    life.known(120.0)
-    life.cut(130.0)
-    assert life.state == c.OVER and life.unknown(1.0, 2.0) and life.proof == "its own end"
+    life.end_reported()
+    life.acknowledged(120.0)
+    life.connection_closed_by_engine(130.0)
+    assert life.state == AttemptState.OVER and life.unknown_reported(1.0, 2.0) and life.proof == Proof.END_REPORTED
 
 
 # against a model of the engine's side
@@ -143,19 +143,19 @@
         seed=st.integers(0, 2**32), hold=st.sampled_from([0.0, 50.0, 250.0, 400.0]), lost=st.booleans()
     )
     def begin(self, seed, hold, lost):
-        self.side, self.life = EngineSide(random.Random(seed)), c.Life()
+        self.side, self.life = EngineSide(random.Random(seed)), AttemptLifecycle()
         self.side.pass_time(1e6)
         self.first = self.own = "open"  # its POST's connection; the one that it was last known on
         self.own = None
         self.leaves, self.calls, self.apart = False, [], 0.0
         self.here = False  # this side ended the one that it was last known on
-        self.life.wrote(self.side.now)
+        self.life.post_written(self.side.now)
         self.side.sent(hold, lost)
 
     def later(self, ms):
         self.side.pass_time(self.side.now + ms)
-        if self.life.state != c.OVER:
-            self.life.passed(self.side.now)
+        if self.life.state != AttemptState.OVER:
+            self.life.time_passed(self.side.now)
 
     @rule(ms=st.sampled_from([1.0, 20.0, 50.0, 120.0, 400.0, 900.0]))
     def time_goes(self, ms):
@@ -176,7 +176,7 @@
             self.here = self.here or not peer and self.own is None
             if peer:
                 self.side.cut()
-                self.life.cut(self.side.now)
+                self.life.connection_closed_by_engine(self.side.now)
             # ended from this side: what is there is read as late as before
 
     @precondition(lambda self: self.first == "open" and self.life.may_run)
@@ -184,13 +184,13 @@
     def first_call_is_answered(self):
         if self.side.running and self.side.now >= self.side.wakes_ms:
             self.first, self.own, self.here = "gone", "open", False
-            self.life.known(self.side.now)
+            self.life.acknowledged(self.side.now)
 
     @precondition(lambda self: self.own == "open")
     @rule()
     def known_connection_breaks(self):
         self.own = "cut"
-        self.life.cut(self.side.now)
+        self.life.connection_closed_by_engine(self.side.now)
 
     @rule(on_own=st.booleans(), drop=st.booleans(), lost=st.booleans())
     def asks(self, on_own, drop, lost):
@@ -199,10 +199,10 @@
         s, written = self.side, self.side.now
         on_own = on_own and self.own == "open"
         if not drop:
-            self.life.asked(written)
+            self.life.poll_written(written)
         if not on_own and not s.door and not s.stranger:
             if not drop:
-                self.life.asked_ms = self.life.before_ms  # refused: nothing was written
+                self.life.poll_not_written()  # refused: nothing was written
             return self.refused()
         stranger = s.stranger and not on_own
         if not stranger and not s.process:
@@ -218,14 +218,14 @@
         if lost:
             return
         if knows and not drop:
-            self.life.known(s.now)
+            self.life.acknowledged(s.now)
             self.own, self.here = "open", False
         else:
-            self.life.unknown(written, s.now, other=self.leaves and not on_own, keeps=not drop)
+            self.life.unknown_reported(written, s.now, may_be_other_engine=self.leaves and not on_own, is_poll=not drop)
 
     def refused(self):
         alive = self.side.process and "open" in (self.first, self.own) or self.here or self.leaves
-        self.life.refused(self.side.now, alive)
+        self.life.connection_refused(self.side.now, alive)
 
     @rule()
     def ends(self):
@@ -238,10 +238,10 @@
             self.side.die()
             if self.first == "open":
                 self.first = "gone"
-                self.life.cut(self.side.now)
+                self.life.connection_closed_by_engine(self.side.now)
             if self.own == "open":
                 self.own = "cut"
-                self.life.cut(self.side.now)
+                self.life.connection_closed_by_engine(self.side.now)
             self.leaves = self.leaves or takes_over
             self.side.stranger = takes_over
 
@@ -283,7 +283,7 @@
     both(w, way)
     client = w.client()
     code, body = answered(client, client.ask(group, allow=2500))
-    assert (code, body) == (frames.FINISHED, RESULT) and not BROKEN
+    assert (code, body) == (frames.AnswerCode.COMPLETED, RESULT) and not BROKEN
     assert group == "status" or w.posts() == 1
 
 
@@ -303,12 +303,12 @@
         wait(0.2)
     outcomes = [answered(client, stream) for client, stream, _, _ in asked]
     codes = [code for code, _ in outcomes]
-    deferred = [x for x, code in zip(asked, codes, strict=True) if code == frames.DEFERRED]
-    assert set(codes) <= {frames.FINISHED, frames.DEFERRED} and len(deferred) < len(asked) / 2 and not BROKEN
-    assert all(body == RESULT for code, body in outcomes if code == frames.FINISHED)
+    deferred = [x for x, code in zip(asked, codes, strict=True) if code == frames.AnswerCode.REJECTED]
+    assert set(codes) <= {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED} and len(deferred) < len(asked) / 2 and not BROKEN
+    assert all(body == RESULT for code, body in outcomes if code == frames.AnswerCode.COMPLETED)
     assert not {ref for *_, ref in deferred} & w.may.keys()
     for client, _, group, _ in deferred:
-        assert answered(client, client.ask(group, ref=next(refs), allow=2500)) == (frames.FINISHED, RESULT)
+        assert answered(client, client.ask(group, ref=next(refs), allow=2500)) == (frames.AnswerCode.COMPLETED, RESULT)
     assert not BROKEN
 
 
@@ -326,14 +326,14 @@
     spare.ways = []
     busy.port.stopListening()
     wait(0.02)
-    line = w.service.admit.open.copy().pop().flight.connection
+    line = w.service.adapter.open_queries.copy().pop().attempt_in_flight.connection
     for theirs in list(busy.lines):
         if theirs.transport.getPeer().port == line.transport.getHost().port:
             theirs.transport.abortConnection()
     wait(0.3)
     busy.runs = {ref: "ok" for ref in busy.runs}
     assert (
-        answered(client, stream) == (frames.FINISHED, RESULT)
+        answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
         and not BROKEN
         and not spare.posts[len(spare.posts) :]
     )
@@ -359,7 +359,7 @@
     w.bulletin.add(old.row("DELETED"), new.row())
     since = time.monotonic()
     reactor.callLater(2.0, w.out.discard, ref)  # it has not been asked for so long
-    assert answered(client, stream)[0] == frames.FINISHED and not BROKEN
+    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and not BROKEN
     assert time.monotonic() - since > 2.0
 
 
@@ -377,20 +377,20 @@
 
     w.service.engines.reactor.connectTCP, cut_off.mute = fails, True
     reactor.callLater(2.4, w.out.discard, ref)  # 0.4 s until the last call was read, and 2 s
-    assert answered(client, stream)[0] == frames.FINISHED and not BROKEN and w.posts() == 2
+    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and not BROKEN and w.posts() == 2
 
 
 def test_a_connection_whose_answer_came_late_is_used_no_more():
     """Seen once on a day with late answers: a query answered with rows that no engine made for it. What comes
     late may come twice, and would be the answer to the next query's call."""
-    hub = Engines(SimpleNamespace(seconds=lambda: 100.0, callLater=None), 0, 1.0, 1.0, 1000.0)
-    e, got = FrontEngine("e", address="127.0.0.1:1"), []
+    pool = EnginePool(SimpleNamespace(seconds=lambda: 100.0, callLater=None), 0, 1.0, 1.0, 1000.0)
+    e, got = GatewayEngine("e", address="127.0.0.1:1"), []
     for late in (False, True):
-        call = Call(e, b"", http.is_news)
-        line = EngineConnection(hub, call)
-        line.transport, line.late = SimpleNamespace(abortConnection=lambda: None), late
-        hub.connections.add(line)
-        call.answer.addCallback(got.append)
+        call = EngineCall(e, b"", engine_protocol.is_poll_reply)
+        line = EngineConnection(pool, call)
+        line.transport, line.is_overdue = SimpleNamespace(abortConnection=lambda: None), late
+        pool.connections.add(line)
+        call.reply.addCallback(got.append)
         line.dataReceived(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n")
-        assert (line in e.idle) is not late and (line in hub.connections) is not late
+        assert (line in e.idle_connections) is not late and (line in pool.connections) is not late
     assert [r.status for r in got] == [202, 202]
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -132,7 +132,7 @@
 
 
 def test_a_list_of_the_size_to_design_for_is_read_and_one_of_twice_that_refused():
-    """http.MOST_BODY bounds it: 8 MB, at 174 bytes an engine 48,000 engines."""
+    """http.MAX_BODY_BYTES bounds it: 8 MB, at 174 bytes an engine 48,000 engines."""
     assert discovery.accepted(discovery.whole_list(25_000))
     assert not discovery.accepted(discovery.whole_list(50_000))
 
--- a/tests/test_fleet_following.py
+++ b/tests/test_fleet_following.py
@@ -49,11 +49,11 @@
         self.source = Source("r1", rng, Settings(), self.now)
         self.publish()
 
-    def put_gate(self, gate):
+    def apply_connection_rules(self, gate):
         """As a front's."""
         self.gates.append(gate)
 
-    def put_engines(self, whole, rows):
+    def apply_endpoints(self, whole, rows):
         """As a front's."""
         self.lists.append((whole, rows))
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,17 +11,17 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from lichenquay.gateway import frames, http
-from lichenquay.gateway.engine_call import Call
+from lichenquay.gateway import engine_protocol, frames
+from lichenquay.gateway.engine_call import EngineCall
 from lichenquay.gateway.engine_connection import EngineConnection
-from lichenquay.gateway.engine_pool import Engines, FrontEngine
+from lichenquay.gateway.engine_pool import EnginePool, GatewayEngine
 
 
 def test_a_query_comes_back_whole_and_goes_out_unchanged(world):
     w = world(engines=1)
     c = w.client()
-    c.transport.write(frames.frame(frames.IS_READY, 9, b"\0"))
-    assert answered(c, c.ask("report", ref="9b1f03aa5c7e2d41", odd="x")) == (frames.FINISHED, RESULT)
+    c.transport.write(frames.encode_frame(frames.FrameType.READINESS_CHECK, 9, b"\0"))
+    assert answered(c, c.ask("report", ref="9b1f03aa5c7e2d41", odd="x")) == (frames.AnswerCode.COMPLETED, RESULT)
     headers, body = w.engines[0].posts[0]
     assert headers["X-Hop-Id"] == "9b1f03aa5c7e2d41" and headers["X-Sort"] == "report" and body == STATEMENT
     assert (
@@ -29,32 +29,32 @@
         and float(headers["X-Mem-Limit"]) == 96
         and headers["X-Nice"] in "0123"
     )
-    assert c.told == [(frames.READINESS, 9, b"\0\0")]
-    (seen,) = w.service.admit.controller.fleet.values()
+    assert c.told == [(frames.FrameType.READINESS, 9, b"\0\0")]
+    (seen,) = w.service.adapter.controller.fleet.values()
     until(lambda: seen.report == {"active": 7.0})  # the end is told with its report and its cost
-    assert w.service.admit.controller.slots.needed[w.service.opening.groups["report"]] == 64.0
-    assert w.service.metrics.counters["answers finished"] == 1 and w.service.metrics.out == 0
+    assert w.service.adapter.controller.slots.needed[w.service.settings.groups["report"]] == 64.0
+    assert w.service.metrics.counters["answers completed"] == 1 and w.service.attempts.in_flight_count == 0
 
 
 @pytest.mark.parametrize(
     "way, group, posts, code",
     [
-        ("drop", "manifest", 1, frames.FINISHED),
-        ("silent", "manifest", 1, frames.FINISHED),
-        ("drop page", "manifest", 1, frames.FINISHED),
-        ("full", "manifest", 2, frames.FINISHED),
-        ("error", "report", 2, frames.FINISHED),
-        ("reset", "report", 2, frames.FINISHED),
-        ("lost page", "report", 2, frames.FINISHED),
-        ("wrong page", "report", 2, frames.FINISHED),
-        ("long", "report", 2, frames.FINISHED),
-        ("noise", "report", 2, frames.FINISHED),
-        ("odd", "report", 2, frames.FINISHED),
-        ("error", "manifest", 1, frames.KILLED),
-        ("reset", "manifest", 1, frames.KILLED),
-        ("lost page", "manifest", 1, frames.KILLED),
-        ("noise", "manifest", 1, frames.KILLED),
-        *((way, "manifest", 1, frames.FINISHED) for way in (*SPOILT, "drop post", "more", "copies")),
+        ("drop", "manifest", 1, frames.AnswerCode.COMPLETED),
+        ("silent", "manifest", 1, frames.AnswerCode.COMPLETED),
+        ("drop page", "manifest", 1, frames.AnswerCode.COMPLETED),
+        ("full", "manifest", 2, frames.AnswerCode.COMPLETED),
+        ("error", "report", 2, frames.AnswerCode.COMPLETED),
+        ("reset", "report", 2, frames.AnswerCode.COMPLETED),
+        ("lost page", "report", 2, frames.AnswerCode.COMPLETED),
+        ("wrong page", "report", 2, frames.AnswerCode.COMPLETED),
+        ("long", "report", 2, frames.AnswerCode.COMPLETED),
+        ("noise", "report", 2, frames.AnswerCode.COMPLETED),
+        ("odd", "report", 2, frames.AnswerCode.COMPLETED),
+        ("error", "manifest", 1, frames.AnswerCode.FAILED),
+        ("reset", "manifest", 1, frames.AnswerCode.FAILED),
+        ("lost page", "manifest", 1, frames.AnswerCode.FAILED),
+        ("noise", "manifest", 1, frames.AnswerCode.FAILED),
+        *((way, "manifest", 1, frames.AnswerCode.COMPLETED) for way in (*SPOILT, "drop post", "more", "copies")),
     ],
 )
 def test_what_goes_wrong_at_an_engine(world, way, group, posts, code):
@@ -71,7 +71,7 @@
     assert (
         way == "noise"
         or not w.out
-        and w.service.metrics.out == 0
+        and w.service.attempts.in_flight_count == 0
         and w.service.metrics.counters["faults"] == 0
     )
 
@@ -90,17 +90,17 @@
 
     w.service.engines.reactor.connectTCP = fails
     assert (
-        answered(c, c.ask("manifest", allow=4000))[0] == frames.FINISHED
+        answered(c, c.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
         and len(e.posts) == 1
         and not failures
     )
     assert not w.service.metrics.counters["attempts not connected"]
     for line in list(e.lines):
         line.transport.write(b"late")  # nobody has asked for it; the front may not have read it yet
-    assert answered(c, c.ask("manifest"))[0] == frames.FINISHED and len(e.posts) == 2
+    assert answered(c, c.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and len(e.posts) == 2
     assert (
         not w.service.metrics.counters["first calls broken"]
-        and not w.service.metrics.counters["first calls garbled"]
+        and not w.service.metrics.counters["first calls unreadable"]
     )
 
 
@@ -110,14 +110,14 @@
     e.ways = ["hold"]
     stream = c.ask("report", ref="00000000000000aa")
     until(lambda: e.news > 3)
-    (q,) = w.service.admit.open
+    (q,) = w.service.adapter.open_queries
     for rank in (3, 0, 2):
-        w.service.admit.allot(q, 10.0, rank)
+        w.service.adapter.set_grant(q, 10.0, rank)
     until(lambda: len(e.ranks) > 1)
     wait(0.1)
     assert e.ranks[0] == ("00000000000000aa", b"3") and e.ranks[-1] == ("00000000000000aa", b"2")
     e.runs["00000000000000aa"] = "ok"
-    assert answered(c, stream) == (frames.FINISHED, RESULT) and len(e.posts) == 1
+    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT) and len(e.posts) == 1
 
 
 def test_time_up_is_answered_in_time_and_given_up(world):
@@ -125,11 +125,11 @@
     e, c = w.engines[0], w.client()
     e.ways = ["hold"]
     asked = time.time()
-    assert answered(c, c.ask("manifest", allow=400))[0] == frames.KILLED
+    assert answered(c, c.ask("manifest", allow=400))[0] == frames.AnswerCode.FAILED
     assert 0.39 < c.answers[1][2] - asked < 0.47
     until(lambda: e.deletes)
     wait(0.05)
-    assert w.service.metrics.out == 0 and len(e.posts) == 1
+    assert w.service.attempts.in_flight_count == 0 and len(e.posts) == 1
 
 
 def test_an_engine_without_a_word_is_over_after_two_seconds(world):
@@ -138,7 +138,7 @@
     c, stream, bad = w.hold()
     bad.mute, asked = True, time.time()
     w.out.clear()  # it drops what nobody asks for; that this front waits for it is checked below
-    assert answered(c, stream)[0] == frames.FINISHED
+    assert answered(c, stream)[0] == frames.AnswerCode.COMPLETED
     assert time.time() - asked >= 1.9 and w.posts() == 2
 
 
@@ -153,7 +153,7 @@
     for line in list(e.lines):
         line.transport.abortConnection()
     met = e.met
-    assert answered(c, stream)[0] == frames.KILLED and 3 < e.met - met < 20
+    assert answered(c, stream)[0] == frames.AnswerCode.FAILED and 3 < e.met - met < 20
 
 
 def test_a_process_is_gone_after_two_refusals(world):
@@ -163,7 +163,7 @@
     w.out.clear()
     dead.stop()
     died = time.time()
-    assert answered(c, stream)[0] == frames.FINISHED and w.posts() == 2
+    assert answered(c, stream)[0] == frames.AnswerCode.COMPLETED and w.posts() == 2
     assert (
         0.045 < c.answers[stream][2] - died < 0.5
         and w.service.metrics.counters["attempts connection reset"] == 1
@@ -176,18 +176,18 @@
     wait(0.05)
     c = w.client()
     streams = [c.ask("manifest", allow=4000) for _ in range(6)]
-    assert all(answered(c, s)[0] == frames.FINISHED for s in streams)
+    assert all(answered(c, s)[0] == frames.AnswerCode.COMPLETED for s in streams)
     assert len(w.engines[1].posts) == 6
 
 
 def test_few_descriptors_are_shared_in_turn(world):
     """Risk: with sockets short, calls fail that had only to wait."""
     w = world(engines=3, sockets=90)
-    w.service.engines.budget, w.service.engines.reserve = 4, 2
+    w.service.engines.descriptor_budget, w.service.engines.urgent_reserve = 4, 2
     c = w.client()
     streams = [c.ask("status", allow=4000) for _ in range(32)]
-    assert all(answered(c, s)[0] == frames.FINISHED for s in streams)
-    assert w.service.engines.most <= 6 and not w.service.metrics.counters["attempts not connected"]
+    assert all(answered(c, s)[0] == frames.AnswerCode.COMPLETED for s in streams)
+    assert w.service.engines.max_open_count <= 6 and not w.service.metrics.counters["attempts not connected"]
     assert sum(len(e.lines) for e in w.engines) <= 6
 
 
@@ -195,7 +195,7 @@
     """Risk: PROTOCOL's longest wait is over, and what waits on makes a finished query late."""
     w = world(engines=1)
     c, w.engines[0].ways, asked = w.client(), ["silent"], time.time()
-    assert answered(c, c.ask("manifest", allow=4000))[0] == frames.FINISHED
+    assert answered(c, c.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
     assert 0.25 < c.answers[1][2] - asked < 0.45 and w.posts() == 1
 
 
@@ -205,69 +205,69 @@
     w = world(engines=1)
     c, w.engines[0].ways = w.client(), ["copied late", "later"]
     first = c.ask("status", allow=4000)
-    assert answered(c, first) == (frames.FINISHED, c.answers[first][1]) and c.answers[first][1].endswith(
+    assert answered(c, first) == (frames.AnswerCode.COMPLETED, c.answers[first][1]) and c.answers[first][1].endswith(
         b"\tx\ty\n"
     )
     wait(0.035)
     second = c.ask("status", allow=4000)
-    assert answered(c, second) == (frames.FINISHED, RESULT) and w.posts() == 2
-    assert w.service.metrics.counters["first calls garbled"] == 1
+    assert answered(c, second) == (frames.AnswerCode.COMPLETED, RESULT) and w.posts() == 2
+    assert w.service.metrics.counters["first calls unreadable"] == 1
 
 
 def test_a_connection_rests_between_two_queries():
     """Risk: a copy of one query's answer, a moment later, becomes the answer to another's call."""
     clock, lines = SimpleNamespace(now=100.0), []
-    hub = Engines(SimpleNamespace(seconds=lambda: clock.now, callLater=None), 0, 1.0, 1.0, 1000.0)
-    e = FrontEngine("e")
+    pool = EnginePool(SimpleNamespace(seconds=lambda: clock.now, callLater=None), 0, 1.0, 1.0, 1000.0)
+    e = GatewayEngine("e")
     for at in (99.0, 99.9, 99.99):
-        lines.append(EngineConnection(hub, Call(e, b"", http.is_news)))
-        lines[-1].idle_since = at
-        e.idle.append(lines[-1])
-    assert hub.idle(Call(e, b"", http.is_news)) is lines[1]  # the last that has rested
-    lines[2].owner = "its query"
+        lines.append(EngineConnection(pool, EngineCall(e, b"", engine_protocol.is_poll_reply)))
+        lines[-1].idle_since_s = at
+        e.idle_connections.append(lines[-1])
+    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[1]  # the last that has rested
+    lines[2].attempt = "its query"
     assert (
-        hub.idle(Call(e, b"", http.is_news, connection=lines[2], owner="its query")) is lines[2]
+        pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="its query")) is lines[2]
     )  # but its own query's next call
     assert (
-        hub.idle(Call(e, b"", http.is_news, connection=lines[2], owner="another")) is lines[1]
+        pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="another")) is lines[1]
     )  # not once another's went there
-    assert hub.idle(Call(e, b"", http.is_news, fresh=True)) is None
-    e.idle.popleft()
-    e.idle.popleft()
-    assert hub.idle(Call(e, b"", http.is_news)) is None
+    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply, needs_new_connection=True)) is None
+    e.idle_connections.popleft()
+    e.idle_connections.popleft()
+    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is None
     clock.now += 0.03
-    assert hub.idle(Call(e, b"", http.is_news)) is lines[2]
-    hub.aged(0.05)
-    assert hub.stale_s == hub.idle_s == 0.5  # young ones break too
-    hub.aged(0.3)
-    hub.watch()
-    assert 0.15 < hub.stale_s < 0.151
+    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[2]
+    pool.on_reused_connection_broken(0.05)
+    assert pool.stale_after_s == pool.max_idle_s == 0.5  # young ones break too
+    pool.on_reused_connection_broken(0.3)
+    pool.check_connections()
+    assert 0.15 < pool.stale_after_s < 0.151
     clock.now += 0.1
-    assert hub.idle(Call(e, b"", http.is_news)) is lines[2]
+    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[2]
     clock.now += 0.06  # risk: a POST on a connection that something on the way has ended by now
-    assert hub.idle(Call(e, b"", http.is_news)) is None
+    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is None
 
 
 def test_idle_connections_are_dropped_in_good_time(world):
     w = world(engines=1)
     c = w.client()
-    assert answered(c, c.ask())[0] == frames.FINISHED
-    hub = w.service.engines
-    assert hub.open == 1
-    (line,) = hub.connections
-    line.idle_since -= hub.idle_s + 0.1
-    hub.watch()
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
+    pool = w.service.engines
+    assert pool.open_count == 1
+    (line,) = pool.connections
+    line.idle_since_s -= pool.max_idle_s + 0.1
+    pool.check_connections()
     until(lambda: not w.engines[0].lines)
-    assert hub.open == 0 and answered(c, c.ask())[0] == frames.FINISHED
+    assert pool.open_count == 0 and answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 def test_a_fault_for_one_query_ends_that_query_alone(world):
     w = world(engines=1)
-    c, route = w.client(), w.service.route
-    down, route.down = route.down, None
-    assert answered(c, c.ask())[0] == frames.KILLED
-    route.down = down
-    assert answered(c, c.ask())[0] == frames.FINISHED and w.service.metrics.counters["faults"] == 1
+    c, router = w.client(), w.service.router
+    start, router.start = router.start, None
+    assert answered(c, c.ask())[0] == frames.AnswerCode.FAILED
+    router.start = start
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and w.service.metrics.counters["faults"] == 1
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -300,7 +300,7 @@
         stream = c.ask(chance.choice(("status", "report", "manifest")), allow=allow)
         asked[c, stream] = time.time() + allow / 1000
         if chance.random() < 0.05:
-            c.transport.write(frames.frame(frames.LEFT, stream))
+            c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
             left.add((c, stream))
         if chance.random() < 0.1:
             w.tell(chance.choice(w.engines), chance.choice(("SERVING", "SERVING", "DRAINING")))
@@ -313,6 +313,6 @@
     for (x, s), ends in asked.items():
         if s in x.answers:
             code, body, at = x.answers[s]
-            assert at < ends + 0.1 and (code != frames.FINISHED or body == RESULT)
-    until(lambda: w.service.metrics.out == 0)
-    assert w.service.metrics.counters["faults"] == 0 and not w.service.admit.open
+            assert at < ends + 0.1 and (code != frames.AnswerCode.COMPLETED or body == RESULT)
+    until(lambda: w.service.attempts.in_flight_count == 0)
+    assert w.service.metrics.counters["faults"] == 0 and not w.service.adapter.open_queries
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -11,7 +11,7 @@
 
 from lichenquay.connection_admission import decide
 from lichenquay.gateway import frames
-from lichenquay.gateway.client_connection import BadQuery, ClientConnection
+from lichenquay.gateway.client_connection import ClientConnection, InvalidRequestError
 
 
 def test_bad_frames_end_their_connection_alone(world):
@@ -22,16 +22,16 @@
     until(lambda: w.posts() == 1)
     same = good.ask("report", ref="00000000000000bb", statement=b"select 1")
     assert (
-        answered(good, same)[0] == frames.KILLED and w.posts() == 1
+        answered(good, same)[0] == frames.AnswerCode.FAILED and w.posts() == 1
     )  # risk: the answer to another statement
-    bad.transport.write(frames.frame(frames.READINESS, 5))
+    bad.transport.write(frames.encode_frame(frames.FrameType.READINESS, 5))
     idle.transport.write(b"\1\0\0\0")
     until(lambda: idle.closed and 0 in bad.answers)
-    assert idle.answers[0][0] == bad.answers[0][0] == frames.KILLED and not bad.closed
+    assert idle.answers[0][0] == bad.answers[0][0] == frames.AnswerCode.FAILED and not bad.closed
     w.engines[0].runs["00000000000000bb"] = "ok"  # what was taken on it is still answered
     until(lambda: bad.closed)
-    assert bad.answers[open_][:2] == (frames.FINISHED, RESULT)
-    assert answered(good, good.ask())[0] == frames.FINISHED
+    assert bad.answers[open_][:2] == (frames.AnswerCode.COMPLETED, RESULT)
+    assert answered(good, good.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -53,8 +53,8 @@
 def test_a_request_that_makes_no_query_is_answered_alone(world, wrong):
     w = world(engines=1)
     c = w.client()
-    assert answered(c, c.ask(**wrong))[0] == frames.KILLED and not w.posts()
-    assert answered(c, c.ask())[0] == frames.FINISHED
+    assert answered(c, c.ask(**wrong))[0] == frames.AnswerCode.FAILED and not w.posts()
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 def test_one_connection_holds_32_open_queries(world):
@@ -62,8 +62,8 @@
     c = w.client()
     w.engines[0].ways = ["hold"] * 40
     streams = [c.ask("status", allow=600) for _ in range(33)]
-    assert answered(c, streams[-1])[0] == frames.DEFERRED
-    c.transport.write(frames.frame(frames.LEFT, streams[0]) + frames.frame(frames.LEFT, 999))
+    assert answered(c, streams[-1])[0] == frames.AnswerCode.REJECTED
+    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, streams[0]) + frames.encode_frame(frames.FrameType.CANCEL, 999))
     until(lambda: len(c.answers) == 32)  # all but the one that was left
     assert streams[0] not in c.answers
 
@@ -73,7 +73,7 @@
     w = world(engines=5, sockets=150)
     for e in w.engines:
         e.ways = ["hold"] * 9
-    w.service.clients.bound(1 << 20, decide.Rules(4, 0, lag_ms=0.0))
+    w.service.clients.set_bounds(1 << 20, decide.Rules(4, 0, lag_ms=0.0))
     streams = [(c, c.ask("report", allow=4000)) for c in (w.client() for _ in range(4))]
     until(lambda: len(w.out) == 4)
     for _ in range(18):
@@ -81,13 +81,13 @@
         until(lambda: c.closed)
         assert (
             time.monotonic() - begun < 0.15
-            and c.answers[0][0] == frames.DEFERRED
+            and c.answers[0][0] == frames.AnswerCode.REJECTED
             and b"no room; come back in" in c.answers[0][1]
         )
     assert len(w.service.clients.connections) == 4 and not any(c.closed for c, _ in streams)
     for e in w.engines:
         e.ways, e.runs = [], dict.fromkeys(e.runs, "ok")
-    assert all(answered(c, s)[0] == frames.FINISHED for c, s in streams)
+    assert all(answered(c, s)[0] == frames.AnswerCode.COMPLETED for c, s in streams)
 
 
 def test_at_the_descriptor_limit_a_connection_is_told_and_what_was_taken_is_answered(world):
@@ -96,7 +96,7 @@
     for e in w.engines:
         e.ways = ["hold"] * 9
     first = w.client()
-    stream, port = first.ask("report", allow=4000), w.service.clients.port
+    stream, port = first.ask("report", allow=4000), w.service.clients.listener.port
     until(lambda: len(w.out) == 1)
     real, left = port.socket, [3]
 
@@ -113,14 +113,14 @@
     port.socket = Short()
     second = w.client()
     until(lambda: second.closed)
-    assert second.answers[0][:2] == (frames.DEFERRED, b"no descriptor; come back in 1000 ms")
+    assert second.answers[0][:2] == (frames.AnswerCode.REJECTED, b"no descriptor; come back in 1000 ms")
     port.socket = real
     assert w.service.metrics.counters["connections refused: no descriptor"] >= 1
     for e in w.engines:
         e.ways, e.runs = [], dict.fromkeys(e.runs, "ok")
     assert (
-        answered(first, stream)[0] == frames.FINISHED
-        and answered(third := w.client(), third.ask())[0] == frames.FINISHED
+        answered(first, stream)[0] == frames.AnswerCode.COMPLETED
+        and answered(third := w.client(), third.ask())[0] == frames.AnswerCode.COMPLETED
     )
 
 
@@ -130,21 +130,21 @@
     for e in w.engines:
         e.ways = ["hold"] * 9
     known = decide.networks(["127.0.0.1"])
-    w.service.clients.bound(1 << 20, decide.Rules(2, 0, lag_ms=0.0))
+    w.service.clients.set_bounds(1 << 20, decide.Rules(2, 0, lag_ms=0.0))
     others = [w.client() for _ in range(2)]
     streams = [c.ask("report", allow=4000) for c in others]
     until(lambda: len(w.out) == 2)
-    gate = w.service.clients.gate
+    gate = w.service.clients.connection_admission
     gate.change(decide.Rules(2, 0, known=known, reserve=1, lag_ms=0.0))
     gate.holders.clear()  # as if those had come from elsewhere
     depot = w.client()
     until(lambda: any(c.closed for c in others))
     gone = next(c for c in others if c.closed)
-    assert gone.answers[streams[others.index(gone)]][0] in (frames.DEFERRED, frames.KILLED)
-    assert gone.answers[0][0] == frames.DEFERRED and b"needed by others" in gone.answers[0][1]
+    assert gone.answers[streams[others.index(gone)]][0] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
+    assert gone.answers[0][0] == frames.AnswerCode.REJECTED and b"needed by others" in gone.answers[0][1]
     for e in w.engines:
         e.ways = []
-    assert answered(depot, depot.ask("manifest"))[0] == frames.FINISHED and not depot.closed
+    assert answered(depot, depot.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and not depot.closed
     assert sum(c.closed for c in others) == 1 and w.service.metrics.counters["faults"] == 0
 
 
@@ -154,37 +154,36 @@
     crowd = [w.client() for _ in range(70)]  # one more than fits after each of the last
     half, held = crowd[-1], w.client()
     half.transport.write((200).to_bytes(4, "little") + b"\2\1\0\0\0")
-    assert answered(held, held.ask())[0] == frames.FINISHED
-    assert len(w.service.clients.connections) <= w.service.clients.most == 62
+    assert answered(held, held.ask())[0] == frames.AnswerCode.COMPLETED
+    assert len(w.service.clients.connections) <= w.service.clients.max_connections == 62
     until(lambda: all(c.closed for c in crowd), 2.9)
-    assert half.answers[0][0] == frames.KILLED and not held.closed
+    assert half.answers[0][0] == frames.AnswerCode.FAILED and not held.closed
     until(lambda: held.closed, 5)
-    assert held.told == [(frames.NO_MORE, 0, b"")]
+    assert held.told == [(frames.FrameType.GO_AWAY, 0, b"")]
 
 
 def test_the_same_nonsense_again_and_again_is_held_up():
     """Risk: a client that comes back at once with what makes no sense takes the turns of others."""
     later, said, clock = [], [], SimpleNamespace(now=0.0)
-    desk = SimpleNamespace(
-        gate=decide.Gate(decide.Rules(9, 0), 0.0),
-        gate_ms=lambda: clock.now * 1000,
+    intake = SimpleNamespace(
+        connection_admission=decide.Gate(decide.Rules(9, 0), 0.0),
+        admission_ms=lambda: clock.now * 1000,
         now_ms=lambda: 0.0,
         seconds=lambda: clock.now,
-        held=0,
-        room=1 << 20,
-        fits=lambda *size: True,
-        refs={},
-        ANSWERS={2: "x"},
+        held_bytes=0,
+        max_held_bytes=1 << 20,
+        has_memory_for=lambda *size: True,
+        open_request_ids={},
         reactor=SimpleNamespace(callLater=lambda s, call: later.append(call) or later),
         metrics=SimpleNamespace(count=lambda what: None),
         log=lambda *line: None,
     )
 
-    def query(*what):
-        raise BadQuery("odd")
+    def make_query(*what):
+        raise InvalidRequestError("odd")
 
-    desk.query = query
-    line = ClientConnection(desk, "127.0.0.1")
+    intake.make_query = make_query
+    line = ClientConnection(intake, "127.0.0.1")
     line.transport = SimpleNamespace(
         socket=SimpleNamespace(send=lambda data, flags: said.append(data) or len(data)),
         pauseProducing=lambda: said.append("p"),
@@ -193,16 +192,16 @@
         unregisterProducer=lambda: None,
         abortConnection=lambda: None,
     )
-    nonsense = frames.frame(frames.QUERY, 1, b"\0")
+    nonsense = frames.encode_frame(frames.FrameType.QUERY, 1, b"\0")
     line.dataReceived(nonsense)
     assert said[1] == "p" and len(later) == 1
     later.pop()()
     assert said[2] == "r"
     line.dataReceived(nonsense)
     assert (
-        said[-1] == "x" and frames.answer(0, 2, b"stream 1 is not new") in said
+        said[-1] == "x" and frames.encode_answer(0, 2, b"stream 1 is not new") in said
     )  # two under one number, one answer
-    line = ClientConnection(desk, "127.0.0.1")
+    line = ClientConnection(intake, "127.0.0.1")
     line.transport = SimpleNamespace(
         socket=SimpleNamespace(send=lambda data, flags: len(data)),
         **{
@@ -216,8 +215,8 @@
             )
         },
     )
-    line.dataReceived(b"".join(frames.frame(frames.QUERY, i, b"\0") for i in range(1, 100)))
-    assert line.bad and line.senseless == 17
+    line.dataReceived(b"".join(frames.encode_frame(frames.FrameType.QUERY, i, b"\0") for i in range(1, 100)))
+    assert line.is_rejecting_input and line.invalid_requests == 17
 
 
 def test_what_is_taken_back_at_once_goes_nowhere(world):
@@ -226,10 +225,10 @@
     c = w.client()
     c.transport.write(
         b"".join(
-            frames.frame(
-                frames.QUERY,
+            frames.encode_frame(
+                frames.FrameType.QUERY,
                 i,
-                frames.write_fields(
+                frames.encode_fields(
                     [
                         ("service", "status"),
                         ("ref", f"{i:016x}"),
@@ -241,32 +240,32 @@
                 ),
                 STATEMENT,
             )
-            + frames.frame(frames.LEFT, i)
+            + frames.encode_frame(frames.FrameType.CANCEL, i)
             for i in range(1, 300)
         )
     )
     c.streams = 300
-    assert answered(c, c.ask("report"))[0] == frames.FINISHED and w.posts() == 1 and not w.service.admit.open
+    assert answered(c, c.ask("report"))[0] == frames.AnswerCode.COMPLETED and w.posts() == 1 and not w.service.adapter.open_queries
     w.engines[0].ways = ["hold"]
     gone = c.ask("report", ref="00000000000000dd")
     until(lambda: w.posts() == 2)
-    c.transport.write(frames.frame(frames.LEFT, gone))
+    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, gone))
     until(lambda: w.engines[0].deletes == ["00000000000000dd"], 0.5)  # and what is out is called off
 
 
 def test_a_client_that_does_not_read_is_bounded():
-    desk = SimpleNamespace(
-        gate=decide.Gate(decide.Rules(9, 0), 0.0),
-        gate_ms=lambda: 0.0,
+    intake = SimpleNamespace(
+        connection_admission=decide.Gate(decide.Rules(9, 0), 0.0),
+        admission_ms=lambda: 0.0,
         now_ms=lambda: 0.0,
         seconds=lambda: 0.0,
-        held=0,
-        room=32 << 20,
+        held_bytes=0,
+        max_held_bytes=32 << 20,
         metrics=SimpleNamespace(count=lambda what: None),
         log=lambda *line: None,
-        fits=lambda *size: True,
+        has_memory_for=lambda *size: True,
     )
-    line, done, full = ClientConnection(desk, "127.0.0.1"), [], SimpleNamespace(sends=1)
+    line, done, full = ClientConnection(intake, "127.0.0.1"), [], SimpleNamespace(sends=1)
 
     def send(data, flags):
         full.sends -= 1
@@ -282,46 +281,46 @@
         socket=SimpleNamespace(send=send),
     )
     for _ in range(1000):
-        line.put(b"x" * 48_000)
+        line.write(b"x" * 48_000)
         if done[-1] == "x":
             break
-    assert done[:3] == [8_000, 48_000, 48_000] and done[-1] == "x" and line.stuck  # in order
+    assert done[:3] == [8_000, 48_000, 48_000] and done[-1] == "x" and line.is_backlogged  # in order
     assert sum(d for d in done if d not in ("p", "x")) <= 32 << 20 and full.sends == 0
     for stream in (1, 2):  # nothing more is taken in from it, and past a bound it is read no further
         assert done[-1] == "x"
-        line.dataReceived(frames.frame(frames.QUERY, stream, b"x" * 40_000))
-    assert done[-1] == "p" and list(line.kept) == [1, 2]
+        line.dataReceived(frames.encode_frame(frames.FrameType.QUERY, stream, b"x" * 40_000))
+    assert done[-1] == "p" and list(line.held_requests) == [1, 2]
     line.dataReceived(
-        frames.frame(frames.LEFT, 1) + frames.frame(frames.LEFT, 2)
+        frames.encode_frame(frames.FrameType.CANCEL, 1) + frames.encode_frame(frames.FrameType.CANCEL, 2)
     )  # what else it says is heard
-    assert not line.kept
+    assert not line.held_requests
     line.resumeProducing()
-    assert desk.held == 0 and done[-1] == "r"
+    assert intake.held_bytes == 0 and done[-1] == "r"
 
 
 def test_what_clients_make_the_front_hold_is_bounded(world):
     """Risk: long statements, or frames that never end, take the memory that the front may have."""
     w = world(engines=1)
-    c, desk, long = w.client(), w.service.clients, STATEMENT + b" " * 200_000
-    desk.room = 3_400_000  # for one long statement, or one long frame, at a time
+    c, intake, long = w.client(), w.service.clients, STATEMENT + b" " * 200_000
+    intake.max_held_bytes = 3_400_000  # for one long statement, or one long frame, at a time
     w.engines[0].ways = ["hold"]
     first = c.ask("report", ref=f"{0:016x}", statement=long)
     until(lambda: w.posts() == 1)
     second, third = c.ask("report", statement=long), c.ask("report")
-    assert answered(c, second)[0] == frames.DEFERRED and answered(c, third)[0] == frames.FINISHED
-    assert desk.held == len(long)
+    assert answered(c, second)[0] == frames.AnswerCode.REJECTED and answered(c, third)[0] == frames.AnswerCode.COMPLETED
+    assert intake.held_bytes == len(long)
     w.engines[0].runs[f"{0:016x}"] = "ok"
-    assert answered(c, first)[0] == frames.FINISHED and desk.held == 0
+    assert answered(c, first)[0] == frames.AnswerCode.COMPLETED and intake.held_bytes == 0
     crowd = [w.client() for _ in range(3)]
     for x in crowd:
         x.transport.write((262_144).to_bytes(4, "little") + b"\2\1\0\0\0" + b"x" * 205_000)
     until(lambda: any(x.closed for x in crowd))
-    assert answered(c, c.ask())[0] == frames.FINISHED  # what is small finds room all the same
-    assert sum(x.closed for x in crowd) < 3 and 0 < desk.held <= desk.room
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED  # what is small finds room all the same
+    assert sum(x.closed for x in crowd) < 3 and 0 < intake.held_bytes <= intake.max_held_bytes
     for x in crowd:
         x.transport.abortConnection()
-    until(lambda: desk.held == 0)
-    assert answered(c, c.ask())[0] == frames.FINISHED
+    until(lambda: intake.held_bytes == 0)
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 def test_a_client_that_reads_late_gets_every_answer_whole(world):
@@ -333,11 +332,11 @@
         until(lambda: w.service.clients.connections)
         line = next(iter(w.service.clients.connections))
         line.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
-        line.known = True
+        line.has_sent_frame = True
         bodies = [bytes([65 + i]) * 30_000 for i in range(4)]
         for i, body in enumerate(bodies):
-            line.put(frames.answer(i + 1, frames.FINISHED, body))
-        assert line.unsent > 0
+            line.write(frames.encode_answer(i + 1, frames.AnswerCode.COMPLETED, body))
+        assert line.unsent_bytes > 0
         client.setblocking(False)
         reader, got = frames.FrameReader(), []
 
@@ -349,4 +348,4 @@
             return len(got) == len(bodies)
 
         until(read)
-    assert got == bodies and line.unsent == 0 and not w.service.metrics.counters["faults"]
+    assert got == bodies and line.unsent_bytes == 0 and not w.service.metrics.counters["faults"]
--- a/tests/test_gateway_endpoint_list.py
+++ b/tests/test_gateway_endpoint_list.py
@@ -5,10 +5,11 @@
 from loopback import until, wait
 
 from lichenquay.admission import domain
-from lichenquay.gateway import frames, http
-from lichenquay.gateway.discovery import BadList, Discovery
-from lichenquay.gateway.engine_call import Call
-from lichenquay.gateway.engine_pool import FrontEngine
+from lichenquay.gateway import engine_protocol, frames
+from lichenquay.gateway.discovery import Discovery
+from lichenquay.gateway.endpoint_events import EndpointListError
+from lichenquay.gateway.engine_call import EngineCall
+from lichenquay.gateway.engine_pool import GatewayEngine
 
 
 def test_a_bulletin_that_goes_back_changes_nothing():
@@ -16,30 +17,30 @@
     b = Discovery({"no": 2, "items": []}, lambda *news: heard.append(news), None)
     good = {"no": 3, "roster": {"all": True, "targets": []}}
     for told in ({"no": 1, "items": []}, {"no": 4, "items": [good, {"no": 4}]}, [], {"no": "x", "items": []}):
-        with pytest.raises(BadList):
-            b.follow(told)
-    assert b.no == 2 and not heard
-    b.follow({"no": 3, "items": [good, good | {"no": 2}]})
-    assert b.no == 3 and heard == [(True, [])]
+        with pytest.raises(EndpointListError):
+            b.apply(told)
+    assert b.last_number == 2 and not heard
+    b.apply({"no": 3, "items": [good, good | {"no": 2}]})
+    assert b.last_number == 3 and heard == [(True, [])]
 
 
 def test_drains_act_at_once_and_an_address_may_come_back(world):
     w = world(engines=2)
     c = w.client()
     w.tell(w.engines[0], "DRAINING")
-    until(lambda: w.service.discovery.no == 2)
+    until(lambda: w.service.discovery.last_number == 2)
     for _ in range(8):
-        assert answered(c, c.ask())[0] == frames.FINISHED
+        assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
     assert not w.engines[0].posts and len(w.engines[1].posts) == 8
-    old = w.service.by_uid["s-1"]
+    old = w.service.engines_by_id["s-1"]
     w.bulletin.add(w.engines[1].row("DELETED"), {**w.engines[1].row(), "uid": "s-new"})
-    until(lambda: w.service.discovery.no == 3)
-    assert not old.idle and "s-1" not in w.service.by_uid
-    assert answered(c, c.ask())[0] == frames.FINISHED and len(w.engines[1].posts) == 9
+    until(lambda: w.service.discovery.last_number == 3)
+    assert not old.idle_connections and "s-1" not in w.service.engines_by_id
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and len(w.engines[1].posts) == 9
     w.drained.clear()
     w.bulletin.add(w.engines[0].row(), whole=True)
-    until(lambda: w.service.discovery.no == 4)
-    assert answered(c, c.ask())[0] == frames.FINISHED and len(w.engines[0].posts) == 1
+    until(lambda: w.service.discovery.last_number == 4)
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and len(w.engines[0].posts) == 1
 
 
 def test_what_was_announced_while_a_front_started_is_known_before_the_first_submission(world):
@@ -56,7 +57,7 @@
     w.bulletin.mute = False
     for line in list(w.bulletin.lines):
         line.transport.abortConnection()
-    assert all(answered(c, s)[0] == frames.FINISHED for s in streams) and w.service.is_ready()
+    assert all(answered(c, s)[0] == frames.AnswerCode.COMPLETED for s in streams) and w.service.is_ready()
     assert not w.engines[0].posts and w.engines[1].posts
 
 
@@ -68,12 +69,12 @@
 
 
 def test_a_submission_on_its_way_meets_a_drain():
-    engine = FrontEngine("e", address="127.0.0.1:1")
-    call, ends = Call(engine, b"", http.is_news, new=True), []
-    call.answer.addErrback(ends.append)
-    assert not call.void()
+    engine = GatewayEngine("e", address="127.0.0.1:1")
+    call, ends = EngineCall(engine, b"", engine_protocol.is_poll_reply, starts_attempt=True), []
+    call.reply.addErrback(ends.append)
+    assert not call.withdraw_if_engine_left()
     engine.state = domain.EndpointState.DRAINING
-    assert call.void() and ends and not call.written
+    assert call.withdraw_if_engine_left() and ends and not call.is_written
 
 
 def test_the_bulletin_goes_wrong_and_comes_back(world):
@@ -84,10 +85,10 @@
         line.transport.abortConnection()
     calls = w.bulletin.calls
     until(lambda: w.bulletin.calls > calls + 1)
-    assert answered(c, c.ask())[0] == frames.FINISHED  # the last good list is kept
+    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED  # the last good list is kept
     w.bulletin.garbage = None
     w.bulletin.add(w.engines[0].row("DRAINING"))
-    until(lambda: w.service.discovery.no == 2)
+    until(lambda: w.service.discovery.last_number == 2)
 
 
 def test_a_bulletin_with_nothing_new_keeps_nobody_busy(world):
--- a/tests/test_gateway_idempotency_keys.py
+++ b/tests/test_gateway_idempotency_keys.py
@@ -21,7 +21,7 @@
         settings["classes"][2].update(more)
         w.path.write_text(json.dumps({**w.config, "settings": settings}))
         w.start()
-        until(lambda: w.service.discovery.answered)
+        until(lambda: w.service.discovery.is_confirmed)
         return w
 
     return make
@@ -39,9 +39,9 @@
         e.ways = hits
     w.sent = lambda *sent: None  # its rule on mutating queries knows the name only
     c = w.client()
-    assert answered(c, c.ask("manifest", replay=TOKEN)) == (frames.FINISHED, RESULT)
+    assert answered(c, c.ask("manifest", replay=TOKEN)) == (frames.AnswerCode.COMPLETED, RESULT)
     assert [said["X-Replay-Key"] for said in headers(w)] == [TOKEN, TOKEN]
-    assert answered(c, c.ask("status"))[0] == frames.FINISHED and "X-Replay-Key" not in headers(w)[-1]
+    assert answered(c, c.ask("status"))[0] == frames.AnswerCode.COMPLETED and "X-Replay-Key" not in headers(w)[-1]
 
 
 def test_without_its_token_it_is_not_sent_again(other):
@@ -51,7 +51,7 @@
     for e in w.engines:
         e.ways = hits
     c = w.client()
-    assert answered(c, c.ask("manifest"))[0] == frames.KILLED and w.posts() == 1
+    assert answered(c, c.ask("manifest"))[0] == frames.AnswerCode.FAILED and w.posts() == 1
 
 
 def test_queries_of_one_key_go_one_at_a_time(other):
@@ -66,7 +66,7 @@
     assert w.posts() == 2 and sorted(said["X-Thing"] for said in headers(w)) == ["ds:7", "ds:8"]
     for e in w.engines:
         e.ways, e.runs = [], dict.fromkeys(e.runs, "ok")
-    assert [answered(c, s)[0] for s in (first, second, third)] == [frames.FINISHED] * 3 and w.posts() == 3
+    assert [answered(c, s)[0] for s in (first, second, third)] == [frames.AnswerCode.COMPLETED] * 3 and w.posts() == 3
 
 
 @pytest.mark.parametrize(
@@ -76,5 +76,5 @@
     """Risk: a client's field becomes another header, or another call, on an engine's connection."""
     w = other()
     c = w.client()
-    assert answered(c, c.ask("manifest", **odd))[0] == frames.KILLED and not w.posts()
-    assert answered(c, c.ask("manifest"))[0] == frames.FINISHED
+    assert answered(c, c.ask("manifest", **odd))[0] == frames.AnswerCode.FAILED and not w.posts()
+    assert answered(c, c.ask("manifest"))[0] == frames.AnswerCode.COMPLETED
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -9,10 +9,10 @@
 
 from lichenquay.admission import domain
 from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
-from lichenquay.gateway import frames, http
-from lichenquay.gateway.discovery import BadList, read_rows
-from lichenquay.gateway.metrics import Log
-from lichenquay.gateway.statement import tables_of
+from lichenquay.gateway import engine_protocol, frames, http
+from lichenquay.gateway.endpoint_events import EndpointListError, read_endpoint_list
+from lichenquay.gateway.log import Log
+from lichenquay.gateway.statement import table_group_of
 from lichenquay.simulator_adapter.codec import Fields
 
 
@@ -26,8 +26,8 @@
 
 
 def test_frames_are_whole_at_every_split():
-    fields = frames.write_fields([("service", "status"), ("ref", "é" * 3)])
-    data = frames.frame(2, 1, fields, b"body") + frames.frame(8, 7) + frames.answer(3, 14, b"a", b"b")
+    fields = frames.encode_fields([("service", "status"), ("ref", "é" * 3)])
+    data = frames.encode_frame(2, 1, fields, b"body") + frames.encode_frame(8, 7) + frames.encode_answer(3, 14, b"a", b"b")
     whole = fed(frames.FrameReader(), data, ())
     assert whole == [(2, 1, fields + b"body"), (8, 7, b""), (4, 3, b"\x0e\x00ab")]
     for cut in range(len(data)):
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
 def test_a_frame_of_no_length_is_told(length):
-    with pytest.raises(frames.BadFrame):
+    with pytest.raises(frames.FrameError):
         fed(frames.FrameReader(), length.to_bytes(4, "little") + b"\2\0\0\0\0", ())
 
 
@@ -52,7 +52,7 @@
                 frames.FrameReader(), data, sorted(chance.choices(range(len(data) + 1), k=3))
             ):
                 frames.read_fields(memoryview(payload))
-        except frames.BadFrame:
+        except frames.FrameError:
             pass
 
 
@@ -70,15 +70,15 @@
         reply = reader.feed(data[:cut]) if cut else None
         assert reply is None
         reply = reader.feed(data[cut:])
-        assert (reply.status, bytes(reply.body)) == (200, b"ab\r\nc") and not reply.more
-        assert reply.keep is (b"close" not in data) and reader.feed(data) is not None  # and the next one
+        assert (reply.status, bytes(reply.body)) == (200, b"ab\r\nc") and not reply.has_trailing_bytes
+        assert reply.keep_alive is (b"close" not in data) and reader.feed(data) is not None  # and the next one
     reader, reply = http.ReplyReader(), None
     for i in range(len(data)):
         assert reply is None
         reply = reader.feed(data[i : i + 1])
     assert bytes(reply.body) == b"ab\r\nc"
     reply = http.ReplyReader().feed(data + b"HTTP/1.1 500 X\r\n\r\n")
-    assert bytes(reply.body) == b"ab\r\nc" and reply.more and not reply.keep  # good, its connection is not
+    assert bytes(reply.body) == b"ab\r\nc" and reply.has_trailing_bytes and not reply.keep_alive  # good, its connection is not
 
 
 def test_an_answer_until_the_connection_closes():
@@ -86,8 +86,8 @@
     assert (
         reader.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab") is None and reader.feed(b"c") is None
     )
-    reply = reader.closed()
-    assert reply.body == b"abc" and not reply.keep and http.ReplyReader().closed() is None
+    reply = reader.connection_closed()
+    assert reply.body == b"abc" and not reply.keep_alive and http.ReplyReader().connection_closed() is None
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
     ],
 )
 def test_what_is_no_answer_is_told(data):
-    with pytest.raises(http.BadReply):
+    with pytest.raises(http.ReplyError):
         http.ReplyReader().feed(data)
 
 
@@ -118,7 +118,7 @@
         cut, reader = chance.randrange(len(data)), http.ReplyReader()
         try:
             reader.feed(bytes(data[:cut])) or reader.feed(bytes(data[cut:]))
-        except http.BadReply:
+        except http.ReplyError:
             pass
 
 
@@ -149,13 +149,13 @@
     ],
 )
 def test_the_group_of_tables(text, tables):
-    assert tables_of(text) == tables
+    assert table_group_of(text) == tables
 
 
 def test_the_lexer_takes_anything():
     chance = random.Random(7)
     for _ in range(500):
-        tables_of(
+        table_group_of(
             "".join(
                 chance.choice(
                     ["'", '"', "/*", "*/", "--", "\n", "$$", "s_1", ".", "(", ")", " from ", "`", "é"]
@@ -187,16 +187,16 @@
     def said(**headers):
         return SimpleNamespace(headers={"x-" + n.replace("_", "-"): v for n, v in headers.items()})
 
-    assert http.report_of(said(report="inflight:7;util:0.61;odd;x:")) == {"active": 7.0, "cpu": 0.61}
-    assert http.report_of(said()) is None and http.report_of(said(report="odd")) is None
-    assert http.cost_of(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0) and http.cost_of(said()) is None
+    assert engine_protocol.read_load_report(said(report="inflight:7;util:0.61;odd;x:")) == {"active": 7.0, "cpu": 0.61}
+    assert engine_protocol.read_load_report(said()) is None and engine_protocol.read_load_report(said(report="odd")) is None
+    assert engine_protocol.read_cost(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0) and engine_protocol.read_cost(said()) is None
     assert (
-        http.cost_of(said(cpu_ms="inf", mem_used="64")) is None
-        and http.report_of(said(report="inflight:-1")) is None
+        engine_protocol.read_cost(said(cpu_ms="inf", mem_used="64")) is None
+        and engine_protocol.read_load_report(said(report="inflight:-1")) is None
     )
-    assert http.note_of(said(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
+    assert engine_protocol.read_progress(said(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
     assert not any(
-        http.note_of(said(**more))
+        engine_protocol.read_progress(said(**more))
         for more in ({}, dict(tell="held"), dict(tell="odd", amount="1"), dict(tell="share", amount="nan"))
     )
     for row in (
@@ -204,8 +204,8 @@
         {"uid": "a", "endpoint": "h", "state": "SERVING"},
         3,
     ):
-        with pytest.raises(BadList):
-            read_rows({"roster": {"all": False, "targets": [row]}})
+        with pytest.raises(EndpointListError):
+            read_endpoint_list({"roster": {"all": False, "targets": [row]}})
 
 
 def test_lines_of_one_kind_are_few():
--- a/tests/test_gateway_program.py
+++ b/tests/test_gateway_program.py
@@ -13,7 +13,7 @@
 from twisted.internet import reactor
 
 from lichenquay.gateway import frames
-from lichenquay.gateway.service import Service
+from lichenquay.gateway.service import Service, ServicePhase
 
 
 def test_settings_of_the_gate_are_read_and_read_again(world, tmp_path):
@@ -25,39 +25,39 @@
         reactor_for(w), {"BALANCER_CONFIG": str(w.path), "LICHENQUAY_SETTINGS": str(settings)}
     )
     w.service.start()
-    w.port = w.service.clients.port.getHost().port
+    w.port = w.service.clients.listener.port.getHost().port
     for e in w.engines:
         e.ways = ["hold"] * 9
     a, b, c = (w.client() for _ in range(3))
     streams = [a.ask("report", allow=4000), a.ask("report", allow=4000), b.ask("report", allow=4000)]
-    assert answered(b, streams[2]) == (frames.DEFERRED, b"open queries of one address; come back in 1000 ms")
+    assert answered(b, streams[2]) == (frames.AnswerCode.REJECTED, b"open queries of one address; come back in 1000 ms")
     d = w.client()
     until(lambda: d.closed)
-    assert d.answers[0][:2] == (frames.DEFERRED, b"connections of one address; come back in 1000 ms")
+    assert d.answers[0][:2] == (frames.AnswerCode.REJECTED, b"connections of one address; come back in 1000 ms")
     settings.write_text("gate { address { connections: 1 queries: 1 } }")
-    w.service.read_again()
-    assert w.service.clients.gate.rules.address.connections == 1 and not any(x.closed for x in (a, b, c))
+    w.service.reload()
+    assert w.service.clients.connection_admission.rules.address.connections == 1 and not any(x.closed for x in (a, b, c))
     settings.write_text("gate { address { connections: -1 } }")
-    w.service.read_again()
+    w.service.reload()
     assert (
-        w.service.clients.gate.rules.address.connections == 1
-        and w.service.metrics.counters["configurations not taken"] == 1
+        w.service.clients.connection_admission.rules.address.connections == 1
+        and w.service.metrics.counters["configurations rejected"] == 1
     )
     for e in w.engines:
         e.ways, e.runs = [], dict.fromkeys(e.runs, "ok")
-    assert all(answered(a, s)[0] == frames.FINISHED for s in streams[:2])
+    assert all(answered(a, s)[0] == frames.AnswerCode.COMPLETED for s in streams[:2])
 
 
 def test_a_new_configuration_is_taken_whole_or_not_at_all(world):
     """Risk: the program ends on SIGHUP, or follows a bulletin that tells nothing any more."""
     w = world(engines=2)
     c, old = w.client(), w.bulletin
-    c.transport.write(frames.frame(frames.IS_READY, 1, b"\0"))
+    c.transport.write(frames.encode_frame(frames.FrameType.READINESS_CHECK, 1, b"\0"))
     c.streams = 1
     other = type(old)()
     other.events = list(old.events)
     new = {**w.config, "bulletin": other.address, "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 150}}
-    before = w.service.discovery_at, w.service.clients.most, w.service.clients.room
+    before = w.service.config.discovery_address, w.service.clients.max_connections, w.service.clients.max_held_bytes
     for bad in (
         "{",
         json.dumps({**new, "known": {"no": 9, "items": [{"no": 9}]}}),
@@ -66,22 +66,22 @@
         "[" * 100_000,
     ):
         w.path.write_text(bad)
-        w.service.read_again()
-        assert (w.service.discovery_at, w.service.clients.most, w.service.clients.room) == before
+        w.service.reload()
+        assert (w.service.config.discovery_address, w.service.clients.max_connections, w.service.clients.max_held_bytes) == before
     w.path.write_text(json.dumps(new))
     w.engines[0].ways = w.engines[1].ways = ["hold"]
     stream = c.ask("report", ref="00000000000000ee")
     until(lambda: w.posts() == 1)
-    w.service.read_again()
-    assert (w.service.clients.most, w.service.clients.room, w.service.engines.budget) == (62, 16 << 20, 52)
+    w.service.reload()
+    assert (w.service.clients.max_connections, w.service.clients.max_held_bytes, w.service.engines.descriptor_budget) == (62, 16 << 20, 52)
     until(lambda: other.lines and not old.lines, 0.5)
     w.bulletin = other
     old.port.stopListening()
     w.tell(w.engines[0], "DRAINING")
-    until(lambda: w.service.discovery.no == 2, 0.5)
+    until(lambda: w.service.discovery.last_number == 2, 0.5)
     for e in w.engines:
         e.runs = dict.fromkeys(e.runs, "ok")
-    assert answered(c, stream)[0] == frames.FINISHED and not c.closed
+    assert answered(c, stream)[0] == frames.AnswerCode.COMPLETED and not c.closed
     old.events, old.garbage = [], None
     w.engines.append(old)  # closed with the rest
     w.engines[-1].port = SimpleNamespace(stopListening=lambda: None)
@@ -99,13 +99,13 @@
     until(lambda: w.posts() == 3)
     left = time.time()
     w.service.leave()
-    until(lambda: (frames.NO_MORE, 0, b"") in c.told)
+    until(lambda: (frames.FrameType.GO_AWAY, 0, b"") in c.told)
     late = w.client()  # PROTOCOL: they go on coming
-    assert answered(late, late.ask())[0] == frames.FINISHED
+    assert answered(late, late.ask())[0] == frames.AnswerCode.COMPLETED
     e.runs["00000000000000cc"] = "ok"
     until(lambda: w.ended)
     assert time.time() - left < 3.7 and [c.answers[s][0] for s in (slow, quick, endless)] == [0, 0, 2]
-    assert w.service.metrics.out == 0 and w.service.state == "ended"
+    assert w.service.attempts.in_flight_count == 0 and w.service.phase == ServicePhase.ENDED
 
 
 def program(config):
@@ -156,4 +156,4 @@
     until(lambda: run.poll() is not None, 5)
     assert run.returncode == 0 and [c.answers[s][0] for s in streams] == [0] * 20
     told = run.stderr.read()
-    assert "queries taken in: 20" in told and "answers finished: 20" in told and "Traceback" not in told
+    assert "queries received: 20" in told and "answers completed: 20" in told and "Traceback" not in told
--- a/tests/test_golden_gateway.py
+++ b/tests/test_golden_gateway.py
@@ -10,8 +10,8 @@
 import pytest
 
 from lichenquay.admission.domain import ProgressKind
-from lichenquay.gateway import frames, http
-from lichenquay.gateway.statement import tables_of
+from lichenquay.gateway import engine_protocol, frames, http
+from lichenquay.gateway.statement import table_group_of
 
 pytestmark = pytest.mark.together
 
@@ -26,22 +26,22 @@
 def test_a_client_request_is_read_as_before(case):
     """Every field has the value it had, and unknown fields are left alone."""
     ((kind, stream, payload),) = frames.FrameReader().feed(bytes.fromhex(case["frame"]))
-    fields, twice, statement = frames.read_query(payload)
-    assert (kind, stream, twice) == (case["kind"], case["stream"], None)
-    assert {wire: fields.get(name) for wire, name in frames.FIELDS.items()} == case["values"]
-    assert bytes(statement).decode() == case["statement"]
-    assert tables_of(case["statement"]) == case["table_group"]
+    request = frames.read_query(payload)
+    assert (kind, stream, request.repeated) == (case["kind"], case["stream"], None)
+    assert {wire: getattr(request, field.name) for wire, field in frames.FIELDS.items()} == case["values"]
+    assert bytes(request.statement).decode() == case["statement"]
+    assert table_group_of(case["statement"]) == case["table_group"]
 
 
 def test_answers_to_clients_are_the_same_bytes():
     """One of each code, readiness, and the end of a connection."""
     written = {
-        "completed": frames.answer(7, frames.FINISHED, *BODY),
-        "rejected": frames.answer(7, frames.DEFERRED, *BODY),
-        "failed": frames.answer(7, frames.KILLED, *BODY),
-        "ready": frames.readiness(3, 0),
-        "not ready": frames.readiness(4, 1),
-        "no more requests": frames.frame(frames.NO_MORE, 0),
+        "completed": frames.encode_answer(7, frames.AnswerCode.COMPLETED, *BODY),
+        "rejected": frames.encode_answer(7, frames.AnswerCode.REJECTED, *BODY),
+        "failed": frames.encode_answer(7, frames.AnswerCode.FAILED, *BODY),
+        "ready": frames.encode_readiness(3, is_ready=True),
+        "not ready": frames.encode_readiness(4, is_ready=False),
+        "no more requests": frames.encode_frame(frames.FrameType.GO_AWAY, 0),
     }
     assert {name: data.hex() for name, data in written.items()} == MESSAGES["answers"]
 
@@ -51,7 +51,7 @@
 )
 def test_calls_to_engines_are_the_same_bytes(case):
     """The first call of each class, news, pages, priorities and cancellation."""
-    calls = {"start": http.start, "page": http.page, "priority": http.priority, "give_up": http.give_up}
+    calls = {"start": engine_protocol.encode_start, "page": engine_protocol.encode_page, "priority": engine_protocol.encode_priority, "give_up": engine_protocol.encode_cancel}
     arguments = list(case["arguments"])
     if case["call"] == "start":
         arguments[6] = arguments[6].encode()
@@ -64,15 +64,15 @@
 def test_engine_replies_mean_what_they_meant(case):
     """Status, progress, load report, cost, and which call each reply answers."""
     reply = http.ReplyReader().feed(case["bytes"].encode())
-    note = http.note_of(reply)
+    progress = engine_protocol.read_progress(reply)
     understood = {
         "status": reply.status,
-        "news": bool(http.is_news(reply)),
-        "page_1": bool(http.is_page(1)(reply)),
-        "done": bool(http.is_done(reply)),
-        "overloaded": bool(http.is_full(reply)),
-        "note": None if note is None else [PROGRESS_KINDS.index(note[0]), note[1]],
-        "report": http.report_of(reply),
-        "cost": None if http.cost_of(reply) is None else list(http.cost_of(reply)),
+        "news": bool(engine_protocol.is_poll_reply(reply)),
+        "page_1": bool(engine_protocol.page_reply_check(1)(reply)),
+        "done": bool(engine_protocol.is_acknowledgement(reply)),
+        "overloaded": bool(engine_protocol.is_overloaded(reply)),
+        "note": None if progress is None else [PROGRESS_KINDS.index(progress[0]), progress[1]],
+        "report": engine_protocol.read_load_report(reply),
+        "cost": None if engine_protocol.read_cost(reply) is None else list(engine_protocol.read_cost(reply)),
     }
     assert understood == {name: value for name, value in case.items() if name != "bytes"}
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -113,7 +113,7 @@
                     "effort": "5",
                     "memory": "1",
                 }
-                query = frames.frame(frames.QUERY, 1, frames.write_fields(fields.items()), b"select 1")
+                query = frames.encode_frame(frames.FrameType.QUERY, 1, frames.encode_fields(fields.items()), b"select 1")
                 if chance.random() < 0.5:
                     f.send_signal(signal.SIGTERM)
                     client.sendall(query)
@@ -126,12 +126,12 @@
                     answers += [
                         (stream, payload[0])
                         for kind, stream, payload in reader.feed(data)
-                        if kind == frames.ANSWER
+                        if kind == frames.FrameType.ANSWER
                     ]
             assert (
                 f.wait(10) == 0
                 and [s for s, _ in answers] == [1]
-                and answers[0][1] in (frames.DEFERRED, frames.KILLED)
+                and answers[0][1] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
             )
         finally:
             f.kill()
