--- a/lichenquay/control_plane/__main__.py
+++ b/lichenquay/control_plane/__main__.py
@@ -13,4 +13,6 @@
 
 # Risk: the reactor's own clock is the wall's; where that steps back an hour, nothing due happens for an hour.
 reactor.seconds = time.monotonic
-sys.exit(run_service("lichenquay.control_plane", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError))
+sys.exit(
+    run_service("lichenquay.control_plane", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError)
+)
--- a/lichenquay/gateway/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -6,8 +6,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from lichenquay.endpoint_record import EndpointRecord
-from lichenquay.gateway.endpoint_events import EndpointListError, read_events
-from lichenquay.gateway.http import ReplyError, ReplyReader, Status, encode_request
+from lichenquay.gateway.endpoint_events import EndpointListError, encode_poll, read_events
+from lichenquay.gateway.http import ReplyError, ReplyReader, Status
 
 POLL_WAIT_MS = 1000  # of one poll; PROTOCOL allows 5,000: shorter, a half-open connection shows sooner
 FIRST_POLL_WAIT_MS = 1  # of the polls until one is answered: until then the endpoint list may be stale
@@ -85,10 +85,10 @@
         self.stop_timer()
         discovery = self.factory.discovery
         self.poll_wait_ms = POLL_WAIT_MS if discovery.is_confirmed else FIRST_POLL_WAIT_MS
-        path = f"/bulletins?after={discovery.last_number}&patience={self.poll_wait_ms}"
+        poll = encode_poll(self.factory.host, discovery.last_number, self.poll_wait_ms)
         self.polled_s = self.factory.reactor.seconds()
         self.timer = self.factory.reactor.callLater(REPLY_TIMEOUT_MS / 1000, self.transport.abortConnection)
-        self.transport.write(encode_request("GET", path, self.factory.host))
+        self.transport.write(poll)
 
     def dataReceived(self, data):
         """Part of an answer; one that cannot be read changes nothing, and ends the connection."""
--- a/lichenquay/gateway/endpoint_events.py
+++ b/lichenquay/gateway/endpoint_events.py
@@ -1,4 +1,4 @@
-"""The answers of the discovery service: the endpoint list as numbered events (the operators' PROTOCOL).
+"""Polls of the discovery service, and the endpoint list in its answers (the operators' PROTOCOL).
 
 An edge module, free of I/O: the names on the wire end here.
 """
@@ -8,6 +8,7 @@
 from lichenquay.admission import domain
 from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.gateway.errors import GatewayError
+from lichenquay.gateway.http import encode_request
 
 STATES = {
     "SERVING": domain.EndpointState.SERVING,
@@ -43,6 +44,11 @@
     events: list[EndpointEvent]
 
 
+def encode_poll(host: str, after: int, wait_ms: int) -> bytes:
+    """A long poll for the events after number `after`; the service waits for one, for `wait_ms` at most."""
+    return encode_request("GET", f"/bulletins?after={after}&patience={wait_ms}", host)
+
+
 def _read_record(target):
     host, _, port = target["endpoint"].rpartition(":")
     if target["state"] not in STATES or not host or not 0 < int(port) <= MAX_PORT:
--- a/lichenquay/load/client_connection.py
+++ b/lichenquay/load/client_connection.py
@@ -104,7 +104,9 @@
                 ("memory", f"{ask.claim:.0f}"),
             ]
         )
-        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, self.streams, fields, statement_of(ask.task)))
+        self.transport.write(
+            frames.encode_frame(frames.FrameType.QUERY, self.streams, fields, statement_of(ask.task))
+        )
 
 
 class LineFactory(ClientFactory):
--- a/lichenquay/testbed/faulty_gateway.py
+++ b/lichenquay/testbed/faulty_gateway.py
@@ -81,7 +81,8 @@
         while True:
             try:
                 reply = yield call(
-                    self.bulletin, http.encode_request("GET", f"/bulletins?after={self.no}&patience=1000", "b")
+                    self.bulletin,
+                    http.encode_request("GET", f"/bulletins?after={self.no}&patience=1000", "b"),
                 )
                 self.take(json.loads(reply.body))
             except Exception:
@@ -104,7 +105,9 @@
             return
         if bad and self.fault == "makes up":
             self.turn += 1
-            return line.transport.write(frames.encode_answer(stream, frames.AnswerCode.COMPLETED, b"1\ta\tb\n"))
+            return line.transport.write(
+                frames.encode_answer(stream, frames.AnswerCode.COMPLETED, b"1\ta\tb\n")
+            )
         address = self.pick()
         try:
             if bad and self.fault == "copies":
@@ -127,7 +130,10 @@
 
     @inlineCallbacks
     def run(self, address, request, statement):
-        reply = yield call(address, engine_protocol.encode_start("e", request.request_id, request.group, 4000, 0, None, statement))
+        reply = yield call(
+            address,
+            engine_protocol.encode_start("e", request.request_id, request.group, 4000, 0, None, statement),
+        )
         while reply.status == 202:
             reply = yield call(address, engine_protocol.encode_page("e", request.request_id, 0))
         if reply.status != 200:
--- a/lichenquay/testbed/flood.py
+++ b/lichenquay/testbed/flood.py
@@ -50,7 +50,9 @@
                 ("memory", "64"),
             ]
         )
-        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, statement_of(task)))
+        self.transport.write(
+            frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, statement_of(task))
+        )
 
     def dataReceived(self, data):
         for kind, stream, payload in self.reader.feed(data):
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -1,5 +1,5 @@
-"""A controller in a hollow front: production's `ControllerAdapter` and controller over the distributed engines, with a
-trickle of queries whose engines answer by themselves.
+"""A controller in a hollow front: production's `ControllerAdapter` and controller over the distributed
+engines, with a trickle of queries whose engines answer by themselves.
 
 No query leaves the process: what the controller submits is answered after its work's time, as by an idle
 engine.
--- a/tests/crossings/hooks.py
+++ b/tests/crossings/hooks.py
@@ -90,7 +90,14 @@
 def over(w, seconds=5.0):
     """All that was taken has ended, and nothing is held for it any more."""
     service = w.service
-    until(lambda: not service.adapter.open_queries and not service.attempts.in_flight_count and not service.engines.waiting_calls, seconds)
+    until(
+        lambda: (
+            not service.adapter.open_queries
+            and not service.attempts.in_flight_count
+            and not service.engines.waiting_calls
+        ),
+        seconds,
+    )
     assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
 
 
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -36,7 +36,9 @@
     line = line_of(w)
     line.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     q = []
-    w.service.router.dispatcher.dispatch = lambda flight, call: q.append(flight)  # nothing goes out: the test answers
+    w.service.router.dispatcher.dispatch = lambda flight, call: q.append(
+        flight
+    )  # nothing goes out: the test answers
     ask(client, stream, **more)
     until(lambda: q)
     w.service.adapter.answer(q[0].query, frames.AnswerCode.COMPLETED, [BIG])
@@ -51,7 +53,9 @@
     line = line_of(w)
     ask(client, 1)
     until(lambda: told(w, "answers completed") == 1)  # nobody has read it
-    client.socket.sendall(frames.encode_frame(frames.FrameType.QUERY, 2)[:7])  # these lie unread when the front closes
+    client.socket.sendall(
+        frames.encode_frame(frames.FrameType.QUERY, 2)[:7]
+    )  # these lie unread when the front closes
     line.close()
     until(lambda: client.read() and client.ended)
     assert client.ended == "end" and answers(client)[1] == (frames.AnswerCode.COMPLETED, RESULT)
@@ -122,7 +126,11 @@
     wait(2 * client_connection.CLOSE_S)
     until(lambda: client.read() and client.ended)
     got = answers(client)
-    assert client.ended == "end" and got[1] == (frames.AnswerCode.COMPLETED, BIG) and got[0][0] == frames.AnswerCode.FAILED
+    assert (
+        client.ended == "end"
+        and got[1] == (frames.AnswerCode.COMPLETED, BIG)
+        and got[0][0] == frames.AnswerCode.FAILED
+    )
 
 
 @pytest.mark.parametrize("leaves", ["end", "reset"])
--- a/tests/crossings/test_engine_connections.py
+++ b/tests/crossings/test_engine_connections.py
@@ -158,7 +158,9 @@
 
 def test_copies_of_204_and_202_start_and_end_nothing():
     """What such a copy may be taken for: news of nothing, or a priority heard. Neither ends an attempt or starts one."""
-    assert not engine_protocol.is_overloaded(http.Reply(204, {}, True)) and not engine_protocol.is_poll_reply(http.Reply(204, {}, True))
+    assert not engine_protocol.is_overloaded(http.Reply(204, {}, True)) and not engine_protocol.is_poll_reply(
+        http.Reply(204, {}, True)
+    )
     assert not engine_protocol.is_acknowledgement(http.Reply(202, {}, True))
 
 
@@ -223,12 +225,21 @@
         return line
 
     def serves(line, accepts, owner):
-        return pool.pick_idle_connection(EngineCall(engine, b"", accepts, preferred_connection=line, attempt=owner)) is line
+        return (
+            pool.pick_idle_connection(
+                EngineCall(engine, b"", accepts, preferred_connection=line, attempt=owner)
+            )
+            is line
+        )
 
     accepted = after(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n", engine_protocol.is_poll_reply)
-    assert serves(accepted, engine_protocol.is_poll_reply, "before") and serves(accepted, engine_protocol.is_acknowledgement, "another")
+    assert serves(accepted, engine_protocol.is_poll_reply, "before") and serves(
+        accepted, engine_protocol.is_acknowledgement, "another"
+    )
     assert not serves(accepted, engine_protocol.is_poll_reply, "another")
     accepted.abort()
     done = after(b"HTTP/1.1 204 X\r\n\r\n", engine_protocol.is_acknowledgement)
-    assert serves(done, engine_protocol.is_acknowledgement, "before") and serves(done, engine_protocol.is_poll_reply, "another")
+    assert serves(done, engine_protocol.is_acknowledgement, "before") and serves(
+        done, engine_protocol.is_poll_reply, "another"
+    )
     assert not serves(done, engine_protocol.is_acknowledgement, "another")
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -93,7 +93,9 @@
         wait(0.005)
     assert w.ended and time.monotonic() - begun < 1.3
     wait(0.05)
-    assert told(w, "queries received") == len([s for s in c.answers if s]) and not w.service.adapter.open_queries
+    assert (
+        told(w, "queries received") == len([s for s in c.answers if s]) and not w.service.adapter.open_queries
+    )
 
 
 def test_a_second_stop_and_a_new_configuration_meanwhile_change_nothing(world):
@@ -205,7 +207,9 @@
         wait(HELD_S)
         assert stream not in c.answers
         engine.ways, engine.runs[ref] = [], "ok"  # also where it is on its way there once more
-        assert answered(c, stream, 1) == (frames.AnswerCode.COMPLETED, RESULT) and time.monotonic() - asked < 3
+        assert (
+            answered(c, stream, 1) == (frames.AnswerCode.COMPLETED, RESULT) and time.monotonic() - asked < 3
+        )
         engine.ways = list(HOLDS)
         late = c.ask("status", allow=400)
         assert answered(c, late, 1)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -228,9 +228,18 @@
         assert code == frames.AnswerCode.COMPLETED or ends_it and code in DONE, code
         assert case.after()
     service = w.service
-    until(lambda: not service.adapter.open_queries and not service.attempts.in_flight_count and not service.engines.waiting_calls, 5)
+    until(
+        lambda: (
+            not service.adapter.open_queries
+            and not service.attempts.in_flight_count
+            and not service.engines.waiting_calls
+        ),
+        5,
+    )
     wait(0.05)
     assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
-    assert all(not line.unsent_bytes for line in service.clients.connections) and service.clients.held_bytes == 0
+    assert (
+        all(not line.unsent_bytes for line in service.clients.connections) and service.clients.held_bytes == 0
+    )
     if event == "stops":
         until(lambda: w.ended, 4.5)
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -88,10 +88,14 @@
     w.sent = lambda *sent: None
     c = w.client()
     if name == "a window shorter than the connect limit":  # it may be, within its window
-        assert answered(c, c.ask("manifest", replay="a1"))[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
+        assert answered(c, c.ask("manifest", replay="a1"))[0] in (
+            frames.AnswerCode.FAILED,
+            frames.AnswerCode.REJECTED,
+        )
     else:
         assert (
-            answered(c, c.ask("manifest", replay="a1"))[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
+            answered(c, c.ask("manifest", replay="a1"))[0]
+            in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
             and w.posts() == 1
         )
     over(w)
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -106,7 +106,9 @@
     assert answered(c, c.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     wait(0.1)  # its connection has rested for long enough to be used again
     refusals, may_send = [], w.service.dispatcher.may_send
-    w.service.dispatcher.may_send = lambda flight: bool(refusals) and may_send(flight) or bool(refusals.append(flight))
+    w.service.dispatcher.may_send = lambda flight: (
+        bool(refusals) and may_send(flight) or bool(refusals.append(flight))
+    )
     assert answered(c, c.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     assert len(refusals) == 1 and w.posts() == 2
     assert told(w, "attempts never sent") == 1 and told(w, "faults") == 0
@@ -225,7 +227,10 @@
     guards = w.service.adapter.controller.guards
     connects, c, stream = asked(w, effort="20.0")
     (q,) = w.service.adapter.open_queries
-    attempt, later = q.attempts[0], w.service.adapter.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms
+    attempt, later = (
+        q.attempts[0],
+        w.service.adapter.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms,
+    )
     seen.cold_sent.add(later, guards.cold_budget(seen.engine, guards.warmth(seen.engine, later)))
     q.deadline_ms = later + 1000
     assert not w.service.adapter.controller.may_dispatch(attempt, later)
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -118,7 +118,9 @@
             self.asked[ref], self.refs[self.stream] = time.monotonic(), ref
         try:
             self.socket.sendall(
-                frames.encode_frame(frames.FrameType.QUERY, self.stream, frames.encode_fields(fields.items()), statement)
+                frames.encode_frame(
+                    frames.FrameType.QUERY, self.stream, frames.encode_fields(fields.items()), statement
+                )
             )
         except OSError:
             self.broke(self.socket)
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -105,7 +105,9 @@
         }
         pairs = [(n, v) for n, v in fields.items() if v is not None and n != "twice"]
         pairs += [("ref", ref)] if "twice" in fields else []
-        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, self.streams, frames.encode_fields(pairs), statement))
+        self.transport.write(
+            frames.encode_frame(frames.FrameType.QUERY, self.streams, frames.encode_fields(pairs), statement)
+        )
         return self.streams
 
 
--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -37,7 +37,11 @@
     assert not life.may_run and not life.time_passed(1e9)
     life.connection_closed_by_engine(1.0)
     life.acknowledged(1.0)
-    assert not life.unknown_reported(5.0, 6.0) and not life.connection_refused(7.0, False) and not life.connection_refused(99.0, False)
+    assert (
+        not life.unknown_reported(5.0, 6.0)
+        and not life.connection_refused(7.0, False)
+        and not life.connection_refused(99.0, False)
+    )
     assert life.state == AttemptState.UNSENT
 
 
@@ -46,7 +50,9 @@
     for at in range(110, 590, 60):
         assert not life.unknown_reported(at, at + 1.0) and life.may_run
     assert (
-        not life.unknown_reported(601.0, 602.0) and not life.unknown_reported(603.0, 640.0) and not life.unknown_reported(610.0, 630.0)
+        not life.unknown_reported(601.0, 602.0)
+        and not life.unknown_reported(603.0, 640.0)
+        and not life.unknown_reported(610.0, 630.0)
     )
     assert life.unknown_reported(650.0, 651.0) and life.proof == Proof.UNKNOWN_LONG_AFTER_POST
 
@@ -55,7 +61,9 @@
     life = sent()
     life.connection_closed_by_engine(150.0)
     assert not life.unknown_reported(149.0, 200.0) and not life.unknown_reported(151.0, 160.0)
-    assert not life.unknown_reported(155.0, 300.0)  # it was out when the first came: one look may have answered both
+    assert not life.unknown_reported(
+        155.0, 300.0
+    )  # it was out when the first came: one look may have answered both
     assert life.unknown_reported(205.0, 206.0) and life.proof == Proof.UNKNOWN_AFTER_DISCONNECT
 
 
@@ -67,14 +75,24 @@
     life.acknowledged(150.0)
     assert not life.unknown_reported(160.0, 161.0, may_be_other_engine=True)  # perhaps a stranger's word
     life.connection_closed_by_engine(170.0)  # the connection on which it was known
-    assert not life.unknown_reported(171.0, 172.0, may_be_other_engine=True) and life.unknown_reported(222.0, 223.0, may_be_other_engine=True)
+    assert not life.unknown_reported(171.0, 172.0, may_be_other_engine=True) and life.unknown_reported(
+        222.0, 223.0, may_be_other_engine=True
+    )
 
 
 def test_two_refusals_prove_it_if_nothing_to_it_is_open_and_nothing_answered_between():
     life = sent()
-    assert not life.connection_refused(200.0, True) and not life.connection_refused(260.0, False) and not life.connection_refused(290.0, False)
+    assert (
+        not life.connection_refused(200.0, True)
+        and not life.connection_refused(260.0, False)
+        and not life.connection_refused(290.0, False)
+    )
     life.engine_replied()
-    assert not life.connection_refused(400.0, False) and not life.connection_refused(420.0, False) and life.connection_refused(450.0, False)
+    assert (
+        not life.connection_refused(400.0, False)
+        and not life.connection_refused(420.0, False)
+        and life.connection_refused(450.0, False)
+    )
     assert life.proof == Proof.PROCESS_GONE and not life.may_run
 
 
@@ -91,7 +109,11 @@
     life.end_reported()
     life.acknowledged(120.0)
     life.connection_closed_by_engine(130.0)
-    assert life.state == AttemptState.OVER and life.unknown_reported(1.0, 2.0) and life.proof == Proof.END_REPORTED
+    assert (
+        life.state == AttemptState.OVER
+        and life.unknown_reported(1.0, 2.0)
+        and life.proof == Proof.END_REPORTED
+    )
 
 
 # against a model of the engine's side
@@ -221,7 +243,9 @@
             self.life.acknowledged(s.now)
             self.own, self.here = "open", False
         else:
-            self.life.unknown_reported(written, s.now, may_be_other_engine=self.leaves and not on_own, is_poll=not drop)
+            self.life.unknown_reported(
+                written, s.now, may_be_other_engine=self.leaves and not on_own, is_poll=not drop
+            )
 
     def refused(self):
         alive = self.side.process and "open" in (self.first, self.own) or self.here or self.leaves
@@ -304,11 +328,18 @@
     outcomes = [answered(client, stream) for client, stream, _, _ in asked]
     codes = [code for code, _ in outcomes]
     deferred = [x for x, code in zip(asked, codes, strict=True) if code == frames.AnswerCode.REJECTED]
-    assert set(codes) <= {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED} and len(deferred) < len(asked) / 2 and not BROKEN
+    assert (
+        set(codes) <= {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED}
+        and len(deferred) < len(asked) / 2
+        and not BROKEN
+    )
     assert all(body == RESULT for code, body in outcomes if code == frames.AnswerCode.COMPLETED)
     assert not {ref for *_, ref in deferred} & w.may.keys()
     for client, _, group, _ in deferred:
-        assert answered(client, client.ask(group, ref=next(refs), allow=2500)) == (frames.AnswerCode.COMPLETED, RESULT)
+        assert answered(client, client.ask(group, ref=next(refs), allow=2500)) == (
+            frames.AnswerCode.COMPLETED,
+            RESULT,
+        )
     assert not BROKEN
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,7 +21,10 @@
     w = world(engines=1)
     c = w.client()
     c.transport.write(frames.encode_frame(frames.FrameType.READINESS_CHECK, 9, b"\0"))
-    assert answered(c, c.ask("report", ref="9b1f03aa5c7e2d41", odd="x")) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert answered(c, c.ask("report", ref="9b1f03aa5c7e2d41", odd="x")) == (
+        frames.AnswerCode.COMPLETED,
+        RESULT,
+    )
     headers, body = w.engines[0].posts[0]
     assert headers["X-Hop-Id"] == "9b1f03aa5c7e2d41" and headers["X-Sort"] == "report" and body == STATEMENT
     assert (
@@ -54,7 +57,10 @@
         ("reset", "manifest", 1, frames.AnswerCode.FAILED),
         ("lost page", "manifest", 1, frames.AnswerCode.FAILED),
         ("noise", "manifest", 1, frames.AnswerCode.FAILED),
-        *((way, "manifest", 1, frames.AnswerCode.COMPLETED) for way in (*SPOILT, "drop post", "more", "copies")),
+        *(
+            (way, "manifest", 1, frames.AnswerCode.COMPLETED)
+            for way in (*SPOILT, "drop post", "more", "copies")
+        ),
     ],
 )
 def test_what_goes_wrong_at_an_engine(world, way, group, posts, code):
@@ -205,9 +211,9 @@
     w = world(engines=1)
     c, w.engines[0].ways = w.client(), ["copied late", "later"]
     first = c.ask("status", allow=4000)
-    assert answered(c, first) == (frames.AnswerCode.COMPLETED, c.answers[first][1]) and c.answers[first][1].endswith(
-        b"\tx\ty\n"
-    )
+    assert answered(c, first) == (frames.AnswerCode.COMPLETED, c.answers[first][1]) and c.answers[first][
+        1
+    ].endswith(b"\tx\ty\n")
     wait(0.035)
     second = c.ask("status", allow=4000)
     assert answered(c, second) == (frames.AnswerCode.COMPLETED, RESULT) and w.posts() == 2
@@ -223,15 +229,32 @@
         lines.append(EngineConnection(pool, EngineCall(e, b"", engine_protocol.is_poll_reply)))
         lines[-1].idle_since_s = at
         e.idle_connections.append(lines[-1])
-    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[1]  # the last that has rested
+    assert (
+        pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[1]
+    )  # the last that has rested
     lines[2].attempt = "its query"
     assert (
-        pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="its query")) is lines[2]
+        pool.pick_idle_connection(
+            EngineCall(
+                e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="its query"
+            )
+        )
+        is lines[2]
     )  # but its own query's next call
     assert (
-        pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="another")) is lines[1]
+        pool.pick_idle_connection(
+            EngineCall(
+                e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="another"
+            )
+        )
+        is lines[1]
     )  # not once another's went there
-    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply, needs_new_connection=True)) is None
+    assert (
+        pool.pick_idle_connection(
+            EngineCall(e, b"", engine_protocol.is_poll_reply, needs_new_connection=True)
+        )
+        is None
+    )
     e.idle_connections.popleft()
     e.idle_connections.popleft()
     assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is None
@@ -267,7 +290,9 @@
     start, router.start = router.start, None
     assert answered(c, c.ask())[0] == frames.AnswerCode.FAILED
     router.start = start
-    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and w.service.metrics.counters["faults"] == 1
+    assert (
+        answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and w.service.metrics.counters["faults"] == 1
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -63,7 +63,10 @@
     w.engines[0].ways = ["hold"] * 40
     streams = [c.ask("status", allow=600) for _ in range(33)]
     assert answered(c, streams[-1])[0] == frames.AnswerCode.REJECTED
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, streams[0]) + frames.encode_frame(frames.FrameType.CANCEL, 999))
+    c.transport.write(
+        frames.encode_frame(frames.FrameType.CANCEL, streams[0])
+        + frames.encode_frame(frames.FrameType.CANCEL, 999)
+    )
     until(lambda: len(c.answers) == 32)  # all but the one that was left
     assert streams[0] not in c.answers
 
@@ -140,7 +143,10 @@
     depot = w.client()
     until(lambda: any(c.closed for c in others))
     gone = next(c for c in others if c.closed)
-    assert gone.answers[streams[others.index(gone)]][0] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
+    assert gone.answers[streams[others.index(gone)]][0] in (
+        frames.AnswerCode.REJECTED,
+        frames.AnswerCode.FAILED,
+    )
     assert gone.answers[0][0] == frames.AnswerCode.REJECTED and b"needed by others" in gone.answers[0][1]
     for e in w.engines:
         e.ways = []
@@ -245,7 +251,11 @@
         )
     )
     c.streams = 300
-    assert answered(c, c.ask("report"))[0] == frames.AnswerCode.COMPLETED and w.posts() == 1 and not w.service.adapter.open_queries
+    assert (
+        answered(c, c.ask("report"))[0] == frames.AnswerCode.COMPLETED
+        and w.posts() == 1
+        and not w.service.adapter.open_queries
+    )
     w.engines[0].ways = ["hold"]
     gone = c.ask("report", ref="00000000000000dd")
     until(lambda: w.posts() == 2)
@@ -307,7 +317,10 @@
     first = c.ask("report", ref=f"{0:016x}", statement=long)
     until(lambda: w.posts() == 1)
     second, third = c.ask("report", statement=long), c.ask("report")
-    assert answered(c, second)[0] == frames.AnswerCode.REJECTED and answered(c, third)[0] == frames.AnswerCode.COMPLETED
+    assert (
+        answered(c, second)[0] == frames.AnswerCode.REJECTED
+        and answered(c, third)[0] == frames.AnswerCode.COMPLETED
+    )
     assert intake.held_bytes == len(long)
     w.engines[0].runs[f"{0:016x}"] = "ok"
     assert answered(c, first)[0] == frames.AnswerCode.COMPLETED and intake.held_bytes == 0
--- a/tests/test_gateway_idempotency_keys.py
+++ b/tests/test_gateway_idempotency_keys.py
@@ -41,7 +41,10 @@
     c = w.client()
     assert answered(c, c.ask("manifest", replay=TOKEN)) == (frames.AnswerCode.COMPLETED, RESULT)
     assert [said["X-Replay-Key"] for said in headers(w)] == [TOKEN, TOKEN]
-    assert answered(c, c.ask("status"))[0] == frames.AnswerCode.COMPLETED and "X-Replay-Key" not in headers(w)[-1]
+    assert (
+        answered(c, c.ask("status"))[0] == frames.AnswerCode.COMPLETED
+        and "X-Replay-Key" not in headers(w)[-1]
+    )
 
 
 def test_without_its_token_it_is_not_sent_again(other):
@@ -66,7 +69,9 @@
     assert w.posts() == 2 and sorted(said["X-Thing"] for said in headers(w)) == ["ds:7", "ds:8"]
     for e in w.engines:
         e.ways, e.runs = [], dict.fromkeys(e.runs, "ok")
-    assert [answered(c, s)[0] for s in (first, second, third)] == [frames.AnswerCode.COMPLETED] * 3 and w.posts() == 3
+    assert [answered(c, s)[0] for s in (first, second, third)] == [
+        frames.AnswerCode.COMPLETED
+    ] * 3 and w.posts() == 3
 
 
 @pytest.mark.parametrize(
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -27,7 +27,11 @@
 
 def test_frames_are_whole_at_every_split():
     fields = frames.encode_fields([("service", "status"), ("ref", "é" * 3)])
-    data = frames.encode_frame(2, 1, fields, b"body") + frames.encode_frame(8, 7) + frames.encode_answer(3, 14, b"a", b"b")
+    data = (
+        frames.encode_frame(2, 1, fields, b"body")
+        + frames.encode_frame(8, 7)
+        + frames.encode_answer(3, 14, b"a", b"b")
+    )
     whole = fed(frames.FrameReader(), data, ())
     assert whole == [(2, 1, fields + b"body"), (8, 7, b""), (4, 3, b"\x0e\x00ab")]
     for cut in range(len(data)):
@@ -71,14 +75,18 @@
         assert reply is None
         reply = reader.feed(data[cut:])
         assert (reply.status, bytes(reply.body)) == (200, b"ab\r\nc") and not reply.has_trailing_bytes
-        assert reply.keep_alive is (b"close" not in data) and reader.feed(data) is not None  # and the next one
+        assert (
+            reply.keep_alive is (b"close" not in data) and reader.feed(data) is not None
+        )  # and the next one
     reader, reply = http.ReplyReader(), None
     for i in range(len(data)):
         assert reply is None
         reply = reader.feed(data[i : i + 1])
     assert bytes(reply.body) == b"ab\r\nc"
     reply = http.ReplyReader().feed(data + b"HTTP/1.1 500 X\r\n\r\n")
-    assert bytes(reply.body) == b"ab\r\nc" and reply.has_trailing_bytes and not reply.keep_alive  # good, its connection is not
+    assert (
+        bytes(reply.body) == b"ab\r\nc" and reply.has_trailing_bytes and not reply.keep_alive
+    )  # good, its connection is not
 
 
 def test_an_answer_until_the_connection_closes():
@@ -187,9 +195,18 @@
     def said(**headers):
         return SimpleNamespace(headers={"x-" + n.replace("_", "-"): v for n, v in headers.items()})
 
-    assert engine_protocol.read_load_report(said(report="inflight:7;util:0.61;odd;x:")) == {"active": 7.0, "cpu": 0.61}
-    assert engine_protocol.read_load_report(said()) is None and engine_protocol.read_load_report(said(report="odd")) is None
-    assert engine_protocol.read_cost(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0) and engine_protocol.read_cost(said()) is None
+    assert engine_protocol.read_load_report(said(report="inflight:7;util:0.61;odd;x:")) == {
+        "active": 7.0,
+        "cpu": 0.61,
+    }
+    assert (
+        engine_protocol.read_load_report(said()) is None
+        and engine_protocol.read_load_report(said(report="odd")) is None
+    )
+    assert (
+        engine_protocol.read_cost(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0)
+        and engine_protocol.read_cost(said()) is None
+    )
     assert (
         engine_protocol.read_cost(said(cpu_ms="inf", mem_used="64")) is None
         and engine_protocol.read_load_report(said(report="inflight:-1")) is None
--- a/tests/test_gateway_program.py
+++ b/tests/test_gateway_program.py
@@ -30,13 +30,21 @@
         e.ways = ["hold"] * 9
     a, b, c = (w.client() for _ in range(3))
     streams = [a.ask("report", allow=4000), a.ask("report", allow=4000), b.ask("report", allow=4000)]
-    assert answered(b, streams[2]) == (frames.AnswerCode.REJECTED, b"open queries of one address; come back in 1000 ms")
+    assert answered(b, streams[2]) == (
+        frames.AnswerCode.REJECTED,
+        b"open queries of one address; come back in 1000 ms",
+    )
     d = w.client()
     until(lambda: d.closed)
-    assert d.answers[0][:2] == (frames.AnswerCode.REJECTED, b"connections of one address; come back in 1000 ms")
+    assert d.answers[0][:2] == (
+        frames.AnswerCode.REJECTED,
+        b"connections of one address; come back in 1000 ms",
+    )
     settings.write_text("gate { address { connections: 1 queries: 1 } }")
     w.service.reload()
-    assert w.service.clients.connection_admission.rules.address.connections == 1 and not any(x.closed for x in (a, b, c))
+    assert w.service.clients.connection_admission.rules.address.connections == 1 and not any(
+        x.closed for x in (a, b, c)
+    )
     settings.write_text("gate { address { connections: -1 } }")
     w.service.reload()
     assert (
@@ -57,7 +65,11 @@
     other = type(old)()
     other.events = list(old.events)
     new = {**w.config, "bulletin": other.address, "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 150}}
-    before = w.service.config.discovery_address, w.service.clients.max_connections, w.service.clients.max_held_bytes
+    before = (
+        w.service.config.discovery_address,
+        w.service.clients.max_connections,
+        w.service.clients.max_held_bytes,
+    )
     for bad in (
         "{",
         json.dumps({**new, "known": {"no": 9, "items": [{"no": 9}]}}),
@@ -67,13 +79,21 @@
     ):
         w.path.write_text(bad)
         w.service.reload()
-        assert (w.service.config.discovery_address, w.service.clients.max_connections, w.service.clients.max_held_bytes) == before
+        assert (
+            w.service.config.discovery_address,
+            w.service.clients.max_connections,
+            w.service.clients.max_held_bytes,
+        ) == before
     w.path.write_text(json.dumps(new))
     w.engines[0].ways = w.engines[1].ways = ["hold"]
     stream = c.ask("report", ref="00000000000000ee")
     until(lambda: w.posts() == 1)
     w.service.reload()
-    assert (w.service.clients.max_connections, w.service.clients.max_held_bytes, w.service.engines.descriptor_budget) == (62, 16 << 20, 52)
+    assert (
+        w.service.clients.max_connections,
+        w.service.clients.max_held_bytes,
+        w.service.engines.descriptor_budget,
+    ) == (62, 16 << 20, 52)
     until(lambda: other.lines and not old.lines, 0.5)
     w.bulletin = other
     old.port.stopListening()
--- a/tests/test_golden_gateway.py
+++ b/tests/test_golden_gateway.py
@@ -51,7 +51,12 @@
 )
 def test_calls_to_engines_are_the_same_bytes(case):
     """The first call of each class, news, pages, priorities and cancellation."""
-    calls = {"start": engine_protocol.encode_start, "page": engine_protocol.encode_page, "priority": engine_protocol.encode_priority, "give_up": engine_protocol.encode_cancel}
+    calls = {
+        "start": engine_protocol.encode_start,
+        "page": engine_protocol.encode_page,
+        "priority": engine_protocol.encode_priority,
+        "give_up": engine_protocol.encode_cancel,
+    }
     arguments = list(case["arguments"])
     if case["call"] == "start":
         arguments[6] = arguments[6].encode()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -113,7 +113,9 @@
                     "effort": "5",
                     "memory": "1",
                 }
-                query = frames.encode_frame(frames.FrameType.QUERY, 1, frames.encode_fields(fields.items()), b"select 1")
+                query = frames.encode_frame(
+                    frames.FrameType.QUERY, 1, frames.encode_fields(fields.items()), b"select 1"
+                )
                 if chance.random() < 0.5:
                     f.send_signal(signal.SIGTERM)
                     client.sendall(query)
