--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,13 +54,14 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def make_world(tmp_path):
+    """Makes a gateway among stand-ins for engines and the discovery service; it is closed with the test."""
     worlds = []
 
-    def make(**more):
-        worlds.append(World(tmp_path, **more))
+    def make(**options):
+        worlds.append(World(tmp_path, **options))
         return worlds[-1]
 
     yield make
-    for w in worlds:
-        w.close()
+    for world in worlds:
+        world.close()
--- a/tests/crossings/test_engine_connections.py
+++ b/tests/crossings/test_engine_connections.py
@@ -1,11 +1,11 @@
-"""Bytes, an end or a reset on an engine's connection in the instant in which it is taken, in an answer, or behind one."""
+"""Bytes, an end or a reset on an engine's connection as it is used again, within a reply, or behind one."""
 
 import socket
 from types import SimpleNamespace
 
 import pytest
 from gateway_world import RESULT, answered
-from hooks import HeldConnects, over, told
+from hooks import DelayedConnections, counter, wait_until_over
 from loopback import PAGES, until, wait
 from twisted.internet.error import ConnectionAborted
 from twisted.python.failure import Failure
@@ -16,148 +16,160 @@
 from lichenquay.gateway.engine_pool import MIN_IDLE_S, EnginePool, GatewayEngine
 
 
-def settled(w):
-    """The connections to engines rest."""
+def wait_until_idle(world):
+    """The connections to engines are idle, for long enough to be used again."""
     until(
-        lambda: w.service.engines.connections and all(x.call is None for x in w.service.engines.connections)
+        lambda: (
+            world.service.engines.connections
+            and all(x.call is None for x in world.service.engines.connections)
+        )
     )
     wait(2 * MIN_IDLE_S)
 
 
 @pytest.mark.parametrize("group", ["report", "manifest"])
 @pytest.mark.parametrize("comes", ["bytes", "end", "reset"])
-def test_what_comes_in_the_instant_in_which_a_resting_connection_is_taken(world, comes, group):
-    """Risk: a POST goes out on a connection that is closing, or takes what came on it for its answer."""
-    w = world(engines=1)
-    c, e = w.client(), w.engines[0]
-    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
-    settled(w)
-    pool, real = w.service.engines, w.service.engines.pick_idle_connection
+def test_what_arrives_as_an_idle_connection_is_used_again_is_no_reply(make_world, comes, group):
+    """A POST must not go out on a connection that closes, nor take what arrived on it for its reply."""
+    world = make_world(engines=1)
+    client, engine = world.client(), world.engines[0]
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
+    wait_until_idle(world)
+    pool, real = world.service.engines, world.service.engines.pick_idle_connection
 
     def idle(call):
-        line = real(call)
-        if line is not None and e.lines:  # chosen, not yet looked at
+        connection = real(call)
+        if connection is not None and engine.connections:  # chosen, not yet looked at
             pool.pick_idle_connection = real
-            far = next(iter(e.lines))
+            far = next(iter(engine.connections))
             if comes == "bytes":
                 far.transport.socket.send(b"HTTP/1.1 503 X\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n")
             elif comes == "end":
                 far.transport.socket.shutdown(socket.SHUT_RDWR)
             else:
                 far.transport.connectionLost(Failure(ConnectionAborted()))
-        return line
+        return connection
 
     pool.pick_idle_connection = idle
-    assert answered(c, c.ask(group, allow=4000)) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert w.posts() == 2 and pool.pick_idle_connection == real
-    over(w)
+    assert answered(client, client.ask(group, allow=4000)) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert world.posts() == 2 and pool.pick_idle_connection == real
+    wait_until_over(world)
 
 
 @pytest.mark.parametrize("status", [503, 504, 500])
-def test_a_late_copy_of_a_refusal_is_no_answer_to_another_query(world, status):
-    """Risk: a second answer, later than connections rest between two queries, says 'full' of a mutating query that runs: it is sent again."""
-    w = world(engines=2)
-    w.tell(w.engines[1], "DRAINING")
-    until(lambda: w.service.discovery.last_number == 2)
-    c, e = w.client(), w.engines[0]
-    real, lines = e.start, []
-
-    def first(line, ref, way):
-        e.start = real
-        lines.append(line)
-        w.out.discard(ref)
-        e.runs.pop(ref)
-        line.answer(status, [("X-No-Effect", "1")] if status != 500 else [])
-
-    e.start = first
-    e.ways = ["refused", "hold"]
-    stream = c.ask("status", allow=300)
-    until(lambda: w.posts() == 1)
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+def test_a_late_copy_of_a_refusal_is_no_reply_to_another_query(make_world, status):
+    """It would say 'overloaded' of a non-idempotent query that runs, and the query would be retried."""
+    world = make_world(engines=2)
+    world.announce(world.engines[1], "DRAINING")
+    until(lambda: world.service.discovery.last_number == 2)
+    client, engine = world.client(), world.engines[0]
+    real, connections = engine.start, []
+
+    def first(connection, ref, behaviour):
+        engine.start = real
+        connections.append(connection)
+        world.in_flight.discard(ref)
+        engine.running.pop(ref)
+        connection.answer(status, [("X-No-Effect", "1")] if status != 500 else [])
+
+    engine.start = first
+    engine.behaviours = ["refused", "hold"]
+    stream = client.ask("status", allow=300)
+    until(lambda: world.posts() == 1)
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     wait(2 * MIN_IDLE_S)
-    w.out.clear()
-    e.ways, e.still = ["ok"], True
-    second = c.ask("manifest", allow=4000)
-    until(lambda: any(call[1] == "POST" for call in e.held))
-    if lines[0].transport.connected:  # the copy, before the engine has read what came on the connection since
-        lines[0].answer(status, [("X-No-Effect", "1")] if status != 500 else [])
+    world.in_flight.clear()
+    engine.behaviours, engine.is_paused = ["ok"], True
+    second = client.ask("manifest", allow=4000)
+    until(lambda: any(call[1] == "POST" for call in engine.paused_requests))
+    # The copy, before the engine has read what came on the connection since.
+    if connections[0].transport.connected:
+        connections[0].answer(status, [("X-No-Effect", "1")] if status != 500 else [])
     wait(0.05)
-    e.go_on()
-    assert answered(c, second) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert sum(headers["X-Sort"] == "manifest" for headers, _ in e.posts) == 1
-    over(w)
+    engine.resume()
+    assert answered(client, second) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert sum(headers["X-Sort"] == "manifest" for headers, _ in engine.posts) == 1
+    wait_until_over(world)
 
 
 @pytest.mark.parametrize("group", ["report", "manifest"])
-def test_an_answer_whole_in_the_same_read_as_its_reset(world, group):
-    w = world(engines=1)
-    c, e = w.client(), w.engines[0]
-
-    def first(line, ref, way):
-        e.start = type(e).start.__get__(e)
-        w.out.discard(ref)
+def test_a_reply_in_the_same_read_as_its_reset_counts(make_world, group):
+    """It is whole, and no attempt is repeated."""
+    world = make_world(engines=1)
+    client, engine = world.client(), world.engines[0]
+
+    def first(connection, ref, behaviour):
+        engine.start = type(engine).start.__get__(engine)
+        world.in_flight.discard(ref)
         said = (
             b"HTTP/1.1 200 X\r\nX-Parts: 1\r\nX-Cpu-Ms: 1\r\nX-Mem-Used: 8\r\nContent-Length: %d\r\n\r\n"
             % len(PAGES[0])
             + PAGES[0]
         )
-        line.transport.socket.send(said)
-        line.transport.connectionLost(Failure(ConnectionAborted()))
-
-    e.start = first
-    e.ways = ["ok"]
-    assert answered(c, c.ask(group, allow=4000))[0] == frames.AnswerCode.COMPLETED and w.posts() == 1
-    over(w)
+        connection.transport.socket.send(said)
+        connection.transport.connectionLost(Failure(ConnectionAborted()))
+
+    engine.start = first
+    engine.behaviours = ["ok"]
+    assert (
+        answered(client, client.ask(group, allow=4000))[0] == frames.AnswerCode.COMPLETED
+        and world.posts() == 1
+    )
+    wait_until_over(world)
 
 
 @pytest.mark.parametrize("where", ["answer", "page"])
 @pytest.mark.parametrize("group", ["report", "manifest"])
-def test_a_hang_in_the_middle_of_an_answer(world, where, group):
-    """The engine says half of it, says nothing to anyone for a second, and goes on: the query ends, once."""
-    w = world(engines=1)
-    c, e = w.client(), w.engines[0]
+def test_an_engine_that_hangs_within_a_reply_ends_the_query_once(make_world, where, group):
+    """The engine writes half a reply, answers nothing for a second, and goes on."""
+    world = make_world(engines=1)
+    client, engine = world.client(), world.engines[0]
     hung = []
 
-    def half(line, *_):
+    def half(connection, *_):
         if not hung:
-            hung.append(line)
-            e.mute = True
-            line.transport.write(b"HTTP/1.1 200 OK\r\nX-Parts: 3\r\nContent-Length: 5000\r\n\r\n1\ta\tb\n")
+            hung.append(connection)
+            engine.is_silent = True
+            connection.transport.write(
+                b"HTTP/1.1 200 OK\r\nX-Parts: 3\r\nContent-Length: 5000\r\n\r\n1\ta\tb\n"
+            )
         else:
-            (type(e).start if where == "answer" else type(e).page)(e, line, *_)
+            (type(engine).start if where == "answer" else type(engine).page)(engine, connection, *_)
 
-    setattr(e, "start" if where == "answer" else "page", half)
-    stream = c.ask(group, allow=4000)
+    setattr(engine, "start" if where == "answer" else "page", half)
+    stream = client.ask(group, allow=4000)
     until(lambda: hung)
     if where == "answer":
-        e.runs[next(iter(e.runs))] = "ok"
+        engine.running[next(iter(engine.running))] = "ok"
     wait(1.0)
-    assert stream not in c.answers
-    e.mute = False
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert w.posts() == 1 or group == "report"  # what may run again is moved, once the first surely is over
-    over(w)
-
-
-def test_a_connection_that_comes_up_late_for_a_call_withdrawn_has_an_end(world):
-    w = world(engines=1)
-    connects, c = HeldConnects(w), w.client()
-    streams = [c.ask("report") for _ in range(3)]
-    until(lambda: len(connects.held) == 3)
+    assert stream not in client.answers
+    engine.is_silent = False
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
+    # What may run again is retried, once the first attempt surely is over.
+    assert world.posts() == 1 or group == "report"
+    wait_until_over(world)
+
+
+def test_a_connection_that_comes_up_for_a_withdrawn_call_can_be_closed(make_world):
+    """It is idle, and counted, until it is closed."""
+    world = make_world(engines=1)
+    delayed_connections, client = DelayedConnections(world), world.client()
+    streams = [client.ask("report") for _ in range(3)]
+    until(lambda: len(delayed_connections.delayed) == 3)
     for stream in streams:
-        c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-    until(lambda: told(w, "queries cancelled by their clients") == 3)
-    connects.go_on()
-    pool = w.service.engines
+        client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+    until(lambda: counter(world, "queries cancelled by their clients") == 3)
+    delayed_connections.resume()
+    pool = world.service.engines
     until(lambda: len(pool.connections) == 3)
-    assert pool.open_count == 3 and all(x.call is None for x in pool.connections) and not w.posts()
-    pool.close_idle_connections(next(iter(w.service.engines_by_id.values())))
+    assert pool.open_count == 3 and all(x.call is None for x in pool.connections) and not world.posts()
+    pool.close_idle_connections(next(iter(world.service.engines_by_id.values())))
     until(lambda: pool.open_count == 0)
-    over(w)
+    wait_until_over(world)
 
 
-def test_copies_of_204_and_202_start_and_end_nothing():
-    """What such a copy may be taken for: news of nothing, or a priority heard. Neither ends an attempt or starts one."""
+def test_copies_of_204_and_202_are_no_reply_to_other_calls():
+    """A copy may pass for a reply to a poll or a priority alone, which ends no attempt and starts none."""
     assert not engine_protocol.is_overloaded(http.Reply(204, {}, True)) and not engine_protocol.is_poll_reply(
         http.Reply(204, {}, True)
     )
@@ -165,71 +177,72 @@
 
 
 @pytest.mark.parametrize("here", [True, False])
-def test_who_ended_a_connection_is_known_once_its_loss_is_told(world, here):
-    """Risk: the loss that follows an end from this side is taken for the engine's, and two refusals for its death."""
-    w = world(engines=1)
-    c, e = w.client(), w.engines[0]
-    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
-    settled(w)
-    connection = next(iter(w.service.engines.connections))
-    connection.abort() if here else next(iter(e.lines)).transport.abortConnection()
+def test_who_closed_a_connection_is_known_once_its_loss_is_reported(make_world, here):
+    """A close by the gateway taken for the engine's would make two refusals prove the engine's death."""
+    world = make_world(engines=1)
+    client, engine = world.client(), world.engines[0]
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
+    wait_until_idle(world)
+    connection = next(iter(world.service.engines.connections))
+    connection.abort() if here else next(iter(engine.connections)).transport.abortConnection()
     until(lambda: connection.is_closed)
     assert connection.closed_locally is here
 
 
-def test_a_late_copy_of_a_cancellation_is_no_answer_to_anothers(world):
-    """Risk: an engine is taken to have given up what it has not been told to yet, and the next query in its key's order
-    goes out beside it."""
-    w = world(engines=1)
-    c, e = w.client(), w.engines[0]
-    cancelled_on, heard = [], e.heard
+def test_a_late_copy_of_an_acknowledgement_is_no_reply_to_another_cancellation(make_world):
+    """The engine would be taken to have cancelled what it has not been told of, and the next query of the
+    ordering key would be sent beside it.
+    """
+    world = make_world(engines=1)
+    client, engine = world.client(), world.engines[0]
+    cancelled_on, heard = [], engine.on_request
 
-    def remembers(line, verb, *call):
+    def remembers(connection, verb, *call):
         if verb == "DELETE":
-            cancelled_on.append(line)
-        heard(line, verb, *call)
-
-    e.heard = remembers
-    e.ways = ["hold", "hold"]
-    first = c.ask("report", allow=4000)
-    until(lambda: e.news > 1)
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, first))
-    until(lambda: told(w, "attempts cancelled") == 1)
+            cancelled_on.append(connection)
+        heard(connection, verb, *call)
+
+    engine.on_request = remembers
+    engine.behaviours = ["hold", "hold"]
+    first = client.ask("report", allow=4000)
+    until(lambda: engine.polls > 1)
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, first))
+    until(lambda: counter(world, "attempts cancelled") == 1)
     wait(0.06 + 2 * MIN_IDLE_S)  # both its connections rest, the one that cancelled it for longer
-    second = c.ask("report", allow=4000)
-    until(lambda: e.news > 3)
-    e.still = True
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, second))
-    until(lambda: any(verb == "DELETE" for _, verb, *_ in e.held))
+    second = client.ask("report", allow=4000)
+    until(lambda: engine.polls > 3)
+    engine.is_paused = True
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, second))
+    until(lambda: any(verb == "DELETE" for _, verb, *_ in engine.paused_requests))
     cancelled_on[0].answer(204)
     wait(0.1)
-    assert told(w, "attempts cancelled") == 1, "nothing has read that the second one is given up"
-    e.go_on()
-    until(lambda: told(w, "attempts cancelled") == 2)
-    over(w)
+    assert counter(world, "attempts cancelled") == 1, "nothing has read that the second one is given up"
+    engine.resume()
+    until(lambda: counter(world, "attempts cancelled") == 2)
+    wait_until_over(world)
 
 
-def test_a_connection_serves_no_other_query_after_an_answer_that_names_none():
-    """Another's 202 or 204 may come once more; what is a word on this call rests there for its own query alone."""
+def test_a_connection_serves_no_other_query_after_a_reply_that_names_none():
+    """Another query's 202 or 204 may come once more, and would be taken for the reply."""
     pool = EnginePool(SimpleNamespace(seconds=lambda: 100.0, callLater=None), 0, 1.0, 1.0, 1000.0)
     engine = GatewayEngine("e", address="127.0.0.1:1")
 
     def after(answer, accepts):
         """A connection on which the query 'before' was answered with this, and has rested."""
-        line = EngineConnection(pool, EngineCall(engine, b"", accepts, attempt="before"))
-        line.transport, line.attempt = SimpleNamespace(abortConnection=lambda: None), "before"
-        pool.connections.add(line)
-        line.call.reply.addCallback(lambda reply: None)
-        line.dataReceived(answer)
-        line.idle_since_s -= 0.1
-        return line
-
-    def serves(line, accepts, owner):
+        connection = EngineConnection(pool, EngineCall(engine, b"", accepts, attempt="before"))
+        connection.transport, connection.attempt = SimpleNamespace(abortConnection=lambda: None), "before"
+        pool.connections.add(connection)
+        connection.call.reply.addCallback(lambda reply: None)
+        connection.dataReceived(answer)
+        connection.idle_since_s -= 0.1
+        return connection
+
+    def serves(connection, accepts, owner):
         return (
             pool.pick_idle_connection(
-                EngineCall(engine, b"", accepts, preferred_connection=line, attempt=owner)
+                EngineCall(engine, b"", accepts, preferred_connection=connection, attempt=owner)
             )
-            is line
+            is connection
         )
 
     accepted = after(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n", engine_protocol.is_poll_reply)
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -1,5 +1,4 @@
-"""The front leaves while something else happens: a connection that waits, a request in the last moment,
-another signal."""
+"""The gateway leaves while a connection waits, a last request arrives, or another signal comes."""
 
 import contextlib
 import json
@@ -10,7 +9,7 @@
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered
-from hooks import PlainClient, environment, is_ready, query_frame, told
+from hooks import PlainClient, counter, environment, is_ready, query_frame
 from loopback import until, wait
 from ports import listening_port
 
@@ -18,18 +17,20 @@
 from lichenquay.gateway.service import ServicePhase
 
 
-def with_deadlines(world, ms, **more):
+def with_deadlines(make_world, ms, **more):
+    """A world whose groups have this deadline."""
     settings = json.loads(json.dumps(SETTINGS))
     for group in settings["classes"]:
         group.update(deadline_us=ms * 1000, aim_us=ms * 500)
-    w = world(start=False, **more)
-    w.path.write_text(json.dumps({**w.config, "settings": settings}))
-    w.start()
-    until(lambda: w.service.discovery.is_confirmed)
-    return w
+    world = make_world(start=False, **more)
+    world.path.write_text(json.dumps({**world.config, "settings": settings}))
+    world.start()
+    until(lambda: world.service.discovery.is_confirmed)
+    return world
 
 
 def answers(client):
+    """The codes of the answers read so far, by stream."""
     return {
         stream: payload[0]
         for kind, stream, payload in frames.FrameReader().feed(client.read())
@@ -38,85 +39,89 @@
 
 
 @pytest.mark.parametrize("waiting", [1, 30])
-def test_what_waits_to_be_accepted_as_the_door_closes_is_answered(world, monkeypatch, waiting):
-    """PROTOCOL: a request is taken once its last byte is written to a connection that the machine accepted.
-    Risk: closing the door resets what nobody here has accepted yet."""
+def test_what_waits_to_be_accepted_as_listening_stops_is_answered(make_world, monkeypatch, waiting):
+    """PROTOCOL: a request counts once its last byte is written to a connection that the kernel accepted.
+    Closing the listening socket would reset those that the gateway has not accepted.
+    """
     monkeypatch.setattr(service, "ACCEPT_AFTER_SIGTERM_MS", 60.0)
-    w = world(engines=2)
-    w.service.clients.listener.port.pauseProducing()  # this front's turn does not come
-    crowd = [PlainClient(w.port) for _ in range(waiting)]
+    world = make_world(engines=2)
+    world.service.clients.listener.port.pauseProducing()  # this front's turn does not come
+    crowd = [PlainClient(world.port) for _ in range(waiting)]
     for i, client in enumerate(crowd):
         client.socket.sendall(query_frame(1, ref=f"{i + 1:016x}"))
-    w.service.leave()
+    world.service.leave()
     until(lambda: all(client.read() and client.ended for client in crowd), 4)
     assert [answers(client).get(1) for client in crowd] == [frames.AnswerCode.COMPLETED] * waiting
-    until(lambda: w.ended)
+    until(lambda: world.ended)
 
 
 @pytest.mark.parametrize("mute", [False, True])  # a silent engine keeps the front to its last moment
 @pytest.mark.parametrize(
     "deadline_ms, at_ms", [(400, 880), (400, 960), (50, 600), (50, 640), (300, 640), (2500, 640)]
 )
-def test_a_request_in_the_last_moment_is_answered(world, deadline_ms, at_ms, mute):
-    """Risk: what comes after all was told to end, and before the program has, ends with it; more so where
-    deadlines are shorter than the door stays open."""
-    w = with_deadlines(world, deadline_ms, engines=1)
-    w.engines[0].ways, w.engines[0].mute = ["hold"] * 50, mute
-    begun, open_ = time.monotonic(), PlainClient(w.port)
+def test_a_request_in_the_last_moment_is_answered(make_world, deadline_ms, at_ms, mute):
+    """What arrives after the final answers, and before the process ends, must not end with it."""
+    world = with_deadlines(make_world, deadline_ms, engines=1)
+    world.engines[0].behaviours, world.engines[0].is_silent = ["hold"] * 50, mute
+    began_s, open_ = time.monotonic(), PlainClient(world.port)
     open_.socket.sendall(query_frame(1, "report", deadline_ms))
-    until(lambda: told(w, "queries received") == 1)
-    w.service.leave()
-    until(lambda: time.monotonic() > begun + at_ms / 1000 or w.ended, 5)
-    if not w.ended and open_.ended is None:
+    until(lambda: counter(world, "queries received") == 1)
+    world.service.leave()
+    until(lambda: time.monotonic() > began_s + at_ms / 1000 or world.ended, 5)
+    if not world.ended and open_.ended is None:
         with contextlib.suppress(OSError):  # it was closed meanwhile
             open_.socket.sendall(query_frame(2, "report", deadline_ms))
-    until(lambda: w.ended, 5)
+    until(lambda: world.ended, 5)
     killed_ms = min(3000, deadline_ms) + 700
-    assert (time.monotonic() - begun) * 1000 < killed_ms + 50
+    assert (time.monotonic() - began_s) * 1000 < killed_ms + 50
     wait(0.05)
     got = answers(open_)
-    assert 1 in got and told(w, "queries received") == len(got) and not w.service.adapter.open_queries
+    assert (
+        1 in got and counter(world, "queries received") == len(got) and not world.service.adapter.open_queries
+    )
     open_.socket.close()
 
 
-def test_a_client_that_goes_on_asking_does_not_keep_the_front(world):
-    """Risk: a request always open keeps it until it is killed, with that request unanswered."""
-    w = with_deadlines(world, 600, engines=1)
-    w.engines[0].mute = True
-    c, begun = w.client(), time.monotonic()
-    c.ask("report", allow=600)
-    until(lambda: told(w, "queries received") == 1)
-    w.service.leave()
-    while not w.ended and time.monotonic() < begun + 3:
-        if not c.closed and len(c.answers) > c.streams - 5:
-            c.ask("report", allow=600)
+def test_a_client_that_goes_on_asking_does_not_keep_the_gateway(make_world):
+    """A request always open would keep it until it is killed, with that request unanswered."""
+    world = with_deadlines(make_world, 600, engines=1)
+    world.engines[0].is_silent = True
+    client, began_s = world.client(), time.monotonic()
+    client.ask("report", allow=600)
+    until(lambda: counter(world, "queries received") == 1)
+    world.service.leave()
+    while not world.ended and time.monotonic() < began_s + 3:
+        if not client.is_closed and len(client.answers) > client.last_stream - 5:
+            client.ask("report", allow=600)
         wait(0.005)
-    assert w.ended and time.monotonic() - begun < 1.3
+    assert world.ended and time.monotonic() - began_s < 1.3
     wait(0.05)
     assert (
-        told(w, "queries received") == len([s for s in c.answers if s]) and not w.service.adapter.open_queries
+        counter(world, "queries received") == len([stream for stream in client.answers if stream])
+        and not world.service.adapter.open_queries
     )
 
 
-def test_a_second_stop_and_a_new_configuration_meanwhile_change_nothing(world):
-    w = world(engines=1)
-    w.engines[0].ways = ["hold"]
-    c = w.client()
-    stream = c.ask("report", ref="00000000000000aa", allow=4000)
-    until(lambda: w.posts() == 1)
-    w.service.leave()
-    killed = w.service.sigkill_expected_ms
+def test_a_second_stop_and_a_reload_while_leaving_change_nothing(make_world):
+    """Neither when SIGKILL is expected, nor the phase."""
+    world = make_world(engines=1)
+    world.engines[0].behaviours = ["hold"]
+    client = world.client()
+    stream = client.ask("report", ref="00000000000000aa", allow=4000)
+    until(lambda: world.posts() == 1)
+    world.service.leave()
+    killed = world.service.sigkill_expected_ms
     for _ in range(3):
         wait(0.02)
-        w.service.leave()
-        w.service.reload()
-    assert w.service.sigkill_expected_ms == killed and w.service.phase == ServicePhase.LEAVING
-    w.engines[0].runs["00000000000000aa"] = "ok"
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    until(lambda: w.ended)
-    w.service.leave()
-    w.service.reload()  # between its last look and the end
-    assert w.service.phase == ServicePhase.ENDED
+        world.service.leave()
+        world.service.reload()
+    assert world.service.sigkill_expected_ms == killed and world.service.phase == ServicePhase.LEAVING
+    world.engines[0].running["00000000000000aa"] = "ok"
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
+    until(lambda: world.ended)
+    world.service.leave()
+    world.service.reload()  # between its last look and the end
+    assert world.service.phase == ServicePhase.ENDED
 
 
 @pytest.mark.parametrize(
@@ -128,33 +133,33 @@
         (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1),
     ],
 )
-def test_signals_on_the_heels_of_each_other(world, signals):
-    """To the program itself, with queries open; each is answered, and it ends in order."""
-    w = world(engines=2, start=False)
-    w.port = listening_port()
-    w.path.write_text(json.dumps({**w.config, "listen": f"127.0.0.1:{w.port}"}))
+def test_signals_in_quick_succession_end_the_program_in_order(make_world, signals):
+    """To the program itself, with queries open; each is answered, and it exits with 0."""
+    world = make_world(engines=2, start=False)
+    world.port = listening_port()
+    world.path.write_text(json.dumps({**world.config, "listen": f"127.0.0.1:{world.port}"}))
     run = subprocess.Popen(
         [sys.executable, "-m", "lichenquay.gateway"],
         stderr=subprocess.PIPE,
         text=True,
-        env=environment(w.path),
+        env=environment(world.path),
     )
-    until(lambda: w.bulletin.calls > 1, 10)
-    until(lambda: is_ready(w.port), 5)
-    for e in w.engines:
-        e.ways = ["slow"] * 9
-    c = w.client()
-    streams = [c.ask("report") for _ in range(8)]
-    until(lambda: w.posts() == 8)
+    until(lambda: world.discovery.polls > 1, 10)
+    until(lambda: is_ready(world.port), 5)
+    for engine in world.engines:
+        engine.behaviours = ["slow"] * 9
+    client = world.client()
+    streams = [client.ask("report") for _ in range(8)]
+    until(lambda: world.posts() == 8)
     for number in signals:
         run.send_signal(number)
-    streams += [c.ask("report") for _ in range(4)]
+    streams += [client.ask("report") for _ in range(4)]
     until(lambda: run.poll() is not None, 5)
     said = run.stderr.read()
     run.stderr.close()
     assert run.returncode == 0 and "Traceback" not in said
-    until(lambda: c.closed)
-    assert [c.answers[s][0] for s in streams] == [frames.AnswerCode.COMPLETED] * len(streams)
+    until(lambda: client.is_closed)
+    assert [client.answers[stream][0] for stream in streams] == [frames.AnswerCode.COMPLETED] * len(streams)
 
 
 STEPS = """
@@ -165,15 +170,13 @@
 runpy.run_module('lichenquay.gateway', run_name='__main__', alter_sys=True)
 """
 HOLDS = ["hold"] * SETTINGS["limits"]["most_tries"]  # for every attempt that a query may have
-HELD_S = (
-    1.0  # after the step; the front submits again to an engine whose progress stands still for half of this
-)
+# After the step; the gateway retries at an engine whose progress stands still for half of this.
+HELD_S = 1.0
 
 
 @contextlib.contextmanager
-def stepping_front(world, sign, step_s):
-    """The program, whose wall clock steps once the file `sign` is there; it is ended with the test, also a
-    failed one."""
+def gateway_with_stepping_clock(world, sign, step_s):
+    """Runs the program, whose wall clock steps once the file `sign` is there."""
     world.port = listening_port()
     world.path.write_text(json.dumps({**world.config, "listen": f"127.0.0.1:{world.port}"}))
     run = subprocess.Popen(
@@ -183,7 +186,7 @@
         env=environment(world.path),
     )
     try:
-        until(lambda: world.bulletin.calls > 1, 10)
+        until(lambda: world.discovery.polls > 1, 10)
         until(lambda: is_ready(world.port), 5)
         yield run
     finally:
@@ -192,56 +195,60 @@
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
-def test_a_wall_clock_that_steps_moves_no_deadline(world, tmp_path, step_s):
-    """Risk: set back, no timer of the front fires for an hour, and nothing is answered; set forward, all that
-    is open is killed."""
-    w, sign, ref = world(engines=1, start=False), tmp_path / "stepped", "00000000000000ab"
-    engine = w.engines[0]
-    with stepping_front(w, sign, step_s) as run:
-        engine.ways = list(HOLDS)
-        c = w.client()
-        stream = c.ask("report", ref=ref, allow=3000)
+def test_a_wall_clock_that_steps_moves_no_deadline(make_world, tmp_path, step_s):
+    """Set back, no timer would fire for an hour; set forward, all that is open would fail."""
+    world, sign, ref = make_world(engines=1, start=False), tmp_path / "stepped", "00000000000000ab"
+    engine = world.engines[0]
+    with gateway_with_stepping_clock(world, sign, step_s) as run:
+        engine.behaviours = list(HOLDS)
+        client = world.client()
+        stream = client.ask("report", ref=ref, allow=3000)
         asked = time.monotonic()
-        until(lambda: w.posts() == 1)
+        until(lambda: world.posts() == 1)
         sign.touch()
         wait(HELD_S)
-        assert stream not in c.answers
-        engine.ways, engine.runs[ref] = [], "ok"  # also where it is on its way there once more
+        assert stream not in client.answers
+        engine.behaviours, engine.running[ref] = [], "ok"  # also where it is on its way there once more
         assert (
-            answered(c, stream, 1) == (frames.AnswerCode.COMPLETED, RESULT) and time.monotonic() - asked < 3
+            answered(client, stream, 1) == (frames.AnswerCode.COMPLETED, RESULT)
+            and time.monotonic() - asked < 3
         )
-        engine.ways = list(HOLDS)
-        late = c.ask("status", allow=400)
-        assert answered(c, late, 1)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
+        engine.behaviours = list(HOLDS)
+        late = client.ask("status", allow=400)
+        assert answered(client, late, 1)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
         run.terminate()
         until(lambda: run.poll() is not None, 5)
         assert run.returncode == 0 and "Traceback" not in run.stderr.read()
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
-def test_a_wall_clock_that_steps_stops_no_timer(world, tmp_path, step_s):
-    """Risk: what a timer set before the step was to end stays open for an hour, where no news sets another
-    timer; or an idle client is closed an hour before its time."""
-    w, sign = world(engines=1, start=False), tmp_path / "stepped"
-    w.engines[0].still = True
-    with stepping_front(w, sign, step_s):
-        c, idle = w.client(), w.client()
+def test_a_wall_clock_that_steps_stops_no_timer(make_world, tmp_path, step_s):
+    """A timer set before the step fires in time, where no event sets another; an idle client is not closed
+    early.
+    """
+    world, sign = make_world(engines=1, start=False), tmp_path / "stepped"
+    world.engines[0].is_paused = True
+    with gateway_with_stepping_clock(world, sign, step_s):
+        client, idle = world.client(), world.client()
         asked = time.monotonic()
-        stream = c.ask("status", allow=1500)
-        until(lambda: w.engines[0].held)
+        stream = client.ask("status", allow=1500)
+        until(lambda: world.engines[0].paused_requests)
         sign.touch()
         wait(0.7)
-        assert stream not in c.answers and not idle.closed
-        assert answered(c, stream, 2)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
-        assert time.monotonic() - asked < 2 and not idle.closed
+        assert stream not in client.answers and not idle.is_closed
+        assert answered(client, stream, 2)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
+        assert time.monotonic() - asked < 2 and not idle.is_closed
 
 
-def test_an_engine_that_starts_after_the_clock_stepped_is_cold_by_its_age(world, monkeypatch):
-    """Risk: its start, by a clock set back since, looks long ago, and it is sent what a warm engine is."""
-    w = world(engines=1)
+def test_an_engine_that_starts_after_the_clock_stepped_warms_up_by_its_age(make_world, monkeypatch):
+    """Its start, by a clock set back since, must not look long ago: it would get a warm engine's load."""
+    world = make_world(engines=1)
     real = time.time
     monkeypatch.setattr(service.time, "time", lambda: real() - 3600)
-    w.bulletin.add({**w.engines[0].row(), "boot_ms": (real() - 3600) * 1000})
-    until(lambda: w.service.discovery.last_number == 2)
-    (seen,) = w.service.adapter.controller.fleet.values()
-    assert w.service.adapter.controller.guards.warmth(seen.engine, w.service.adapter.clock_ms()) < 0.35
+    world.discovery.add_event({**world.engines[0].row(), "boot_ms": (real() - 3600) * 1000})
+    until(lambda: world.service.discovery.last_number == 2)
+    (engine_state,) = world.service.adapter.controller.fleet.values()
+    assert (
+        world.service.adapter.controller.guards.warmth(engine_state.engine, world.service.adapter.clock_ms())
+        < 0.35
+    )
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -1,180 +1,235 @@
-"""Each event against each state of a query: it is brought to the state, the event comes, the world goes on;
-then one answer or none, nothing submitted that may not be, nothing left over. docs/crossings.md names the
-cells and what cannot occur."""
+"""Each event against each state of a query.
+
+The query is brought to the state, the event comes, what kept it there is taken away. Then it has one answer
+or none, no attempt was sent that may not be, and nothing is held. docs/crossings.md names the cells, and what
+cannot occur.
+"""
 
 import pytest
 from gateway_world import STATEMENT, answered
-from hooks import HeldConnects, query_frame, told
+from hooks import DelayedConnections, assert_all_released, counter, query_frame
 from loopback import until, wait
 
 from lichenquay.gateway import frames
 
-GONE = {"cancel", "end", "reset"}
-DONE = {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED}
+CLIENT_GONE = {"cancel", "end", "reset"}
+FINAL = {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED}
+REQUEST_ID = "00000000000000fe"
 
 
 class Case:
-    """A query in a state. `go_on` takes away what keeps it there."""
+    """A query in a state. `resume` takes away what keeps it there; `after` checks what the event began."""
 
-    def __init__(self, w, group):
-        self.w, self.group, self.service, self.adapter = w, group, w.service, w.service.adapter
-        self.client, self.go_on, self.ref = w.client(), lambda: None, "00000000000000fe"
+    def __init__(self, world, group):
+        """A client that has not asked yet."""
+        self.world = world
+        self.group = group
+        self.service = world.service
+        self.adapter = world.service.adapter
+        self.client = world.client()
+        self.resume = lambda: None
 
-    def ask(self, **more):
-        self.stream = self.client.ask(self.group, ref=self.ref, allow=3000, **more)
+    def ask(self):
+        """Sends the query."""
+        self.stream = self.client.ask(self.group, ref=REQUEST_ID, allow=3000)
 
     def engine(self):
-        return next((e for e in self.w.engines if e.posts), self.w.engines[0])
+        """The engine that has it, or any."""
+        return next((engine for engine in self.world.engines if engine.posts), self.world.engines[0])
+
+    def without_descriptors(self):
+        """Calls wait for a descriptor; returns what ends that."""
+        engines = self.service.engines
+        budget = engines.descriptor_budget
+        engines.descriptor_budget = 0
+
+        def resume():
+            engines.descriptor_budget = budget
+            engines.send_waiting()
 
-    # states
+        return resume
+
+    # States.
 
     def read(self):
-        self.adapter.min_turn_ms, self.adapter.last_turn_ms = 400.0, self.adapter.clock_ms()
+        """The request was read; the controller's turn has not come."""
+        self.adapter.min_turn_ms = 400.0
+        self.adapter.last_turn_ms = self.adapter.clock_ms()
         self.ask()
-        until(lambda: told(self.w, "queries received") == 1)
+        until(lambda: counter(self.world, "queries received") == 1)
 
-        def go_on():
+        def resume():
             self.adapter.min_turn_ms = 5.0
             self.adapter.schedule_turn(0.0)
 
-        self.go_on = go_on
+        self.resume = resume
 
     def held(self):
+        """The controller dispatches nothing, as the endpoint list may be stale."""
         self.adapter.endpoints_stale(2000.0)
         self.ask()
         until(lambda: any(self.adapter.controller.slots.waiting.values()))
-        self.go_on = self.adapter.endpoints_confirmed
+        self.resume = self.adapter.endpoints_confirmed
 
     def connecting(self):
-        connects = HeldConnects(self.w)
+        """The attempt's connection comes up."""
+        connections = DelayedConnections(self.world)
         self.ask()
-        until(lambda: connects.held)
-        self.go_on = connects.go_on
+        until(lambda: connections.delayed)
+        self.resume = connections.resume
 
     def descriptor(self):
-        engines, budget = self.service.engines, self.service.engines.descriptor_budget
-        engines.descriptor_budget = 0
+        """The attempt waits for a descriptor."""
+        self.resume = self.without_descriptors()
         self.ask()
-        until(lambda: engines.waiting_calls)
-
-        def go_on():
-            engines.descriptor_budget = budget
-            engines.send_waiting()
-
-        self.go_on = go_on
+        until(lambda: self.service.engines.waiting_calls)
 
     def written(self):
-        for e in self.w.engines:
-            e.still = True
+        """The POST is written; its engine has not read it."""
+        for engine in self.world.engines:
+            engine.is_paused = True
         self.ask()
-        until(lambda: any(e.held for e in self.w.engines))
+        until(lambda: any(engine.paused_requests for engine in self.world.engines))
 
-        def go_on():
-            for e in self.w.engines:
-                e.go_on()
+        def resume():
+            for engine in self.world.engines:
+                engine.resume()
 
-        self.go_on = go_on
+        self.resume = resume
 
     def known(self):
-        hits = ["hold"]
-        for e in self.w.engines:
-            e.ways = hits
+        """Its engine runs it, and answers polls."""
+        behaviours = ["hold"]
+        for engine in self.world.engines:
+            engine.behaviours = behaviours
         self.ask()
-        until(lambda: any(e.news > 1 for e in self.w.engines))
-        self.go_on = lambda: [e.runs.update(dict.fromkeys(e.runs, "ok")) for e in self.w.engines]
+        until(lambda: any(engine.polls > 1 for engine in self.world.engines))
+
+        def resume():
+            for engine in self.world.engines:
+                engine.running.update(dict.fromkeys(engine.running, "ok"))
+
+        self.resume = resume
 
     def gathering(self):
-        kept = []
-        for e in self.w.engines:
-            e.page, e.real_page = (lambda *page, e=e: kept.append((e, page))), e.page
+        """The first page has come; the next is not answered."""
+        delayed = []
+
+        def delay(engine):
+            answer_page = engine.page
+            engine.page = lambda *call: delayed.append((answer_page, engine, call))
+            return answer_page
+
+        pages = [delay(engine) for engine in self.world.engines]
         self.ask()
-        until(lambda: kept)
+        until(lambda: delayed)
 
-        def go_on():
-            for e in self.w.engines:
-                e.page = e.real_page
-            for e, (line, ref, n) in kept:
-                if line.transport.connected and ref in e.runs:
-                    e.page(line, ref, n)
+        def resume():
+            for engine, answer_page in zip(self.world.engines, pages, strict=True):
+                engine.page = answer_page
+            for answer_page, engine, call in delayed:
+                connection, request_id, _ = call
+                if connection.transport.connected and request_id in engine.running:
+                    answer_page(*call)
 
-        self.go_on = go_on
+        self.resume = resume
 
     def given_up(self):
+        """It has its final answer; its engine does not answer the cancellation."""
         self.known()
-        (q,) = self.adapter.open_queries
-        self.engine().mute = True
-        self.adapter.evict(q)
+        (query,) = self.adapter.open_queries
+        engine = self.engine()
+        engine.is_silent = True
+        self.adapter.evict(query)
         until(lambda: self.stream in self.client.answers)
-        self.go_on = lambda: setattr(self.engine(), "mute", False)
+
+        def resume():
+            engine.is_silent = False
+
+        self.resume = resume
 
     def answered(self):
+        """It is completed."""
         self.ask()
         answered(self.client, self.stream)
 
-    # events
+    # Events.
 
     def request(self):
+        """Another request comes on the connection."""
         second = self.client.ask("status", allow=3000)
-        self.after = lambda: answered(self.client, second)[0] in DONE
+        self.after = lambda: answered(self.client, second)[0] in FINAL
 
     def cancel(self):
+        """The client cancels it."""
         self.client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, self.stream))
 
     def end(self):
+        """The client closes its connection."""
         self.client.transport.loseConnection()
 
     def reset(self):
+        """The client resets its connection."""
         self.client.transport.abortConnection()
 
     def half_frame(self):
+        """Half of another request comes, and the rest afterwards."""
         whole = query_frame(77, ref="00000000000000fd", statement=STATEMENT)
         self.client.transport.write(whole[:40])
 
         def after():
             self.client.transport.write(whole[40:])
-            return answered(self.client, 77)[0] in DONE
+            return answered(self.client, 77)[0] in FINAL
 
         self.after = after
 
     def bad_frame(self):
+        """Bytes come that are no frame."""
         self.client.transport.write(b"\0\0\0\0" + b"x" * 100)
 
     def drains(self):
-        self.w.tell(self.engine(), "DRAINING")
+        """Its engine drains."""
+        self.world.announce(self.engine(), "DRAINING")
         until(lambda: self.service.discovery.last_number == 2)
 
     def gone_from_list(self):
-        self.w.tell(self.engine(), "DELETED")
+        """Its engine leaves the endpoint list."""
+        self.world.announce(self.engine(), "DELETED")
         until(lambda: self.service.discovery.last_number == 2)
 
     def broken(self):
-        for e in self.w.engines:
-            for line in list(e.lines):
-                line.transport.abortConnection()
+        """All connections to engines are reset."""
+        for engine in self.world.engines:
+            for connection in list(engine.connections):
+                connection.transport.abortConnection()
 
     def half_answer(self):
-        for e in self.w.engines:
-            for line in list(e.lines):
-                line.transport.write(b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Le")
+        """Half of a reply comes from each engine."""
+        for engine in self.world.engines:
+            for connection in list(engine.connections):
+                connection.transport.write(b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Le")
 
     def stops(self):
+        """SIGTERM."""
         self.service.leave()
 
     def hangs_up(self):
+        """SIGHUP."""
         self.service.reload()
 
     def no_descriptor(self):
-        engines, budget, go_on = self.service.engines, self.service.engines.descriptor_budget, self.go_on
-        engines.descriptor_budget = 0
+        """No descriptor is left, until what keeps the query in its state is taken away."""
+        resume_state = self.resume
+        restore_descriptors = self.without_descriptors()
 
-        def go_on_then():
-            engines.descriptor_budget = budget
-            engines.send_waiting()
-            go_on()
+        def resume():
+            restore_descriptors()
+            resume_state()
 
-        self.go_on = go_on_then
+        self.resume = resume
 
     def after(self):
+        """Most events begin nothing that is to be checked."""
         return True
 
 
@@ -199,47 +254,31 @@
 @pytest.mark.parametrize("group", ["report", "manifest"])
 @pytest.mark.parametrize("event", EVENTS)
 @pytest.mark.parametrize("state", STATES)
-def test_an_event_in_a_state(world, state, event, group):
-    w = world(engines=2)
-    case = Case(w, group)
+def test_an_event_in_a_state(make_world, state, event, group):
+    """One answer for a client that is there, none for one that has gone, and nothing held in the end."""
+    world = make_world(engines=2)
+    case = Case(world, group)
     getattr(case, state)()
-    had = case.stream in case.client.answers
+    had_answer = case.stream in case.client.answers
     getattr(case, event)()
-    if event in GONE and not had:
-        until(lambda: told(w, "queries cancelled by their clients") == 1, 1.0)
-    posts = w.posts() + sum(
-        call[1] == "POST" for e in w.engines for call in e.held
-    )  # those written, read or not
+    if event in CLIENT_GONE and not had_answer:
+        until(lambda: counter(world, "queries cancelled by their clients") == 1, 1.0)
+    unread_posts = [
+        request for engine in world.engines for request in engine.paused_requests if request[1] == "POST"
+    ]
+    posts_written = world.posts() + len(unread_posts)
     wait(0.05)
-    case.go_on()
-    if event in GONE:
+    case.resume()
+    if event in CLIENT_GONE:
         wait(0.15)
-        assert w.posts() == posts, "submitted for a client that has gone"
-        assert had or case.stream not in case.client.answers
+        assert world.posts() == posts_written, "submitted for a client that has gone"
+        assert had_answer or case.stream not in case.client.answers
     else:
         code = answered(case.client, case.stream)[0]
-        # What has not run by the event, and what the event cannot end, is finished.
-        ends_it = (
-            had
-            or state == "known"
-            and event in ("broken", "half_answer")
-            or event in ("broken", "half_answer", "gone_from_list")
-        )
-        assert code == frames.AnswerCode.COMPLETED or ends_it and code in DONE, code
+        # What has not run by the event, and what the event cannot end, is completed.
+        may_end = had_answer or event in ("broken", "half_answer", "gone_from_list")
+        assert code == frames.AnswerCode.COMPLETED or (may_end and code in FINAL), code
         assert case.after()
-    service = w.service
-    until(
-        lambda: (
-            not service.adapter.open_queries
-            and not service.attempts.in_flight_count
-            and not service.engines.waiting_calls
-        ),
-        5,
-    )
-    wait(0.05)
-    assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
-    assert (
-        all(not line.unsent_bytes for line in service.clients.connections) and service.clients.held_bytes == 0
-    )
+    assert_all_released(world)
     if event == "stops":
-        until(lambda: w.ended, 4.5)
+        until(lambda: world.ended, 4.5)
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -1,10 +1,10 @@
-"""Settings of other customers: odd, and served rightly; or impossible, and told in one clear line."""
+"""Settings of other deployments: unusual ones are served, impossible ones are named in one line."""
 
 import json
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, reactor_for
-from hooks import over, told
+from hooks import counter, wait_until_over
 from loopback import until
 
 from lichenquay.gateway import frames
@@ -13,6 +13,7 @@
 
 
 def changed(**parts):
+    """The usual settings with these parts changed; `classes`: in each class."""
     settings = json.loads(json.dumps(SETTINGS))
     for name, value in parts.items():
         if name == "classes":
@@ -25,12 +26,13 @@
     return settings
 
 
-def started(world, settings, **more):
-    w = world(start=False, engines=2)
-    w.path.write_text(json.dumps({**w.config, "settings": settings, **more}))
-    w.start()
-    until(w.service.is_ready, 2)
-    return w
+def start(make_world, settings, **more):
+    """A world whose gateway runs with these settings."""
+    world = make_world(start=False, engines=2)
+    world.path.write_text(json.dumps({**world.config, "settings": settings, **more}))
+    world.start()
+    until(world.service.is_ready, 2)
+    return world
 
 
 ODD = {
@@ -59,15 +61,16 @@
 
 
 @pytest.mark.parametrize("name", ODD)
-def test_odd_settings_are_served(world, name):
-    w = started(world, ODD[name])
-    c = w.client()
+def test_unusual_settings_are_served(make_world, name):
+    """A query of each group is completed."""
+    world = start(make_world, ODD[name])
+    client = world.client()
     project = {"project": None} if name == "no tenants" else {}
     assert [
-        answered(c, c.ask(group, allow=2000, replay="a1", **project))
+        answered(client, client.ask(group, allow=2000, replay="a1", **project))
         for group in ("status", "report", "manifest")
     ] == [(frames.AnswerCode.COMPLETED, RESULT)] * 3
-    over(w)
+    wait_until_over(world)
 
 
 @pytest.mark.parametrize(
@@ -80,37 +83,39 @@
         "no further attempt",
     ],
 )
-def test_what_may_not_be_sent_again_is_not(world, name):
-    w = started(world, ODD[name])
-    hits = ["error"] * 9
-    for e in w.engines:
-        e.ways = hits
-    w.sent = lambda *sent: None
-    c = w.client()
+def test_what_may_not_be_retried_is_not(make_world, name):
+    """Settings that allow no retry, after an attempt that may have run."""
+    world = start(make_world, ODD[name])
+    behaviours = ["error"] * 9
+    for engine in world.engines:
+        engine.behaviours = behaviours
+    world.on_attempt = lambda *sent: None
+    client = world.client()
     if name == "a window shorter than the connect limit":  # it may be, within its window
-        assert answered(c, c.ask("manifest", replay="a1"))[0] in (
+        assert answered(client, client.ask("manifest", replay="a1"))[0] in (
             frames.AnswerCode.FAILED,
             frames.AnswerCode.REJECTED,
         )
     else:
         assert (
-            answered(c, c.ask("manifest", replay="a1"))[0]
+            answered(client, client.ask("manifest", replay="a1"))[0]
             in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
-            and w.posts() == 1
+            and world.posts() == 1
         )
-    over(w)
+    wait_until_over(world)
 
 
-def test_a_deadline_of_50_ms_is_kept(world):
-    w = started(world, changed(classes={"deadline_us": 50_000, "aim_us": 20_000}))
-    for e in w.engines:
-        e.ways = ["hold"] * 9
-    c = w.client()
-    until(lambda: w.service.is_ready())
-    q = c.ask("report", allow=5000)
-    assert answered(c, q, 0.3)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
-    over(w)
-    assert told(w, "answers completed") == 0
+def test_a_deadline_of_50_ms_is_kept(make_world):
+    """The final answer comes in time, and is not 'completed'."""
+    world = start(make_world, changed(classes={"deadline_us": 50_000, "aim_us": 20_000}))
+    for engine in world.engines:
+        engine.behaviours = ["hold"] * 9
+    client = world.client()
+    until(lambda: world.service.is_ready())
+    query = client.ask("report", allow=5000)
+    assert answered(client, query, 0.3)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
+    wait_until_over(world)
+    assert counter(world, "answers completed") == 0
 
 
 BAD = {
@@ -124,26 +129,29 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_settings_that_cannot_be_are_told_in_one_line(world, name):
+def test_impossible_settings_are_named_in_one_line(make_world, name):
+    """The error names what is wrong."""
     settings, word = BAD[name]
-    w = world(start=False)
-    w.path.write_text(json.dumps({**w.config, "settings": settings}))
-    with pytest.raises(StartError) as why:
-        Service(reactor_for(w), {"BALANCER_CONFIG": str(w.path)})
-    assert word in str(why.value) and "\n" not in str(why.value)
+    world = make_world(start=False)
+    world.path.write_text(json.dumps({**world.config, "settings": settings}))
+    with pytest.raises(StartError) as error:
+        Service(reactor_for(world), {"BALANCER_CONFIG": str(world.path)})
+    assert word in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("content", ["", "{", "[]", "null", '{"name": "n1"}', "\x00", '{"listen": 3}'])
-def test_a_configuration_half_written_changes_nothing_and_is_told(world, content):
-    w = world(engines=1)
-    before = w.service.config.discovery_address, w.service.engines.descriptor_budget
-    w.path.write_text(content)
-    w.service.reload()
-    assert (w.service.config.discovery_address, w.service.engines.descriptor_budget) == before and told(
-        w, "configurations rejected"
-    ) == 1
-    c = w.client()
-    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
+def test_a_configuration_half_written_changes_nothing(make_world, content):
+    """It is counted as rejected, and the gateway serves."""
+    world = make_world(engines=1)
+    before = world.service.config.discovery_address, world.service.engines.descriptor_budget
+    world.path.write_text(content)
+    world.service.reload()
+    assert (
+        world.service.config.discovery_address,
+        world.service.engines.descriptor_budget,
+    ) == before and counter(world, "configurations rejected") == 1
+    client = world.client()
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 @pytest.mark.parametrize(
@@ -159,15 +167,18 @@
         b'{"no": 2, "items": [{"no": 2, "roster": {"all": true}}]}',
     ],
 )
-def test_a_list_that_cannot_be_read_changes_nothing(world, told_):
-    w = world(engines=1)
-    w.bulletin.garbage = told_
-    calls = w.bulletin.calls
-    for line in list(w.bulletin.lines):
-        line.transport.abortConnection()
-    until(lambda: w.bulletin.calls > calls + 1)
-    c = w.client()
-    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and list(w.service.engines_by_id) == ["s-0"]
-    w.bulletin.garbage = None
-    w.tell(w.engines[0], "DRAINING")
-    until(lambda: w.service.discovery.last_number == 2, 3)
+def test_an_endpoint_list_that_cannot_be_read_changes_nothing(make_world, told_):
+    """The gateway serves by the last one, and follows the next good one."""
+    world = make_world(engines=1)
+    world.discovery.raw_answer = told_
+    calls = world.discovery.polls
+    for connection in list(world.discovery.connections):
+        connection.transport.abortConnection()
+    until(lambda: world.discovery.polls > calls + 1)
+    client = world.client()
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED and list(
+        world.service.engines_by_id
+    ) == ["s-0"]
+    world.discovery.raw_answer = None
+    world.announce(world.engines[0], "DRAINING")
+    until(lambda: world.service.discovery.last_number == 2, 3)
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -1,239 +1,258 @@
-"""Decided now, written later: what comes between an attempt's decision and its first byte."""
+"""Decided now, written later: what happens between an attempt's decision and its first byte."""
 
 import json
 import time
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered
-from hooks import HeldConnects, over, stays, told
+from hooks import DelayedConnections, assert_no_more_posts, counter, wait_until_over
 from loopback import until, wait
 
 from lichenquay.gateway import frames
 
 
-def asked(w, group="report", **more):
-    """A query whose attempt waits for its connection."""
-    connects, c = HeldConnects(w), w.client()
-    stream = c.ask(group, **more)
-    until(lambda: connects.held)
-    return connects, c, stream
+def ask_delayed(world, group="report", **more):
+    """A query whose attempt waits for its connection: the connections, its client, its stream."""
+    delayed_connections, client = DelayedConnections(world), world.client()
+    stream = client.ask(group, **more)
+    until(lambda: delayed_connections.delayed)
+    return delayed_connections, client, stream
 
 
-def blamed(w):
-    return [s.engine.id for s in w.service.adapter.controller.fleet.values() if s.silent]
+def unresponsive_engines(world):
+    """The engines that the controller takes for unresponsive."""
+    return [stream.engine.id for stream in world.service.adapter.controller.fleet.values() if stream.silent]
 
 
-def test_an_engine_that_answers_a_cancel_is_heard_again(world):
-    """Risk: one that stood still for a moment answers all that is called off there, and is held silent for good."""
-    w = world(engines=1)
-    c, w.engines[0].ways = w.client(), ["hold"]
-    stream = c.ask("report", allow=4000)
-    until(lambda: w.posts() == 1)
-    (seen,) = w.service.adapter.controller.fleet.values()
-    seen.silent = True
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-    over(w)
-    assert told(w, "attempts cancelled") == 1
-    until(lambda: not blamed(w))
+def test_an_engine_that_acknowledges_a_cancellation_is_responsive(make_world):
+    """One that paused for a moment acknowledges all that is cancelled there, and must not stay out of use."""
+    world = make_world(engines=1)
+    client, world.engines[0].behaviours = world.client(), ["hold"]
+    stream = client.ask("report", allow=4000)
+    until(lambda: world.posts() == 1)
+    (engine_state,) = world.service.adapter.controller.fleet.values()
+    engine_state.silent = True
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+    wait_until_over(world)
+    assert counter(world, "attempts cancelled") == 1
+    until(lambda: not unresponsive_engines(world))
 
 
 @pytest.mark.parametrize("leaves", ["cancel", "end", "reset"])
-def test_a_client_that_left_while_its_connection_came_up(world, leaves):
-    """Risk: an attempt begins long after its client has gone; or the engine is blamed for a call that was given up."""
-    w = world(engines=2)
-    connects, c, stream = asked(w)
+def test_no_attempt_is_sent_for_a_client_that_left_while_a_connection_came_up(make_world, leaves):
+    """The engine is not blamed for the call that was withdrawn either."""
+    world = make_world(engines=2)
+    delayed_connections, client, stream = ask_delayed(world)
     if leaves == "cancel":
-        c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+        client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     else:
-        (c.transport.loseConnection if leaves == "end" else c.transport.abortConnection)()
-    until(lambda: told(w, "queries cancelled by their clients") == 1)
-    connects.go_on()
-    stays(w)
-    over(w)
-    assert w.posts() == 0 and not blamed(w) and told(w, "attempts never sent") == 1
-
-
-def test_a_client_that_left_in_the_turn_in_which_the_connection_is_up(world):
-    """The event is taken, the turn that calls its attempt off has not come: the connection comes up between them."""
-    w = world(engines=1)
-    connects, c, stream = asked(w)
-    w.service.adapter.min_turn_ms = 200.0  # the next turn is long in coming
-    w.service.adapter.last_turn_ms = w.service.adapter.clock_ms()
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-    until(lambda: told(w, "queries cancelled by their clients") == 1)
-    connects.go_on()
-    stays(w)
-    assert w.posts() == 0
-
-
-def test_the_time_is_up_while_the_connection_comes_up(world):
-    w = world(engines=1)
-    connects, c, stream = asked(w, allow=300)
-    assert answered(c, stream)[0] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
-    connects.go_on()
-    stays(w)
-    over(w)
-    assert w.posts() == 0
-
-
-def test_the_time_is_up_in_the_turn_in_which_the_connection_is_up(world):
-    """Its timer is due, and late: the connection comes up before it."""
-    w = world(engines=1)
-    connects, c, stream = asked(w, allow=300)
-    (q,) = w.service.adapter.open_queries
-    w.service.adapter.clock_ms = lambda: q.deadline_ms + 1
-    connects.go_on()
-    until(lambda: told(w, "attempts never sent") == 1)
-    assert answered(c, stream)[0] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED) and w.posts() == 0
+        (client.transport.loseConnection if leaves == "end" else client.transport.abortConnection)()
+    until(lambda: counter(world, "queries cancelled by their clients") == 1)
+    delayed_connections.resume()
+    assert_no_more_posts(world)
+    wait_until_over(world)
+    assert (
+        world.posts() == 0 and not unresponsive_engines(world) and counter(world, "attempts never sent") == 1
+    )
+
+
+def test_no_attempt_is_sent_for_a_client_that_left_before_the_next_turn(make_world):
+    """The cancellation is queued; the connection comes up before the turn that delivers it."""
+    world = make_world(engines=1)
+    delayed_connections, client, stream = ask_delayed(world)
+    world.service.adapter.min_turn_ms = 200.0  # the next turn is long in coming
+    world.service.adapter.last_turn_ms = world.service.adapter.clock_ms()
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+    until(lambda: counter(world, "queries cancelled by their clients") == 1)
+    delayed_connections.resume()
+    assert_no_more_posts(world)
+    assert world.posts() == 0
+
+
+def test_no_attempt_is_sent_after_the_deadline(make_world):
+    """The deadline passes while the connection comes up."""
+    world = make_world(engines=1)
+    delayed_connections, client, stream = ask_delayed(world, allow=300)
+    assert answered(client, stream)[0] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
+    delayed_connections.resume()
+    assert_no_more_posts(world)
+    wait_until_over(world)
+    assert world.posts() == 0
+
+
+def test_no_attempt_is_sent_after_the_deadline_though_its_timer_is_late(make_world):
+    """The connection comes up before the timer of the deadline fires."""
+    world = make_world(engines=1)
+    delayed_connections, client, stream = ask_delayed(world, allow=300)
+    (query,) = world.service.adapter.open_queries
+    world.service.adapter.clock_ms = lambda: query.deadline_ms + 1
+    delayed_connections.resume()
+    until(lambda: counter(world, "attempts never sent") == 1)
+    assert (
+        answered(client, stream)[0] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
+        and world.posts() == 0
+    )
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_a_drain_is_told_while_the_connection_comes_up(world, state):
-    w = world(engines=2)
-    connects, c, stream = asked(w)
-    first = next(e for e in w.engines if e.address.endswith(f":{connects.held[0][0][1]}"))
-    w.tell(first, state)
-    until(lambda: w.service.discovery.last_number == 2)
-    connects.go_on()
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT) and not first.posts
-    over(w)
-
-
-def test_a_submission_that_may_not_go_out_on_the_idle_connection_at_hand(world):
-    """Its call ends within the turn that makes it. Risk: its outcome is gone before anybody has asked for it."""
-    w = world(engines=1)
-    c = w.client()
-    assert answered(c, c.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
+def test_no_attempt_is_sent_to_an_engine_that_began_to_drain(make_world, state):
+    """The drain is announced while the connection comes up."""
+    world = make_world(engines=2)
+    delayed_connections, client, stream = ask_delayed(world)
+    first = next(
+        engine
+        for engine in world.engines
+        if engine.address.endswith(f":{delayed_connections.delayed[0][0][1]}")
+    )
+    world.announce(first, state)
+    until(lambda: world.service.discovery.last_number == 2)
+    delayed_connections.resume()
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT) and not first.posts
+    wait_until_over(world)
+
+
+def test_an_attempt_that_may_not_use_the_idle_connection_at_hand_ends_once(make_world):
+    """Its call ends within the turn that makes it, before anybody waits for its outcome."""
+    world = make_world(engines=1)
+    client = world.client()
+    assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     wait(0.1)  # its connection has rested for long enough to be used again
-    refusals, may_send = [], w.service.dispatcher.may_send
-    w.service.dispatcher.may_send = lambda flight: (
-        bool(refusals) and may_send(flight) or bool(refusals.append(flight))
+    refusals, may_send = [], world.service.dispatcher.may_send
+    world.service.dispatcher.may_send = lambda in_flight: (
+        bool(refusals) and may_send(in_flight) or bool(refusals.append(in_flight))
     )
-    assert answered(c, c.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert len(refusals) == 1 and w.posts() == 2
-    assert told(w, "attempts never sent") == 1 and told(w, "faults") == 0
-    over(w)
-
-
-def test_an_engine_moves_while_the_connection_comes_up(world):
-    """Risk: its old address is another's by now, and is sent what was meant for it."""
-    w = world(engines=2)
-    w.tell(w.engines[1], "DRAINING")
-    until(lambda: w.service.discovery.last_number == 2)
-    connects, c, stream = asked(w)
-    w.drained.clear()
-    w.bulletin.add(
-        {**w.engines[1].row(), "uid": "s-0"}
+    assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert len(refusals) == 1 and world.posts() == 2
+    assert counter(world, "attempts never sent") == 1 and counter(world, "faults") == 0
+    wait_until_over(world)
+
+
+def test_no_attempt_is_sent_to_the_old_address_of_an_engine_that_moved(make_world):
+    """Its old address may be another engine's by now."""
+    world = make_world(engines=2)
+    world.announce(world.engines[1], "DRAINING")
+    until(lambda: world.service.discovery.last_number == 2)
+    delayed_connections, client, stream = ask_delayed(world)
+    world.drained.clear()
+    world.discovery.add_event(
+        {**world.engines[1].row(), "uid": "s-0"}
     )  # the uid that is connected to has the other's address now
-    until(lambda: w.service.discovery.last_number == 3)
-    connects.go_on()
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert not w.engines[0].posts and len(w.engines[1].posts) == 1
-    over(w)
+    until(lambda: world.service.discovery.last_number == 3)
+    delayed_connections.resume()
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert not world.engines[0].posts and len(world.engines[1].posts) == 1
+    wait_until_over(world)
 
 
-def tokened(world, window_ms, **more):
+def with_idempotency_keys(make_world, window_ms, **more):
+    """A world whose manifests have idempotency keys, remembered for `window_ms`."""
     settings = json.loads(json.dumps(SETTINGS))
     settings["classes"][2].update(effect="keyed", key_ttl_us=window_ms * 1000, group="all")
-    w = world(start=False, **more)
-    w.path.write_text(json.dumps({**w.config, "settings": settings}))
-    w.start()
-    until(lambda: w.service.discovery.is_confirmed)
-    return w
-
-
-def test_the_window_for_repeats_closes_while_the_connection_comes_up(world):
-    """Risk: what may have run is sent again where its repeat is not dropped any more."""
-    w = tokened(world, 400, engines=1)
-    w.engines[0].ways = ["error", "ok"]
-    c = w.client()
-    w.service.engines.pick_idle_connection = lambda call: None  # the next attempt needs a new connection
-    stream = c.ask("manifest", allow=3000, replay="a1")
-    until(lambda: w.posts() == 1)
-    connects = HeldConnects(w)
-    until(lambda: connects.held, 2)
+    world = make_world(start=False, **more)
+    world.path.write_text(json.dumps({**world.config, "settings": settings}))
+    world.start()
+    until(lambda: world.service.discovery.is_confirmed)
+    return world
+
+
+def test_no_retry_is_sent_after_the_idempotency_window(make_world):
+    """It closes while the connection comes up: what may have run would run again."""
+    world = with_idempotency_keys(make_world, 400, engines=1)
+    world.engines[0].behaviours = ["error", "ok"]
+    client = world.client()
+    world.service.engines.pick_idle_connection = lambda call: None  # the next attempt needs a new connection
+    stream = client.ask("manifest", allow=3000, replay="a1")
+    until(lambda: world.posts() == 1)
+    delayed_connections = DelayedConnections(world)
+    until(lambda: delayed_connections.delayed, 2)
     wait(0.45)
-    connects.go_on()
-    assert answered(c, stream)[0] in (
+    delayed_connections.resume()
+    assert answered(client, stream)[0] in (
         frames.AnswerCode.FAILED,
         frames.AnswerCode.REJECTED,
     )  # its repeats are dropped: both are harmless
-    assert w.posts() == 1
-    over(w)
+    assert world.posts() == 1
+    wait_until_over(world)
 
 
-def test_a_repeat_within_its_window_goes_out(world):
-    w = tokened(world, 3000, engines=1)
-    w.engines[0].ways, w.sent = (
+def test_a_retry_within_the_idempotency_window_is_sent(make_world):
+    """The window is open."""
+    world = with_idempotency_keys(make_world, 3000, engines=1)
+    world.engines[0].behaviours, world.on_attempt = (
         ["error", "ok"],
         lambda *sent: None,
     )  # its rule on mutating queries goes by the name
-    c = w.client()
+    client = world.client()
     assert (
-        answered(c, c.ask("manifest", allow=3000, replay="a1")) == (frames.AnswerCode.COMPLETED, RESULT)
-        and w.posts() == 2
+        answered(client, client.ask("manifest", allow=3000, replay="a1"))
+        == (frames.AnswerCode.COMPLETED, RESULT)
+        and world.posts() == 2
     )
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_a_submission_that_waits_for_a_descriptor(world, leaves):
-    w = world(engines=1)
-    w.service.engines.descriptor_budget = 0
-    c = w.client()
-    stream = c.ask("report")
-    until(lambda: w.service.engines.waiting_calls)
+def test_an_attempt_that_waits_for_a_descriptor(make_world, leaves):
+    """It is sent once there is one, unless its client has left."""
+    world = make_world(engines=1)
+    world.service.engines.descriptor_budget = 0
+    client = world.client()
+    stream = client.ask("report")
+    until(lambda: world.service.engines.waiting_calls)
     if leaves:
-        c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-        until(lambda: told(w, "queries cancelled by their clients") == 1)
-    w.service.engines.descriptor_budget = 50
-    w.service.engines.send_waiting()
+        client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+        until(lambda: counter(world, "queries cancelled by their clients") == 1)
+    world.service.engines.descriptor_budget = 50
+    world.service.engines.send_waiting()
     if leaves:
-        stays(w)
-        assert w.posts() == 0
+        assert_no_more_posts(world)
+        assert world.posts() == 0
     else:
-        assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    over(w)
-
-
-def test_the_front_starts_to_leave_while_the_connection_comes_up(world):
-    w = world(engines=1)
-    connects, c, stream = asked(w)
-    w.service.leave()
-    connects.go_on()
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    until(lambda: w.ended)
-    over(w)
-
-
-def test_what_is_written_late_counts_where_it_goes_out(world):
-    """Times of an attempt follow its first byte: how long it took, since when its repeat is dropped, and its engine's windows."""
-    w = world(engines=1)
-    connects, c, stream = asked(w)
-    (q,) = w.service.adapter.open_queries
-    decided = q.attempts[0].sent_ms
+        assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
+    wait_until_over(world)
+
+
+def test_an_attempt_is_sent_though_the_gateway_began_to_leave(make_world):
+    """SIGTERM comes while the connection comes up."""
+    world = make_world(engines=1)
+    delayed_connections, client, stream = ask_delayed(world)
+    world.service.leave()
+    delayed_connections.resume()
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
+    until(lambda: world.ended)
+    wait_until_over(world)
+
+
+def test_an_attempt_counts_from_its_first_byte(make_world):
+    """How long it took, since when its repeat is dropped, and its engine's windows follow its first byte."""
+    world = make_world(engines=1)
+    delayed_connections, client, stream = ask_delayed(world)
+    (query,) = world.service.adapter.open_queries
+    decided = query.attempts[0].sent_ms
     wait(0.3)
-    connects.go_on()
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert q.attempts[0].sent_ms - decided > 290
-
-
-def test_a_cold_engine_is_not_sent_what_was_decided_in_another_window(world):
-    """Risk: what waited for its connection comes on top of what the next window allows."""
-    w = world(engines=1)
-    row = {**w.engines[0].row(), "boot_ms": 1000 * time.time()}
-    w.bulletin.add(row)
-    until(lambda: w.service.discovery.last_number == 2)
-    (seen,) = w.service.adapter.controller.fleet.values()
-    guards = w.service.adapter.controller.guards
-    connects, c, stream = asked(w, effort="20.0")
-    (q,) = w.service.adapter.open_queries
+    delayed_connections.resume()
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert query.attempts[0].sent_ms - decided > 290
+
+
+def test_an_engine_that_warms_up_is_not_sent_what_was_decided_in_another_window(make_world):
+    """What waited for its connection would come on top of what the next slow-start window allows."""
+    world = make_world(engines=1)
+    row = {**world.engines[0].row(), "boot_ms": 1000 * time.time()}
+    world.discovery.add_event(row)
+    until(lambda: world.service.discovery.last_number == 2)
+    (engine_state,) = world.service.adapter.controller.fleet.values()
+    guards = world.service.adapter.controller.guards
+    delayed_connections, client, stream = ask_delayed(world, effort="20.0")
+    (query,) = world.service.adapter.open_queries
     attempt, later = (
-        q.attempts[0],
-        w.service.adapter.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms,
+        query.attempts[0],
+        world.service.adapter.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms,
+    )
+    engine_state.cold_sent.add(
+        later, guards.cold_budget(engine_state.engine, guards.warmth(engine_state.engine, later))
     )
-    seen.cold_sent.add(later, guards.cold_budget(seen.engine, guards.warmth(seen.engine, later)))
-    q.deadline_ms = later + 1000
-    assert not w.service.adapter.controller.may_dispatch(attempt, later)
-    connects.go_on()
-    c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-    over(w)
+    query.deadline_ms = later + 1000
+    assert not world.service.adapter.controller.may_dispatch(attempt, later)
+    delayed_connections.resume()
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+    wait_until_over(world)
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,10 +1,10 @@
-"""The real front in this process between stand-ins and clients on loopback. They check the rules after every step."""
+"""The gateway in this process between stand-ins and clients, which check the rules at every step."""
 
 import json
 import time
 from types import SimpleNamespace
 
-from loopback import PAGES, StandInBulletin, StandInEngine, until, wait
+from loopback import PAGES, StandInDiscovery, StandInEngine, until, wait
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientCreator, Protocol
 
@@ -62,53 +62,63 @@
     },
 }
 STATEMENT = b"select id, n, 'from x_9.t' from sales_17.orders -- y_3.z"
-BROKEN = []  # rules that were seen broken: what fails inside the reactor fails no test by itself
+BROKEN_RULES = []  # those seen broken: what fails inside the reactor fails no test by itself
 RESULT = b"".join(PAGES)
+TENANT = "acme"
+SENT_AFTER_DRAIN_S = 0.3  # an attempt so long after its engine's drain was announced breaks a rule
 
 
 class StandInClient(Protocol):
-    """One client's connection: what it was answered, by stream; a second answer fails at once."""
+    """One client's connection.
+
+    answers: (code, body, Unix time) by stream. notices: other frames, as (type, stream, payload).
+    """
 
     def __init__(self):
-        self.reader, self.answers, self.told, self.closed, self.streams = (
-            frames.FrameReader(),
-            {},
-            [],
-            False,
-            0,
-        )
+        """Nothing was asked yet."""
+        self.reader = frames.FrameReader()
+        self.answers = {}
+        self.notices = []
+        self.is_closed = False
+        self.last_stream = 0
 
     def dataReceived(self, data):
-        for kind, stream, payload in self.reader.feed(data):
-            if kind == frames.FrameType.ANSWER:
-                if stream and stream in self.answers:
-                    BROKEN.append("rule 1: two answers")
-                fields, body = frames.read_fields(payload[1:])
-                self.answers[stream] = (payload[0], bytes(body), time.time())
-            else:
-                self.told.append((kind, stream, bytes(payload)))
+        """Answers and notices; a second answer to one request breaks a rule."""
+        for frame in self.reader.feed(data):
+            if frame.type != frames.FrameType.ANSWER:
+                self.notices.append((frame.type, frame.stream, bytes(frame.payload)))
+                continue
+            if frame.stream and frame.stream in self.answers:
+                BROKEN_RULES.append("rule 1: two answers")
+            _, body = frames.read_fields(frame.payload[1:])
+            self.answers[frame.stream] = (frame.payload[0], bytes(body), time.time())
 
     def connectionLost(self, reason):
-        self.closed = True
+        """The gateway has closed it."""
+        self.is_closed = True
 
     def ask(self, group="status", ref=None, allow=2000, statement=STATEMENT, **fields):
-        self.streams += 1
-        ref = ref or f"{id(self) % 2**32:08x}{self.streams:08x}"
-        fields = {
+        """Sends a request; `fields` by their names on the wire, None leaves one out. Returns its stream."""
+        self.last_stream += 1
+        ref = ref or f"{id(self) % 2**32:08x}{self.last_stream:08x}"
+        repeats_a_field = fields.pop("twice", False)
+        values = {
             "service": group,
             "ref": ref,
             "allow": str(allow),
-            "project": "acme",
+            "project": TENANT,
             "effort": "20.0",
             "memory": "96",
             **fields,
         }
-        pairs = [(n, v) for n, v in fields.items() if v is not None and n != "twice"]
-        pairs += [("ref", ref)] if "twice" in fields else []
+        pairs = [(name, value) for name, value in values.items() if value is not None]
+        if repeats_a_field:
+            pairs.append(("ref", ref))
+        payload = frames.encode_fields(pairs)
         self.transport.write(
-            frames.encode_frame(frames.FrameType.QUERY, self.streams, frames.encode_fields(pairs), statement)
+            frames.encode_frame(frames.FrameType.QUERY, self.last_stream, payload, statement)
         )
-        return self.streams
+        return self.last_stream
 
 
 def reactor_for(world):
@@ -127,96 +137,113 @@
 
 
 class World:
-    """Engines, a bulletin and the front between them and the clients, all in this process."""
+    """Engines, a discovery service and the gateway between them and the clients, all in this process.
+
+    in_flight: request ids of attempts that run. may_have_run: the engine by request id. drained: since when,
+    in seconds, an engine's drain is announced.
+    """
 
     def __init__(self, tmp_path, engines=2, sockets=200, start=True):
-        self.out, self.may = set(), {}  # attempts out, by ref; those that may have run
-        self.drained = {}  # engines, since when it is told that they drain
-        BROKEN.clear()
+        """With a configuration file; `sockets`: the gateway's limit."""
+        self.in_flight = set()
+        self.may_have_run = {}
+        self.drained = {}
+        BROKEN_RULES.clear()
         self.engines = [StandInEngine(self, f"s-{i}") for i in range(engines)]
-        self.bulletin = StandInBulletin()
-        self.bulletin.add(*(e.row() for e in self.engines), whole=True)
+        self.discovery = StandInDiscovery()
+        self.discovery.add_event(*(engine.row() for engine in self.engines), whole=True)
         self.path = tmp_path / "config.json"
         self.config = {
             "name": "n1",
             "listen": "127.0.0.1:0",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-            "bulletin": self.bulletin.address,
-            "known": json.loads(self.bulletin.told(0)),
+            "bulletin": self.discovery.address,
+            "known": json.loads(self.discovery.events_after(0)),
             "settings": SETTINGS,
         }
         self.path.write_text(json.dumps(self.config))
-        self.clients, self.ended = [], False
+        self.clients = []
+        self.ended = False
         if start:
             self.start()
             until(lambda: self.service.discovery.is_confirmed)
 
     def start(self):
+        """Starts the gateway on the configuration file."""
         self.service = Service(reactor_for(self), {"BALANCER_CONFIG": str(self.path)})
         until(lambda: True)
         self.service.start()
         self.port = self.service.clients.listener.port.getHost().port
 
     def end(self):
+        """The gateway has ended."""
         self.ended = True
 
-    def sent(self, engine, headers, way):
-        """An attempt came whole to an engine: rules 2 and 3."""
-        ref = headers["X-Hop-Id"]
-        if ref in self.out:
-            BROKEN.append("rule 2: two attempts out")
-        if headers["X-Sort"] == "manifest" and ref in self.may:
-            BROKEN.append("rule 2: mutating sent again")
-        if self.drained.get(engine, time.monotonic()) < time.monotonic() - 0.3:
-            BROKEN.append("rule 3: sent after a drain was told")
-        if way != "full":
-            self.may[ref] = engine
-        self.out.add(ref)
+    def on_attempt(self, engine, headers, behaviour):
+        """An attempt came whole to an engine: rules 2 and 3 are checked."""
+        request_id = headers["X-Hop-Id"]
+        if request_id in self.in_flight:
+            BROKEN_RULES.append("rule 2: two attempts out")
+        if headers["X-Sort"] == "manifest" and request_id in self.may_have_run:
+            BROKEN_RULES.append("rule 2: mutating sent again")
+        now_s = time.monotonic()
+        if self.drained.get(engine, now_s) < now_s - SENT_AFTER_DRAIN_S:
+            BROKEN_RULES.append("rule 3: sent after a drain was told")
+        if behaviour != "full":
+            self.may_have_run[request_id] = engine
+        self.in_flight.add(request_id)
 
     def client(self):
-        got = []
-        ClientCreator(reactor, StandInClient).connectTCP("127.0.0.1", self.port).addCallback(got.append)
-        until(lambda: got)
-        self.clients.append(got[0])
-        return got[0]
+        """A new client's connection."""
+        connected = []
+        creator = ClientCreator(reactor, StandInClient)
+        creator.connectTCP("127.0.0.1", self.port).addCallback(connected.append)
+        until(lambda: connected)
+        self.clients.append(connected[0])
+        return connected[0]
 
     def hold(self):
-        """A report that an engine holds, and takes its time over: its client, its stream, its engine."""
-        client, ways = self.client(), ["hold"]
-        for e in self.engines:
-            e.ways = ways
+        """A report that its engine does not finish: its client, its stream, its engine."""
+        client = self.client()
+        behaviours = ["hold"]
+        for engine in self.engines:
+            engine.behaviours = behaviours
         stream = client.ask("report", allow=4000)
-        until(lambda: any(e.news > 1 for e in self.engines))
-        return client, stream, next(e for e in self.engines if e.posts)
+        until(lambda: any(engine.polls > 1 for engine in self.engines))
+        return client, stream, next(engine for engine in self.engines if engine.posts)
 
     def posts(self):
-        return sum(len(e.posts) for e in self.engines)
+        """How many attempts came to engines."""
+        return sum(len(engine.posts) for engine in self.engines)
 
-    def tell(self, engine, state):
+    def announce(self, engine, state):
+        """The discovery service announces an engine's state, by its name on the wire."""
         if state == "SERVING":
             self.drained.pop(engine, None)
         else:
             self.drained.setdefault(engine, time.monotonic())
-        self.bulletin.add(engine.row(state))
+        self.discovery.add_event(engine.row(state))
 
     def close(self):
+        """Ends all of it; fails where a rule was broken."""
         for client in self.clients:
             client.transport.abortConnection()
         if hasattr(self, "service"):
             self.service.discovery_factory.stopped = True
             if self.service.clients.listener.port:
                 self.service.clients.listener.port.stopListening()
-            for line in list(self.service.engines.connections):
-                line.abort()
-        for thing in (*self.engines, self.bulletin):
-            for line in list(thing.lines):
-                line.transport.abortConnection()
-            thing.port.stopListening()
+            for connection in list(self.service.engines.connections):
+                connection.abort()
+        for stand_in in (*self.engines, self.discovery):
+            for connection in list(stand_in.connections):
+                connection.transport.abortConnection()
+            stand_in.port.stopListening()
         wait(0.05)
-        assert not BROKEN, BROKEN
+        assert not BROKEN_RULES, BROKEN_RULES
 
 
-def answered(client, stream, seconds=5.0):
-    until(lambda: stream in client.answers, seconds)
+def answered(client, stream, timeout_s=5.0):
+    """Waits for the answer to a request: its code and body."""
+    until(lambda: stream in client.answers, timeout_s)
     return client.answers[stream][:2]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What the real front plays against on loopback: engines and a bulletin, and the reactor's turns in a test."""
+"""Stand-ins for engines and the discovery service on loopback, and the reactor's turns in a test."""
 
 import json
 import time
@@ -6,7 +6,8 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
 
-SPOILT = {
+# Replies that cannot be used, by the behaviour of the engine that makes them.
+SPOILT_REPLIES = {
     "garbled": b"no answer at all\r\n\r\n",
     "short": b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Length: 7\r\n\r\n1\ta\tb\n2\tc",
     "endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Odd: 1\r\n" * 3000,
@@ -18,199 +19,269 @@
     "waits": b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Length: 7\r\n\r\n1\ta",
 }
 PAGES = [b"1\ta\tb\n2\tc\td\n", b"3\te\tf\n", b"4\t\xc3\xa9\t\n"]
+TURN_S = 0.01  # at most, of the reactor
 
 
-def until(done, seconds=5.0):
-    """Runs the reactor until something is so."""
+def until(is_done, timeout_s=5.0):
+    """Runs the reactor until something is so, in time."""
     if not reactor.running:
         reactor.startRunning(installSignalHandlers=False)
-    end = time.monotonic() + seconds
-    while not done():
-        assert time.monotonic() < end, "it did not happen in time"
-        reactor.iterate(0.01)
+    deadline_s = time.monotonic() + timeout_s
+    while not is_done():
+        assert time.monotonic() < deadline_s, "it did not happen in time"
+        reactor.iterate(TURN_S)
 
 
 def wait(seconds):
-    end = time.monotonic() + seconds
-    until(lambda: time.monotonic() >= end, seconds + 1)
+    """Runs the reactor for so long."""
+    end_s = time.monotonic() + seconds
+    until(lambda: time.monotonic() >= end_s, seconds + 1)
 
 
-class HttpLine(Protocol):
-    """One connection to a stand-in that speaks HTTP: calls go to `owner.heard(line, verb, path, headers, body)`."""
+class HttpConnection(Protocol):
+    """One connection to a stand-in: its owner's `on_request` gets each whole request."""
 
     def __init__(self, owner):
-        self.owner, self.got = owner, b""
+        """`owner`: the stand-in."""
+        self.owner = owner
+        self.buffer = b""
 
     def connectionMade(self):
-        self.owner.lines.add(self)
-        self.owner.met += 1
-        if self.owner.slams:
+        """It is up; the owner may close it at once."""
+        self.owner.connections.add(self)
+        self.owner.connection_count += 1
+        if self.owner.closes_at_once:
             self.transport.abortConnection()
 
     def connectionLost(self, reason):
-        self.owner.lines.discard(self)
+        """It has ended."""
+        self.owner.connections.discard(self)
 
     def dataReceived(self, data):
-        self.got += data
-        while b"\r\n\r\n" in self.got:
-            head, _, rest = self.got.partition(b"\r\n\r\n")
-            first, *lines = head.decode().split("\r\n")
+        """Requests, cut anywhere."""
+        self.buffer += data
+        while b"\r\n\r\n" in self.buffer:
+            head, _, rest = self.buffer.partition(b"\r\n\r\n")
+            first_line, *lines = head.decode().split("\r\n")
             headers = dict(line.split(": ", 1) for line in lines)
             size = int(headers.get("Content-Length", 0))
             if len(rest) < size:
                 return
-            self.got = rest[size:]
-            verb, path, _ = first.split(" ")
-            self.owner.heard(self, verb, path, headers, rest[:size])
+            self.buffer = rest[size:]
+            verb, path, _ = first_line.split(" ")
+            self.owner.on_request(self, verb, path, headers, rest[:size])
 
     def answer(self, status, headers=(), body=b""):
-        lines = [f"HTTP/1.1 {status} X"] + [f"{n}: {v}" for n, v in headers]
+        """Writes a reply."""
+        lines = [f"HTTP/1.1 {status} X"] + [f"{name}: {value}" for name, value in headers]
         if status != 204:
             lines.append(f"Content-Length: {len(body)}")
-        self.transport.write("\r\n".join(lines + ["", ""]).encode() + body)
+        self.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
 
 
 class StandIn(Factory):
-    """Something that listens and speaks HTTP."""
+    """Something that listens and speaks HTTP. `closes_at_once`: each connection, once it is up."""
 
     noisy = False
 
     def __init__(self):
-        self.lines, self.met, self.slams = set(), 0, False
+        """Listens on a port of its own."""
+        self.connections = set()
+        self.connection_count = 0
+        self.closes_at_once = False
+        self.is_silent = False
         self.port = reactor.listenTCP(0, self, interface="127.0.0.1")
         self.address = f"127.0.0.1:{self.port.getHost().port}"
 
     def buildProtocol(self, address):
-        return HttpLine(self)
+        """A connection to it."""
+        return HttpConnection(self)
 
 
 class StandInEngine(StandIn):
-    """An engine. `ways` says, submission after submission, what it does; then it answers in full."""
+    """An engine. `behaviours` says, attempt after attempt, what it does; then it answers in full.
+
+    running: the behaviour of each query that it has, by request id. is_silent: what comes is dropped.
+    is_paused: what comes is kept in `paused_requests`.
+    """
 
     def __init__(self, world, uid):
+        """`world`: is told of attempts; `uid`: its name in the endpoint list."""
         super().__init__()
-        self.world, self.uid, self.ways, self.runs = world, uid, [], {}
-        self.posts, self.deletes, self.ranks, self.news, self.mute = [], [], [], 0, False
-        self.still, self.held = False, []  # it stands still, and what has come meanwhile
-
-    def heard(self, line, verb, path, headers, body):
-        if self.mute:
+        self.world = world
+        self.uid = uid
+        self.behaviours = []
+        self.running = {}
+        self.posts = []  # (headers, body)
+        self.cancelled = []  # request ids
+        self.priorities = []  # (request id, body)
+        self.polls = 0
+        self.is_paused = False
+        self.paused_requests = []
+
+    def on_request(self, connection, verb, path, headers, body):
+        """A whole request came."""
+        if self.is_silent:
+            return
+        if self.is_paused:
+            self.paused_requests.append((connection, verb, path, headers, body))
             return
-        if self.still:
-            return self.held.append((line, verb, path, headers, body))
         if verb == "POST":
-            way = self.ways.pop(0) if self.ways else "ok"
-            self.posts.append((headers, body))
-            self.world.sent(self, headers, way)
-            if way.startswith("unread"):  # it has come whole, and is read only later
-                late_s = 0.02 if "cut" in way else 0.25 if "copy" in way else 0.4
-                reactor.callLater(late_s, self.read, line, headers["X-Hop-Id"])
-                if "cut" in way:  # its connection ends at once
-                    line.transport.abortConnection()
-                if "copy" in way:  # a late copy of what was answered to another
-                    line.answer(204)
-                return
-            self.runs[headers["X-Hop-Id"]] = way
-            return line.answer(202) if way == "drop" else self.start(line, headers["X-Hop-Id"], way)
-        ref, _, page = path[len("/o/") :].partition("/")
+            self._on_post(connection, headers, body)
+            return
+        request_id, _, page = path[len("/o/") :].partition("/")
         if verb == "DELETE":
-            self.deletes.append(ref)
-            if self.runs.pop(ref, None):  # what it has not read yet it cannot give up
-                self.world.out.discard(ref)
-            return line.answer(204)
-        if verb == "PUT":
-            self.ranks.append((ref, body))
-            return line.answer(204)
-        self.news += 1
-        if ref not in self.runs:
-            return line.answer(500)
-        if page != "0":
-            return self.page(line, ref, int(page))
-        self.start(line, ref, self.runs[ref])
-
-    def read(self, line, ref):
-        self.runs[ref] = "slow"
-        self.start(line, ref, "slow")
-
-    def stand_still(self, seconds):
-        """It takes what comes, and reads it afterwards, the newest first."""
-        self.still = True
-        reactor.callLater(seconds, self.go_on)
-
-    def go_on(self):
-        self.still, held, self.held = False, self.held[::-1], []
-        for call in held:
-            self.heard(*call)
-
-    def start(self, line, ref, way):
-        if way == "slow":  # it runs for 0.1 s; what waits for its news is answered then
-            self.runs[ref] = "slower"
-            reactor.callLater(0.1, lambda: self.runs.get(ref) == "slower" and self.runs.update({ref: "ok"}))
-        if way in ("slow", "slower"):
-            return reactor.callLater(0.03, lambda: line.answer(202))
-        if way == "later":  # not yet, for 0.05 s; then its news is its end
-            self.runs[ref] = "ok"
-            return reactor.callLater(0.05, lambda: line.answer(202))
-        if way == "copied late":  # its own rows; a copy of the answer follows after a connection's rest
-            self.world.out.discard(ref)
-            self.runs[ref] = "ok"
-            said = [("X-Parts", 1), ("X-Cpu-Ms", "3.5"), ("X-Mem-Used", "8")], ref.encode() + b"\tx\ty\n"
-            reactor.callLater(0.065, lambda: line.transport.connected and line.answer(200, *said))
-            return line.answer(200, *said)
-        if way == "full":
-            self.world.out.discard(ref)
-            return line.answer(503, [("X-No-Effect", "1")])
-        if way in ("error", "odd"):
-            self.world.out.discard(ref)
-            return line.answer(500 if way == "error" else 418)
-        if way == "reset":  # it was not read, for all that anyone can tell
-            self.world.out.discard(ref)
-            self.runs.pop(ref)
-            return line.transport.abortConnection()
-        if way in SPOILT:  # once: a good answer, spoilt on its way
-            self.runs[ref] = "ok"
-            return line.transport.write(SPOILT[way])
-        if way == "noise":
-            return line.transport.write(b"no answer at all\r\n\r\n")
-        if way == "hold":
-            return reactor.callLater(
-                0.05, lambda: line.answer(202, [("X-Tell", "share"), ("X-Amount", "0.5")])
-            )
-        if way in ("drop", "drop post", "silent"):  # once: the answer breaks off, or never comes
-            self.runs[ref] = "ok"
-            return None if way == "silent" else line.transport.abortConnection()
-        self.world.out.discard(ref)
-        if way == "more":  # a good answer, with more than belongs to it
-            line.transport.write(b"HTTP/1.1 102 Processing\r\n\r\n")
-        line.answer(
-            200,
-            [
-                ("X-Parts", len(PAGES)),
-                ("X-Cpu-Ms", "12.5"),
-                ("X-Mem-Used", "64"),
-                ("X-Report", "inflight:7;odd"),
-            ],
-            PAGES[0],
-        )
-        if way == "more":
-            line.answer(200, [("X-Parts", 1)], b"9\tx\ty\n")
-
-    def page(self, line, ref, n):
-        way = self.runs[ref]
-        if way == "lost page":
-            return line.answer(500)
-        if way == "drop page":
-            self.runs[ref] = "ok"
-            return line.transport.abortConnection()
-        if way == "copies" and line.transport.connected:  # a copy of this answer follows a moment later
-            reactor.callLater(0.005, lambda: line.answer(200, [("X-Parts", 1)], b"9\tx\ty\n"))
-        line.answer(
-            200,
-            [("X-Part-No", n if way != "wrong page" else n + 1)],
-            PAGES[n] * (9000 if way == "long" else 1),
-        )
+            self.cancelled.append(request_id)
+            if self.running.pop(request_id, None):  # what it has not read yet it cannot cancel
+                self.world.in_flight.discard(request_id)
+            connection.answer(204)
+        elif verb == "PUT":
+            self.priorities.append((request_id, body))
+            connection.answer(204)
+        else:
+            self._on_poll(connection, request_id, int(page))
+
+    def _on_post(self, connection, headers, body):
+        request_id = headers["X-Hop-Id"]
+        behaviour = self.behaviours.pop(0) if self.behaviours else "ok"
+        self.posts.append((headers, body))
+        self.world.on_attempt(self, headers, behaviour)
+        if behaviour.startswith("unread"):
+            self._leave_unread(connection, request_id, behaviour)
+            return
+        self.running[request_id] = behaviour
+        if behaviour == "drop":
+            connection.answer(202)
+        else:
+            self.start(connection, request_id, behaviour)
+
+    def _leave_unread(self, connection, request_id, behaviour):
+        """It has come whole, and is read only later."""
+        read_after_s = 0.4
+        if "cut" in behaviour:
+            read_after_s = 0.02
+        elif "copy" in behaviour:
+            read_after_s = 0.25
+        reactor.callLater(read_after_s, self._read, connection, request_id)
+        if "cut" in behaviour:  # its connection ends at once
+            connection.transport.abortConnection()
+        if "copy" in behaviour:  # a late copy of what was answered to another
+            connection.answer(204)
+
+    def _read(self, connection, request_id):
+        self.running[request_id] = "slow"
+        self.start(connection, request_id, "slow")
+
+    def _on_poll(self, connection, request_id, page):
+        self.polls += 1
+        if request_id not in self.running:
+            connection.answer(500)
+        elif page:
+            self.page(connection, request_id, page)
+        else:
+            self.start(connection, request_id, self.running[request_id])
+
+    def pause(self, seconds):
+        """It reads nothing for so long."""
+        self.is_paused = True
+        reactor.callLater(seconds, self.resume)
+
+    def resume(self):
+        """It reads what has come meanwhile, the newest first."""
+        self.is_paused = False
+        paused_requests = self.paused_requests[::-1]
+        self.paused_requests = []
+        for request in paused_requests:
+            self.on_request(*request)
+
+    def start(self, connection, request_id, behaviour):
+        """Answers the first call, or a poll."""
+        if behaviour == "slow":  # it runs for 0.1 s; polls that wait are answered then
+            self.running[request_id] = "slower"
+            reactor.callLater(0.1, self._finish_slow, request_id)
+        if behaviour in ("slow", "slower"):
+            reactor.callLater(0.03, connection.answer, 202)
+        elif behaviour == "later":  # not yet, for 0.05 s; then a poll brings its end
+            self.running[request_id] = "ok"
+            reactor.callLater(0.05, connection.answer, 202)
+        elif behaviour == "copied late":
+            self._answer_with_late_copy(connection, request_id)
+        elif behaviour == "full":
+            self.world.in_flight.discard(request_id)
+            connection.answer(503, [("X-No-Effect", "1")])
+        elif behaviour in ("error", "odd"):
+            self.world.in_flight.discard(request_id)
+            connection.answer(500 if behaviour == "error" else 418)
+        elif behaviour == "reset":  # it was not read, for all that anyone can tell
+            self.world.in_flight.discard(request_id)
+            self.running.pop(request_id)
+            connection.transport.abortConnection()
+        elif behaviour in SPOILT_REPLIES:  # once: a good answer, spoilt on its way
+            self.running[request_id] = "ok"
+            connection.transport.write(SPOILT_REPLIES[behaviour])
+        elif behaviour == "noise":
+            connection.transport.write(b"no answer at all\r\n\r\n")
+        elif behaviour == "hold":
+            progress = [("X-Tell", "share"), ("X-Amount", "0.5")]
+            reactor.callLater(0.05, connection.answer, 202, progress)
+        elif behaviour in ("drop", "drop post"):  # once: the answer breaks off
+            self.running[request_id] = "ok"
+            connection.transport.abortConnection()
+        elif behaviour == "silent":  # once: the answer never comes
+            self.running[request_id] = "ok"
+        else:
+            self._answer_in_full(connection, request_id, behaviour)
+
+    def _finish_slow(self, request_id):
+        if self.running.get(request_id) == "slower":
+            self.running[request_id] = "ok"
+
+    def _answer_with_late_copy(self, connection, request_id):
+        """Its own rows; a copy of the answer follows after a connection was idle for long enough."""
+        self.world.in_flight.discard(request_id)
+        self.running[request_id] = "ok"
+        headers = [("X-Parts", 1), ("X-Cpu-Ms", "3.5"), ("X-Mem-Used", "8")]
+        rows = request_id.encode() + b"\tx\ty\n"
+
+        def copy():
+            if connection.transport.connected:
+                connection.answer(200, headers, rows)
+
+        reactor.callLater(0.065, copy)
+        connection.answer(200, headers, rows)
+
+    def _answer_in_full(self, connection, request_id, behaviour):
+        self.world.in_flight.discard(request_id)
+        if behaviour == "more":  # a good answer, with more than belongs to it
+            connection.transport.write(b"HTTP/1.1 102 Processing\r\n\r\n")
+        headers = [
+            ("X-Parts", len(PAGES)),
+            ("X-Cpu-Ms", "12.5"),
+            ("X-Mem-Used", "64"),
+            ("X-Report", "inflight:7;odd"),
+        ]
+        connection.answer(200, headers, PAGES[0])
+        if behaviour == "more":
+            connection.answer(200, [("X-Parts", 1)], b"9\tx\ty\n")
+
+    def page(self, connection, request_id, number):
+        """Answers the call for a page."""
+        behaviour = self.running[request_id]
+        if behaviour == "lost page":
+            connection.answer(500)
+            return
+        if behaviour == "drop page":
+            self.running[request_id] = "ok"
+            connection.transport.abortConnection()
+            return
+        if behaviour == "copies" and connection.transport.connected:  # a copy follows a moment later
+            reactor.callLater(0.005, connection.answer, 200, [("X-Parts", 1)], b"9\tx\ty\n")
+        said_number = number + 1 if behaviour == "wrong page" else number
+        body = PAGES[number] * (9000 if behaviour == "long" else 1)
+        connection.answer(200, [("X-Part-No", said_number)], body)
 
     def row(self, state="SERVING"):
+        """What the endpoint list says of it."""
         return {
             "uid": self.uid,
             "endpoint": self.address,
@@ -223,39 +294,51 @@
         }
 
     def stop(self):
-        for line in list(self.lines):
-            line.transport.abortConnection()
+        """Its process ends: connections are reset, new ones refused."""
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
         return self.port.stopListening()
 
 
-class StandInBulletin(StandIn):
+class StandInDiscovery(StandIn):
+    """A discovery service. `raw_answer`: what it answers to each poll at once, in place of its events."""
+
     def __init__(self):
+        """Without events."""
         super().__init__()
-        self.events, self.waiting, self.garbage, self.calls, self.mute = [], [], None, 0, False
-
-    def heard(self, line, verb, path, headers, body):
-        self.calls += 1
-        after, patience = (int(x.partition("=")[2]) for x in path.partition("?")[2].split("&"))
-        if self.mute:
+        self.events = []
+        self.waiting_polls = []  # (connection, after)
+        self.raw_answer = None
+        self.polls = 0
+
+    def on_request(self, connection, verb, path, headers, body):
+        """A poll."""
+        self.polls += 1
+        after, wait_ms = (int(field.partition("=")[2]) for field in path.partition("?")[2].split("&"))
+        if self.is_silent:
             return
-        if self.garbage:
-            return line.answer(200, (), self.garbage)
-        if after < len(self.events):
-            return line.answer(200, (), self.told(after))
-        self.waiting.append((line, after))
-        reactor.callLater(patience / 1000, self.patience_ends, line, after)
-
-    def patience_ends(self, line, after):
-        if (line, after) in self.waiting:
-            self.waiting.remove((line, after))
-            line.answer(200, (), self.told(after))
-
-    def told(self, after):
+        if self.raw_answer:
+            connection.answer(200, (), self.raw_answer)
+        elif after < len(self.events):
+            connection.answer(200, (), self.events_after(after))
+        else:
+            self.waiting_polls.append((connection, after))
+            reactor.callLater(wait_ms / 1000, self._end_poll, connection, after)
+
+    def _end_poll(self, connection, after):
+        if (connection, after) in self.waiting_polls:
+            self.waiting_polls.remove((connection, after))
+            connection.answer(200, (), self.events_after(after))
+
+    def events_after(self, after):
+        """The answer to a poll for the events after a number."""
         return json.dumps({"no": len(self.events), "items": self.events[after:]}).encode()
 
-    def add(self, *rows, whole=False):
-        no = len(self.events) + 1
-        self.events.append({"no": no, "roster": {"rev": no, "all": whole, "targets": list(rows)}})
-        waiting, self.waiting = self.waiting, []
-        for line, after in waiting:
-            line.answer(200, (), self.told(after))
+    def add_event(self, *rows, whole=False):
+        """An event with these rows of the endpoint list, or with the whole list; polls that wait get it."""
+        number = len(self.events) + 1
+        self.events.append({"no": number, "roster": {"rev": number, "all": whole, "targets": list(rows)}})
+        waiting_polls = self.waiting_polls
+        self.waiting_polls = []
+        for connection, after in waiting_polls:
+            connection.answer(200, (), self.events_after(after))
--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -1,6 +1,8 @@
-"""What the front may conclude of a submission: the account alone, against a model of the engine's side that
-keeps the truth, and the whole front before stand-ins that read late, stand still, close their door or lose
-their address."""
+"""What may be concluded of an attempt.
+
+The state machine alone, against a model of the engine's side that keeps the truth, and the whole gateway
+before stand-ins that read late, pause, refuse connections or lose their address.
+"""
 
 import random
 import time
@@ -8,7 +10,7 @@
 from types import SimpleNamespace
 
 import pytest
-from gateway_world import BROKEN, RESULT, answered
+from gateway_world import BROKEN_RULES, RESULT, answered
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
@@ -27,12 +29,14 @@
 
 
 def sent(at=100.0):
+    """The lifecycle of an attempt whose POST was written at this time."""
     life = AttemptLifecycle()
     life.post_written(at)
     return life
 
 
-def test_nothing_written_is_nothing_out_and_stays_so_until_it_is_written():
+def test_an_attempt_is_unsent_until_its_post_is_written():
+    """Whatever else happens."""
     life = AttemptLifecycle()
     assert not life.may_run and not life.time_passed(1e9)
     life.connection_closed_by_engine(1.0)
@@ -45,7 +49,8 @@
     assert life.state == AttemptState.UNSENT
 
 
-def test_unknown_is_no_proof_while_the_first_call_is_not_settled():
+def test_unknown_is_no_proof_soon_after_the_post():
+    """It counts `READ_DELAY_MS` after the POST, and twice."""
     life = sent()
     for at in range(110, 590, 60):
         assert not life.unknown_reported(at, at + 1.0) and life.may_run
@@ -57,7 +62,8 @@
     assert life.unknown_reported(650.0, 651.0) and life.proof == Proof.UNKNOWN_LONG_AFTER_POST
 
 
-def test_unknown_counts_twice_after_a_cut_and_only_of_calls_that_were_written_later():
+def test_unknown_proves_the_end_twice_after_a_disconnect():
+    """Only to calls that were written later; one read may have answered two calls."""
     life = sent()
     life.connection_closed_by_engine(150.0)
     assert not life.unknown_reported(149.0, 200.0) and not life.unknown_reported(151.0, 160.0)
@@ -67,7 +73,8 @@
     assert life.unknown_reported(205.0, 206.0) and life.proof == Proof.UNKNOWN_AFTER_DISCONNECT
 
 
-def test_unknown_proves_it_once_it_was_known_by_a_call_written_since():
+def test_unknown_proves_the_end_of_an_acknowledged_attempt_at_once():
+    """To a call written since, unless it may be another engine's reply."""
     life = sent()
     life.acknowledged(150.0)
     assert not life.unknown_reported(140.0, 160.0) and life.unknown_reported(150.0, 161.0)
@@ -80,7 +87,8 @@
     )
 
 
-def test_two_refusals_prove_it_if_nothing_to_it_is_open_and_nothing_answered_between():
+def test_two_refusals_prove_that_the_process_is_gone():
+    """Where no connection to it is open, and nothing replied between them."""
     life = sent()
     assert (
         not life.connection_refused(200.0, True)
@@ -96,7 +104,8 @@
     assert life.proof == Proof.PROCESS_GONE and not life.may_run
 
 
-def test_its_time_is_over_by_the_last_call_that_may_have_kept_it():
+def test_an_attempt_is_forgotten_after_the_last_call_that_may_have_reached_it():
+    """A call that was answered by another engine did not reach it."""
     life = sent()
     life.poll_written(1000.0)
     assert not life.time_passed(3499.0)
@@ -104,7 +113,8 @@
     assert life.time_passed(2601.0) and life.proof == Proof.FORGOTTEN
 
 
-def test_an_end_of_its_own_is_the_end():
+def test_an_end_that_was_reported_is_final():
+    """What comes later changes nothing."""
     life = sent()
     life.end_reported()
     life.acknowledged(120.0)
@@ -124,6 +134,7 @@
     a connection of its own after `hold` at the latest, in any order within a look of 40 ms; times in ms."""
 
     def __init__(self, chance):
+        """A live process; `chance` draws its delays."""
         self.chance, self.now, self.wakes_ms = chance, 1e6, 0.0
         self.process, self.door = True, True  # it lives; it takes connections
         self.stranger = False  # another one has its address
@@ -135,6 +146,7 @@
         return max(at, self.wakes_ms) + self.chance.uniform(0.0, 40.0)
 
     def sent(self, hold, lost):
+        """A POST is on its way, read after `hold` at the latest, or lost."""
         self.post = None if lost else self.reads(self.now + hold)
 
     def cut(self):
@@ -143,6 +155,7 @@
             self.post = min(self.post, self.reads(self.now))
 
     def pass_time(self, until):
+        """The time is `until`: what was to be read by then is."""
         self.now = until
         if self.post is not None and self.process and self.post <= until:
             self.running, self.kept_ms, self.post = True, self.post, None
@@ -150,11 +163,13 @@
             self.running = False
 
     def die(self):
+        """The process ends."""
         self.process = self.door = self.running = False
         self.post = None
 
     @property
     def out(self):
+        """Whether the attempt runs, or may come to run."""
         return self.running or self.post is not None
 
 
@@ -165,6 +180,7 @@
         seed=st.integers(0, 2**32), hold=st.sampled_from([0.0, 50.0, 250.0, 400.0]), lost=st.booleans()
     )
     def begin(self, seed, hold, lost):
+        """A POST was written."""
         self.side, self.life = EngineSide(random.Random(seed)), AttemptLifecycle()
         self.side.pass_time(1e6)
         self.first = self.own = "open"  # its POST's connection; the one that it was last known on
@@ -175,24 +191,28 @@
         self.side.sent(hold, lost)
 
     def later(self, ms):
+        """So much time passes, on both sides."""
         self.side.pass_time(self.side.now + ms)
         if self.life.state != AttemptState.OVER:
             self.life.time_passed(self.side.now)
 
     @rule(ms=st.sampled_from([1.0, 20.0, 50.0, 120.0, 400.0, 900.0]))
-    def time_goes(self, ms):
+    def time_passes(self, ms):
+        """Nothing else happens."""
         self.later(ms)
 
     @rule(ms=st.floats(1.0, 450.0))
-    def stands_still(self, ms):
-        s = self.side
-        if s.process and s.now >= s.wakes_ms + 50:
-            s.wakes_ms = s.now + ms
-            if s.post is not None:
-                s.post = max(s.post, s.reads(s.wakes_ms))
+    def engine_pauses(self, ms):
+        """The engine reads nothing for so long."""
+        stream = self.side
+        if stream.process and stream.now >= stream.wakes_ms + 50:
+            stream.wakes_ms = stream.now + ms
+            if stream.post is not None:
+                stream.post = max(stream.post, stream.reads(stream.wakes_ms))
 
     @rule(peer=st.booleans())
     def first_connection_breaks(self, peer):
+        """The POST's connection is closed, by the engine (`peer`) or by the gateway."""
         if self.first == "open":
             self.first = "gone"
             self.here = self.here or not peer and self.own is None
@@ -204,13 +224,15 @@
     @precondition(lambda self: self.first == "open" and self.life.may_run)
     @rule()
     def first_call_is_answered(self):
+        """The engine replies to the POST."""
         if self.side.running and self.side.now >= self.side.wakes_ms:
             self.first, self.own, self.here = "gone", "open", False
             self.life.acknowledged(self.side.now)
 
     @precondition(lambda self: self.own == "open")
     @rule()
-    def known_connection_breaks(self):
+    def acknowledged_connection_breaks(self):
+        """The engine closes the connection on which it last replied."""
         self.own = "cut"
         self.life.connection_closed_by_engine(self.side.now)
 
@@ -218,46 +240,49 @@
     def asks(self, on_own, drop, lost):
         """A call for news or a DELETE, answered once the engine reads it; an answer may get lost after it was
         read."""
-        s, written = self.side, self.side.now
+        stream, written = self.side, self.side.now
         on_own = on_own and self.own == "open"
         if not drop:
             self.life.poll_written(written)
-        if not on_own and not s.door and not s.stranger:
+        if not on_own and not stream.door and not stream.stranger:
             if not drop:
                 self.life.poll_not_written()  # refused: nothing was written
             return self.refused()
-        stranger = s.stranger and not on_own
-        if not stranger and not s.process:
+        stranger = stream.stranger and not on_own
+        if not stranger and not stream.process:
             return
-        at = written if stranger else s.reads(written)
+        at = written if stranger else stream.reads(written)
         self.later(at - written)
-        knows = s.running and not stranger
+        knows = stream.running and not stranger
         if knows and drop:
-            s.running = False
+            stream.running = False
         elif knows:
-            s.kept_ms = s.now
+            stream.kept_ms = stream.now
         self.later(1.0)
         if lost:
             return
         if knows and not drop:
-            self.life.acknowledged(s.now)
+            self.life.acknowledged(stream.now)
             self.own, self.here = "open", False
         else:
             self.life.unknown_reported(
-                written, s.now, may_be_other_engine=self.leaves and not on_own, is_poll=not drop
+                written, stream.now, may_be_other_engine=self.leaves and not on_own, is_poll=not drop
             )
 
     def refused(self):
+        """A connection is refused."""
         alive = self.side.process and "open" in (self.first, self.own) or self.here or self.leaves
         self.life.connection_refused(self.side.now, alive)
 
     @rule()
-    def ends(self):
+    def attempt_ends(self):
+        """Its end may be reported, or lost and then unknown."""
         if self.side.running and self.side.now >= self.side.wakes_ms:
             self.side.running = False  # its end may be told, or lost and then unknown
 
     @rule(takes_over=st.booleans())
-    def dies(self, takes_over):
+    def process_dies(self, takes_over):
+        """Its process ends; its address may go to another engine."""
         if self.side.process:
             self.side.die()
             if self.first == "open":
@@ -270,15 +295,15 @@
             self.side.stranger = takes_over
 
     @rule(takes_over=st.booleans())
-    def closes_its_door(self, takes_over):
-        """It works on, reachable on what is open alone; the list has told that it leaves before its address
-        goes."""
+    def stops_accepting(self, takes_over):
+        """It works on, reachable on open connections alone; its drain is announced before."""
         if self.side.process and self.side.door and "open" in (self.first, self.own):
             self.side.door, self.leaves, self.side.stranger = False, True, takes_over
             self.shut = True
 
     @invariant()
     def nothing_is_concluded_that_is_not_so(self):
+        """An attempt is over only when it neither runs nor may come to run."""
         if hasattr(self, "life") and not self.life.may_run:
             assert not self.side.out, self.life.proof
 
@@ -292,34 +317,36 @@
 # the front before stand-ins
 
 
-def both(w, way):
-    ways = [way]  # of the first submission, wherever it goes
-    for e in w.engines:
-        e.ways = ways
+def behave_at_first_attempt(world, behaviour):
+    """The behaviour of whichever engine has the first attempt; later ones are answered in full."""
+    behaviours = [behaviour]
+    for engine in world.engines:
+        engine.behaviours = behaviours
 
 
-@pytest.mark.parametrize("way", ["unread", "unread cut", "unread copy"])
+@pytest.mark.parametrize("behaviour", ["unread", "unread cut", "unread copy"])
 @pytest.mark.parametrize("group", ["status", "report", "manifest"])
-def test_what_came_whole_and_is_read_late_is_out_only_once(world, way, group):
-    """Risk: 'unknown' to news, or an answered DELETE, is taken for proof while the POST lies unread at its
-    engine."""
-    w = world(engines=2)
-    both(w, way)
-    client = w.client()
+def test_a_post_that_is_read_late_runs_once(make_world, behaviour, group):
+    """'Unknown' to a poll, or an acknowledged cancellation, is no proof while the POST lies unread."""
+    world = make_world(engines=2)
+    behave_at_first_attempt(world, behaviour)
+    client = world.client()
     code, body = answered(client, client.ask(group, allow=2500))
-    assert (code, body) == (frames.AnswerCode.COMPLETED, RESULT) and not BROKEN
-    assert group == "status" or w.posts() == 1
+    assert (code, body) == (frames.AnswerCode.COMPLETED, RESULT) and not BROKEN_RULES
+    assert group == "status" or world.posts() == 1
+
 
+def test_engines_that_pause_read_the_newest_first(make_world):
+    """All that came to an engine completes.
 
-def test_an_engine_that_stands_still_reads_the_newest_first(world):
-    """All that came to an engine finishes. What found no slot for a tenth of its time, while both stood
-    still, may be deferred (design: the admission delay); nothing of it went out, and asked again it
-    finishes."""
-    w = world(engines=2)
-    clients = [w.client() for _ in range(4)]
+    What found no slot for a tenth of its time, while both paused, may be rejected (design: the
+    admission delay); no attempt of it was sent, and asked again it completes.
+    """
+    world = make_world(engines=2)
+    clients = [world.client() for _ in range(4)]
     asked, refs = [], (f"{n:016x}" for n in count(1))
     for turn in range(6):
-        w.engines[turn % 2].stand_still(0.37)
+        world.engines[turn % 2].pause(0.37)
         for client in clients:
             for group in ("status", "report", "manifest"):
                 ref = next(refs)
@@ -331,97 +358,102 @@
     assert (
         set(codes) <= {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED}
         and len(deferred) < len(asked) / 2
-        and not BROKEN
+        and not BROKEN_RULES
     )
     assert all(body == RESULT for code, body in outcomes if code == frames.AnswerCode.COMPLETED)
-    assert not {ref for *_, ref in deferred} & w.may.keys()
+    assert not {ref for *_, ref in deferred} & world.may_have_run.keys()
     for client, _, group, _ in deferred:
         assert answered(client, client.ask(group, ref=next(refs), allow=2500)) == (
             frames.AnswerCode.COMPLETED,
             RESULT,
         )
-    assert not BROKEN
+    assert not BROKEN_RULES
 
 
-def test_a_refusal_proves_nothing_while_a_connection_to_the_process_is_open(world):
-    """Risk: an engine that takes no more connections, and works on, is taken for gone."""
-    w = world(engines=2)
-    client, stream, busy = w.hold()
-    other = w.client()
-    busy.ways, spare = [], next(e for e in w.engines if e is not busy)
-    spare.ways = ["full"] * 9
+def test_a_refusal_proves_nothing_while_a_connection_to_the_process_is_open(make_world):
+    """An engine that accepts no more connections, and works on, must not be taken for gone."""
+    world = make_world(engines=2)
+    client, stream, busy = world.hold()
+    other = world.client()
+    busy.behaviours, spare = [], next(engine for engine in world.engines if engine is not busy)
+    spare.behaviours = ["full"] * 9
     until(
         lambda: (answered(other, other.ask("status")), len(busy.posts) > 1)[1]
     )  # leaves an idle connection behind
     wait(0.05)
-    spare.ways = []
+    spare.behaviours = []
     busy.port.stopListening()
     wait(0.02)
-    line = w.service.adapter.open_queries.copy().pop().attempt_in_flight.connection
-    for theirs in list(busy.lines):
-        if theirs.transport.getPeer().port == line.transport.getHost().port:
+    connection = world.service.adapter.open_queries.copy().pop().attempt_in_flight.connection
+    for theirs in list(busy.connections):
+        if theirs.transport.getPeer().port == connection.transport.getHost().port:
             theirs.transport.abortConnection()
     wait(0.3)
-    busy.runs = {ref: "ok" for ref in busy.runs}
+    busy.running = {ref: "ok" for ref in busy.running}
     assert (
         answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-        and not BROKEN
+        and not BROKEN_RULES
         and not spare.posts[len(spare.posts) :]
     )
-    assert w.service.metrics.counters["attempts connection reset"] == 0
+    assert world.service.metrics.counters["attempts connection reset"] == 0
 
 
-def test_a_stranger_at_the_address_proves_nothing_of_the_one_that_left(world):
-    """Risk: an engine is cut off and its address given away; what the next one does not know still runs at
-    the first."""
-    w = world(engines=2)
-    client, stream, old = w.hold()
-    ref = next(iter(w.out))
+def test_another_engine_at_the_address_proves_nothing_of_the_one_that_left(make_world):
+    """An engine is cut off and its address given away; what the next one does not know still runs at the
+    first.
+    """
+    world = make_world(engines=2)
+    client, stream, old = world.hold()
+    ref = next(iter(world.in_flight))
     port = old.port.getHost().port
     old.port.stopListening()
-    old.mute = True
+    old.is_silent = True
     wait(0.02)
-    new = StandInEngine(w, "s-new")
+    new = StandInEngine(world, "s-new")
     new.port.stopListening()
     wait(0.02)
     new.port = reactor.listenTCP(port, new, interface="127.0.0.1")
     new.address = old.address
-    w.engines.append(new)
-    w.bulletin.add(old.row("DELETED"), new.row())
+    world.engines.append(new)
+    world.discovery.add_event(old.row("DELETED"), new.row())
     since = time.monotonic()
-    reactor.callLater(2.0, w.out.discard, ref)  # it has not been asked for so long
-    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and not BROKEN
+    reactor.callLater(2.0, world.in_flight.discard, ref)  # it has not been asked for so long
+    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and not BROKEN_RULES
     assert time.monotonic() - since > 2.0
 
 
-def test_its_time_counts_from_when_the_last_call_may_have_been_read(world):
-    """Risk: an engine that stood still read a call for news later than it was written, and holds the query as
-    much longer."""
-    w = world(engines=2)
-    client, stream, cut_off = w.hold()
-    ref, connect = next(iter(w.out)), w.service.engines.reactor.connectTCP
+def test_an_attempt_is_remembered_from_when_the_last_call_may_have_been_read(make_world):
+    """An engine that paused read a poll later than it was written, and holds the query for as much longer."""
+    world = make_world(engines=2)
+    client, stream, cut_off = world.hold()
+    ref, connect = next(iter(world.in_flight)), world.service.engines.reactor.connectTCP
 
     def fails(host, port, factory, timeout):
         if f"{host}:{port}" != cut_off.address:
             return connect(host, port, factory, timeout=timeout)
         reactor.callLater(timeout, factory.clientConnectionFailed, None, Failure(TimeoutError()))
 
-    w.service.engines.reactor.connectTCP, cut_off.mute = fails, True
-    reactor.callLater(2.4, w.out.discard, ref)  # 0.4 s until the last call was read, and 2 s
-    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and not BROKEN and w.posts() == 2
+    world.service.engines.reactor.connectTCP, cut_off.is_silent = fails, True
+    reactor.callLater(2.4, world.in_flight.discard, ref)  # 0.4 s until the last call was read, and 2 s
+    assert (
+        answered(client, stream)[0] == frames.AnswerCode.COMPLETED and not BROKEN_RULES and world.posts() == 2
+    )
 
 
-def test_a_connection_whose_answer_came_late_is_used_no_more():
-    """Seen once on a day with late answers: a query answered with rows that no engine made for it. What comes
-    late may come twice, and would be the answer to the next query's call."""
+def test_a_connection_whose_reply_came_late_is_not_used_again():
+    """What comes late may come twice, and would be the reply to the next query's call: rows that no engine
+    made for it.
+    """
     pool = EnginePool(SimpleNamespace(seconds=lambda: 100.0, callLater=None), 0, 1.0, 1.0, 1000.0)
-    e, got = GatewayEngine("e", address="127.0.0.1:1"), []
+    engine, got = GatewayEngine("e", address="127.0.0.1:1"), []
     for late in (False, True):
-        call = EngineCall(e, b"", engine_protocol.is_poll_reply)
-        line = EngineConnection(pool, call)
-        line.transport, line.is_overdue = SimpleNamespace(abortConnection=lambda: None), late
-        pool.connections.add(line)
+        call = EngineCall(engine, b"", engine_protocol.is_poll_reply)
+        connection = EngineConnection(pool, call)
+        connection.transport, connection.is_overdue = SimpleNamespace(abortConnection=lambda: None), late
+        pool.connections.add(connection)
         call.reply.addCallback(got.append)
-        line.dataReceived(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n")
-        assert (line in e.idle_connections) is not late and (line in pool.connections) is not late
+        connection.dataReceived(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n")
+        assert (connection in engine.idle_connections) is not late and (
+            connection in pool.connections
+        ) is not late
     assert [r.status for r in got] == [202, 202]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The whole front before stand-ins: queries, what goes wrong at engines, and the connections to them."""
+"""The whole gateway before stand-ins: queries, what goes wrong at engines, and the connections to them."""
 
 import random
 import time
@@ -6,7 +6,7 @@
 
 import pytest
 from gateway_world import RESULT, STATEMENT, answered
-from loopback import SPOILT, until, wait
+from loopback import SPOILT_REPLIES, until, wait
 from twisted.internet import reactor
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
@@ -17,30 +17,34 @@
 from lichenquay.gateway.engine_pool import EnginePool, GatewayEngine
 
 
-def test_a_query_comes_back_whole_and_goes_out_unchanged(world):
-    w = world(engines=1)
-    c = w.client()
-    c.transport.write(frames.encode_frame(frames.FrameType.READINESS_CHECK, 9, b"\0"))
-    assert answered(c, c.ask("report", ref="9b1f03aa5c7e2d41", odd="x")) == (
+def test_a_query_is_forwarded_unchanged_and_answered_whole(make_world):
+    """Its load report and cost reach the controller."""
+    world = make_world(engines=1)
+    client = world.client()
+    client.transport.write(frames.encode_frame(frames.FrameType.READINESS_CHECK, 9, b"\0"))
+    assert answered(client, client.ask("report", ref="9b1f03aa5c7e2d41", odd="x")) == (
         frames.AnswerCode.COMPLETED,
         RESULT,
     )
-    headers, body = w.engines[0].posts[0]
+    headers, body = world.engines[0].posts[0]
     assert headers["X-Hop-Id"] == "9b1f03aa5c7e2d41" and headers["X-Sort"] == "report" and body == STATEMENT
     assert (
         1900 < int(headers["X-Budget"]) <= 2000
         and float(headers["X-Mem-Limit"]) == 96
         and headers["X-Nice"] in "0123"
     )
-    assert c.told == [(frames.FrameType.READINESS, 9, b"\0\0")]
-    (seen,) = w.service.adapter.controller.fleet.values()
-    until(lambda: seen.report == {"active": 7.0})  # the end is told with its report and its cost
-    assert w.service.adapter.controller.slots.needed[w.service.settings.groups["report"]] == 64.0
-    assert w.service.metrics.counters["answers completed"] == 1 and w.service.attempts.in_flight_count == 0
+    assert client.notices == [(frames.FrameType.READINESS, 9, b"\0\0")]
+    (engine_state,) = world.service.adapter.controller.fleet.values()
+    until(lambda: engine_state.report == {"active": 7.0})  # the end is told with its report and its cost
+    assert world.service.adapter.controller.slots.needed[world.service.settings.groups["report"]] == 64.0
+    assert (
+        world.service.metrics.counters["answers completed"] == 1
+        and world.service.attempts.in_flight_count == 0
+    )
 
 
 @pytest.mark.parametrize(
-    "way, group, posts, code",
+    "behaviour, group, posts, code",
     [
         ("drop", "manifest", 1, frames.AnswerCode.COMPLETED),
         ("silent", "manifest", 1, frames.AnswerCode.COMPLETED),
@@ -58,286 +62,315 @@
         ("lost page", "manifest", 1, frames.AnswerCode.FAILED),
         ("noise", "manifest", 1, frames.AnswerCode.FAILED),
         *(
-            (way, "manifest", 1, frames.AnswerCode.COMPLETED)
-            for way in (*SPOILT, "drop post", "more", "copies")
+            (behaviour, "manifest", 1, frames.AnswerCode.COMPLETED)
+            for behaviour in (*SPOILT_REPLIES, "drop post", "more", "copies")
         ),
     ],
 )
-def test_what_goes_wrong_at_an_engine(world, way, group, posts, code):
-    """Risk: an ending that proves too much sends a mutating query twice, one that proves too little loses it, and so
-    does one that takes a spoilt answer, or a connection's fault, for the query's."""
-    w = world(engines=2)
-    hits = [way]
-    for e in w.engines:  # the first attempt, wherever it goes
-        e.ways = hits
-    c = w.client()
-    got = answered(c, c.ask(group, allow=4000))
-    assert got[0] == code and (code or got[1] == RESULT) and w.posts() == posts
+def test_what_goes_wrong_at_an_engine(make_world, behaviour, group, posts, code):
+    """Proved too little, a result is lost; proved too much, a non-idempotent query runs twice; and a spoilt
+    reply, or a connection's fault, is not the query's.
+    """
+    world = make_world(engines=2)
+    behaviours = [behaviour]
+    for engine in world.engines:  # the first attempt, wherever it goes
+        engine.behaviours = behaviours
+    client = world.client()
+    got = answered(client, client.ask(group, allow=4000))
+    assert got[0] == code and (code or got[1] == RESULT) and world.posts() == posts
     wait(0.1)
     assert (
-        way == "noise"
-        or not w.out
-        and w.service.attempts.in_flight_count == 0
-        and w.service.metrics.counters["faults"] == 0
+        behaviour == "noise"
+        or not world.in_flight
+        and world.service.attempts.in_flight_count == 0
+        and world.service.metrics.counters["faults"] == 0
     )
 
 
-def test_a_connection_reset_when_new_proves_nothing(world):
-    """Risk: a mutating query is killed for a connection on which nothing of it was written; or one reset counts as the
-    engine's end, and all that runs there is moved."""
-    w = world(engines=1)
-    e, c = w.engines[0], w.client()
-    connect, failures = w.service.engines.reactor.connectTCP, [ConnectionLost(), ConnectionLost()]
+def test_a_connection_reset_when_new_proves_nothing(make_world):
+    """A non-idempotent query must not fail for a connection on which nothing of it was written, nor the
+    engine be taken for gone.
+    """
+    world = make_world(engines=1)
+    engine, client = world.engines[0], world.client()
+    connect, failures = world.service.engines.reactor.connectTCP, [ConnectionLost(), ConnectionLost()]
 
     def fails(host, port, factory, timeout):
         if not failures:
             return connect(host, port, factory, timeout=timeout)
         reactor.callLater(0, factory.clientConnectionFailed, None, Failure(failures.pop()))
 
-    w.service.engines.reactor.connectTCP = fails
+    world.service.engines.reactor.connectTCP = fails
     assert (
-        answered(c, c.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
-        and len(e.posts) == 1
+        answered(client, client.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
+        and len(engine.posts) == 1
         and not failures
     )
-    assert not w.service.metrics.counters["attempts not connected"]
-    for line in list(e.lines):
-        line.transport.write(b"late")  # nobody has asked for it; the front may not have read it yet
-    assert answered(c, c.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and len(e.posts) == 2
+    assert not world.service.metrics.counters["attempts not connected"]
+    for connection in list(engine.connections):
+        connection.transport.write(b"late")  # nobody has asked for it; the front may not have read it yet
+    assert (
+        answered(client, client.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and len(engine.posts) == 2
+    )
     assert (
-        not w.service.metrics.counters["first calls broken"]
-        and not w.service.metrics.counters["first calls unreadable"]
+        not world.service.metrics.counters["first calls broken"]
+        and not world.service.metrics.counters["first calls unreadable"]
     )
 
 
-def test_news_of_a_long_query_and_a_new_priority(world):
-    w = world(engines=1)
-    e, c = w.engines[0], w.client()
-    e.ways = ["hold"]
-    stream = c.ask("report", ref="00000000000000aa")
-    until(lambda: e.news > 3)
-    (q,) = w.service.adapter.open_queries
-    for rank in (3, 0, 2):
-        w.service.adapter.set_grant(q, 10.0, rank)
-    until(lambda: len(e.ranks) > 1)
+def test_a_long_query_is_polled_and_its_priority_updated(make_world):
+    """The last priority reaches the engine."""
+    world = make_world(engines=1)
+    engine, client = world.engines[0], world.client()
+    engine.behaviours = ["hold"]
+    stream = client.ask("report", ref="00000000000000aa")
+    until(lambda: engine.polls > 3)
+    (query,) = world.service.adapter.open_queries
+    for priority in (3, 0, 2):
+        world.service.adapter.set_grant(query, 10.0, priority)
+    until(lambda: len(engine.priorities) > 1)
     wait(0.1)
-    assert e.ranks[0] == ("00000000000000aa", b"3") and e.ranks[-1] == ("00000000000000aa", b"2")
-    e.runs["00000000000000aa"] = "ok"
-    assert answered(c, stream) == (frames.AnswerCode.COMPLETED, RESULT) and len(e.posts) == 1
+    assert engine.priorities[0] == ("00000000000000aa", b"3") and engine.priorities[-1] == (
+        "00000000000000aa",
+        b"2",
+    )
+    engine.running["00000000000000aa"] = "ok"
+    assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT) and len(engine.posts) == 1
 
 
-def test_time_up_is_answered_in_time_and_given_up(world):
-    w = world(engines=1)
-    e, c = w.engines[0], w.client()
-    e.ways = ["hold"]
+def test_a_query_that_exceeds_its_deadline_fails_in_time_and_is_cancelled(make_world):
+    """The final answer comes at the deadline, not after the cancellation."""
+    world = make_world(engines=1)
+    engine, client = world.engines[0], world.client()
+    engine.behaviours = ["hold"]
     asked = time.time()
-    assert answered(c, c.ask("manifest", allow=400))[0] == frames.AnswerCode.FAILED
-    assert 0.39 < c.answers[1][2] - asked < 0.47
-    until(lambda: e.deletes)
+    assert answered(client, client.ask("manifest", allow=400))[0] == frames.AnswerCode.FAILED
+    assert 0.39 < client.answers[1][2] - asked < 0.47
+    until(lambda: engine.cancelled)
     wait(0.05)
-    assert w.service.attempts.in_flight_count == 0 and len(e.posts) == 1
-
-
-def test_an_engine_without_a_word_is_over_after_two_seconds(world):
-    """Risk: a query is sent to a second engine while one that cannot be reached still works on it."""
-    w = world(engines=2)
-    c, stream, bad = w.hold()
-    bad.mute, asked = True, time.time()
-    w.out.clear()  # it drops what nobody asks for; that this front waits for it is checked below
-    assert answered(c, stream)[0] == frames.AnswerCode.COMPLETED
-    assert time.time() - asked >= 1.9 and w.posts() == 2
-
-
-def test_an_engine_that_slams_its_door_keeps_nobody_busy(world):
-    """Risk: a front asks again and again without a pause, and has time for nothing else."""
-    w = world(engines=1)
-    e, c = w.engines[0], w.client()
-    e.ways = ["hold"]
-    stream = c.ask("manifest", allow=1200)
-    until(lambda: e.news > 1)
-    e.slams = True
-    for line in list(e.lines):
-        line.transport.abortConnection()
-    met = e.met
-    assert answered(c, stream)[0] == frames.AnswerCode.FAILED and 3 < e.met - met < 20
-
-
-def test_a_process_is_gone_after_two_refusals(world):
-    """Seen at a preemption: a second engine had the query 2 ms after the first one's death, which counted as two out."""
-    w = world(engines=2)
-    c, stream, dead = w.hold()
-    w.out.clear()
+    assert world.service.attempts.in_flight_count == 0 and len(engine.posts) == 1
+
+
+def test_an_attempt_at_a_silent_engine_is_over_after_two_seconds(make_world):
+    """No retry is sent while an engine that cannot be reached still works on it."""
+    world = make_world(engines=2)
+    client, stream, bad = world.hold()
+    bad.is_silent, asked = True, time.time()
+    world.in_flight.clear()  # it drops what nobody asks for; that this front waits for it is checked below
+    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED
+    assert time.time() - asked >= 1.9 and world.posts() == 2
+
+
+def test_an_engine_that_closes_connections_at_once_is_polled_with_pauses(make_world):
+    """Without pauses the gateway would have time for nothing else."""
+    world = make_world(engines=1)
+    engine, client = world.engines[0], world.client()
+    engine.behaviours = ["hold"]
+    stream = client.ask("manifest", allow=1200)
+    until(lambda: engine.polls > 1)
+    engine.closes_at_once = True
+    for connection in list(engine.connections):
+        connection.transport.abortConnection()
+    met = engine.connection_count
+    assert answered(client, stream)[0] == frames.AnswerCode.FAILED and 3 < engine.connection_count - met < 20
+
+
+def test_a_process_is_gone_after_two_refusals(make_world):
+    """Not after one: a retry 2 ms after a preemption counted as two attempts at once."""
+    world = make_world(engines=2)
+    client, stream, dead = world.hold()
+    world.in_flight.clear()
     dead.stop()
     died = time.time()
-    assert answered(c, stream)[0] == frames.AnswerCode.COMPLETED and w.posts() == 2
+    assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and world.posts() == 2
     assert (
-        0.045 < c.answers[stream][2] - died < 0.5
-        and w.service.metrics.counters["attempts connection reset"] == 1
+        0.045 < client.answers[stream][2] - died < 0.5
+        and world.service.metrics.counters["attempts connection reset"] == 1
     )
 
 
-def test_refused_connections_prove_that_nothing_ran(world):
-    w = world(engines=2)
-    w.engines[0].stop()
+def test_refused_connections_prove_that_nothing_ran(make_world):
+    """Non-idempotent queries are retried elsewhere."""
+    world = make_world(engines=2)
+    world.engines[0].stop()
     wait(0.05)
-    c = w.client()
-    streams = [c.ask("manifest", allow=4000) for _ in range(6)]
-    assert all(answered(c, s)[0] == frames.AnswerCode.COMPLETED for s in streams)
-    assert len(w.engines[1].posts) == 6
-
-
-def test_few_descriptors_are_shared_in_turn(world):
-    """Risk: with sockets short, calls fail that had only to wait."""
-    w = world(engines=3, sockets=90)
-    w.service.engines.descriptor_budget, w.service.engines.urgent_reserve = 4, 2
-    c = w.client()
-    streams = [c.ask("status", allow=4000) for _ in range(32)]
-    assert all(answered(c, s)[0] == frames.AnswerCode.COMPLETED for s in streams)
-    assert w.service.engines.max_open_count <= 6 and not w.service.metrics.counters["attempts not connected"]
-    assert sum(len(e.lines) for e in w.engines) <= 6
-
-
-def test_an_answer_that_does_not_come_is_had_again_in_time(world):
-    """Risk: PROTOCOL's longest wait is over, and what waits on makes a finished query late."""
-    w = world(engines=1)
-    c, w.engines[0].ways, asked = w.client(), ["silent"], time.time()
-    assert answered(c, c.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
-    assert 0.25 < c.answers[1][2] - asked < 0.45 and w.posts() == 1
-
-
-def test_a_copy_that_comes_after_the_rest_is_no_answer_to_another_query(world):
-    """Risk: a copy of one query's answer comes later than a connection's rest, on a machine that stands still, and
-    becomes the answer to the next query's call on that connection: served with what no engine made for it."""
-    w = world(engines=1)
-    c, w.engines[0].ways = w.client(), ["copied late", "later"]
-    first = c.ask("status", allow=4000)
-    assert answered(c, first) == (frames.AnswerCode.COMPLETED, c.answers[first][1]) and c.answers[first][
-        1
-    ].endswith(b"\tx\ty\n")
+    client = world.client()
+    streams = [client.ask("manifest", allow=4000) for _ in range(6)]
+    assert all(answered(client, stream)[0] == frames.AnswerCode.COMPLETED for stream in streams)
+    assert len(world.engines[1].posts) == 6
+
+
+def test_calls_wait_for_a_descriptor_in_order(make_world):
+    """With few descriptors, no call fails that has only to wait."""
+    world = make_world(engines=3, sockets=90)
+    world.service.engines.descriptor_budget, world.service.engines.urgent_reserve = 4, 2
+    client = world.client()
+    streams = [client.ask("status", allow=4000) for _ in range(32)]
+    assert all(answered(client, stream)[0] == frames.AnswerCode.COMPLETED for stream in streams)
+    assert (
+        world.service.engines.max_open_count <= 6
+        and not world.service.metrics.counters["attempts not connected"]
+    )
+    assert sum(len(engine.connections) for engine in world.engines) <= 6
+
+
+def test_a_reply_that_does_not_come_is_polled_in_time(make_world):
+    """An engine's longest wait is over: waiting on would make a completed query late."""
+    world = make_world(engines=1)
+    client, world.engines[0].behaviours, asked = world.client(), ["silent"], time.time()
+    assert answered(client, client.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
+    assert 0.25 < client.answers[1][2] - asked < 0.45 and world.posts() == 1
+
+
+def test_a_copy_of_a_result_is_no_reply_to_another_query(make_world):
+    """It comes later than a connection was idle, and would serve rows that no engine made for the query."""
+    world = make_world(engines=1)
+    client, world.engines[0].behaviours = world.client(), ["copied late", "later"]
+    first = client.ask("status", allow=4000)
+    assert answered(client, first) == (
+        frames.AnswerCode.COMPLETED,
+        client.answers[first][1],
+    ) and client.answers[first][1].endswith(b"\tx\ty\n")
     wait(0.035)
-    second = c.ask("status", allow=4000)
-    assert answered(c, second) == (frames.AnswerCode.COMPLETED, RESULT) and w.posts() == 2
-    assert w.service.metrics.counters["first calls unreadable"] == 1
+    second = client.ask("status", allow=4000)
+    assert answered(client, second) == (frames.AnswerCode.COMPLETED, RESULT) and world.posts() == 2
+    assert world.service.metrics.counters["first calls unreadable"] == 1
 
 
-def test_a_connection_rests_between_two_queries():
-    """Risk: a copy of one query's answer, a moment later, becomes the answer to another's call."""
-    clock, lines = SimpleNamespace(now=100.0), []
+def test_a_connection_is_idle_for_a_moment_between_two_queries():
+    """A copy of one query's reply, a moment later, would be the reply to the other's call."""
+    clock, connections = SimpleNamespace(now=100.0), []
     pool = EnginePool(SimpleNamespace(seconds=lambda: clock.now, callLater=None), 0, 1.0, 1.0, 1000.0)
-    e = GatewayEngine("e")
+    engine = GatewayEngine("e")
     for at in (99.0, 99.9, 99.99):
-        lines.append(EngineConnection(pool, EngineCall(e, b"", engine_protocol.is_poll_reply)))
-        lines[-1].idle_since_s = at
-        e.idle_connections.append(lines[-1])
+        connections.append(EngineConnection(pool, EngineCall(engine, b"", engine_protocol.is_poll_reply)))
+        connections[-1].idle_since_s = at
+        engine.idle_connections.append(connections[-1])
     assert (
-        pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[1]
+        pool.pick_idle_connection(EngineCall(engine, b"", engine_protocol.is_poll_reply)) is connections[1]
     )  # the last that has rested
-    lines[2].attempt = "its query"
+    connections[2].attempt = "its query"
     assert (
         pool.pick_idle_connection(
             EngineCall(
-                e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="its query"
+                engine,
+                b"",
+                engine_protocol.is_poll_reply,
+                preferred_connection=connections[2],
+                attempt="its query",
             )
         )
-        is lines[2]
+        is connections[2]
     )  # but its own query's next call
     assert (
         pool.pick_idle_connection(
             EngineCall(
-                e, b"", engine_protocol.is_poll_reply, preferred_connection=lines[2], attempt="another"
+                engine,
+                b"",
+                engine_protocol.is_poll_reply,
+                preferred_connection=connections[2],
+                attempt="another",
             )
         )
-        is lines[1]
+        is connections[1]
     )  # not once another's went there
     assert (
         pool.pick_idle_connection(
-            EngineCall(e, b"", engine_protocol.is_poll_reply, needs_new_connection=True)
+            EngineCall(engine, b"", engine_protocol.is_poll_reply, needs_new_connection=True)
         )
         is None
     )
-    e.idle_connections.popleft()
-    e.idle_connections.popleft()
-    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is None
+    engine.idle_connections.popleft()
+    engine.idle_connections.popleft()
+    assert pool.pick_idle_connection(EngineCall(engine, b"", engine_protocol.is_poll_reply)) is None
     clock.now += 0.03
-    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[2]
+    assert pool.pick_idle_connection(EngineCall(engine, b"", engine_protocol.is_poll_reply)) is connections[2]
     pool.on_reused_connection_broken(0.05)
     assert pool.stale_after_s == pool.max_idle_s == 0.5  # young ones break too
     pool.on_reused_connection_broken(0.3)
     pool.check_connections()
     assert 0.15 < pool.stale_after_s < 0.151
     clock.now += 0.1
-    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is lines[2]
+    assert pool.pick_idle_connection(EngineCall(engine, b"", engine_protocol.is_poll_reply)) is connections[2]
     clock.now += 0.06  # risk: a POST on a connection that something on the way has ended by now
-    assert pool.pick_idle_connection(EngineCall(e, b"", engine_protocol.is_poll_reply)) is None
+    assert pool.pick_idle_connection(EngineCall(engine, b"", engine_protocol.is_poll_reply)) is None
 
 
-def test_idle_connections_are_dropped_in_good_time(world):
-    w = world(engines=1)
-    c = w.client()
-    assert answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
-    pool = w.service.engines
+def test_idle_connections_are_closed_before_the_engine_closes_them(make_world):
+    """And another is opened for the next query."""
+    world = make_world(engines=1)
+    client = world.client()
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
+    pool = world.service.engines
     assert pool.open_count == 1
-    (line,) = pool.connections
-    line.idle_since_s -= pool.max_idle_s + 0.1
+    (connection,) = pool.connections
+    connection.idle_since_s -= pool.max_idle_s + 0.1
     pool.check_connections()
-    until(lambda: not w.engines[0].lines)
-    assert pool.open_count == 0 and answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED
+    until(lambda: not world.engines[0].connections)
+    assert pool.open_count == 0 and answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
 
 
-def test_a_fault_for_one_query_ends_that_query_alone(world):
-    w = world(engines=1)
-    c, router = w.client(), w.service.router
+def test_a_fault_for_one_query_fails_that_query_alone(make_world):
+    """The next one completes."""
+    world = make_world(engines=1)
+    client, router = world.client(), world.service.router
     start, router.start = router.start, None
-    assert answered(c, c.ask())[0] == frames.AnswerCode.FAILED
+    assert answered(client, client.ask())[0] == frames.AnswerCode.FAILED
     router.start = start
     assert (
-        answered(c, c.ask())[0] == frames.AnswerCode.COMPLETED and w.service.metrics.counters["faults"] == 1
+        answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
+        and world.service.metrics.counters["faults"] == 1
     )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_random_days_keep_the_rules(world, seed):
-    """Engines that fail at random, drains, starts, clients that leave: one answer for each in time, none sent twice."""
-    w, chance = world(engines=3), random.Random(seed)
-    clients = [w.client() for _ in range(3)]
+def test_random_failures_break_no_rule(make_world, seed):
+    """Engines that fail at random, drains, starts, clients that leave: one answer for each in time, none run
+    twice.
+    """
+    world, chance = make_world(engines=3), random.Random(seed)
+    clients = [world.client() for _ in range(3)]
     asked, left = {}, set()
-    ways = ["ok"] * 8 + [
+    behaviours = ["ok"] * 8 + [
         "full",
         "error",
         "reset",
         "drop",
         "drop page",
         "lost page",
-        *SPOILT,
+        *SPOILT_REPLIES,
         "more",
         "drop post",
         "hold",
         "odd",
     ]
-    for step in range(120):
-        for e in w.engines:
-            e.ways = e.ways or [chance.choice(ways)]
-            e.mute, e.slams = ((not was if chance.random() < 0.03 else was) for was in (e.mute, e.slams))
-        if chance.random() < 0.02 and w.bulletin.lines:
-            chance.choice(list(w.bulletin.lines)).transport.abortConnection()
-        c = chance.choice(clients)
+    for _ in range(120):
+        for engine in world.engines:
+            engine.behaviours = engine.behaviours or [chance.choice(behaviours)]
+            engine.is_silent, engine.closes_at_once = (
+                (not was if chance.random() < 0.03 else was)
+                for was in (engine.is_silent, engine.closes_at_once)
+            )
+        if chance.random() < 0.02 and world.discovery.connections:
+            chance.choice(list(world.discovery.connections)).transport.abortConnection()
+        client = chance.choice(clients)
         allow = chance.choice((250, 600, 1500))
-        stream = c.ask(chance.choice(("status", "report", "manifest")), allow=allow)
-        asked[c, stream] = time.time() + allow / 1000
+        stream = client.ask(chance.choice(("status", "report", "manifest")), allow=allow)
+        asked[client, stream] = time.time() + allow / 1000
         if chance.random() < 0.05:
-            c.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-            left.add((c, stream))
+            client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
+            left.add((client, stream))
         if chance.random() < 0.1:
-            w.tell(chance.choice(w.engines), chance.choice(("SERVING", "SERVING", "DRAINING")))
+            world.announce(chance.choice(world.engines), chance.choice(("SERVING", "SERVING", "DRAINING")))
         wait(chance.choice((0.0, 0.005, 0.02)))
         for (x, s), ends in asked.items():
             assert s in x.answers or (x, s) in left or time.time() < ends + 0.15, "rule 1: no answer in time"
-    for e in w.engines:
-        e.mute = e.slams = False
+    for engine in world.engines:
+        engine.is_silent = engine.closes_at_once = False
     until(lambda: all(s in x.answers for x, s in asked if (x, s) not in left))
     for (x, s), ends in asked.items():
         if s in x.answers:
             code, body, at = x.answers[s]
             assert at < ends + 0.1 and (code != frames.AnswerCode.COMPLETED or body == RESULT)
-    until(lambda: w.service.attempts.in_flight_count == 0)
-    assert w.service.metrics.counters["faults"] == 0 and not w.service.adapter.open_queries
+    until(lambda: world.service.attempts.in_flight_count == 0)
+    assert world.service.metrics.counters["faults"] == 0 and not world.service.adapter.open_queries
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -1,5 +1,6 @@
-"""The front without connections: parsers at every split and with garbage, what is read of the settings, the log."""
+"""The gateway without connections: parsers at every split and with garbage, settings, the log."""
 
+import contextlib
 import io as text_io
 import random
 from types import SimpleNamespace
@@ -17,6 +18,7 @@
 
 
 def fed(reader, data, cuts):
+    """The frames that a reader makes of data cut at these positions."""
     got, last = [], 0
     for cut in (*cuts, len(data)):
         for kind, stream, payload in reader.feed(data[last:cut]):
@@ -26,6 +28,7 @@
 
 
 def test_frames_are_whole_at_every_split():
+    """And their fields can be read."""
     fields = frames.encode_fields([("service", "status"), ("ref", "é" * 3)])
     data = (
         frames.encode_frame(2, 1, fields, b"body")
@@ -42,12 +45,14 @@
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
-def test_a_frame_of_no_length_is_told(length):
+def test_a_frame_of_an_impossible_length_is_an_error(length):
+    """Too short or too long."""
     with pytest.raises(frames.FrameError):
         fed(frames.FrameReader(), length.to_bytes(4, "little") + b"\2\0\0\0\0", ())
 
 
-def test_garbage_is_no_frame_and_never_more():
+def test_garbage_raises_frame_errors_only():
+    """In frames and in fields."""
     chance = random.Random(5)
     for _ in range(400):
         data = bytes(chance.choice((0, 1, 2, 5, 200, 255)) for _ in range(chance.randrange(60)))
@@ -68,7 +73,8 @@
 
 
 @pytest.mark.parametrize("data", REPLIES)
-def test_answers_are_whole_at_every_split(data):
+def test_replies_are_whole_at_every_split(data):
+    """And what comes behind one is noticed."""
     for cut in range(len(data)):
         reader = http.ReplyReader()
         reply = reader.feed(data[:cut]) if cut else None
@@ -89,7 +95,8 @@
     )  # good, its connection is not
 
 
-def test_an_answer_until_the_connection_closes():
+def test_a_reply_may_end_with_its_connection():
+    """Where its connection is not kept."""
     reader = http.ReplyReader()
     assert (
         reader.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab") is None and reader.feed(b"c") is None
@@ -112,22 +119,22 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_what_is_no_answer_is_told(data):
+def test_what_is_no_reply_is_an_error(data):
+    """Heads, lengths and encodings that cannot be."""
     with pytest.raises(http.ReplyError):
         http.ReplyReader().feed(data)
 
 
-def test_garbage_is_no_answer_and_never_more():
+def test_garbage_raises_reply_errors_only():
+    """At random places of good replies."""
     chance = random.Random(6)
     for _ in range(600):
         data = bytearray(chance.choice(REPLIES))
         for _ in range(chance.randrange(1, 6)):
             data[chance.randrange(len(data))] = chance.choice(b"\r\n:;0 9\xff")
         cut, reader = chance.randrange(len(data)), http.ReplyReader()
-        try:
+        with contextlib.suppress(http.ReplyError):
             reader.feed(bytes(data[:cut])) or reader.feed(bytes(data[cut:]))
-        except http.ReplyError:
-            pass
 
 
 @pytest.mark.parametrize(
@@ -135,11 +142,13 @@
     [
         ("select a from sales_17.orders", "17"),
         (
-            'SELECT id, \'from lake_0.decoy\' as note -- from mart_1.old\nFROM "sales_7"."orders" o_2 where o_2.x = 1',
+            "SELECT id, 'from lake_0.decoy' as note -- from mart_1.old\n"
+            'FROM "sales_7"."orders" o_2 where o_2.x = 1',
             "7",
         ),
         (
-            "select o_1.a /* mart_1.old /* nested */ lake_2.x */ from sales_12.items o_1 join ops_12.t x_3 on x_3.i = o_1.i",
+            "select o_1.a /* mart_1.old /* nested */ lake_2.x */ from sales_12.items o_1 "
+            "join ops_12.t x_3 on x_3.i = o_1.i",
             "12",
         ),
         ('insert into staging.load select * from "odd""_4".t', "4"),
@@ -156,11 +165,13 @@
         ("/* from s_1.t", None),
     ],
 )
-def test_the_group_of_tables(text, tables):
+def test_the_table_group_of_a_statement(text, tables):
+    """Names in strings, comments and aliases do not count."""
     assert table_group_of(text) == tables
 
 
-def test_the_lexer_takes_anything():
+def test_the_lexer_accepts_anything():
+    """It raises no error."""
     chance = random.Random(7)
     for _ in range(500):
         table_group_of(
@@ -173,10 +184,11 @@
         )
 
 
-def test_both_fronts_open_alike():
+def test_gateway_and_simulator_read_settings_alike():
+    """From JSON and from the simulator's text."""
     parts = flat(SETTINGS)
-    line = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
-    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, line), 5)
+    connection = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
+    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, connection), 5)
     assert [vars(g) for g in one.groups.values()] == [vars(g) for g in other.groups.values()]
     assert (one.gateway, one.permissions, one.safety_limits, one.capabilities, one.sizes_by_kind) == (
         other.gateway,
@@ -191,7 +203,9 @@
     assert one.permissions.max_attempts == 6 and one.sizes_by_kind == {"k": (8.0, 16384.0)}
 
 
-def test_reports_costs_and_rows():
+def test_load_reports_costs_and_progress_are_read():
+    """What cannot be read is left out, or an error for endpoint lists."""
+
     def said(**headers):
         return SimpleNamespace(headers={"x-" + n.replace("_", "-"): v for n, v in headers.items()})
 
@@ -225,7 +239,8 @@
             read_endpoint_list({"roster": {"all": False, "targets": [row]}})
 
 
-def test_lines_of_one_kind_are_few():
+def test_lines_of_one_kind_are_limited():
+    """Those suppressed are counted."""
     clock, out = SimpleNamespace(now=0.0), text_io.StringIO()
     log = Log(lambda: clock.now, out)
     for _ in range(100):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Stops that come while a front starts: it ends in order whenever they come, from its first line on."""
+"""Signals that come while a gateway starts: it ends in order whenever they come, from its first line on."""
 
 import json
 import os
@@ -25,7 +25,8 @@
 FIRST_LINE_CPU_S = 0.03  # of the processor; the imports that follow take ten times as much
 
 
-def front(tmp_path, port):
+def gateway(tmp_path, port):
+    """The program, which writes `up` before its first line."""
     config = tmp_path / "config.json"
     config.write_text(
         json.dumps(
@@ -50,21 +51,26 @@
 
 
 def cpu_s(process):
+    """The processor time that a process has used."""
     said = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(said[11]) + int(said[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def blocked(process):
-    for line in Path(f"/proc/{process.pid}/status").read_text().splitlines():
-        if line.startswith("SigBlk"):
-            return bool(int(line.split()[1], 16) >> (signal.SIGTERM - 1) & 1)
+def blocks_signals(process):
+    """Whether the process has SIGTERM blocks_signals."""
+    for connection in Path(f"/proc/{process.pid}/status").read_text().splitlines():
+        if connection.startswith("SigBlk"):
+            return bool(int(connection.split()[1], 16) >> (signal.SIGTERM - 1) & 1)
 
 
-def at_first_line(process):
-    """Returns once the first line is past: by the processor time used, so that a busy machine changes nothing."""
+def wait_for_first_line(process):
+    """Returns once the first line is past.
+
+    By the processor time used, so that a busy machine changes nothing.
+    """
     assert process.stdout.read(2) == b"up"
     began = cpu_s(process)
-    while not blocked(process) and cpu_s(process) < began + FIRST_LINE_CPU_S:
+    while not blocks_signals(process) and cpu_s(process) < began + FIRST_LINE_CPU_S:
         time.sleep(0.001)
 
 
@@ -72,31 +78,33 @@
     "numbers", [(signal.SIGTERM,), (signal.SIGINT,), (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM)]
 )
 def test_a_stop_at_any_time_of_the_start_ends_in_order(tmp_path, numbers):
+    """With exit code 0, and its counters."""
     chance, fronts = random.Random(str(numbers)), []
     for i in range(6):
         (tmp_path / str(i)).mkdir()
-        fronts.append(front(tmp_path / str(i), listening_port()))
+        fronts.append(gateway(tmp_path / str(i), listening_port()))
     try:
-        for f in fronts:
-            at_first_line(f)
+        for process in fronts:
+            wait_for_first_line(process)
             time.sleep(chance.random() * 0.08)
             for number in numbers:
-                f.send_signal(number)
-        for f in fronts:
-            said = f.communicate(timeout=20)[1].decode()
-            assert f.returncode == 0 and "Traceback" not in said, said
+                process.send_signal(number)
+        for process in fronts:
+            said = process.communicate(timeout=20)[1].decode()
+            assert process.returncode == 0 and "Traceback" not in said, said
             assert "state: ended" in said
     finally:
-        for f in fronts:
-            f.kill()
-            f.wait()
+        for process in fronts:
+            process.kill()
+            process.wait()
 
 
 def test_whoever_can_connect_is_answered_whenever_the_stop_comes(tmp_path):
+    """A request before or after SIGTERM has one answer."""
     chance = random.Random(30)
     for i in range(4):
         port = listening_port()
-        f = front(tmp_path, port)
+        process = gateway(tmp_path, port)
         try:
             for _ in range(2000):
                 try:
@@ -117,11 +125,11 @@
                     frames.FrameType.QUERY, 1, frames.encode_fields(fields.items()), b"select 1"
                 )
                 if chance.random() < 0.5:
-                    f.send_signal(signal.SIGTERM)
+                    process.send_signal(signal.SIGTERM)
                     client.sendall(query)
                 else:
                     client.sendall(query)
-                    f.send_signal(signal.SIGTERM)
+                    process.send_signal(signal.SIGTERM)
                 client.settimeout(5)
                 reader, answers = frames.FrameReader(), []
                 while data := client.recv(65_536):
@@ -131,10 +139,10 @@
                         if kind == frames.FrameType.ANSWER
                     ]
             assert (
-                f.wait(10) == 0
+                process.wait(10) == 0
                 and [s for s, _ in answers] == [1]
                 and answers[0][1] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
             )
         finally:
-            f.kill()
-            f.communicate()
+            process.kill()
+            process.communicate()
