--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -40,7 +40,7 @@
     received_ms: float
 
 
-def unacknowledged_bytes(transport):
+def unacknowledged_bytes(transport) -> int:
     """Bytes that the kernel holds until the other side has received them; 0 where it cannot say."""
     try:
         buffer = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, b"\0" * 4)
@@ -61,7 +61,7 @@
     `is_rejecting_input`: nothing more is read from it, and what was accepted on it is still answered.
     """
 
-    def __init__(self, intake, address):
+    def __init__(self, intake, address: str):
         """`intake`: all clients' connections; `address`: the client's."""
         self.intake = intake
         self.record = intake.connection_admission.opened(address, intake.admission_ms(), self)
@@ -237,7 +237,7 @@
 
     # Answers.
 
-    def send_answer(self, query, code, body):
+    def send_answer(self, query, code: AnswerCode, body: list[bytes]) -> None:
         """The final answer of a query, its body given in pieces."""
         if self.open_queries.pop(query.stream, None) is None:
             return
@@ -248,13 +248,13 @@
         self.intake.metrics.count(ANSWER_COUNTERS[code])
         self._close_if_answered()
 
-    def send_go_away(self):
+    def send_go_away(self) -> None:
         """Tells the client to send no more requests on this connection."""
         if not self.go_away_sent:
             self.go_away_sent = True
             self.write(frames.encode_frame(FrameType.GO_AWAY, 0))
 
-    def write(self, data):
+    def write(self, data: bytes) -> None:
         """Writes a frame, unless clients that do not read make the gateway hold too much already."""
         if not self.is_open:
             return
@@ -291,11 +291,11 @@
     # Its end.
 
     @property
-    def is_idle(self):
+    def is_idle(self) -> bool:
         """Whether nothing that was accepted on it waits for an answer."""
         return not self.open_queries and not self.held_requests
 
-    def evict(self):
+    def evict(self) -> None:
         """Gives its place to another: its queries get their final answers now, then it is closed."""
         self.intake.metrics.count("clients evicted")
         if self.is_idle:
@@ -306,7 +306,7 @@
         for query in list(self.open_queries.values()):
             self.intake.adapter.evict(query)
 
-    def reject_input(self, reason, code=AnswerCode.FAILED):
+    def reject_input(self, reason: str, code: AnswerCode = AnswerCode.FAILED) -> None:
         """Nothing more is read from it; what was accepted on it is still answered."""
         if self.is_rejecting_input:
             return
@@ -321,7 +321,7 @@
         self.intake.connection_admission.goes(self.record, self.intake.admission_ms())
         self._close_if_answered()
 
-    def close(self):
+    def close(self) -> None:
         """Closes the connection, on which no query is open.
 
         The gateway's side is closed once what is written has gone, all of it once the client has closed its
--- a/lichenquay/gateway/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -11,13 +11,13 @@
 
 POLL_WAIT_MS = 1000  # of one poll; PROTOCOL allows 5,000: shorter, a half-open connection shows sooner
 FIRST_POLL_WAIT_MS = 1  # of the polls until one is answered: until then the endpoint list may be stale
-# well within the 7 s after which an event counts as told (PROTOCOL, 'Figures')
+# well within the 7 s after which an event counts as announced (PROTOCOL, 'Figures')
 REPLY_TIMEOUT_MS = POLL_WAIT_MS + 500
 RETRY_DELAY_MS = 100  # between polls that bring nothing
 
 
 class Discovery:
-    """What the discovery service has told so far."""
+    """What the discovery service has announced so far."""
 
     def __init__(
         self,
@@ -39,12 +39,12 @@
         self.apply(known)
 
     def on_answer(self, answer) -> None:
-        """An answer of the service itself: what it has told by now is known. Errors: EndpointListError."""
+        """An answer of the service itself: what it has announced is known. Errors: EndpointListError."""
         self.apply(answer)
         self.confirm()
 
     def confirm(self) -> None:
-        """What is in force was told since this gateway started."""
+        """What is in force was announced since this gateway started."""
         if not self.is_confirmed:
             self.is_confirmed = True
             self.on_confirmed()
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -6,12 +6,18 @@
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from lichenquay.gateway.engine_call import ConnectionBrokenError, NotConnectedError, UnreadableReplyError
+from lichenquay.gateway.engine_call import (
+    ConnectionBrokenError,
+    EngineCall,
+    EngineCallError,
+    NotConnectedError,
+    UnreadableReplyError,
+)
 from lichenquay.gateway.engine_protocol import MAX_PAGE_BYTES
 from lichenquay.gateway.http import ReplyError, ReplyReader, Status
 
 
-def send_now(transport, data):
+def send_now(transport, data: bytes) -> bytes | memoryview:
     """Sends what the kernel accepts at once, on a connection with nothing unsent; returns what is left.
 
     It saves a turn of the reactor, and two changes of what the kernel watches, for each message.
@@ -27,10 +33,10 @@
     """One connection to an engine, owned by its pool.
 
     `attempt` is that of its last call. `is_overdue`: its call has waited too long, and its reply is still
-    hoped for. `closed_locally`: the gateway closed it, so that nothing tells when the engine's process ends.
+    hoped for. `closed_locally`: the gateway closed it, so that nothing shows when the engine's process ends.
     """
 
-    def __init__(self, pool, first_call):
+    def __init__(self, pool, first_call: EngineCall):
         """`pool`: the connections that it is one of; `first_call`: the call that it was opened for."""
         self.pool = pool
         self.engine = first_call.engine
@@ -62,7 +68,7 @@
         else:
             self.pool.release(self)
 
-    def is_clean(self):
+    def is_clean(self) -> bool:
         """Whether neither unread bytes nor an end have come on it: no call is sent on one that closes."""
         try:
             self.transport.socket.recv(1, MSG_PEEK | MSG_DONTWAIT)
@@ -72,7 +78,7 @@
             pass
         return False
 
-    def send(self, call):
+    def send(self, call: EngineCall) -> None:
         """Sends a call on it; nothing else is out on it."""
         self.call = call
         self.attempt = call.attempt
@@ -123,10 +129,10 @@
             self.abort()
         call.end(reply)
 
-    def last_reply_could_answer(self, call):
+    def last_reply_could_answer(self, call: EngineCall) -> bool:
         """Whether a late copy of the last reply here, to another attempt, would pass for one to this call.
 
-        The copy of a 204 would say that an engine has cancelled what it has not been told of yet; that of a
+        The copy of a 204 would say that an engine has cancelled what it does not know of yet; that of a
         202, that it has read what still lies there, and the next query of its ordering key would go out too
         soon.
         """
@@ -151,7 +157,7 @@
         last_attempt, last_content = last_result
         return last_attempt is not self.call.attempt and last_content == content
 
-    def abort(self, error=None):
+    def abort(self, error: EngineCallError | None = None) -> None:
         """Closes the connection at once; its call ends with `error`."""
         # Its loss, which is reported later, does not change who closed it.
         self.closed_locally = self.closed_locally or not self.is_closed
@@ -180,7 +186,7 @@
 
     noisy = False
 
-    def __init__(self, pool, call):
+    def __init__(self, pool, call: EngineCall):
         """`pool`: the connections that it will be one of."""
         self.pool = pool
         self.call = call
--- a/lichenquay/gateway/engine_pool.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -4,10 +4,11 @@
 """
 
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from lichenquay.admission import domain
-from lichenquay.gateway.engine_call import EngineCall, NotConnectedError, ReplyTimeoutError
+from lichenquay.gateway.engine_call import EngineCall, EngineCallError, NotConnectedError, ReplyTimeoutError
 from lichenquay.gateway.engine_connection import ConnectionFactory, EngineConnection
 
 MIN_IDLE_S = 0.03  # between a reply and another query's call: a copy of the reply may come behind it
@@ -53,17 +54,17 @@
         self.open_count = 0  # connections up or coming up
         self.max_open_count = 0
 
-    def call_later(self, delay_ms, call):
+    def call_later(self, delay_ms: float, call: Callable[[], None]):
         """Calls `call` in so many milliseconds; returns the timer."""
         return self.reactor.callLater(max(0.0, delay_ms) / 1000, call)
 
-    def start_call(self, engine, data, accepts, **options) -> EngineCall:
+    def start_call(self, engine: GatewayEngine, data: bytes, accepts, **options) -> EngineCall:
         """A call on its way; its `reply` is a Deferred of a Reply. `options`: as of `EngineCall`."""
         call = EngineCall(engine, data, accepts, **options)
         self._submit(call)
         return call
 
-    def pick_idle_connection(self, call):
+    def pick_idle_connection(self, call: EngineCall) -> EngineConnection | None:
         """The connection of the attempt's last reply, else the one that was idle for the shortest time.
 
         Not one that was idle for too short or too long, nor one to an address that the engine has left.
@@ -89,14 +90,14 @@
                 return connection
         return None
 
-    def has_live_connection(self, engine, address):
+    def has_live_connection(self, engine: GatewayEngine, address: str) -> bool:
         """Whether a connection to it is open, and not overdue: the end of its process would close it."""
         return any(
             connection.engine is engine and connection.address == address and not connection.is_overdue
             for connection in self.connections
         )
 
-    def send_waiting(self):
+    def send_waiting(self) -> None:
         """Sends calls that wait for a descriptor, in order; they wait rather than fail."""
         while self.waiting_calls:
             call = self.waiting_calls.popleft()
@@ -104,7 +105,7 @@
                 self.waiting_calls.appendleft(call)
                 return
 
-    def check_connections(self):
+    def check_connections(self) -> None:
         """Closes connections whose call has waited too long, and those that are stale."""
         now_s = self.reactor.seconds()
         self.stale_after_s = min(self.max_idle_s, self.stale_after_s * STALE_GROWTH)
@@ -128,24 +129,24 @@
         ]
         self._close_unused(stale)
 
-    def close_idle_connections(self, engine):
+    def close_idle_connections(self, engine: GatewayEngine) -> None:
         """Closes the connections to an engine that carry no call."""
         self._close_unused(list(engine.idle_connections))
 
     # What connections report.
 
-    def release(self, connection):
+    def release(self, connection: EngineConnection) -> None:
         """Its call has a reply: another may use it."""
         connection.idle_since_s = self.reactor.seconds()
         connection.engine.idle_connections.append(connection)
         self.send_waiting()
 
-    def on_connection_closed(self, connection):
+    def on_connection_closed(self, connection: EngineConnection) -> None:
         """It has ended: its descriptor is for a call that waits."""
         if self._forget(connection):
             self.send_waiting()
 
-    def on_connection_failed(self, call, error):
+    def on_connection_failed(self, call: EngineCall, error: EngineCallError) -> None:
         """One that broke before a byte was written proves nothing of the engine: another is tried."""
         call.connection_attempts += 1
         if call.is_written:
@@ -155,7 +156,7 @@
         else:
             self._submit(call)
 
-    def on_reused_connection_broken(self, idle_s):
+    def on_reused_connection_broken(self, idle_s: float) -> None:
         """A call broke on a connection that had been idle for `idle_s`.
 
         Something on the way may close idle connections sooner than the engines say, and shows it only to the
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -10,6 +10,7 @@
 from twisted.internet.error import CannotListenError
 
 from lichenquay.admission import domain
+from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.gateway import configuration, service_report
 from lichenquay.gateway.attempt_in_flight import AttemptTracker
 from lichenquay.gateway.clock import now_ms, wall_clock_step_ms
@@ -31,8 +32,8 @@
 REPLY_TIMEOUT_MS = 1.2 * POLL_REPLY_MS
 DEFAULT_CONNECT_TIMEOUT_MS = POLL_REPLY_MS  # where the settings name none
 DEFAULT_KEEP_ALIVE_MS = 4 * POLL_REPLY_MS  # likewise
-# PROTOCOL: what the discovery service has to tell counts as told this much later at the latest.
-ENDPOINTS_TOLD_WITHIN_MS = 7000.0
+# PROTOCOL: an event of the discovery service counts as announced this much later at the latest.
+EVENTS_ANNOUNCED_WITHIN_MS = 7000.0
 # PROTOCOL: new connections go on coming 0.4 s after SIGTERM; the last of them is accepted.
 ACCEPT_AFTER_SIGTERM_MS = 450.0
 REQUESTS_AFTER_ACCEPTING_MS = 200.0  # PROTOCOL: and requests on open ones for this long more
@@ -132,19 +133,19 @@
 
     # Distributed configuration.
 
-    def apply_connection_rules(self, rules):
+    def apply_connection_rules(self, rules) -> None:
         """Distributed rules take the place of the file's; None: the file's again. What is open stays open."""
         self.distributed_rules = rules
         self._set_bounds()
 
-    def apply_endpoints(self, whole, records):
+    def apply_endpoints(self, whole: bool, records: list[EndpointRecord]) -> None:
         """Distributed endpoints take the place of discovery's: all there are, or those that changed."""
         self.on_endpoints(whole, records)
         self.discovery.confirm()
 
     # The endpoint list.
 
-    def on_endpoints(self, whole, records):
+    def on_endpoints(self, whole: bool, records: list[EndpointRecord]) -> None:
         """The endpoint list changed: `records` are all engines (`whole`), or those that changed."""
         named = []
         removed = set(self.engines_by_id.values()) if whole else set()
@@ -178,7 +179,7 @@
 
     # Starting.
 
-    def start(self):
+    def start(self) -> None:
         """Listens; the rest follows once the reactor runs. Errors: StartError."""
         if self.fleet is not None:
             error = self.fleet.open()
@@ -189,7 +190,7 @@
         except CannotListenError as error:
             reason = error.socketError.strerror
             raise StartError(f"cannot listen on {self.config.listen_address}: {reason}") from None
-        self.adapter.endpoints_stale(ENDPOINTS_TOLD_WITHIN_MS)
+        self.adapter.endpoints_stale(EVENTS_ANNOUNCED_WITHIN_MS)
         self._follow_discovery()
         self.reactor.callWhenRunning(self.run)
 
@@ -201,7 +202,7 @@
             self.reactor, self.discovery, *self.config.discovery_address, self.engines.connect_timeout_ms
         )
 
-    def run(self):
+    def run(self) -> None:
         """Serves, and handles signals."""
         handlers = {
             signal.SIGTERM: self.leave,
@@ -257,7 +258,7 @@
         memory_share = clients.held_bytes / max(1, clients.max_held_bytes)
         return max(descriptors / self.config.max_descriptors, memory_share)
 
-    def reload(self):
+    def reload(self) -> None:
         """SIGHUP: discovery and limits by the new configuration, or nothing where any of it cannot be read.
 
         Half of a new configuration is never in force. Nothing that is open is closed.
@@ -307,8 +308,8 @@
 
     # Ending.
 
-    def leave(self):
-        """SIGTERM: accepts as long as PROTOCOL says, answers all that was accepted, tells clients to go."""
+    def leave(self) -> None:
+        """SIGTERM: accepts as long as PROTOCOL says, answers all that was accepted, sends GO_AWAY."""
         if self.phase != ServicePhase.SERVING:
             return
         self.phase = ServicePhase.LEAVING
@@ -326,7 +327,7 @@
         self.engines.call_later(REQUESTS_AFTER_ACCEPTING_MS, self._drain)
 
     def _drain(self):
-        """Until all that was accepted is answered, what was cancelled is over, and the answers have gone."""
+        """Until all that was accepted is answered, what was cancelled is over, and the answers are sent."""
         self.phase = ServicePhase.DRAINING
         left_ms = self.sigkill_expected_ms - now_ms()
         is_late = left_ms < FINAL_ANSWERS_BEFORE_MS / 2
@@ -352,7 +353,7 @@
             self.fleet.close()
         self.reactor.stop()
 
-    def log_counters(self):
+    def log_counters(self) -> None:
         """SIGUSR1, and at the end: counters and the present state, as lines of the log."""
         for line in service_report.lines(self):
             self.log.line(line)
