--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -8,6 +8,7 @@
 import traceback
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from lichenquay.admission import domain
 from lichenquay.gateway.frames import AnswerCode
@@ -33,6 +34,21 @@
     attempt_in_flight: object = None  # its latest
 
 
+class QueuedEvent(NamedTuple):
+    """What is delivered in the next turn."""
+
+    call: Callable
+    arguments: tuple
+
+
+class Timer(NamedTuple):
+    """A call that is due at a time; the number keeps those of one time in order."""
+
+    due_ms: float
+    number: int
+    call: Callable[[], None]
+
+
 class ControllerAdapter:
     """The controller's `GatewayPort`, and the queue of its events; turns are `min_turn_ms` apart at least."""
 
@@ -50,9 +66,8 @@
         self.quota = None  # the fleet's account of what tenants may spend, where there is one
         self.open_queries: set[GatewayQuery] = set()
         self.last_query_id = 0
-        self.events: list[tuple[Callable, tuple]] = []
-        # a heap; the number keeps those of one time in order
-        self.timers: list[tuple[float, int, Callable]] = []
+        self.events: list[QueuedEvent] = []
+        self.timers: list[Timer] = []  # a heap
         self.last_timer_number = 0
         self.next_turn = None  # the reactor's timer, and when it is due
         self.next_turn_ms = 0.0
@@ -153,17 +168,17 @@
         self.last_turn_ms = now_ms
         events = self.events
         self.events = []
-        for call, arguments in events:
-            self._call_guarded(call, arguments)
+        for event in events:
+            self._call_guarded(event.call, event.arguments)
         due_calls = []  # what they set in turn is for a later turn
-        while self.timers and self.timers[0][0] <= now_ms:
-            due_calls.append(heapq.heappop(self.timers)[2])
+        while self.timers and self.timers[0].due_ms <= now_ms:
+            due_calls.append(heapq.heappop(self.timers).call)
         for call in due_calls:
             self._call_guarded(call, ())
         if self.events:
             self.schedule_turn(now_ms + self.min_turn_ms)
         elif self.timers:
-            self.schedule_turn(max(self.timers[0][0], now_ms + self.min_turn_ms))
+            self.schedule_turn(max(self.timers[0].due_ms, now_ms + self.min_turn_ms))
 
     def schedule_turn(self, at_ms: float) -> None:
         """The next turn is at `at_ms` at the latest."""
@@ -176,7 +191,7 @@
             self.next_turn_ms = at_ms
 
     def _enqueue(self, call, *arguments):
-        self.events.append((call, arguments))
+        self.events.append(QueuedEvent(call, arguments))
         self.schedule_turn(self.last_turn_ms + self.min_turn_ms)
 
     def _call_guarded(self, call, arguments):
@@ -251,7 +266,7 @@
     def call_at(self, at_ms, call):
         """See GatewayPort."""
         self.last_timer_number += 1
-        heapq.heappush(self.timers, (at_ms, self.last_timer_number, call))
+        heapq.heappush(self.timers, Timer(at_ms, self.last_timer_number, call))
         self.schedule_turn(max(at_ms, self.now_ms + self.min_turn_ms))
 
     def send_health_check(self, engine):
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -2,6 +2,7 @@
 
 from math import inf
 from socket import MSG_DONTWAIT, MSG_PEEK
+from typing import NamedTuple
 
 from twisted.internet.error import ConnectionRefusedError, TimeoutError
 from twisted.internet.protocol import ClientFactory, Protocol
@@ -29,6 +30,14 @@
     return memoryview(data)[sent_bytes:] if sent_bytes < len(data) else b""
 
 
+class _Result(NamedTuple):
+    """A result as it came, and the attempt that it came for."""
+
+    attempt: object
+    headers: tuple
+    body: bytes
+
+
 class EngineConnection(Protocol):
     """One connection to an engine, owned by its pool.
 
@@ -51,7 +60,7 @@
         self.is_overdue = False
         self.is_closed = False
         self.closed_locally = False
-        self._last_result = None  # (attempt, headers and body) of the last result on it
+        self._last_result: _Result | None = None  # the last on it
         self._last_anonymous_reply = None  # the last reply on it, where it names no query
 
     def connectionMade(self):
@@ -149,13 +158,12 @@
         """
         if reply.status != Status.OK:
             return False
-        content = (tuple(reply.headers.items()), bytes(reply.body))
+        result = _Result(self.call.attempt, tuple(reply.headers.items()), bytes(reply.body))
         last_result = self._last_result
-        self._last_result = (self.call.attempt, content)
-        if last_result is None:
+        self._last_result = result
+        if last_result is None or last_result.attempt is result.attempt:
             return False
-        last_attempt, last_content = last_result
-        return last_attempt is not self.call.attempt and last_content == content
+        return last_result.headers == result.headers and last_result.body == result.body
 
     def abort(self, error: EngineCallError | None = None) -> None:
         """Closes the connection at once; its call ends with `error`."""
