--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -23,10 +23,10 @@
 class Applies(Protocol):
     """A front, as far as distributed configuration goes."""
 
-    def put_gate(self, gate):
+    def apply_connection_rules(self, gate):
         """The gate in force; None: the file's."""
 
-    def put_engines(self, whole, rows):
+    def apply_endpoints(self, whole, rows):
         """Engines of the list: all there are, or those that changed."""
 
 
@@ -64,10 +64,10 @@
             self.fault = str(bad)
             return self.fault
         if gate_changed:
-            self.apply_to.put_gate(gate)
+            self.apply_to.apply_connection_rules(gate)
             self.log.info("gate", version=self.subscriber.version, distributed=gate is not None)
         if self.engines_known and (rows or whole):
-            self.apply_to.put_engines(whole, rows)
+            self.apply_to.apply_endpoints(whole, rows)
         return None
 
     def put_first_list(self):
@@ -84,7 +84,7 @@
             and COMPLETE_KEY in subscriber.applied_values
         ):
             self.engines_known = True
-            self.apply_to.put_engines(True, self._rows(subscriber.applied_values))
+            self.apply_to.apply_endpoints(True, self._rows(subscriber.applied_values))
 
     def _rows(self, changed):
         """The engines that changed, those that are gone first. Errors: InvalidEndpointError."""
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -1,5 +1,6 @@
-"""The front without connections: parsers at every split and with garbage, what is read of the settings, the log."""
+"""The gateway without connections: parsers at every split and with garbage, settings, the log."""
 
+import contextlib
 import io as text_io
 import random
 from types import SimpleNamespace
@@ -9,14 +10,15 @@
 
 from lichenquay.admission import domain
 from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
-from lichenquay.gateway import frames, http
-from lichenquay.gateway.discovery import BadList, read_rows
-from lichenquay.gateway.metrics import Log
-from lichenquay.gateway.statement import tables_of
+from lichenquay.gateway import engine_protocol, frames, http
+from lichenquay.gateway.endpoint_events import EndpointListError, read_endpoint_list
+from lichenquay.gateway.log import Log
+from lichenquay.gateway.statement import table_group_of
 from lichenquay.simulator_adapter.codec import Fields
 
 
 def fed(reader, data, cuts):
+    """The frames that a reader makes of data cut at these positions."""
     got, last = [], 0
     for cut in (*cuts, len(data)):
         for kind, stream, payload in reader.feed(data[last:cut]):
@@ -26,8 +28,13 @@
 
 
 def test_frames_are_whole_at_every_split():
-    fields = frames.write_fields([("service", "status"), ("ref", "é" * 3)])
-    data = frames.frame(2, 1, fields, b"body") + frames.frame(8, 7) + frames.answer(3, 14, b"a", b"b")
+    """And their fields can be read."""
+    fields = frames.encode_fields([("service", "status"), ("ref", "é" * 3)])
+    data = (
+        frames.encode_frame(2, 1, fields, b"body")
+        + frames.encode_frame(8, 7)
+        + frames.encode_answer(3, 14, b"a", b"b")
+    )
     whole = fed(frames.FrameReader(), data, ())
     assert whole == [(2, 1, fields + b"body"), (8, 7, b""), (4, 3, b"\x0e\x00ab")]
     for cut in range(len(data)):
@@ -38,12 +45,14 @@
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
-def test_a_frame_of_no_length_is_told(length):
-    with pytest.raises(frames.BadFrame):
+def test_a_frame_of_an_impossible_length_is_an_error(length):
+    """Too short or too long."""
+    with pytest.raises(frames.FrameError):
         fed(frames.FrameReader(), length.to_bytes(4, "little") + b"\2\0\0\0\0", ())
 
 
-def test_garbage_is_no_frame_and_never_more():
+def test_garbage_raises_frame_errors_only():
+    """In frames and in fields."""
     chance = random.Random(5)
     for _ in range(400):
         data = bytes(chance.choice((0, 1, 2, 5, 200, 255)) for _ in range(chance.randrange(60)))
@@ -52,7 +61,7 @@
                 frames.FrameReader(), data, sorted(chance.choices(range(len(data) + 1), k=3))
             ):
                 frames.read_fields(memoryview(payload))
-        except frames.BadFrame:
+        except frames.FrameError:
             pass
 
 
@@ -64,30 +73,36 @@
 
 
 @pytest.mark.parametrize("data", REPLIES)
-def test_answers_are_whole_at_every_split(data):
+def test_replies_are_whole_at_every_split(data):
+    """And what comes behind one is noticed."""
     for cut in range(len(data)):
         reader = http.ReplyReader()
         reply = reader.feed(data[:cut]) if cut else None
         assert reply is None
         reply = reader.feed(data[cut:])
-        assert (reply.status, bytes(reply.body)) == (200, b"ab\r\nc") and not reply.more
-        assert reply.keep is (b"close" not in data) and reader.feed(data) is not None  # and the next one
+        assert (reply.status, bytes(reply.body)) == (200, b"ab\r\nc") and not reply.has_trailing_bytes
+        assert (
+            reply.keep_alive is (b"close" not in data) and reader.feed(data) is not None
+        )  # and the next one
     reader, reply = http.ReplyReader(), None
     for i in range(len(data)):
         assert reply is None
         reply = reader.feed(data[i : i + 1])
     assert bytes(reply.body) == b"ab\r\nc"
     reply = http.ReplyReader().feed(data + b"HTTP/1.1 500 X\r\n\r\n")
-    assert bytes(reply.body) == b"ab\r\nc" and reply.more and not reply.keep  # good, its connection is not
+    assert (
+        bytes(reply.body) == b"ab\r\nc" and reply.has_trailing_bytes and not reply.keep_alive
+    )  # good, its connection is not
 
 
-def test_an_answer_until_the_connection_closes():
+def test_a_reply_may_end_with_its_connection():
+    """Where its connection is not kept."""
     reader = http.ReplyReader()
     assert (
         reader.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab") is None and reader.feed(b"c") is None
     )
-    reply = reader.closed()
-    assert reply.body == b"abc" and not reply.keep and http.ReplyReader().closed() is None
+    reply = reader.connection_closed()
+    assert reply.body == b"abc" and not reply.keep_alive and http.ReplyReader().connection_closed() is None
 
 
 @pytest.mark.parametrize(
@@ -104,22 +119,22 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_what_is_no_answer_is_told(data):
-    with pytest.raises(http.BadReply):
+def test_what_is_no_reply_is_an_error(data):
+    """Heads, lengths and encodings that cannot be."""
+    with pytest.raises(http.ReplyError):
         http.ReplyReader().feed(data)
 
 
-def test_garbage_is_no_answer_and_never_more():
+def test_garbage_raises_reply_errors_only():
+    """At random places of good replies."""
     chance = random.Random(6)
     for _ in range(600):
         data = bytearray(chance.choice(REPLIES))
         for _ in range(chance.randrange(1, 6)):
             data[chance.randrange(len(data))] = chance.choice(b"\r\n:;0 9\xff")
         cut, reader = chance.randrange(len(data)), http.ReplyReader()
-        try:
+        with contextlib.suppress(http.ReplyError):
             reader.feed(bytes(data[:cut])) or reader.feed(bytes(data[cut:]))
-        except http.BadReply:
-            pass
 
 
 @pytest.mark.parametrize(
@@ -127,11 +142,13 @@
     [
         ("select a from sales_17.orders", "17"),
         (
-            'SELECT id, \'from lake_0.decoy\' as note -- from mart_1.old\nFROM "sales_7"."orders" o_2 where o_2.x = 1',
+            "SELECT id, 'from lake_0.decoy' as note -- from mart_1.old\n"
+            'FROM "sales_7"."orders" o_2 where o_2.x = 1',
             "7",
         ),
         (
-            "select o_1.a /* mart_1.old /* nested */ lake_2.x */ from sales_12.items o_1 join ops_12.t x_3 on x_3.i = o_1.i",
+            "select o_1.a /* mart_1.old /* nested */ lake_2.x */ from sales_12.items o_1 "
+            "join ops_12.t x_3 on x_3.i = o_1.i",
             "12",
         ),
         ('insert into staging.load select * from "odd""_4".t', "4"),
@@ -148,14 +165,16 @@
         ("/* from s_1.t", None),
     ],
 )
-def test_the_group_of_tables(text, tables):
-    assert tables_of(text) == tables
+def test_the_table_group_of_a_statement(text, tables):
+    """Names in strings, comments and aliases do not count."""
+    assert table_group_of(text) == tables
 
 
-def test_the_lexer_takes_anything():
+def test_the_lexer_accepts_anything():
+    """It raises no error."""
     chance = random.Random(7)
     for _ in range(500):
-        tables_of(
+        table_group_of(
             "".join(
                 chance.choice(
                     ["'", '"', "/*", "*/", "--", "\n", "$$", "s_1", ".", "(", ")", " from ", "`", "é"]
@@ -165,10 +184,11 @@
         )
 
 
-def test_both_fronts_open_alike():
+def test_gateway_and_simulator_read_settings_alike():
+    """From JSON and from the simulator's text."""
     parts = flat(SETTINGS)
-    line = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
-    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, line), 5)
+    connection = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
+    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, connection), 5)
     assert [vars(g) for g in one.groups.values()] == [vars(g) for g in other.groups.values()]
     assert (one.gateway, one.permissions, one.safety_limits, one.capabilities, one.sizes_by_kind) == (
         other.gateway,
@@ -183,20 +203,31 @@
     assert one.permissions.max_attempts == 6 and one.sizes_by_kind == {"k": (8.0, 16384.0)}
 
 
-def test_reports_costs_and_rows():
+def test_load_reports_costs_and_progress_are_read():
+    """What cannot be read is left out, or an error for endpoint lists."""
+
     def said(**headers):
         return SimpleNamespace(headers={"x-" + n.replace("_", "-"): v for n, v in headers.items()})
 
-    assert http.report_of(said(report="inflight:7;util:0.61;odd;x:")) == {"active": 7.0, "cpu": 0.61}
-    assert http.report_of(said()) is None and http.report_of(said(report="odd")) is None
-    assert http.cost_of(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0) and http.cost_of(said()) is None
+    assert engine_protocol.read_load_report(said(report="inflight:7;util:0.61;odd;x:")) == {
+        "active": 7.0,
+        "cpu": 0.61,
+    }
+    assert (
+        engine_protocol.read_load_report(said()) is None
+        and engine_protocol.read_load_report(said(report="odd")) is None
+    )
+    assert (
+        engine_protocol.read_cost(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0)
+        and engine_protocol.read_cost(said()) is None
+    )
     assert (
-        http.cost_of(said(cpu_ms="inf", mem_used="64")) is None
-        and http.report_of(said(report="inflight:-1")) is None
+        engine_protocol.read_cost(said(cpu_ms="inf", mem_used="64")) is None
+        and engine_protocol.read_load_report(said(report="inflight:-1")) is None
     )
-    assert http.note_of(said(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
+    assert engine_protocol.read_progress(said(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
     assert not any(
-        http.note_of(said(**more))
+        engine_protocol.read_progress(said(**more))
         for more in ({}, dict(tell="held"), dict(tell="odd", amount="1"), dict(tell="share", amount="nan"))
     )
     for row in (
@@ -204,11 +235,12 @@
         {"uid": "a", "endpoint": "h", "state": "SERVING"},
         3,
     ):
-        with pytest.raises(BadList):
-            read_rows({"roster": {"all": False, "targets": [row]}})
+        with pytest.raises(EndpointListError):
+            read_endpoint_list({"roster": {"all": False, "targets": [row]}})
 
 
-def test_lines_of_one_kind_are_few():
+def test_lines_of_one_kind_are_limited():
+    """Those suppressed are counted."""
     clock, out = SimpleNamespace(now=0.0), text_io.StringIO()
     log = Log(lambda: clock.now, out)
     for _ in range(100):
