--- /dev/null
+++ b/lichenquay/admission/admission_slot.py
@@ -0,0 +1,83 @@
+"""M&M's state for one engine (or for all engines, pooled) and one resource group (paper, 4.3)."""
+
+from dataclasses import dataclass
+from enum import Enum
+from math import inf
+
+from lichenquay.admission.domain import ResourceGroup
+
+
+class SlotKind(Enum):
+    """How much memory a slot grants."""
+
+    MAXIMUM = "maximum"  # all that the query can use
+    MINIMUM = "minimum"  # a share of it
+
+
+@dataclass(slots=True)
+class SlotInterval:
+    """Sums over the attempts that ended since the slot's last feedback step."""
+
+    started_ms: float
+    results: int = 0
+    lateness_ms: float = 0.0  # against the latency objective; negative where it was beaten
+    lateness_squared: float = 0.0
+    granted_mb: float = 0.0
+    waiting: float = 0.0  # queries that waited for the slot's engine
+    running: float = 0.0  # attempts that held the slot
+
+
+class AdmissionSlot:
+    """Slot limits of one engine and group, the memory pool of its maximum slots, and what holds them."""
+
+    __slots__ = (
+        "admitted_ms",
+        "delay_ms",
+        "interval",
+        "is_pooled",
+        "maximum",
+        "mean_runtime_ms",
+        "meets_objective",
+        "minimum",
+        "pool_mb",
+        "pool_used_mb",
+        "running_maximum",
+        "running_minimum",
+        "siblings",
+    )
+
+    def __init__(
+        self, maximum: int, siblings: dict[ResourceGroup, "AdmissionSlot"], is_pooled: bool, now_ms: float
+    ):
+        """Begins with `maximum` full slots. `siblings`: the slots of all groups that share its memory."""
+        self.maximum = maximum
+        self.minimum = 0
+        self.siblings = siblings
+        self.is_pooled = is_pooled  # stands for all engines together
+        self.pool_mb: float | None = None  # set by the first grant
+        self.pool_used_mb = 0.0
+        self.running_maximum = 0
+        self.running_minimum = 0
+        self.meets_objective = False
+        self.delay_ms = 0.0  # least time between two admissions under pressure
+        self.admitted_ms = -inf
+        self.mean_runtime_ms = 0.0
+        self.start_interval(now_ms)
+
+    def start_interval(self, now_ms: float) -> None:
+        """Begins a new feedback interval."""
+        self.interval = SlotInterval(now_ms)
+
+    def has_free_maximum(self, grant_mb: float) -> bool:
+        """Whether a maximum slot is free, and its memory pool holds the grant too.
+
+        The first holder may exceed the pool; otherwise a query larger than the pool would never run.
+        """
+        fits_pool = (
+            not self.running_maximum or self.pool_mb is None or self.pool_used_mb + grant_mb <= self.pool_mb
+        )
+        return fits_pool and self.running_maximum < self.maximum
+
+    def has_free_minimum(self) -> bool:
+        """Whether a minimum slot is free."""
+        return self.running_minimum < self.minimum
--- /dev/null
+++ b/lichenquay/admission/constrained_groups.py
@@ -0,0 +1,62 @@
+"""Engines of groups with placement constraints are left to these groups, as far as others have room.
+
+Otherwise they fill with queries that could run elsewhere, and the constrained groups wait while other
+engines idle.
+"""
+
+from collections.abc import Sequence
+from random import Random
+
+from lichenquay.admission.domain import Engine, Query, ResourceGroup
+from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_load import EngineLoad
+from lichenquay.admission.engine_state import EngineState
+from lichenquay.admission.placement import has_placement_constraint, satisfies_placement
+from lichenquay.admission.query_size import expected_work_ms
+
+WORK_AVERAGE_QUERIES = 100  # queries over which the mean work is averaged
+
+
+class ConstrainedGroups:
+    """How much of the constrained groups' engines the other groups may use."""
+
+    def __init__(self, groups: Sequence[ResourceGroup], seed: int):
+        """Until a query was seen, all work counts as that of constrained groups."""
+        self.groups = [group for group in groups if has_placement_constraint(group)]
+        self.random = Random(seed).random  # independent of the weighted draw that follows
+        self.mean_work_ms = 0.0  # of a query
+        self.mean_constrained_work_ms = 0.0  # of a query; one of another group counts as 0
+        self.spare_share = 0.0  # with this chance, another group's query may use their engines like others
+
+    def serves(self, engine: Engine) -> bool:
+        """Whether a constrained group may use the engine."""
+        return any(satisfies_placement(group, engine) for group in self.groups)
+
+    def record_query(self, query: Query) -> None:
+        """A query was admitted: its work enters the means."""
+        work_ms = expected_work_ms(query)
+        constrained_ms = work_ms * (query.group in self.groups)
+        others = WORK_AVERAGE_QUERIES - 1
+        self.mean_work_ms = (others * (self.mean_work_ms or work_ms) + work_ms) / WORK_AVERAGE_QUERIES
+        self.mean_constrained_work_ms = (
+            others * (self.mean_constrained_work_ms or work_ms) + constrained_ms
+        ) / WORK_AVERAGE_QUERIES
+
+    def must_avoid(self, query: Query) -> bool:
+        """Whether this query takes the constrained groups' engines last; drawn anew at each call."""
+        if not self.groups or query.group in self.groups:
+            return False
+        return self.random() >= self.spare_share
+
+    def update_spare_share(
+        self, fleet: EngineFleet, engine_load: EngineLoad, active: Sequence[EngineState]
+    ) -> None:
+        """Sets the spare share: what the constrained groups leave of their engines.
+
+        It counts in proportion to itself, or to the share of other engines that are full, if that is more.
+        """
+        work_ms = self.mean_work_ms * fleet.constrained_cores or 1.0
+        needed_share = self.mean_constrained_work_ms * fleet.cores / work_ms
+        other_engines = [state for state in active if not state.serves_constrained_group]
+        full_share = engine_load.full_share(other_engines)
+        self.spare_share = max(0.0, 1 - needed_share) * max(1 - needed_share, full_share)
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -1,321 +1,327 @@
-"""M&M admission control (Brown, Mehta, Carey, Livny, VLDB 1994) at one gateway: the stages joined.
+"""M&M admission control (Brown, Mehta, Carey, Livny, VLDB 1994) at one gateway: the rules, wired together.
 
-A front builds `Controller(door, ...)`, calls it as things happen and is answered by calls on the door.
-A query goes down Duty -> Order -> Slots -> Picker -> Guards -> send, and what comes back goes up by Slots and
-Order to Duty: order.py, slots.py, picker.py, guards.py, and Duty here. Each imports only what is below it.
-"Departure": neither the paper's nor the design's; docs/design.md says when it acts."""
+A gateway builds a `Controller` and calls it as things happen (`ports.AdmissionPort`); the controller answers
+by calls on its `ports.GatewayPort`. An admitted query passes `KeyOrdering`, then `QueryDispatcher`, which
+asks the other rules. Each rule is in a module of its own; docs/design.md gives their source.
+"""
 
-from lichenquay.admission import domain
-from lichenquay.admission.guards import Guards, ideal_of
-from lichenquay.admission.order import Order
-from lichenquay.admission.picker import Picker
-from lichenquay.admission.sliding_window import SlidingWindow
-from lichenquay.admission.slots import Slots
-from lichenquay.admission.state import Seen
+from collections.abc import Sequence
+
+from lichenquay.admission.attempt_results import AttemptResults
+from lichenquay.admission.constrained_groups import ConstrainedGroups
+from lichenquay.admission.dispatch_checks import DispatchChecks
+from lichenquay.admission.domain import (
+    Attempt,
+    Engine,
+    EngineCapabilities,
+    GatewayIdentity,
+    GatewayPermissions,
+    MemoryShortageBehaviour,
+    ProgressKind,
+    Query,
+    ResourceGroup,
+    SafetyLimits,
+    Tenant,
+)
+from lichenquay.admission.endpoint_list import EndpointList, EndpointStaleness
+from lichenquay.admission.engine_evaluation import EngineEvaluation
+from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_load import EngineLoad
+from lichenquay.admission.engine_selection import EngineSelection
+from lichenquay.admission.engine_subset import EngineSubset
+from lichenquay.admission.final_answers import FinalAnswers
+from lichenquay.admission.hash_random import HashRandom
+from lichenquay.admission.health_checks import HealthChecks
+from lichenquay.admission.interactive_groups import interactive_groups
+from lichenquay.admission.key_ordering import KeyOrdering
+from lichenquay.admission.memory_grants import MemoryGrants, MemoryShare
+from lichenquay.admission.outlier_detection import OutlierDetection
+from lichenquay.admission.pooled_slots import PooledSlots
+from lichenquay.admission.ports import GatewayPort
+from lichenquay.admission.pressure import Pressure
+from lichenquay.admission.process_pause import Ticker
+from lichenquay.admission.progress_events import ProgressEvents
+from lichenquay.admission.query_dispatcher import QueryDispatcher
+from lichenquay.admission.relocation import Relocation
+from lichenquay.admission.reservation import InFlightTotals
+from lichenquay.admission.retry_policy import RetryPolicy
+from lichenquay.admission.silence_detection import SilenceDetection
+from lichenquay.admission.slot_availability import SlotAvailability
+from lichenquay.admission.slot_feedback import SlotFeedback
+from lichenquay.admission.slot_table import SlotTable
+from lichenquay.admission.slow_start import SlowStart
+from lichenquay.admission.table_affinity import TableAffinity
+from lichenquay.admission.tenant_quota import TenantQuota
+from lichenquay.admission.timing import TimeScales
+from lichenquay.admission.usable_capacity import UsableCapacity
+from lichenquay.admission.waiting_queries import WaitingQueries
 
 
 class Controller:
-    """Duty, at the chain's top: every query gets one final answer in time. It wires the stages together."""
+    """Implements `ports.AdmissionPort`: passes each event to the rules that it concerns."""
 
-    def __init__(self, door, gateway, groups, tenants, permissions, safety_limits, capabilities):
-        self.door, self.permissions, self.capabilities, self.safety_limits, self.fleet = (
-            door,
-            permissions,
-            capabilities,
-            safety_limits,
-            {},
+    def __init__(
+        self,
+        port: GatewayPort,
+        gateway: GatewayIdentity,
+        groups: Sequence[ResourceGroup],
+        tenants: Sequence[Tenant],
+        permissions: GatewayPermissions,
+        limits: SafetyLimits,
+        capabilities: EngineCapabilities,
+    ):
+        """Knows no engine yet. All settings are constant from here on."""
+        self.port = port
+        self.time_scales = TimeScales.of(gateway, groups)
+        self._make_fleet(gateway, groups, limits, capabilities)
+        self._make_slots(gateway, groups, permissions, limits, capabilities)
+        self._make_monitoring(permissions, capabilities)
+        self.final_answers = FinalAnswers(port, permissions, self.waiting)
+        self.key_ordering = KeyOrdering(port, limits.ordering_pause_ms, self.dispatcher.submit)
+        self.final_answers.key_ordering = self.key_ordering
+        self.tenant_quota = TenantQuota(tenants, self.time_scales.shortest_objective_ms, self.random.draw)
+        if gateway.polls_endpoint_list:
+            port.watch_endpoints()
+
+    def _make_fleet(
+        self,
+        gateway: GatewayIdentity,
+        groups: Sequence[ResourceGroup],
+        limits: SafetyLimits,
+        capabilities: EngineCapabilities,
+    ) -> None:
+        """The engines, what is known of their load and capacity, and how one is selected."""
+        scales = self.time_scales
+        engines_swap = capabilities.memory_shortage == MemoryShortageBehaviour.SWAP
+        self.random = HashRandom(gateway.seed)
+        self.fleet = EngineFleet(gateway.seed)
+        self.slow_start = SlowStart(limits, gateway.gateway_count, gateway.index, groups)
+        self.engine_load = EngineLoad(self.fleet, scales.report_lifetime_ms)
+        self.outliers = OutlierDetection(engines_swap)
+        self.capacity = UsableCapacity(self.fleet, self.slow_start)
+        self.subset = EngineSubset(self.fleet, self.slow_start, scales.report_lifetime_ms)
+        self.constrained_groups = ConstrainedGroups(groups, gateway.seed)
+        self.table_affinity = TableAffinity(self.fleet)
+        self.staleness = EndpointStaleness()
+        self.endpoint_list = EndpointList(
+            self.port,
+            limits,
+            self.fleet,
+            self.staleness,
+            self.slow_start,
+            self.constrained_groups,
+            self.table_affinity,
+            scales.evaluation_interval_ms,
         )
-        self.guards = Guards(
-            permissions.max_attempts, safety_limits, gateway.gateway_count, gateway.index, groups
+        self.selection = EngineSelection(
+            gateway.zone,
+            self.random,
+            scales.evaluation_interval_ms,
+            self.fleet,
+            self.slow_start,
+            self.engine_load,
+            self.outliers,
+            self.subset,
+            self.constrained_groups,
+            self.table_affinity,
         )
-        quickest = min((g.latency_objective_ms for g in groups if g.latency_objective_ms), default=1000.0)
-        self.step_ms, self.bucket = gateway.min_turn_ms, quickest / 2
-        self.beat = max(gateway.min_turn_ms, quickest / 10)
-        self.picker = Picker(gateway, self.guards, self.fleet, self.bucket, groups, capabilities)
-        self.slots = Slots(
-            door,
-            self.guards,
-            self.picker,
+
+    def _make_slots(
+        self,
+        gateway: GatewayIdentity,
+        groups: Sequence[ResourceGroup],
+        permissions: GatewayPermissions,
+        limits: SafetyLimits,
+        capabilities: EngineCapabilities,
+    ) -> None:
+        """Slots, memory grants, retries, and the dispatcher that asks them."""
+        gateway_share = 1.0 / max(1, gateway.gateway_count)
+        interactive = interactive_groups(groups)
+        self.in_flight = InFlightTotals()
+        self.waiting = WaitingQueries(groups)
+        self.pressure = Pressure(groups, self.engine_load)
+        self.memory_grants = MemoryGrants(capabilities, groups, interactive)
+        memory_share = MemoryShare(self.memory_grants, gateway_share)
+        self.slot_table = SlotTable(self.fleet, gateway_share, interactive)
+        self.availability = SlotAvailability(
             capabilities,
             groups,
-            gateway.gateway_count,
+            interactive,
+            self.slot_table,
+            self.memory_grants,
+            memory_share,
+            self.engine_load,
+            self.pressure,
+            self.waiting,
+        )
+        self.pooled_slots = PooledSlots(
+            self.fleet, self.capacity, self.pressure, memory_share, self.availability, self.in_flight
+        )
+        self.feedback = SlotFeedback(self.fleet, self.engine_load, self.waiting, gateway_share)
+        self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_turn_ms)
+        self.checks = DispatchChecks(limits, self.retry_policy, self.slow_start)
+        self.dispatcher = QueryDispatcher(
+            self.port,
+            capabilities,
+            self.fleet,
+            self.staleness,
+            self.retry_policy,
+            self.checks,
+            self.slow_start,
+            self.selection,
+            self.outliers,
+            self.pressure,
+            self.slot_table,
+            self.availability,
+            self.pooled_slots,
+            self.memory_grants,
+            memory_share,
+            self.waiting,
+            self.in_flight,
             self.give_final_answer,
         )
-        self.order = Order(door, safety_limits.ordering_pause_ms, self.slots.down)
-        self.quiet_ms = (
-            1.5 * capabilities.progress_interval_ms or quickest
-        )  # unheard after a note's time and a half
-        self.traffic = {t: SlidingWindow(quickest, 8) for t in tenants}
-        self.due_ms, self.look_ms, self.probes = None, 0.0, 0.0  # next beat (None: nothing to watch), look
-        self.withdrawn = {}  # engines off the list on which work of ours runs on
-        if gateway.polls_endpoint_list:
-            door.watch_endpoints()
-
-    def endpoints_updated(self, engines, whole):
-        now = self.door.now_ms
-        new = not self.fleet or now < self.guards.doubt_ms
-        for e in engines:
-            seen = self.fleet.get(e)
-            if seen is None:
-                cold_sent = SlidingWindow(self.safety_limits.slow_start_window_ms / 8 or 1.0, 9)
-                seen = Seen(
-                    e, now, SlidingWindow(self.bucket, 8), cold_sent, SlidingWindow(2 * self.bucket, 8)
-                )
-                self.picker.joins(seen)
-                if new and e.started_ms:  # Risk: a front that starts again spends its share twice.
-                    cold_sent.add(now, 0.75 * self.guards.cold_budget(e, self.guards.warmth(e, now)))
-            elif e.started_ms and e.started_ms > seen.heard_ms:  # a new start: forget the old one
-                seen.silent, seen.report, seen.heard_ms = False, None, now
-            if self.guards.part(e, now) < 1:
-                self.picker.cold[seen] = True
-        self.withdraw(engines, whole)
-        self.picker.gather(now)
-        self.slots.stir(now)
-
-    def withdraw(self, engines, whole):
-        """Forgets what left the list once none of our work is there; a part of it without a pass over all."""
-        named = set(engines)
-        for e in list(self.fleet) if whole else [*engines, *self.withdrawn]:
-            e.state = domain.EndpointState.REMOVED if whole and e not in named else e.state
-            self.withdrawn.pop(e, None)
-            if e.state == domain.EndpointState.REMOVED and e in self.fleet:
-                if self.fleet[e].runs:
-                    self.withdrawn[e] = True
-                else:
-                    self.picker.leaves(self.fleet.pop(e))
 
-    def mark_endpoints_stale(self, most_ms):
-        """Departure: what was announced while a front started counts as told, and it never heard it. Queries
-        wait as for a slot until the list is confirmed; where it cannot be, the last one is in force."""
-        self.guards.doubt_ms = self.door.now_ms + most_ms
-
-    def are_endpoints_stale(self, now):
-        return now < self.guards.doubt_ms
-
-    def endpoints_confirmed(self):
-        self.guards.doubt_ms = 0.0
-        self.slots.stir(self.door.now_ms)
-
-    def endpoints_unavailable(self):
-        self.door.call_at(
-            self.door.now_ms + self.safety_limits.discovery_poll_within_ms / 8, self.door.watch_endpoints
+    def _make_monitoring(self, permissions: GatewayPermissions, capabilities: EngineCapabilities) -> None:
+        """What watches engines and attempts in flight."""
+        scales = self.time_scales
+        relocation = Relocation(self.port, permissions)
+        self.silence = SilenceDetection(
+            self.port, permissions, capabilities, scales.shortest_objective_ms, relocation
         )
+        self.health_checks = HealthChecks(
+            self.port, self.fleet, permissions, capabilities, scales.evaluation_interval_ms
+        )
+        self.evaluation = EngineEvaluation(
+            self.fleet,
+            self.engine_load,
+            self.outliers,
+            self.capacity,
+            self.subset,
+            self.constrained_groups,
+            self.slot_table,
+            self.feedback,
+            self.health_checks,
+            scales.evaluation_interval_ms,
+        )
+        self.progress_events = ProgressEvents(
+            self.port, capabilities, self.memory_grants, self.pressure, relocation
+        )
+        self.attempt_results = AttemptResults(
+            self.port,
+            permissions,
+            self.engine_load,
+            self.silence,
+            self.pressure,
+            self.memory_grants,
+            self.feedback,
+            self.dispatcher,
+        )
+        self.ticker = Ticker(self.port, self.fleet, scales.tick_interval_ms, self.tick)
 
-    def admit(self, q):
-        now = self.door.now_ms
-        q.passed, q.counts_over_quota = False, self.beyond_share(q, now)
-        self.guards.take(q, now)
-        self.picker.take(q, now)
-        self.door.call_at(q.deadline_ms, lambda: self.give_final_answer(q))
-        self.order.down(q)
-        self.ask(now)
-        self.watch(now)
-
-    def on_client_gone(self, q):
-        self.call_off(q)
-        self.order.back(q)
+    # The endpoint list
 
-    def on_progress(self, attempt, what, amount):
-        now, q, seen = self.awake(), attempt.query, self.fleet.get(attempt.engine)
-        run = seen.runs.get(attempt) if seen else None
-        if run is None:
-            return
-        if not run.noted and what != domain.ProgressKind.RESPONSIVE and run.group not in self.slots.quick:
-            self.slots.told.add(now, what == domain.ProgressKind.WAITING and amount == 1)
-        run.heard_ms, run.noted = now, run.noted or what != domain.ProgressKind.RESPONSIVE
-        seen.heard(now)
-        if what == domain.ProgressKind.SPILLING:
-            self.slots.learn(run.group, True, run.grant + amount)
-        elif what == domain.ProgressKind.WAITING:
-            run.waits_ms = run.waits_ms or now
-            seen.short_ms = now if amount == 1 else seen.short_ms
-            if amount == 2:  # a load of another gateway holds its tables there
-                seen.held[q.table_group] = now + 2 * self.capabilities.progress_interval_ms
-                self.move(run)
-        elif what == domain.ProgressKind.PROGRESS and q.estimated_work_ms and amount > 0:
-            if run.waits_ms:
-                run.waited_ms, run.waits_ms = run.waited_ms + now - run.waits_ms, None
-            rank = self.slots.rank(q, min(1.0, amount), seen.pace)
-            if self.capabilities.honours_priorities and not q.is_done and rank != q.rank:
-                q.rank = rank
-                self.door.set_grant(q, run.grant, rank)
-            ran = now - attempt.sent_ms - run.waited_ms
-            pace = ran / max(amount, 0.002) / ideal_of(q)
-            if ran >= self.capabilities.progress_interval_ms and pace > 4 * max(1.0, seen.pace or 1.0):
-                self.move(run)  # far behind the estimate: a bad plan
+    def endpoints_updated(self, engines: Sequence[Engine], whole: bool) -> None:
+        """The endpoint list changed: `engines` are all there are (`whole`), or those that changed."""
+        now_ms = self.port.now_ms
+        self.endpoint_list.update(engines, whole, now_ms)
+        self.evaluation.update_subset(now_ms)
+        self.dispatcher.dispatch_waiting(now_ms)
 
-    def may_dispatch(self, attempt, now):
-        return self.guards.may_go(attempt, self.fleet.get(attempt.engine), now)
+    def endpoints_unavailable(self) -> None:
+        """Discovery could not be reached, or the watch broke."""
+        self.endpoint_list.poll_again()
 
-    def on_attempt_ended(self, attempt, took, cost, report):
-        now, q, seen = self.awake(), attempt.query, self.fleet.get(attempt.engine)
-        run = seen.runs.get(attempt) if seen else None
-        if seen is not None:
-            self.reported(seen, report)
-            if (
-                attempt.outcome
-                in (domain.Outcome.COMPLETED, domain.Outcome.FAILED, domain.Outcome.OVERLOADED)
-                or report is not None
-            ):
-                seen.heard(now)
-            elif attempt.outcome in (domain.Outcome.NOT_CONNECTED, domain.Outcome.CONNECTION_RESET):
-                self.unheard(seen, now)
-        if run is not None:
-            self.slots.back(run, took, attempt.outcome, cost, now)
-            if (
-                attempt.outcome in (domain.Outcome.TIMED_OUT, domain.Outcome.CANCELLED)
-                and not self.permissions.may_cancel
-            ):
-                left = max((seen.pace or 1.0) * ideal_of(q) - took, took)
-                run.outlives(self.slots.held)  # Risk: it goes on uncounted; for how long is not told
-                self.door.call_at(now + left, lambda: self.slots.release(run))
-            else:
-                self.slots.release(run)
-        self.order.back(q, attempt)
-        if not q.is_done:
-            again = now < q.deadline_ms - self.step_ms and self.guards.may_submit(q, now)
-            (self.slots.down if again else self.give_final_answer)(q)
-        self.slots.stir(now, seen)
+    def mark_endpoints_stale(self, max_ms: float) -> None:
+        """The endpoint list may be out of date until it is confirmed, for `max_ms` at most."""
+        self.staleness.mark_stale(self.port.now_ms + max_ms)
 
-    def on_health_check(self, engine, ok, took, report):
-        if ok and engine in self.fleet:
-            seen = self.fleet[engine]
-            self.reported(seen, report)
-            seen.heard(self.door.now_ms)
+    def are_endpoints_stale(self, now_ms: float) -> bool:
+        """Whether nothing is dispatched because the endpoint list may be out of date."""
+        return self.staleness.is_stale(now_ms)
 
-    def ask(self, now):
-        """Where reports must be asked for, one probe for three queries taken: the oldest report's engine."""
-        self.probes = min(1.0, self.probes + 1 / 3)
-        if (
-            self.capabilities.load_report_source == "probe"
-            and self.permissions.may_health_check
-            and self.probes >= 1
-            and self.fleet
-        ):
-            seen = min(
-                self.fleet.values(),
-                key=lambda s: s.asked_ms + 1e9 * (s.engine.state != domain.EndpointState.SERVING),
-            )
-            if now - seen.asked_ms > self.bucket and seen.engine.state == domain.EndpointState.SERVING:
-                self.probes, seen.asked_ms = 0.0, now
-                self.door.send_health_check(seen.engine)
+    def endpoints_confirmed(self) -> None:
+        """The endpoint list is up to date."""
+        self.staleness.confirm()
+        self.dispatcher.dispatch_waiting(self.port.now_ms)
 
-    def reported(self, seen, report):
-        if report:
-            seen.report, seen.report_ms, seen.due_ms = report, self.door.now_ms, 0.0
-            if seen.engine in self.fleet:
-                self.picker.touched[seen] = True
+    # Queries
 
-    def beyond_share(self, q, now):
-        """Whether a query counts beyond its tenant's share: as an account of all tells, else by chance."""
-        if q.tenant is None or q.over_quota is not None:
-            return bool(q.over_quota)
-        self.traffic[q.tenant].add(now, 1)
-        mine = self.traffic[q.tenant].count(now)
-        all_of = sum(r.count(now) for r in self.traffic.values())
-        return mine > 10 and self.picker.chance() > q.tenant.quota_share * all_of / mine
+    def admit(self, query: Query) -> None:
+        """A query arrived; its final answer comes by its deadline."""
+        now_ms = self.port.now_ms
+        query.counts_over_quota = self.tenant_quota.is_over_quota(query, now_ms)
+        self.retry_policy.record_query(now_ms)
+        self.slow_start.record_query(query)
+        self.subset.record_query(now_ms)
+        self.engine_load.record_query(query)
+        self.constrained_groups.record_query(query)
+        self.port.call_at(query.deadline_ms, lambda: self.give_final_answer(query))
+        self.key_ordering.submit(query)
+        self.health_checks.on_query_admitted(now_ms)
+        self.ticker.schedule(now_ms)
 
-    def is_under_pressure(self):
-        """Whether the fleet has no room for what is beyond quota."""
-        return self.slots.short(self.door.now_ms)
+    def give_final_answer(self, query: Query) -> None:
+        """Rejects or fails the query now, unless it has its final answer."""
+        self.final_answers.give(query)
 
-    def give_final_answer(self, q):
-        """The final answer of a query that did not finish; at the latest when its client's time is up."""
-        left = q.deadline_ms - self.door.now_ms
-        if q.is_done:
-            return
-        self.call_off(q)
-        if left > 0 and self.guards.may_defer(q):
-            self.door.reject(q, min(self.permissions.max_retry_after_ms, left / 10))
-        else:
-            self.door.fail(q)
-        self.order.back(q)
+    def on_client_gone(self, query: Query) -> None:
+        """The query's client cancelled it or closed its connection."""
+        self.final_answers.on_client_gone(query)
 
-    def call_off(self, q):
-        """Risk: what nobody waits for holds its engine's cores and memory to its end."""
-        self.slots.waiting[q.group][:] = (x for x in self.slots.waiting[q.group] if x is not q)
-        if self.permissions.may_cancel and q.attempts and q.attempts[-1].outcome is None:
-            self.door.cancel_attempt(q.attempts[-1])
+    # Attempts and engines
 
-    def move(self, run):
-        """Cancel and submit again, where that is heeded and harmless."""
-        moves = (
-            run.group.effect == domain.Effect.READ_ONLY
-            and len(run.q.attempts) < self.permissions.max_attempts
-        )
-        if (
-            moves
-            and self.permissions.may_cancel
-            and not (run.called_off or run.q.is_done or run.attempt.outcome)
-        ):
-            run.called_off = True
-            self.door.cancel_attempt(run.attempt)
+    def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
+        """Whether an attempt is still allowed; asked in the instant before its first byte."""
+        return self.checks.may_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
 
-    def unheard(self, seen, now):
-        """No notes, time-outs, failed connects: one symptom. Nothing new goes there but trials."""
-        if not seen.silent:
-            seen.silent, seen.trial_ms = True, now + self.quiet_ms / 2
-            self.door.log(f"engine {seen.engine.id} not heard from")
-        for run in list(seen.runs.values()):
-            self.move(run)
+    def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+        """An engine reported on an attempt in flight."""
+        now_ms = self.ticker.excuse_pause()
+        state = self.fleet.states.get(attempt.engine)
+        self.progress_events.on_progress(attempt, state, kind, amount, now_ms)
 
-    def lost(self, run, now):
-        """Risk: a query or its answer is lost while its engine is heard. What waits gives no further note."""
-        limit = max(4 * (run.seen.pace or 1.0) * ideal_of(run.q), run.group.latency_objective_ms / 2)
-        limit = min(limit, self.quiet_ms) if self.capabilities.progress_interval_ms else limit
-        return now - run.heard_ms > limit and not run.waits_ms
+    def on_attempt_ended(
+        self,
+        attempt: Attempt,
+        took_ms: float,
+        cost: tuple[float, float] | None,
+        report: dict[str, float] | None,
+    ) -> None:
+        """An attempt ended: its query gets its next attempt or its final answer, unless it is done."""
+        now_ms = self.ticker.excuse_pause()
+        query = attempt.query
+        state = self.fleet.states.get(attempt.engine)
+        self.attempt_results.on_attempt_ended(attempt, state, took_ms, cost, report, now_ms)
+        self.key_ordering.on_attempt_ended(query, attempt)
+        if not query.is_done:
+            if self.retry_policy.may_retry_in_time(query, now_ms):
+                self.dispatcher.submit(query)
+            else:
+                self.give_final_answer(query)
+        self.dispatcher.dispatch_waiting(now_ms, state)
 
-    def awake(self):
-        """Risk: a gateway that stood still itself takes every engine for silent, all its work for slow."""
-        now = self.door.now_ms
-        stood = now - (self.due_ms or now) - self.beat
-        if stood > 0:
-            self.due_ms = now
-            for seen in self.fleet.values():
-                seen.shift(stood)
-        return now
+    def on_health_check(
+        self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
+    ) -> None:
+        """A health check ended; one that failed says no more than the silence of its engine."""
+        state = self.fleet.states.get(engine)
+        if healthy and state is not None:
+            self.engine_load.record_report(state, report, self.port.now_ms)
+            state.record_response(self.port.now_ms)
 
-    def tick(self):
-        now = self.awake()
-        for seen in list(self.slots.busy):
-            runs = list(seen.runs.values())
-            lost = [r for r in runs if self.lost(r, now)]
-            for run in lost:
-                self.move(run)
-            quiet = now - self.quiet_ms  # Risk: without notes, nothing is heard of long work for longer
-            runs = runs if self.capabilities.progress_interval_ms or len(lost) == len(runs) else ()
-            if seen.heard_ms < quiet and any(r.heard_ms < quiet and not r.waits_ms for r in runs):
-                self.unheard(seen, now)
-        if now >= self.look_ms:
-            self.look_ms = now + self.bucket
-            self.look(now)
-        self.slots.stir(now)
-        self.due_ms = None
-        if self.slots.busy or any(self.slots.waiting.values()):
-            self.watch(now)
+    # Time
 
-    def watch(self, now):
-        if self.due_ms is None:  # a beat follows while anything is out or waiting
-            self.due_ms = now + self.beat
-            self.door.call_at(self.due_ms, self.tick)
+    def tick(self) -> None:
+        """Runs at each tick interval while anything is in flight or waiting."""
+        now_ms = self.ticker.excuse_pause()
+        for state in list(self.dispatcher.busy):
+            self.silence.check_engine(state, now_ms)
+        self.evaluation.evaluate_if_due(now_ms)
+        self.dispatcher.dispatch_waiting(now_ms)
+        self.ticker.tick_is_over()
+        if self.dispatcher.busy or not self.waiting.is_empty():
+            self.ticker.schedule(now_ms)
 
-    def look(self, now):
-        """Once in a while, over the engines that we used or heard of: paces, intervals, trials."""
-        touched = self.picker.look(now)
-        first = next(iter(self.fleet.values()), None)  # stands for all, where slots are pooled
-        for seen in touched if first in self.picker.touched or first is None else [first, *touched]:
-            for g, slot in (*seen.slots.items(), *(self.slots.pool.items() if seen is first else ())):
-                if (
-                    slot.n
-                    and now - slot.since > 4 * g.latency_objective_ms
-                    or now - slot.since > g.queue_timeout_ms
-                ):
-                    self.slots.close(slot, seen, g, now)  # silence too closes an interval
-            if (
-                seen.silent
-                and now >= seen.trial_ms
-                and self.permissions.may_health_check
-                and seen.engine.state == domain.EndpointState.SERVING
-            ):
-                seen.trial_ms = now + self.bucket
-                self.door.send_health_check(seen.engine)
+    def is_under_pressure(self) -> bool:
+        """Whether the fleet has no room for queries over quota."""
+        return self.pressure.is_fleet_pressed(self.port.now_ms)
--- /dev/null
+++ b/lichenquay/admission/dispatch_checks.py
@@ -0,0 +1,53 @@
+"""What every attempt must satisfy: when it is decided, and again in the instant before its first byte."""
+
+from lichenquay.admission.domain import Attempt, EndpointState, Query, SafetyLimits
+from lichenquay.admission.engine_state import EngineState
+from lichenquay.admission.idempotency import would_repeat_be_dropped
+from lichenquay.admission.placement import satisfies_placement
+from lichenquay.admission.retry_policy import RetryPolicy
+from lichenquay.admission.slow_start import SlowStart
+
+
+class DispatchChecks:
+    """Draining, placement, idempotency and slow start, in this order."""
+
+    def __init__(self, limits: SafetyLimits, retry_policy: RetryPolicy, slow_start: SlowStart):
+        """Keeps no state of its own."""
+        self.answer_slack_ms = limits.answer_slack_ms
+        self.retry_policy = retry_policy
+        self.slow_start = slow_start
+
+    def may_send(
+        self, query: Query, state: EngineState, now_ms: float, decided: Attempt | None = None
+    ) -> bool:
+        """Whether the engine may get the query now. `decided`: the attempt, if it was started already."""
+        engine = state.engine
+        if engine.state != EndpointState.SERVING or not satisfies_placement(query.group, engine):
+            return False
+        if not would_repeat_be_dropped(query, engine, now_ms, self.answer_slack_ms, decided):
+            return False
+        charged_ms = None if decided is None else decided.sent_ms
+        return self.slow_start.has_budget(state, query, now_ms, charged_ms)
+
+    def may_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
+        """Whether a started attempt is still allowed, asked before its first byte; if so, it is sent now.
+
+        Its connection may have taken long, or it waited for a file descriptor: by then the idempotency window
+        may have passed, the engine may drain, or the query may be over. Budgets are charged in the window in
+        which the attempt really goes out.
+        """
+        query = attempt.query
+        if state is None or query.is_done or attempt.outcome or now_ms >= query.deadline_ms:
+            return False
+        if not self.may_send(query, state, now_ms, attempt):
+            return False
+        delay_ms = now_ms - attempt.sent_ms
+        is_late_retry = attempt.number and delay_ms > self.retry_policy.bucket_ms
+        if is_late_retry and not self.retry_policy.has_budget(now_ms):
+            return False
+        if delay_ms > state.slow_start_work.width_ms:
+            self.slow_start.record_attempt(state, query, now_ms)
+        if is_late_retry:
+            self.retry_policy.record_retry(now_ms)
+        attempt.sent_ms = now_ms
+        return True
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -6,7 +6,8 @@
 """
 
 from dataclasses import dataclass, field
-from enum import StrEnum
+from enum import IntEnum, StrEnum
+from typing import NamedTuple
 
 
 class Effect(StrEnum):
@@ -51,6 +52,54 @@
     REMOVED = "withdrawn"
 
 
+class WaitReason(IntEnum):
+    """What an attempt waits for on its engine; the amount of a `ProgressKind.WAITING` event."""
+
+    MEMORY = 1
+    BULK_LOAD = 2  # a bulk load, perhaps of another gateway, locks its tables
+
+
+class Priority(IntEnum):
+    """Scheduling priority of an attempt on its engine."""
+
+    LATE = 0  # its latency objective is missed already
+    NORMAL = 1
+    TIGHT = 2  # meets its objective only if the engine favours it
+    INTERACTIVE = 3
+
+
+class DeduplicationScope(StrEnum):
+    """Which engines share their memory of idempotency keys."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+    UNKNOWN = "unknown"  # the settings gave some other word
+
+
+class MemoryShortageBehaviour(StrEnum):
+    """What an engine does with a query for which it has too little memory."""
+
+    QUEUE = "queue"
+    TRIM = "trim"
+    SWAP = "swap"  # it slows down all its queries
+
+
+class LoadReportSource(StrEnum):
+    """How a gateway gets load reports of engines."""
+
+    ANSWERS = "answers"  # with each answer
+    HEALTH_CHECKS = "probe"  # with the answer to a health check only
+    NONE = "none"
+
+
+class ExecutionCost(NamedTuple):
+    """What an engine says that a completed attempt used."""
+
+    work_ms: float
+    memory_mb: float
+
+
 @dataclass(eq=False)
 class ResourceGroup:
     """A class of queries with common objectives and constraints."""
@@ -66,7 +115,7 @@
     is_bulk_load: bool = False  # locks its tables on its engine
     waits_for_bulk_load: bool = False  # stands still while a bulk load locks its tables
     is_ordered_by_key: bool = False  # queries of one ordering key run one at a time
-    deduplication_scope: str = "all"  # "all", "zone" or "cell": engines that share idempotency keys
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     idempotency_window_ms: float = 0.0  # how long an idempotency key is remembered
     allowed_zones: frozenset | None = None  # None: all
     allowed_kinds: frozenset | None = None  # kinds of engine; None: all
@@ -114,6 +163,10 @@
     has_idempotency_key: bool = True
     is_done: bool = False  # completed, rejected, failed, or its client has gone
     over_quota: bool | None = None  # as the fleet's quota ledger says; None: no ledger
+    # Set by the controller:
+    counts_over_quota: bool = False
+    priority: Priority | None = None  # of its latest attempt; None: never set
+    is_first_for_key: bool = False  # its ordering key's earlier queries are over
 
     @property
     def effect(self):
@@ -188,9 +241,9 @@
     honours_memory_grants: bool
     honours_priorities: bool
     max_grant_share: float  # share of an engine's memory that one query gets at most
-    memory_shortage: str  # "queue", "trim" or "swap"
+    memory_shortage: MemoryShortageBehaviour
     progress_interval_ms: float  # 0: no progress events
     reports_cost: bool
     load_report_fields: tuple = ()
-    load_report_source: str = "none"  # "answers", "probe" or "none"
+    load_report_source: LoadReportSource = LoadReportSource.NONE
     connect_timeout_ms: float = 0.0
--- /dev/null
+++ b/lichenquay/admission/engine_fleet.py
@@ -0,0 +1,64 @@
+"""The engines on the endpoint list, with orders and sums that are kept as engines come and go.
+
+Nothing here passes over all engines at a single change; with tens of thousands of engines such a pass at each
+event would take more than a core.
+"""
+
+from bisect import bisect_left, insort
+from operator import attrgetter
+from zlib import crc32
+
+from lichenquay.admission.domain import Engine
+from lichenquay.admission.engine_state import EngineState
+
+BY_JOIN_NUMBER = attrgetter("join_number")
+BY_RANK = attrgetter("rank")
+
+
+class EngineFleet:
+    """Engine states by engine; the same in this gateway's own order; sums of cores and memory."""
+
+    def __init__(self, seed: int):
+        """No engine yet. `seed`: this gateway's; it determines its order of engines."""
+        self.seed = seed
+        self.states: dict[Engine, EngineState] = {}
+        self.by_rank: list[EngineState] = []
+        self.joined_count = 0  # engines that ever joined
+        self.cores = 0.0
+        self.memory_mb = 0.0
+        self.constrained_cores = 0.0  # of engines that groups with placement constraints may use
+        # Both are used as ordered sets:
+        self.not_fully_usable: dict[
+            EngineState, bool
+        ] = {}  # warming up, draining, or removed and still in use
+        self.active: dict[EngineState, bool] = {}  # that this gateway used, or has a report of
+
+    def add(self, state: EngineState) -> None:
+        """An engine joined the endpoint list."""
+        self.states[state.engine] = state
+        state.rank = crc32(f"{self.seed}:{state.engine.id}".encode())
+        self.joined_count += 1
+        state.join_number = self.joined_count
+        insort(self.by_rank, state, key=BY_RANK)
+        self._add_to_sums(state, 1)
+
+    def remove(self, state: EngineState) -> None:
+        """An engine left the endpoint list, and no attempt of ours runs there any more."""
+        del self.states[state.engine]
+        del self.by_rank[self.by_rank.index(state, bisect_left(self.by_rank, state.rank, key=BY_RANK))]
+        self._add_to_sums(state, -1)
+        self.not_fully_usable.pop(state, None)
+        self.active.pop(state, None)
+
+    def first(self) -> EngineState | None:
+        """The engine that joined first; it stands for all of them where slots are pooled."""
+        return next(iter(self.states.values()), None)
+
+    def active_in_join_order(self) -> list[EngineState]:
+        """Engines that this gateway used or has a report of, oldest first."""
+        return sorted(self.active, key=BY_JOIN_NUMBER)
+
+    def _add_to_sums(self, state: EngineState, sign: int) -> None:
+        self.cores += sign * state.cores
+        self.memory_mb += sign * state.memory_mb
+        self.constrained_cores += sign * state.cores * state.serves_constrained_group
--- /dev/null
+++ b/lichenquay/admission/engine_state.py
@@ -0,0 +1,69 @@
+"""What this gateway knows of one engine, from its own traffic and the engine's reports alone."""
+
+from dataclasses import dataclass, field
+from math import inf
+
+from lichenquay.admission.admission_slot import AdmissionSlot
+from lichenquay.admission.domain import Attempt, Engine, ResourceGroup
+from lichenquay.admission.load_report import LoadReport
+from lichenquay.admission.reservation import InFlightTotals, Reservation
+from lichenquay.admission.sliding_window import SlidingWindow
+
+UNKNOWN_SIZE = 1.0  # stands for cores and memory that the settings do not give
+
+
+@dataclass(eq=False, slots=True)
+class EngineState:
+    """The state of one engine at this gateway. Times are milliseconds of the gateway's clock."""
+
+    engine: Engine
+    last_response_ms: float
+    slowdowns: SlidingWindow  # runtime over expected runtime, of its finished attempts
+    slow_start_work: SlidingWindow  # work sent to it, in milliseconds
+    errors: SlidingWindow  # 1 for an attempt that failed, 0 for another
+    cores: float = field(init=False)
+    memory_mb: float = field(init=False)
+    reservations: dict[Attempt, Reservation] = field(default_factory=dict)
+    slots: dict[ResourceGroup, AdmissionSlot] = field(default_factory=dict)
+    in_flight: InFlightTotals = field(default_factory=InFlightTotals)
+    table_locks: dict[str | None, float] = field(default_factory=dict)  # until when a bulk load may lock them
+    report: LoadReport | None = None
+    reported_ms: float = -inf
+    report_requested_ms: float = -inf
+    is_unresponsive: bool = False
+    next_probe_ms: float = -inf  # an unresponsive engine may be tried again then
+    last_overloaded_ms: float = -inf  # it shed an attempt
+    last_memory_wait_ms: float = -inf  # an attempt had to wait for memory
+    slowdown_ratio: float | None = None  # the mean of its slowdowns, at the last evaluation
+    weight: float = 1.0  # in the weighted draw
+    weight_expires_ms: float = -inf
+    serves_constrained_group: bool = False  # a group with a placement constraint may use it
+    join_number: int = 0  # in the order of joining the endpoint list
+    rank: int = 0  # in this gateway's own pseudo-random order
+
+    def __post_init__(self) -> None:
+        """Copies the engine's size."""
+        self.cores = self.engine.cores or UNKNOWN_SIZE
+        self.memory_mb = self.engine.memory_mb or UNKNOWN_SIZE
+
+    def record_response(self, now_ms: float) -> None:
+        """The engine answered or reported something."""
+        self.last_response_ms = now_ms
+        self.is_unresponsive = False
+
+    def restarted(self, now_ms: float) -> None:
+        """The engine has started again: what was known of the former process says nothing about it."""
+        self.is_unresponsive = False
+        self.report = None
+        self.last_response_ms = now_ms
+
+    def expire_weight(self) -> None:
+        """The engine was used or has reported: its weight in the draw is computed anew."""
+        self.weight_expires_ms = -inf
+
+    def excuse_pause(self, pause_ms: float) -> None:
+        """This process was paused for so long: what would have arrived meanwhile counts as arrived."""
+        self.last_response_ms += pause_ms
+        for reservation in self.reservations.values():
+            reservation.last_response_ms += pause_ms
+            reservation.waited_ms += pause_ms
--- /dev/null
+++ b/lichenquay/admission/engine_subset.py
@@ -0,0 +1,66 @@
+"""Engine subsetting: a gateway with little traffic uses few engines first, and so knows their load.
+
+Where its traffic is too thin to hear of every engine while a report counts, each of many gateways would
+choose blindly, and open a connection for every query.
+"""
+
+from itertools import islice
+
+from lichenquay.admission.domain import EndpointState
+from lichenquay.admission.engine_fleet import BY_RANK, EngineFleet
+from lichenquay.admission.engine_state import EngineState
+from lichenquay.admission.sliding_window import SlidingWindow
+from lichenquay.admission.slow_start import SlowStart
+
+MIN_ENGINES = 4
+TRAFFIC_LIFETIMES = 4  # traffic is measured over this multiple of a report's lifetime
+MIN_LIFETIME_SHARE = 1 / 4  # a shorter time of measuring counts as this share of a report's lifetime
+FLEET_SHARE_FOR_SUBSET = 1 / 2  # a subset of more engines than this is not used
+
+
+class EngineSubset:
+    """The engines that are drawn from first: as many as our traffic keeps fresh, and warming ones of ours."""
+
+    def __init__(self, fleet: EngineFleet, slow_start: SlowStart, report_lifetime_ms: float):
+        """No query yet."""
+        self.fleet = fleet
+        self.slow_start = slow_start
+        self.report_lifetime_ms = report_lifetime_ms
+        self.queries = SlidingWindow(report_lifetime_ms, TRAFFIC_LIFETIMES)
+        self.first_query_ms: float | None = None
+        self.engines: list[EngineState] = []
+
+    def record_query(self, now_ms: float) -> None:
+        """A query was admitted."""
+        self.first_query_ms = self.first_query_ms or now_ms
+        self.queries.add(now_ms, 1)
+
+    def _engines_kept_fresh(self, now_ms: float) -> int:
+        """How many engines hear of us while a report counts."""
+        lifetime_ms = self.report_lifetime_ms
+        query_count = self.queries.count(now_ms)
+        measured_ms = min(TRAFFIC_LIFETIMES * lifetime_ms, now_ms - (self.first_query_ms or now_ms))
+        queries_a_lifetime = query_count * lifetime_ms / max(measured_ms, lifetime_ms * MIN_LIFETIME_SHARE)
+        return max(MIN_ENGINES, round(queries_a_lifetime))
+
+    def update(self, now_ms: float, usable_shares: dict[EngineState, float]) -> None:
+        """Chooses the subset: warm engines in this gateway's order, then warming ones that it may send to."""
+        fleet = self.fleet
+        warm = (
+            state
+            for state in fleet.by_rank
+            if state.engine.state == EndpointState.SERVING
+            and not state.is_unresponsive
+            and state not in fleet.not_fully_usable
+        )
+        self.engines = list(islice(warm, self._engines_kept_fresh(now_ms)))
+        for state in sorted(fleet.not_fully_usable, key=BY_RANK):
+            share = usable_shares[state]
+            if share and not state.is_unresponsive and self.slow_start.budget_ms(state.engine, share):
+                self.engines.append(state)
+
+    def first_choice(self) -> list[EngineState]:
+        """The subset, or all engines where it holds half of them or more."""
+        if len(self.engines) < len(self.fleet.states) * FLEET_SHARE_FOR_SUBSET:
+            return self.engines
+        return list(self.fleet.states.values())
--- /dev/null
+++ b/lichenquay/admission/hash_random.py
@@ -0,0 +1,21 @@
+"""Pseudo-random numbers from a seed and a counter."""
+
+from zlib import crc32
+
+_CRC_VALUES = 2**32
+
+
+class HashRandom:
+    """A sequence of numbers that depends on the seed and on how many were drawn before."""
+
+    __slots__ = ("drawn_count", "seed")
+
+    def __init__(self, seed: int):
+        """Nothing drawn yet."""
+        self.seed = seed
+        self.drawn_count = 0
+
+    def draw(self) -> float:
+        """The next number, at least 0 and below 1."""
+        self.drawn_count += 1
+        return crc32(b"%d:%d" % (self.seed, self.drawn_count)) / _CRC_VALUES
--- /dev/null
+++ b/lichenquay/admission/interactive_groups.py
@@ -0,0 +1,24 @@
+"""Interactive groups: small queries with a short objective, such as those of dashboards."""
+
+from collections.abc import Sequence
+
+from lichenquay.admission.domain import ResourceGroup
+
+
+def interactive_groups(groups: Sequence[ResourceGroup]) -> frozenset[ResourceGroup]:
+    """Groups that have no slots, no grant of ours, and the highest priority.
+
+    They use one thread, are no bulk loads, and their longest objective is shorter than some other group's.
+    Their work is small against its value; waiting for slots would cost more than it protects. A deployment
+    with one group has none.
+    """
+    longest_objective_ms = {
+        group: group.latency_objective_ms + group.latency_objective_stretch * group.queue_timeout_ms
+        for group in groups
+    }
+    most_ms = max(longest_objective_ms.values(), default=0.0)
+    return frozenset(
+        group
+        for group in groups
+        if group.threads == 1 and not group.is_bulk_load and longest_objective_ms[group] < most_ms
+    )
--- /dev/null
+++ b/lichenquay/admission/relocation.py
@@ -0,0 +1,26 @@
+"""Relocation: an attempt is cancelled on its engine, to run on another one."""
+
+from lichenquay.admission.domain import Effect, GatewayPermissions
+from lichenquay.admission.ports import GatewayPort
+from lichenquay.admission.reservation import Reservation
+
+
+class Relocation:
+    """Cancels attempts whose engine is unresponsive, lost them or runs them badly; a retry follows."""
+
+    def __init__(self, port: GatewayPort, permissions: GatewayPermissions):
+        """Keeps no state of its own."""
+        self.port = port
+        self.permissions = permissions
+
+    def cancel_and_retry(self, reservation: Reservation) -> None:
+        """Cancels the attempt if engines heed that, a retry is harmless, and the query may have one more."""
+        query = reservation.query
+        if not self.permissions.may_cancel or reservation.group.effect != Effect.READ_ONLY:
+            return
+        if len(query.attempts) >= self.permissions.max_attempts:
+            return
+        if reservation.is_cancelled or query.is_done or reservation.attempt.outcome:
+            return
+        reservation.is_cancelled = True
+        self.port.cancel_attempt(reservation.attempt)
--- a/lichenquay/admission/sliding_window.py
+++ b/lichenquay/admission/sliding_window.py
@@ -1,54 +1,61 @@
-"""Measures over time: fixed buckets of time, used again in a ring."""
+"""Sums, counts and means of samples over a sliding window of time, kept in buckets."""
 
 
 class SlidingWindow:
     """Sum and count of samples over the last `buckets` x `width_ms`; the oldest bucket is used again."""
 
-    __slots__ = ("at", "counts", "number", "sums", "width_ms")
+    __slots__ = ("counts", "latest_bucket", "sample_count", "sums", "width_ms")
 
-    def __init__(self, width_ms, buckets):
+    def __init__(self, width_ms: float, buckets: int):
         """No sample yet."""
         self.width_ms = width_ms
         self.sums = [0.0] * buckets
         self.counts = [0] * buckets
-        self.number = 0  # sum of the counts
-        self.at = None  # bucket of time that came last, counted from time 0
-
-    def _turn(self, now_ms):
-        at = int(now_ms // self.width_ms)
-        n = len(self.sums)
-        if at == self.at:
-            return at % n
-        if self.at is None:
-            self.at = at
-        for i in range(max(self.at + 1, at - n + 1), at + 1):
-            self.number -= self.counts[i % n]
-            self.sums[i % n] = 0.0
-            self.counts[i % n] = 0
-        self.at = max(self.at, at)
-        return self.at % n
-
-    def add(self, now_ms, value):
-        """One sample."""
-        i = self._turn(now_ms)
-        self.sums[i] += value
-        self.counts[i] += 1
-        self.number += 1
-
-    def total(self, now_ms):
-        """Sum of the samples that still count."""
-        if not self.number:  # no sample left: nothing to turn out
+        self.sample_count = 0
+        self.latest_bucket: int | None = None  # counted from time 0
+
+    @property
+    def is_untouched(self) -> bool:
+        """Whether no sample was ever added."""
+        return self.latest_bucket is None
+
+    def _advance(self, now_ms: float) -> int:
+        """Empties the buckets that have left the window; the index of the present one."""
+        bucket = int(now_ms // self.width_ms)
+        size = len(self.sums)
+        if bucket == self.latest_bucket:
+            return bucket % size
+        if self.latest_bucket is None:
+            self.latest_bucket = bucket
+        for reused in range(max(self.latest_bucket + 1, bucket - size + 1), bucket + 1):
+            index = reused % size
+            self.sample_count -= self.counts[index]
+            self.sums[index] = 0.0
+            self.counts[index] = 0
+        self.latest_bucket = max(self.latest_bucket, bucket)
+        return self.latest_bucket % size
+
+    def add(self, now_ms: float, value: float) -> None:
+        """Adds one sample."""
+        index = self._advance(now_ms)
+        self.sums[index] += value
+        self.counts[index] += 1
+        self.sample_count += 1
+
+    def total(self, now_ms: float) -> float:
+        """Sum of the samples in the window."""
+        if not self.sample_count:
             return 0.0
-        self._turn(now_ms)
+        self._advance(now_ms)
         return sum(self.sums)
 
-    def count(self, now_ms):
-        """Their number."""
-        if self.number:
-            self._turn(now_ms)
-        return self.number
+    def count(self, now_ms: float) -> int:
+        """Number of samples in the window."""
+        if self.sample_count:
+            self._advance(now_ms)
+        return self.sample_count
 
-    def mean(self, now_ms, otherwise=None):
-        """Their mean; `otherwise` where there is none."""
-        n = self.count(now_ms)
-        return sum(self.sums) / n if n else otherwise
+    def mean(self, now_ms: float, default: float | None = None) -> float | None:
+        """Mean of the samples in the window; `default` where there is none."""
+        count = self.count(now_ms)
+        return sum(self.sums) / count if count else default
--- /dev/null
+++ b/lichenquay/admission/slot_table.py
@@ -0,0 +1,41 @@
+"""The slots of each engine and group, and pooled ones of groups whose queries exceed our share of an engine."""
+
+from lichenquay.admission.admission_slot import AdmissionSlot
+from lichenquay.admission.domain import ResourceGroup
+from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_load import THREADS_PER_CORE
+from lichenquay.admission.engine_state import EngineState
+
+
+class SlotTable:
+    """Finds the slot that a group's query needs on an engine, and makes it at its first use."""
+
+    def __init__(self, fleet: EngineFleet, gateway_share: float, interactive: frozenset[ResourceGroup]):
+        """`gateway_share`: our share of each engine, 0 to 1."""
+        self.fleet = fleet
+        self.gateway_share = gateway_share
+        self.interactive = interactive
+        self.pooled: dict[ResourceGroup, AdmissionSlot] = {}
+
+    def is_pooled(self, group: ResourceGroup) -> bool:
+        """Whether the group's slots are of all engines together.
+
+        Where our share of an engine is below one query, each of many gateways would otherwise send every
+        engine one query of every group.
+        """
+        if group in self.interactive:
+            return False
+        mean_cores = self.fleet.cores / max(1, len(self.fleet.states))
+        return THREADS_PER_CORE * mean_cores * self.gateway_share < group.threads
+
+    def slot_for(self, state: EngineState, group: ResourceGroup, now_ms: float) -> AdmissionSlot:
+        """The group's slot on the engine, or its pooled one; made with the design's starting limit."""
+        is_pooled = self.is_pooled(group)
+        slots = self.pooled if is_pooled else state.slots
+        slot = slots.get(group)
+        if slot is None:
+            cores = self.fleet.cores if is_pooled else state.cores
+            limit = cores * THREADS_PER_CORE * self.gateway_share / group.threads
+            slot = AdmissionSlot(max(1, round(limit)), slots, is_pooled, now_ms)
+            slots[group] = slot
+        return slot
--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -1,7 +1,7 @@
 """What the front's queries tell the fleet's account: taken, finished with so much work, or over without."""
 
 from lichenquay.admission import domain
-from lichenquay.admission.guards import work_of
+from lichenquay.admission.query_size import expected_work_ms
 
 
 class Tenants:
@@ -15,9 +15,9 @@
         """Whether it is beyond its tenant's quota; if not, its work is set aside until it is over. None: no account tells."""
         if q.tenant is None or q.tenant.name not in self.taken:
             return None
-        within, taken = self.accounts.take(self.now_ms(), q, work_of(q)), self.taken[q.tenant.name]
+        within, taken = self.accounts.take(self.now_ms(), q, expected_work_ms(q)), self.taken[q.tenant.name]
         taken[0 if within else 2] += 1
-        taken[1] += work_of(q) * within
+        taken[1] += expected_work_ms(q) * within
         self.wait()  # it may ask for more, now
         return not within
 
--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -17,9 +17,8 @@
 
 import numpy as np
 
-from lichenquay.admission.controller import Controller
 from lichenquay.admission.domain import Tenant
-from lichenquay.admission.sliding_window import SlidingWindow
+from lichenquay.admission.tenant_quota import TenantQuota
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.escrow import Rights, stocks_of
 from lichenquay.quota.ledger_leader import Keeper
@@ -73,18 +72,11 @@
     def __init__(self, seed, bucket_ms):
         chance = Random(seed).random
         self.tenants = {t: Tenant(t, 1 / len(TENANTS), RATE / WORK_MS, 0.0) for t in TENANTS}
-        self.fronts = [
-            SimpleNamespace(
-                traffic={t: SlidingWindow(QUICKEST_MS, 8) for t in self.tenants.values()},
-                picker=SimpleNamespace(chance=chance),
-            )
-            for _ in range(FRONTS)
-        ]
+        self.fronts = [TenantQuota(list(self.tenants.values()), QUICKEST_MS, chance) for _ in range(FRONTS)]
 
     def judge(self, now, tenant, front, estimate, work):
-        return not Controller.beyond_share(
-            self.fronts[front], SimpleNamespace(beyond=None, tenant=self.tenants[tenant]), now
-        )
+        query = SimpleNamespace(over_quota=None, tenant=self.tenants[tenant])
+        return not self.fronts[front].is_over_quota(query, now)
 
     def of(self, tenant, seconds):
         return {}
--- a/lichenquay/testbed/scale/probes/controller.py
+++ b/lichenquay/testbed/scale/probes/controller.py
@@ -66,7 +66,8 @@
         engine.state = domain.EndpointState.DRAINING if turn % 2 == 0 else domain.EndpointState.SERVING
         events.append(processor_ms(lambda changed=engine: controller.endpoints_updated([changed], False)))
     for table_set in range(TABLE_SETS):
-        homes.append(processor_ms(lambda name=f"set-{table_set}": controller.picker.homes_of(name)))
+        name = f"set-{table_set}"
+        homes.append(processor_ms(lambda name=name: controller.table_affinity.preferred_engines(name)))
     return [
         Sample(len(engines), "controller.list_event", "ms", tuple(events)),
         Sample(len(engines), "controller.homes", "ms", tuple(homes)),
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -238,5 +238,5 @@
     monkeypatch.setattr(service.time, "time", lambda: real() - 3600)
     w.bulletin.add({**w.engines[0].row(), "boot_ms": (real() - 3600) * 1000})
     until(lambda: w.service.discovery.no == 2)
-    (seen,) = w.service.admit.controller.fleet.values()
-    assert w.service.admit.controller.guards.warmth(seen.engine, w.service.admit.clock_ms()) < 0.35
+    (seen,) = w.service.admit.controller.fleet.states.values()
+    assert w.service.admit.controller.slow_start.warm_share(seen.engine, w.service.admit.clock_ms()) < 0.35
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -42,7 +42,7 @@
     def held(self):
         self.admit.list_doubted(2000.0)
         self.ask()
-        until(lambda: any(self.admit.controller.slots.waiting.values()))
+        until(lambda: not self.admit.controller.waiting.is_empty())
         self.go_on = self.admit.list_confirmed
 
     def connecting(self):
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -20,7 +20,7 @@
 
 
 def blamed(w):
-    return [s.engine.id for s in w.service.admit.controller.fleet.values() if s.silent]
+    return [s.engine.id for s in w.service.admit.controller.fleet.states.values() if s.is_unresponsive]
 
 
 def test_an_engine_that_answers_a_cancel_is_heard_again(world):
@@ -29,8 +29,8 @@
     c, w.engines[0].ways = w.client(), ["hold"]
     stream = c.ask("report", allow=4000)
     until(lambda: w.posts() == 1)
-    (seen,) = w.service.admit.controller.fleet.values()
-    seen.silent = True
+    (seen,) = w.service.admit.controller.fleet.states.values()
+    seen.is_unresponsive = True
     c.transport.write(frames.frame(frames.LEFT, stream))
     over(w)
     assert told(w, "attempts cancelled") == 1
@@ -221,12 +221,13 @@
     row = {**w.engines[0].row(), "boot_ms": 1000 * time.time()}
     w.bulletin.add(row)
     until(lambda: w.service.discovery.no == 2)
-    (seen,) = w.service.admit.controller.fleet.values()
-    guards = w.service.admit.controller.guards
+    (seen,) = w.service.admit.controller.fleet.states.values()
+    slow_start = w.service.admit.controller.slow_start
     connects, c, stream = asked(w, effort="20.0")
     (q,) = w.service.admit.open
-    attempt, later = q.attempts[0], w.service.admit.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms
-    seen.cold_sent.add(later, guards.cold_budget(seen.engine, guards.warmth(seen.engine, later)))
+    attempt, later = q.attempts[0], w.service.admit.clock_ms() + 2 * slow_start.limits.slow_start_window_ms
+    budget_ms = slow_start.budget_ms(seen.engine, slow_start.warm_share(seen.engine, later))
+    seen.slow_start_work.add(later, budget_ms)
     q.deadline_ms = later + 1000
     assert not w.service.admit.controller.may_dispatch(attempt, later)
     connects.go_on()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -40,11 +40,11 @@
             domain.EngineCapabilities(False, False, 0.4, "queue", 0.0, False, (), "none"),
         )
         if plant == "weight":
-            self.c.guards.weight = lambda q: q.estimated_work_ms * 0.4
+            self.c.slow_start.charged_work_ms = lambda q: q.estimated_work_ms * 0.4
         self.c.endpoints_updated(self.engines, True)
         if plant == "forgets":
-            for seen in self.c.fleet.values():
-                seen.cold_sent = SlidingWindow(fleet.rules.slow_start_window_ms / 8, 9)
+            for seen in self.c.fleet.states.values():
+                seen.slow_start_work = SlidingWindow(fleet.rules.slow_start_window_ms / 8, 9)
 
     @property
     def now_ms(self):
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -66,7 +66,7 @@
     q = door.take(g)
     first = q.attempts[0].engine
     door.until(door.now_ms + 900)
-    assert door.c.fleet[first].silent and door.cancelled == [q.attempts[0]]
+    assert door.c.fleet.states[first].is_unresponsive and door.cancelled == [q.attempts[0]]
     door.answer(q.attempts[0], domain.Outcome.CANCELLED)
     assert q.attempts[1].engine is not first
     assert all(door.take(g).attempts[0].engine is not first for _ in range(5))
@@ -78,11 +78,11 @@
     g = group()
     door = FakeDoor([quick(), g], [engine("e1"), engine("e2")])
     q = door.take(g)
-    seen = door.c.fleet[q.attempts[0].engine]
+    seen = door.c.fleet.states[q.attempts[0].engine]
     door.until(door.now_ms + 900)
-    assert seen.silent and door.cancelled == [q.attempts[0]]
+    assert seen.is_unresponsive and door.cancelled == [q.attempts[0]]
     door.answer(q.attempts[0], domain.Outcome.CANCELLED, report)
-    assert seen.silent == silent
+    assert seen.is_unresponsive == silent
 
 
 def test_where_a_time_out_stops_nothing_the_slot_stays_counted():
@@ -91,10 +91,10 @@
     q = door.take(g, work=8000.0, ttl=1000.0)
     door.until(1999)
     door.answer(q.attempts[0], domain.Outcome.TIMED_OUT)
-    seen = door.c.fleet[door.engines[0]]
-    assert len(seen.runs) == 1
+    seen = door.c.fleet.states[door.engines[0]]
+    assert len(seen.reservations) == 1
     door.until(20000)
-    assert not seen.runs
+    assert not seen.reservations
 
 
 def test_a_submission_that_waits_in_the_engines_line_is_neither_lost_nor_slow():
@@ -103,7 +103,7 @@
     attempt = door.take(g, work=2000.0).attempts[0]
     door.c.on_progress(attempt, domain.ProgressKind.WAITING, 1)  # one note, then silence until it runs
     door.until(door.now_ms + 1500)
-    assert not door.cancelled and not any(s.silent for s in door.c.fleet.values())
+    assert not door.cancelled and not any(s.is_unresponsive for s in door.c.fleet.states.values())
     for done in (0.001, 0.3):
         door.c.on_progress(attempt, domain.ProgressKind.PROGRESS, done)
         door.until(door.now_ms + 500)
@@ -117,7 +117,7 @@
     door.until(door.now_ms + 100)
     door.now_ms += 5000.0
     door.until(door.now_ms)
-    assert not any(s.silent for s in door.c.fleet.values()) and not door.cancelled
+    assert not any(s.is_unresponsive for s in door.c.fleet.states.values()) and not door.cancelled
 
 
 def test_a_lost_submission_moves_though_its_engine_is_heard():
@@ -310,7 +310,7 @@
                 q.is_done = True
                 door.done[q.id] = "left"
                 door.c.on_client_gone(q)
-        for e in list(door.c.fleet):
+        for e in list(door.c.fleet.states):
             if door.permissions.may_health_check and r.random() < 0.05:
                 door.c.on_health_check(e, r.random() < 0.5, 3.0, report)
         if r.random() < 0.05 and door.engines:
@@ -348,16 +348,16 @@
     make = domain.EngineCapabilities(True, False, 0.4, "queue", 0.0, False, ("cpu",), "answers")
     long, short = group(), quick()
     door = FakeDoor([long, short], [engine("a")], make=make, probe=False)
-    (seen,) = door.c.fleet.values()
+    (seen,) = door.c.fleet.states.values()
     first = door.take(long, work=1000.0)  # 500 ms of two threads: overdue after four times that
     door.until(door.now_ms + 1900)
-    assert first.attempts and not seen.silent and not door.cancelled
+    assert first.attempts and not seen.is_unresponsive and not door.cancelled
     second = door.take(long, work=4000.0)
     door.until(door.now_ms + 300)
     assert (
-        first.attempts[0] in door.cancelled and second.attempts and not seen.silent
+        first.attempts[0] in door.cancelled and second.attempts and not seen.is_unresponsive
     )  # lost alone: it is moved
     door.answer(first.attempts[0], domain.Outcome.CANCELLED)
     door.answer(first.attempts[-1], domain.Outcome.COMPLETED) if first.attempts[-1].outcome is None else None
     door.until(door.now_ms + 8500)
-    assert seen.silent
+    assert seen.is_unresponsive
--- a/tests/test_controller_passes.py
+++ b/tests/test_controller_passes.py
@@ -7,6 +7,7 @@
 from standins import FakeDoor, engine, group, quick
 
 from lichenquay.admission import domain
+from lichenquay.admission.table_affinity import PreferredEngines
 
 pytestmark = pytest.mark.together
 
@@ -34,9 +35,9 @@
 
 def counted(door):
     """Lets the controller of this door use a fleet that counts."""
-    fleet = CountingFleet(door.c.fleet)
-    door.c.fleet = door.c.picker.fleet = door.c.slots.fleet = fleet
-    return fleet
+    states = CountingFleet(door.c.fleet.states)
+    door.c.fleet.states = states
+    return states
 
 
 def use(door, queries, group_):
@@ -63,25 +64,25 @@
     assert fleet.visited < ENGINES / 4
 
 
-def rank_of(picker, seen):
-    """By the gateway's seed, as ever."""
-    return crc32(f"{picker.seed}:{seen.engine.id}".encode())
+def rank_of(fleet, state):
+    """An engine's rank in this gateway's own order, by the gateway's seed."""
+    return crc32(f"{fleet.seed}:{state.engine.id}".encode())
 
 
-def homes_by_a_pass(picker, tables):
-    """The first two and the last two of all engines, ranked for a set of tables."""
-    ranked = sorted(picker.fleet.values(), key=lambda s: crc32(f"{tables}:{s.engine.id}".encode()))
-    return ranked[:2], ranked[-2:]
+def preferred_by_a_pass(fleet, tables):
+    """The first two and the last two of all engines, ranked for a table group."""
+    ranked = sorted(fleet.states.values(), key=lambda s: crc32(f"{tables}:{s.engine.id}".encode()))
+    return PreferredEngines(ranked[:2], ranked[-2:])
 
 
-def near_cold_by_a_pass(picker, now_ms):
-    """Engines that are not warm and that this front may send to, in the gateway's order."""
-    guards, found = picker.guards, []
-    for seen in sorted(picker.fleet.values(), key=lambda s: rank_of(picker, s)):
-        warmth = guards.warmth(seen.engine, now_ms)
-        listed = seen.engine.state == domain.EndpointState.SERVING and not seen.silent
-        if listed and warmth < 1 and guards.cold_budget(seen.engine, warmth):
-            found.append(seen)
+def warming_by_a_pass(controller, now_ms):
+    """Engines that warm up and that this gateway may send to, in its own order."""
+    fleet, slow_start, found = controller.fleet, controller.slow_start, []
+    for state in sorted(fleet.states.values(), key=lambda s: rank_of(fleet, s)):
+        warm_share = slow_start.warm_share(state.engine, now_ms)
+        is_usable = state.engine.state == domain.EndpointState.SERVING and not state.is_unresponsive
+        if is_usable and warm_share < 1 and slow_start.budget_ms(state.engine, warm_share):
+            found.append(state)
     return found
 
 
@@ -92,17 +93,19 @@
 
 def agrees(door):
     """All that is kept by increments is what a pass over the fleet gives."""
-    c, picker, now_ms = door.c, door.c.picker, door.now_ms
-    fleet = list(c.fleet.values())
-    assert picker.sums.by_rank == sorted(fleet, key=lambda s: rank_of(picker, s))
-    assert picker.sums.cores == pytest.approx(sum(s.cores for s in fleet))
-    assert picker.sums.memory_mb == pytest.approx(sum(s.memory_mb for s in fleet))
+    controller, fleet, now_ms = door.c, door.c.fleet, door.now_ms
+    states = list(fleet.states.values())
+    assert fleet.by_rank == sorted(states, key=lambda s: rank_of(fleet, s))
+    assert fleet.cores == pytest.approx(sum(s.cores for s in states))
+    assert fleet.memory_mb == pytest.approx(sum(s.memory_mb for s in states))
     for tables in TABLES:
-        assert picker.homes_of(tables) == homes_by_a_pass(picker, tables)
-    picker.look(now_ms)
-    assert [s for s in picker.near if s in picker.cold] == near_cold_by_a_pass(picker, now_ms)
-    assert picker.faults == middle([0.0, *(s.faults.mean(now_ms, 0.0) for s in fleet)])
-    assert set(picker.touched) <= set(fleet) and set(picker.cold) <= set(fleet)
+        assert controller.table_affinity.preferred_engines(tables) == preferred_by_a_pass(fleet, tables)
+    controller.evaluation.compare_with_peers(now_ms)
+    warming = [s for s in controller.subset.engines if s in fleet.not_fully_usable]
+    assert warming == warming_by_a_pass(controller, now_ms)
+    error_shares = [0.0, *(s.errors.mean(now_ms, 0.0) for s in states)]
+    assert controller.outliers.median_error_share == middle(error_shares)
+    assert set(fleet.active) <= set(states) and set(fleet.not_fully_usable) <= set(states)
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,6 +11,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
+from lichenquay.admission.load_report import LoadReport
 from lichenquay.gateway import frames, http
 from lichenquay.gateway.engine_call import Call
 from lichenquay.gateway.engine_connection import EngineConnection
@@ -30,9 +31,11 @@
         and headers["X-Nice"] in "0123"
     )
     assert c.told == [(frames.READINESS, 9, b"\0\0")]
-    (seen,) = w.service.admit.controller.fleet.values()
-    until(lambda: seen.report == {"active": 7.0})  # the end is told with its report and its cost
-    assert w.service.admit.controller.slots.needed[w.service.opening.groups["report"]] == 64.0
+    (seen,) = w.service.admit.controller.fleet.states.values()
+    until(
+        lambda: seen.report == LoadReport.from_fields({"active": 7.0})
+    )  # the end is told with its report and its cost
+    assert w.service.admit.controller.memory_grants.mean_memory_mb[w.service.opening.groups["report"]] == 64.0
     assert w.service.metrics.counters["answers finished"] == 1 and w.service.metrics.out == 0
 
 
