--- a/lichenquay/admission/slot_table.py
+++ b/lichenquay/admission/slot_table.py
@@ -1,4 +1,4 @@
-"""The slots of each engine and group, and pooled ones of groups whose queries exceed our share of an engine."""
+"""Slots of each engine and group, and pooled slots of groups whose queries exceed our share of an engine."""
 
 from lichenquay.admission.admission_slot import AdmissionSlot
 from lichenquay.admission.domain import ResourceGroup
