--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -11,7 +11,7 @@
 
 from lichenquay.admission import domain
 from lichenquay.connection_admission.decide import Rules
-from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection, flat
+from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection
 from lichenquay.gateway.controller_adapter import Admit
 from lichenquay.gateway.discovery import BadList, Discovery, DiscoveryFactory, read_events
 from lichenquay.gateway.dispatch import Send
@@ -51,7 +51,7 @@
 
 def open_from(settings, seed):
     try:
-        opening = DeploymentSettings(SettingsSection(flat(settings)), seed)
+        opening = DeploymentSettings(SettingsSection.from_json(settings), seed)
         if not opening.groups:
             raise SettingsError("no classes")
     except (SettingsError, AttributeError) as bad:
--- a/lichenquay/simulator_adapter/__main__.py
+++ b/lichenquay/simulator_adapter/__main__.py
@@ -1,18 +1,19 @@
-"""`sim`: reads the bench's batches on standard input, answers on standard output, ends with the input."""
+"""Reads the simulator's batches on standard input and answers on standard output, until the input ends."""
 
 import sys
 
 from lichenquay.simulator_adapter.adapter import Adapter
-from lichenquay.simulator_adapter.codec import Malformed
+from lichenquay.simulator_adapter.codec import MalformedInputError
 
 
-def main():
+def main() -> int:
+    """The exit code: 1 after malformed input, or when the simulator has gone."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     try:
         Adapter(sys.stdin, sys.stdout).run()
-    except Malformed as bad:
-        print(bad, file=sys.stderr)
+    except MalformedInputError as error:
+        print(error, file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/lichenquay/simulator_adapter/codec.py
+++ b/lichenquay/simulator_adapter/codec.py
@@ -1,40 +1,87 @@
-"""The bench's lines: reading fields and writing actions. Nothing is decided here."""
+"""The lines of the simulator's protocol: a tag and name=value fields, separated by tabs."""
 
-from lichenquay.deployment_settings import SettingsSection
+from lichenquay.admission.domain import EndpointState, ExecutionCost, Outcome, ProgressKind
+from lichenquay.settings_section import MICROSECONDS_PER_MS, FieldReader
 
+OUTCOMES = {
+    "S": Outcome.COMPLETED,
+    "E": Outcome.FAILED,
+    "F": Outcome.OVERLOADED,
+    "T": Outcome.TIMED_OUT,
+    "C": Outcome.NOT_CONNECTED,
+    "R": Outcome.CONNECTION_RESET,
+    "X": Outcome.CANCELLED,
+    "N": Outcome.NEVER_SENT,
+}
+PROGRESS_KINDS = {1: ProgressKind.PROGRESS, 2: ProgressKind.SPILLING, 3: ProgressKind.WAITING}
+ENDPOINT_STATES = {
+    "IN": EndpointState.SERVING,
+    "LAME": EndpointState.DRAINING,
+    "OUT": EndpointState.REMOVED,
+}
+PACKED_WORK_FACTOR = 4096  # a packed cost is work in milliseconds times this, plus memory in units
+PACKED_MEMORY_UNIT_MB = 4.0
 
-class Malformed(Exception):
-    """Input that does not follow the wire; the text names the line and the field."""
 
+class MalformedInputError(Exception):
+    """Input that does not follow the protocol; the text names the line and the field."""
 
-class Fields(SettingsSection):
-    """One line: its tag and its name=value parts."""
 
-    __slots__ = ("line", "tag")
+class WireLine(FieldReader):
+    """One line that was read."""
 
-    def __init__(self, line, text):
+    __slots__ = ("line_number", "tag")
+
+    def __init__(self, line_number: int, text: str):
+        """Parses a line without its end; a part without '=' is a field with an empty value."""
         tag, _, rest = text.partition("\t")
-        super().__init__(dict([p.partition("=")[::2] for p in rest.split("\t")]) if rest else {})
-        self.line, self.tag = line, tag
+        super().__init__(dict([part.partition("=")[::2] for part in rest.split("\t")]) if rest else {})
+        self.line_number = line_number
+        self.tag = tag
+
+    def error(self, name: str, problem: str) -> MalformedInputError:
+        """As in `FieldReader`, with the line's number and tag."""
+        return MalformedInputError(f"line {self.line_number}: {self.tag}: {name}: {problem}")
+
+    def outcome(self, name: str) -> Outcome:
+        """How an attempt or a health check ended."""
+        word = self.text(name)
+        if word not in OUTCOMES:
+            raise self.error(name, f"unknown: {word!r}")
+        return OUTCOMES[word]
 
-    def bad(self, name, why):
-        return Malformed(f"line {self.line}: {self.tag}: {name}: {why}")
+    def endpoint_state(self, name: str) -> EndpointState:
+        """What the endpoint list says of an engine."""
+        word = self.text(name)
+        if word not in ENDPOINT_STATES:
+            raise self.error(name, f"unknown: {word!r}")
+        return ENDPOINT_STATES[word]
+
+    def execution_cost(self, name: str) -> ExecutionCost | None:
+        """A packed cost; None where there is none."""
+        packed = self.integer(name, 0)
+        if not packed:
+            return None
+        work_ms = float(packed // PACKED_WORK_FACTOR)
+        return ExecutionCost(work_ms, (packed % PACKED_WORK_FACTOR) * PACKED_MEMORY_UNIT_MB)
 
-    def report(self, name):
-        """A load report: name:value pairs; a missing one is None."""
-        value = self.parts.get(name)
+    def load_report(self, name: str) -> dict[str, float] | None:
+        """A load report as numbers by column, without empty ones; None where there is none."""
+        value = self.fields.get(name)
         if not value:
             return None
         try:
-            return {k: float(v) for k, _, v in (p.partition(":") for p in value.split(",")) if v}
+            columns = (pair.partition(":") for pair in value.split(","))
+            return {column: float(number) for column, _, number in columns if number}
         except ValueError:
-            raise self.bad(name, f"unreadable: {value!r}") from None
+            raise self.error(name, f"unreadable: {value!r}") from None
 
 
-def plain(text):
-    """Text fit for one line of the wire."""
+def single_line(text: object) -> str:
+    """Text that fits into a field: all white space becomes single blanks."""
     return " ".join(str(text).split())
 
 
-def us(ms):
-    return str(int(round(ms * 1000)))
+def microseconds(time_ms: float) -> str:
+    """A time in milliseconds as the text of whole microseconds."""
+    return str(int(round(time_ms * MICROSECONDS_PER_MS)))
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -10,7 +10,7 @@
 
 from lichenquay.admission import domain
 from lichenquay.config.reader import read_lab
-from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
+from lichenquay.deployment_settings import DeploymentSettings, SettingsSection
 from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.gateway import frames
@@ -92,7 +92,7 @@
 
 def opening_of(seed: int) -> DeploymentSettings:
     """The laboratory's usual groups, tenants and rules; shared by all fronts of a process."""
-    return DeploymentSettings(SettingsSection(flat(settings_of(read_lab("")))), seed)
+    return DeploymentSettings(SettingsSection.from_json(settings_of(read_lab(""))), seed)
 
 
 class HollowController:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -8,7 +8,7 @@
 
 from lichenquay.admission import domain
 from lichenquay.simulator_adapter.adapter import Adapter
-from lichenquay.simulator_adapter.codec import Malformed
+from lichenquay.simulator_adapter.codec import MalformedInputError
 
 
 def test_a_bad_plan_is_cancelled_and_submitted_again():
@@ -178,7 +178,7 @@
     Adapter(StringIO(text), out).run()
     assert out.getvalue().count("send\treq=7\tengine=e1\tpatience_us=90000\n") == 1
     assert "send\treq=7\tengine=e1\tpatience_us=88500\n" in out.getvalue() and out.getvalue().endswith("ok\n")
-    with pytest.raises(Malformed, match="line 3: arrival: who"):
+    with pytest.raises(MalformedInputError, match="line 3: arrival: who"):
         Adapter(StringIO("clock\tmoment_us=1\nabout\twho=front_1\narrival\treq=1\ngo\n"), out).run()
 
 
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -8,12 +8,13 @@
 from gateway_world import SETTINGS
 
 from lichenquay.admission import domain
-from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
+from lichenquay.deployment_settings import DeploymentSettings, SettingsSection
 from lichenquay.gateway import frames, http
 from lichenquay.gateway.discovery import BadList, read_rows
 from lichenquay.gateway.metrics import Log
 from lichenquay.gateway.statement import tables_of
-from lichenquay.simulator_adapter.codec import Fields
+from lichenquay.settings_section import flatten
+from lichenquay.simulator_adapter.codec import WireLine
 
 
 def fed(reader, data, cuts):
@@ -166,9 +167,10 @@
 
 
 def test_both_fronts_open_alike():
-    parts = flat(SETTINGS)
-    line = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
-    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, line), 5)
+    fields = flatten(SETTINGS)
+    line = "hello\t" + "\t".join(f"{n}={v}" for n, v in fields.items())
+    one = DeploymentSettings(SettingsSection.from_json(SETTINGS), 5)
+    other = DeploymentSettings(SettingsSection(WireLine(1, line).fields), 5)
     assert [vars(g) for g in one.groups.values()] == [vars(g) for g in other.groups.values()]
     assert (one.gateway, one.permissions, one.safety_limits, one.capabilities, one.sizes_by_kind) == (
         other.gateway,
--- /dev/null
+++ b/tests/test_settings_section.py
@@ -0,0 +1,74 @@
+"""Settings are read by type, and an error names the section, the setting, its value and what was expected."""
+
+import pytest
+
+from lichenquay.admission.domain import (
+    DeduplicationScope,
+    Effect,
+    LoadReportSource,
+    MemoryShortageBehaviour,
+)
+from lichenquay.deployment_settings import DeploymentSettings
+from lichenquay.settings_section import SettingsError, SettingsSection, flatten
+
+GROUP = {
+    "name": "stocktake",
+    "effect": "keyed",
+    "aim_us": 1_000_000,
+    "deadline_us": 4_000_000,
+    "group": "cell",
+}
+
+
+def settings(**changes):
+    """The settings of a deployment with one group, changed."""
+    return DeploymentSettings(SettingsSection.from_json({"classes": [GROUP], **changes}), 5)
+
+
+def group_with(**changes):
+    """The settings' list of groups, with one group that was changed."""
+    return [{name: value for name, value in {**GROUP, **changes}.items() if value is not None}]
+
+
+def test_nested_settings_become_named_text_fields():
+    """Lists of objects are numbered and counted, plain lists joined, null values left out."""
+    nested = {"a": {"b": True, "c": [1, 2.5, False]}, "d": [{"e": None, "f": "x"}], "g": None}
+    assert flatten(nested) == {"a.b": "true", "a.c": "1,2.5,false", "d.count": "1", "d.0.f": "x"}
+
+
+@pytest.mark.parametrize(
+    ("changes", "text"),
+    [
+        ({"classes": group_with(aim_us=None)}, "class 'stocktake': 'aim_us' is missing"),
+        ({"classes": group_with(name=None)}, "class 0: 'name' is missing"),
+        (
+            {"classes": group_with(effect="odd")},
+            "class 'stocktake': 'effect' is 'odd', expected one of safe, keyed, unsafe",
+        ),
+        ({"classes": group_with(worth="inf")}, "class 'stocktake': 'worth' is 'inf', expected a number"),
+        ({"tenants": [{"name": "t", "share": "much"}]}, "tenant 't': 'share' is 'much', expected a number"),
+        ({"limits": {"cancel": "maybe"}}, "limits: 'cancel' is 'maybe', expected true or false"),
+        ({"resolution_us": "soon"}, "'resolution_us' is 'soon', expected a whole number"),
+        ({"family_info": {"size_cores": ["many"]}}, "family_info: 'size_cores' is 'many', expected numbers"),
+    ],
+)
+def test_an_error_names_section_setting_value_and_expectation(changes, text):
+    """An operator finds the setting by the text alone."""
+    with pytest.raises(SettingsError) as raised:
+        settings(**changes)
+    assert str(raised.value) == text
+
+
+def test_the_operators_words_become_enumerations():
+    """Words that are not known do not keep a gateway from starting."""
+    known = settings(family_info={"out_of_memory": "swap"}, report={"how": "probe"})
+    group = known.groups["stocktake"]
+    assert (group.effect, group.deduplication_scope) == (Effect.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL)
+    assert known.capabilities.memory_shortage == MemoryShortageBehaviour.SWAP
+    assert known.capabilities.load_report_source == LoadReportSource.HEALTH_CHECKS
+    unknown = settings(
+        classes=group_with(group="room"), family_info={"out_of_memory": "odd"}, report={"how": "odd"}
+    )
+    assert unknown.groups["stocktake"].deduplication_scope == DeduplicationScope.UNKNOWN
+    assert unknown.capabilities.memory_shortage == MemoryShortageBehaviour.QUEUE
+    assert unknown.capabilities.load_report_source == LoadReportSource.NONE
