--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 
 
 TOGETHER = (
-    "test_cold_fleet",
+    "test_slow_start_fleet",
     "test_matrix",
     "test_settings",
     "test_written_later",
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,13 +1,36 @@
-"""What the controller plays against: a fake front, which checks the rules after every step."""
+"""A gateway for tests of the admission controller: virtual time, and a check of the rules at every step."""
 
 import heapq
 
-from lichenquay.admission import domain
 from lichenquay.admission.controller import Controller
+from lichenquay.admission.domain import (
+    NEVER_EXECUTED,
+    Attempt,
+    DeduplicationScope,
+    Effect,
+    EndpointState,
+    Engine,
+    EngineCapabilities,
+    GatewayIdentity,
+    GatewayPermissions,
+    LoadReportSource,
+    MemoryShortageBehaviour,
+    Outcome,
+    Query,
+    ResourceGroup,
+    SafetyLimits,
+)
 
+ZONE = "a"  # of the gateway
+MIN_TURN_MS = 5.0
+DRAIN_GRACE_MS = 250.0
+SUSTAINED_CORE_SHARE = 0.85  # of its cores' time that an engine can spend on queries
+REMEMBERED_MS = 30_000.0  # for how long queries that are over are kept
 
-def group(name="report", effect=domain.Effect.READ_ONLY, **more):
-    facts = dict(
+
+def group(name="report", effect=Effect.READ_ONLY, **changes):
+    """A resource group; its objective grows with a query's work."""
+    fields = dict(
         latency_objective_ms=2000.0,
         latency_objective_stretch=2.0,
         queue_timeout_ms=10000.0,
@@ -15,212 +38,298 @@
         late_weight_share=0.3,
         threads=2,
     )
-    return domain.ResourceGroup(name, effect, **{**facts, **more})
+    return ResourceGroup(name, effect, **{**fields, **changes})
 
 
-def quick(**more):
+def interactive_group(**changes):
+    """A group of dashboards' queries."""
     return group(
-        "status", threads=1, latency_objective_ms=500.0, queue_timeout_ms=2500.0, priority_weight=1.0, **more
+        "status",
+        threads=1,
+        latency_objective_ms=500.0,
+        queue_timeout_ms=2500.0,
+        priority_weight=1.0,
+        **changes,
     )
 
 
-def engine(name, zone="a", kind="k", cell=0, started=None, cores=8.0, memory=16000.0):
-    return domain.Engine(name, zone, kind, cell, domain.EndpointState.SERVING, 1.0, started, cores, memory)
+def engine(name, zone=ZONE, kind="k", cell=0, started_ms=None, cores=8.0, memory_mb=16000.0):
+    """An engine that serves."""
+    return Engine(name, zone, kind, cell, EndpointState.SERVING, 1.0, started_ms, cores, memory_mb)
 
 
-class FakeDoor:
-    """Keeps what the controller was told and asked, as the rules judge it."""
+def capabilities(
+    honours_memory_grants=True,
+    honours_priorities=True,
+    memory_shortage=MemoryShortageBehaviour.QUEUE,
+    progress_interval_ms=500.0,
+    reports_cost=True,
+    load_report_fields=("active",),
+    load_report_source=LoadReportSource.ANSWERS,
+):
+    """What engines support and report."""
+    return EngineCapabilities(
+        honours_memory_grants=honours_memory_grants,
+        honours_priorities=honours_priorities,
+        max_grant_share=0.4,
+        memory_shortage=memory_shortage,
+        progress_interval_ms=progress_interval_ms,
+        reports_cost=reports_cost,
+        load_report_fields=load_report_fields,
+        load_report_source=load_report_source,
+    )
 
-    def __init__(self, groups, engines, tenants=(), fronts=2, seed=7, on_request=False, **figures):
-        self.now_ms, self.timers, self.n = 1000.0, [], 0
-        self.queries, self.attempts, self.done, self.cancelled, self.logs, self.lines = (
-            [],
-            [],
-            {},
-            [],
-            [],
-            [],
-        )
-        self.told, self.key_free, self.probes, self.ranks, self.watched = {}, {}, [], [], 0
-        self.permissions = domain.GatewayPermissions(
-            figures.get("most", 4), figures.get("cancel", True), figures.get("probe", True), False, 500.0
-        )
-        self.safety_limits = domain.SafetyLimits(
-            20.0,
-            250.0,
-            0.3,
-            15000.0,
-            3.0,
-            1500.0,
-            figures.get("rest", 300.0),
-            figures.get("free"),
-            figures.get("share", 0.0),
-            figures.get("window", 0.0),
-            10000.0,
-        )
-        self.capabilities = figures.get("make") or domain.EngineCapabilities(
-            True, True, 0.4, figures.get("memory_shortage", "queue"), 500.0, True, ("active",), "answers"
+
+def swapping(memory_shortage=MemoryShortageBehaviour.SWAP):
+    """Engines that swap when short of memory, and report the use of their cores alone."""
+    return capabilities(memory_shortage=memory_shortage, reports_cost=False, load_report_fields=("cpu",))
+
+
+class FakeGateway:
+    """A gateway port in virtual time; it asserts the service's rules on all that the controller asks for."""
+
+    def __init__(
+        self,
+        groups,
+        engines,
+        tenants=(),
+        gateway_count=2,
+        seed=7,
+        gateway_index=None,
+        polls_endpoint_list=False,
+        engine_capabilities=None,
+        max_attempts=4,
+        may_cancel=True,
+        may_health_check=True,
+        ordering_pause_ms=300.0,
+        retry_budget_free=None,
+        retry_budget_ratio=0.0,
+        retry_budget_window_ms=0.0,
+    ):
+        """Begins at 1000 ms, with all engines on the endpoint list."""
+        self.now_ms = 1000.0
+        self.timers = []
+        self.timer_count = 0
+        self.queries = []  # those that may still count in a window
+        self.attempts = []
+        self.arrivals = []  # all queries, in their order
+        self.answers = {}  # the final answer of each query that is over, by the query's id
+        self.cancelled = []
+        self.logs = []
+        self.health_checks = []
+        self.grants = []  # (query id, memory in MB, priority)
+        self.watch_count = 0
+        self.announced_ms = {}  # when an engine's start was announced
+        self.key_free_ms = {}
+        self.permissions = GatewayPermissions(max_attempts, may_cancel, may_health_check, False, 500.0)
+        self.limits = SafetyLimits(
+            answer_slack_ms=20.0,
+            drain_grace_ms=DRAIN_GRACE_MS,
+            warm_up_initial_share=0.3,
+            warm_up_ms=15000.0,
+            slow_start_overload_factor=3.0,
+            slow_start_window_ms=1500.0,
+            ordering_pause_ms=ordering_pause_ms,
+            retry_budget_free=retry_budget_free,
+            retry_budget_ratio=retry_budget_ratio,
+            retry_budget_window_ms=retry_budget_window_ms,
+            discovery_poll_within_ms=10000.0,
         )
-        self.fronts, self.engines = fronts, list(engines)
-        self.sharers = fronts if figures.get("number") is None else 1  # of a cold engine's budget, at least
-        self.c = Controller(
-            self,
-            domain.GatewayIdentity("a", fronts, seed, 5.0, on_request, figures.get("number")),
-            list(groups),
-            list(tenants),
-            self.permissions,
-            self.safety_limits,
-            self.capabilities,
+        self.capabilities = engine_capabilities or capabilities()
+        self.engines = list(engines)
+        # Of gateways that know their index, a few may share the budget of a warming engine, at worst one.
+        self.min_sharers = gateway_count if gateway_index is None else 1
+        identity = GatewayIdentity(ZONE, gateway_count, seed, MIN_TURN_MS, polls_endpoint_list, gateway_index)
+        self.controller = Controller(
+            self, identity, list(groups), list(tenants), self.permissions, self.limits, self.capabilities
         )
-        self.c.endpoints_updated(self.engines, True)
-
-    # the door
-
-    def start_attempt(self, q, e, patience_ms):
-        g, may = q.group, [s for s in q.attempts if s.outcome not in domain.NEVER_EXECUTED]
-        assert not q.is_done and q.id not in self.done, "rule 1: sent after its end"
-        assert not any(s.outcome is None for s in q.attempts), "two attempts out"
-        assert len(q.attempts) < self.permissions.max_attempts
-        assert g.effect != domain.Effect.NON_IDEMPOTENT or not may, "rule 2: mutating sent again"
-        if g.effect == domain.Effect.IDEMPOTENT_WITH_KEY and may:
-            where = {"all": lambda x: 0, "zone": lambda x: x.zone, "cell": lambda x: x.cell}[
-                g.deduplication_scope
-            ]
-            assert all(
-                where(s.engine) == where(e) and self.now_ms - s.sent_ms < g.idempotency_window_ms for s in may
-            ), "rule 2"
-        assert e.state == domain.EndpointState.SERVING, "rule 3"
-        assert (not g.allowed_zones or e.zone in g.allowed_zones) and (
-            not g.allowed_kinds or e.kind in g.allowed_kinds
-        ), "rule 6"
-        if g.is_ordered_by_key and q.ordering_key:
-            ahead = [
-                x
-                for x in self.lines
-                if x.ordering_key == q.ordering_key and x.group.is_ordered_by_key and x.id < q.id
-            ]
-            assert all(x.is_done and all(s.outcome for s in x.attempts) for x in ahead), "rule 5: out of turn"
-            assert self.now_ms >= self.key_free.get(
-                (q.ordering_key, q.id), self.key_free.get(q.ordering_key, 0.0)
-            ), "rule 5: no rest"
-        attempt = domain.Attempt(q, len(q.attempts), e, self.now_ms)
-        q.attempts.append(attempt)
+        self.controller.endpoints_updated(self.engines, True)
+
+    # GatewayPort
+
+    def start_attempt(self, query, engine_, timeout_ms):
+        """Checks every rule that an attempt must keep."""
+        assert not query.is_done and query.id not in self.answers, "rule 1: sent after its final answer"
+        assert not any(attempt.outcome is None for attempt in query.attempts), "two attempts in flight"
+        assert len(query.attempts) < self.permissions.max_attempts
+        self._check_effect(query, engine_)
+        assert engine_.state == EndpointState.SERVING, "rule 3"
+        assert not query.group.allowed_zones or engine_.zone in query.group.allowed_zones, "rule 6"
+        assert not query.group.allowed_kinds or engine_.kind in query.group.allowed_kinds, "rule 6"
+        if query.group.is_ordered_by_key and query.ordering_key:
+            self._check_order(query)
+        attempt = Attempt(query, len(query.attempts), engine_, self.now_ms)
+        query.attempts.append(attempt)
         self.attempts.append(attempt)
-        r = self.safety_limits
-        if attempt.number and r.retry_budget_free is not None:
-            since = self.now_ms - r.retry_budget_window_ms
-            further = sum(1 for s in self.attempts if s.number and s.sent_ms > since)
-            taken = sum(1 for x in self.queries if x.arrived_ms > since)
-            assert further <= r.retry_budget_free + r.retry_budget_ratio * taken, "rule 7"
-        if e.started_ms is not None and self.now_ms - e.started_ms < r.warm_up_ms:
-            sent = sum(
-                s.query.estimated_work_ms
-                for s in self.attempts
-                if s.engine is e
-                and s.sent_ms >= max(self.told.get(e, 0.0), self.now_ms - r.slow_start_window_ms)
-            )
-            assert (
-                sent
-                <= r.slow_start_overload_factor
-                * self.warm(e)
-                * 0.85
-                * e.cores
-                * r.slow_start_window_ms
-                / self.sharers
-            ), "rule 4"
+        self._check_retry_budget(attempt)
+        self._check_slow_start(engine_)
         return attempt
 
-    def warm(self, e):
-        age = (self.now_ms - e.started_ms) / self.safety_limits.warm_up_ms
-        return self.safety_limits.warm_up_initial_share + (
-            1 - self.safety_limits.warm_up_initial_share
-        ) * min(1.0, age)
-
-    def end(self, q, how):
-        assert not q.is_done and q.id not in self.done, "rule 1: two answers"
-        assert self.now_ms <= q.deadline_ms + self.safety_limits.answer_slack_ms, "rule 1: late"
-        q.is_done, self.done[q.id] = True, how
-
-    def reject(self, q, pause_ms):
-        g = q.group
-        may = [s for s in q.attempts if s.outcome not in domain.NEVER_EXECUTED]
-        assert (
-            g.effect == domain.Effect.READ_ONLY
-            or not may
-            or (g.effect == domain.Effect.IDEMPOTENT_WITH_KEY and g.deduplication_scope == "all")
-        ), "rule 2: deferred"
-        assert 0 <= pause_ms <= self.permissions.max_retry_after_ms
-        self.end(q, "deferred")
-
-    def fail(self, q):
-        self.end(q, "killed")
-
-    def set_grant(self, q, memory_mb, priority):
+    def _check_effect(self, query, engine_):
+        group_ = query.group
+        may_have_run = [attempt for attempt in query.attempts if attempt.outcome not in NEVER_EXECUTED]
+        assert group_.effect != Effect.NON_IDEMPOTENT or not may_have_run, (
+            "rule 2: non-idempotent, sent again"
+        )
+        if group_.effect == Effect.IDEMPOTENT_WITH_KEY:
+            for attempt in may_have_run:
+                assert self.now_ms - attempt.sent_ms < group_.idempotency_window_ms, "rule 2: too late"
+                if group_.deduplication_scope == DeduplicationScope.ZONE:
+                    assert attempt.engine.zone == engine_.zone, "rule 2: another zone"
+                if group_.deduplication_scope == DeduplicationScope.CELL:
+                    assert attempt.engine.cell == engine_.cell, "rule 2: another cell"
+
+    def _check_order(self, query):
+        key = query.ordering_key
+        for other in self.arrivals:
+            if other.ordering_key == key and other.group.is_ordered_by_key and other.id < query.id:
+                is_over = other.is_done and all(attempt.outcome for attempt in other.attempts)
+                assert is_over, "rule 5: out of order"
+        free_ms = self.key_free_ms.get((key, query.id), self.key_free_ms.get(key, 0.0))
+        assert self.now_ms >= free_ms, "rule 5: no pause"
+
+    def _check_retry_budget(self, attempt):
+        limits = self.limits
+        if attempt.number and limits.retry_budget_free is not None:
+            since_ms = self.now_ms - limits.retry_budget_window_ms
+            retries = sum(1 for other in self.attempts if other.number and other.sent_ms > since_ms)
+            queries = sum(1 for query in self.queries if query.arrived_ms > since_ms)
+            assert retries <= limits.retry_budget_free + limits.retry_budget_ratio * queries, "rule 7"
+
+    def _check_slow_start(self, engine_):
+        limits = self.limits
+        if engine_.started_ms is None or self.now_ms - engine_.started_ms >= limits.warm_up_ms:
+            return
+        window_ms = limits.slow_start_window_ms
+        since_ms = max(self.announced_ms.get(engine_, 0.0), self.now_ms - window_ms)
+        sent_ms = sum(
+            attempt.query.estimated_work_ms
+            for attempt in self.attempts
+            if attempt.engine is engine_ and attempt.sent_ms >= since_ms
+        )
+        capacity_ms = self._warm_share(engine_) * SUSTAINED_CORE_SHARE * engine_.cores * window_ms
+        assert sent_ms <= limits.slow_start_overload_factor * capacity_ms / self.min_sharers, "rule 4"
+
+    def _warm_share(self, engine_):
+        initial_share = self.limits.warm_up_initial_share
+        age_share = (self.now_ms - engine_.started_ms) / self.limits.warm_up_ms
+        return initial_share + (1 - initial_share) * min(1.0, age_share)
+
+    def reject(self, query, retry_after_ms):
+        """A rejection promises that a retry is harmless."""
+        group_ = query.group
+        may_have_run = any(attempt.outcome not in NEVER_EXECUTED for attempt in query.attempts)
+        is_harmless = group_.effect == Effect.READ_ONLY or not may_have_run
+        if group_.effect == Effect.IDEMPOTENT_WITH_KEY:
+            is_harmless = is_harmless or group_.deduplication_scope == DeduplicationScope.ALL
+        assert is_harmless, "rule 2: rejected, and a retry may run it twice"
+        assert 0 <= retry_after_ms <= self.permissions.max_retry_after_ms
+        self._answer(query, "rejected")
+
+    def fail(self, query):
+        """The query's final answer."""
+        self._answer(query, "failed")
+
+    def _answer(self, query, answer):
+        assert not query.is_done and query.id not in self.answers, "rule 1: two final answers"
+        assert self.now_ms <= query.deadline_ms + self.limits.answer_slack_ms, "rule 1: late"
+        query.is_done = True
+        self.answers[query.id] = answer
+
+    def set_grant(self, query, memory_mb, priority):
+        """Kept for the tests."""
         assert memory_mb >= 0 and 0 <= priority <= 3
-        self.ranks.append((q.id, memory_mb, priority))
+        self.grants.append((query.id, memory_mb, priority))
 
     def cancel_attempt(self, attempt):
+        """Kept for the tests, which end the attempt."""
         assert self.permissions.may_cancel
         self.cancelled.append(attempt)
 
     def call_at(self, at_ms, call):
-        self.n += 1
-        heapq.heappush(self.timers, (max(at_ms, self.now_ms + 5.0), self.n, call))
+        """Not before the next turn of the event loop."""
+        self.timer_count += 1
+        heapq.heappush(self.timers, (max(at_ms, self.now_ms + MIN_TURN_MS), self.timer_count, call))
 
-    def send_health_check(self, e):
+    def send_health_check(self, engine_):
+        """Kept for the tests, which answer it."""
         assert self.permissions.may_health_check
-        self.probes.append(e)
+        self.health_checks.append(engine_)
 
     def watch_endpoints(self):
-        self.watched += 1
+        """Counted."""
+        self.watch_count += 1
 
     def log(self, text):
+        """Kept for the tests."""
         self.logs.append(text)
 
-    # the world
+    # What the tests do
 
-    def take(self, g, work=200.0, memory=100.0, ttl=None, **more):
-        q = domain.Query(
+    def admit(self, group_, work_ms=200.0, memory_mb=100.0, timeout_ms=None, **fields):
+        """A query arrives; the query."""
+        query = Query(
             len(self.queries) + 1,
-            g,
+            group_,
             self.now_ms,
-            self.now_ms + (ttl or g.queue_timeout_ms),
-            estimated_work_ms=work,
-            estimated_memory_mb=memory,
-            **more,
+            self.now_ms + (timeout_ms or group_.queue_timeout_ms),
+            estimated_work_ms=work_ms,
+            estimated_memory_mb=memory_mb,
+            **fields,
         )
-        self.queries.append(q)
-        self.lines.append(q)
-        self.c.admit(q)
-        return q
-
-    def answer(self, attempt, ending, report=None, cost=None):
-        q = attempt.query
-        attempt.outcome = ending
-        if ending == domain.Outcome.COMPLETED and not q.is_done:
-            self.end(q, "finished")
-        if (
-            ending in (domain.Outcome.TIMED_OUT, domain.Outcome.CONNECTION_RESET, domain.Outcome.CANCELLED)
-            and q.group.is_ordered_by_key
-        ):
-            self.key_free[q.ordering_key] = self.now_ms + self.safety_limits.ordering_pause_ms
-            self.key_free[q.ordering_key, q.id] = 0.0  # the rest does not delay the query whose turn it is
-        self.c.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, cost, report)
-
-    def until(self, at_ms):
+        self.queries.append(query)
+        self.arrivals.append(query)
+        self.controller.admit(query)
+        return query
+
+    def end_attempt(self, attempt, outcome, report=None, cost=None):
+        """An attempt ends now; a completed one answers its query."""
+        query = attempt.query
+        attempt.outcome = outcome
+        if outcome == Outcome.COMPLETED and not query.is_done:
+            self._answer(query, "completed")
+        may_still_run = (Outcome.TIMED_OUT, Outcome.CONNECTION_RESET, Outcome.CANCELLED)
+        if outcome in may_still_run and query.group.is_ordered_by_key:
+            self.key_free_ms[query.ordering_key] = self.now_ms + self.limits.ordering_pause_ms
+            self.key_free_ms[query.ordering_key, query.id] = 0.0  # the query whose turn it is need not wait
+        self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, cost, report)
+
+    def run_until(self, at_ms):
+        """Runs timers up to that time; each query must have its final answer by its deadline."""
         while self.timers and self.timers[0][0] <= at_ms:
-            at, _, call = heapq.heappop(self.timers)
-            self.now_ms = max(self.now_ms, at)
+            timer_ms, _, call = heapq.heappop(self.timers)
+            self.now_ms = max(self.now_ms, timer_ms)
             call()
-            self.overdue()
+            self.check_deadlines()
         self.now_ms = max(self.now_ms, at_ms)
 
-    def overdue(self):
-        for q in self.queries:
-            assert q.is_done or self.now_ms <= q.deadline_ms + self.safety_limits.answer_slack_ms, (
-                "rule 1: no answer in time"
-            )
-        self.queries = [q for q in self.queries if not q.is_done or q.arrived_ms > self.now_ms - 30000]
+    def run_for(self, duration_ms):
+        """As `run_until`, from now on."""
+        self.run_until(self.now_ms + duration_ms)
+
+    def check_deadlines(self):
+        """No query is without a final answer after its deadline."""
+        for query in self.queries:
+            is_in_time = self.now_ms <= query.deadline_ms + self.limits.answer_slack_ms
+            assert query.is_done or is_in_time, "rule 1: no final answer in time"
+        self.queries = [
+            query
+            for query in self.queries
+            if not query.is_done or query.arrived_ms > self.now_ms - REMEMBERED_MS
+        ]
+
+    def in_flight(self):
+        """Attempts without an outcome."""
+        return [attempt for attempt in self.attempts if attempt.outcome is None]
+
+    def state_of(self, engine_):
+        """The controller's state of an engine."""
+        return self.controller.fleet.states[engine_]
+
+    def states(self):
+        """The controller's states of all engines, in the order of joining."""
+        return list(self.controller.fleet.states.values())
 
-    def out(self):
-        return [s for s in self.attempts if s.outcome is None]
+    def report(self, state, fields):
+        """The engine's load report arrives."""
+        self.controller.engine_load.record_report(state, fields, self.now_ms)
