--- a/lichenquay/admission/attempt_results.py
+++ b/lichenquay/admission/attempt_results.py
@@ -1,6 +1,6 @@
-"""The end of an attempt: what it tells of its engine, its reservation, and its slot's feedback."""
+"""The end of an attempt: its effect on the engine's state, the reservation and the slot's feedback."""
 
-from lichenquay.admission.domain import NEVER_EXECUTED, Attempt, GatewayPermissions, Outcome
+from lichenquay.admission.domain import NEVER_EXECUTED, Attempt, ExecutionCost, GatewayPermissions, Outcome
 from lichenquay.admission.engine_load import EngineLoad
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.memory_grants import MemoryGrants
@@ -18,7 +18,7 @@
 
 
 class AttemptResults:
-    """Takes in the results of attempts."""
+    """Records the results of attempts."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         attempt: Attempt,
         state: EngineState | None,
         took_ms: float,
-        cost: tuple[float, float] | None,
+        cost: ExecutionCost | None,
         report: dict[str, float] | None,
         now_ms: float,
     ) -> None:
@@ -68,9 +68,9 @@
             self.dispatcher.release(reservation)
 
     def _release_later(self, reservation: Reservation, took_ms: float, now_ms: float) -> None:
-        """The engine works on, and does not say for how long: to the expected end, or as long again.
+        """The engine works on for an unknown time: to the expected end, or for as long again if that is past.
 
-        Without it, the engine would look free, and get more and more work that nobody waits for.
+        Without this, the engine would look free, and get more and more work that nobody waits for.
         """
         slowdown_ratio = reservation.engine_state.slowdown_ratio or 1.0
         left_ms = max(slowdown_ratio * expected_runtime_ms(reservation.query) - took_ms, took_ms)
@@ -78,7 +78,7 @@
         self.port.call_at(now_ms + left_ms, lambda: self.dispatcher.release(reservation))
 
     def _record_result(
-        self, reservation: Reservation, took_ms: float, cost: tuple[float, float] | None, now_ms: float
+        self, reservation: Reservation, took_ms: float, cost: ExecutionCost | None, now_ms: float
     ) -> None:
         """Feedback: only completed attempts can meet the objective; errors and time-outs miss it.
 
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -14,6 +14,7 @@
     Attempt,
     Engine,
     EngineCapabilities,
+    ExecutionCost,
     GatewayIdentity,
     GatewayPermissions,
     MemoryShortageBehaviour,
@@ -76,9 +77,8 @@
         self._make_fleet(gateway, groups, limits, capabilities)
         self._make_slots(gateway, groups, permissions, limits, capabilities)
         self._make_monitoring(permissions, capabilities)
-        self.final_answers = FinalAnswers(port, permissions, self.waiting)
         self.key_ordering = KeyOrdering(port, limits.ordering_pause_ms, self.dispatcher.submit)
-        self.final_answers.key_ordering = self.key_ordering
+        self.final_answers = FinalAnswers(port, permissions, self.waiting, self.key_ordering)
         self.tenant_quota = TenantQuota(tenants, self.time_scales.shortest_objective_ms, self.random.draw)
         if gateway.polls_endpoint_list:
             port.watch_endpoints()
@@ -185,9 +185,7 @@
         """What watches engines and attempts in flight."""
         scales = self.time_scales
         relocation = Relocation(self.port, permissions)
-        self.silence = SilenceDetection(
-            self.port, permissions, capabilities, scales.shortest_objective_ms, relocation
-        )
+        self.silence = SilenceDetection(self.port, capabilities, scales.shortest_objective_ms, relocation)
         self.health_checks = HealthChecks(
             self.port, self.fleet, permissions, capabilities, scales.evaluation_interval_ms
         )
@@ -284,7 +282,7 @@
         self,
         attempt: Attempt,
         took_ms: float,
-        cost: tuple[float, float] | None,
+        cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
         """An attempt ended: its query gets its next attempt or its final answer, unless it is done."""
@@ -292,7 +290,7 @@
         query = attempt.query
         state = self.fleet.states.get(attempt.engine)
         self.attempt_results.on_attempt_ended(attempt, state, took_ms, cost, report, now_ms)
-        self.key_ordering.on_attempt_ended(query, attempt)
+        self.key_ordering.on_attempt_ended(attempt)
         if not query.is_done:
             if self.retry_policy.may_retry_in_time(query, now_ms):
                 self.dispatcher.submit(query)
@@ -303,7 +301,7 @@
     def on_health_check(
         self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
     ) -> None:
-        """A health check ended; one that failed says no more than the silence of its engine."""
+        """A health check ended; a failed one changes nothing: silence alone makes an engine unresponsive."""
         state = self.fleet.states.get(engine)
         if healthy and state is not None:
             self.engine_load.record_report(state, report, self.port.now_ms)
--- a/lichenquay/admission/dispatch_checks.py
+++ b/lichenquay/admission/dispatch_checks.py
@@ -20,7 +20,11 @@
     def may_send(
         self, query: Query, state: EngineState, now_ms: float, decided: Attempt | None = None
     ) -> bool:
-        """Whether the engine may get the query now. `decided`: the attempt, if it was started already."""
+        """Whether the engine may get the query now. `decided`: the attempt, if it was started already.
+
+        Every attempt passes these checks, whatever else speaks for the engine: an attempt that fails one of
+        them breaks a rule of the service.
+        """
         engine = state.engine
         if engine.state != EndpointState.SERVING or not satisfies_placement(query.group, engine):
             return False
@@ -32,9 +36,9 @@
     def may_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
         """Whether a started attempt is still allowed, asked before its first byte; if so, it is sent now.
 
-        Its connection may have taken long, or it waited for a file descriptor: by then the idempotency window
-        may have passed, the engine may drain, or the query may be over. Budgets are charged in the window in
-        which the attempt really goes out.
+        The connection may have come up late, or the attempt waited for a file descriptor: by then the
+        idempotency window may have passed, the engine may drain, or the query may be over. Budgets are
+        charged in the window in which the attempt is sent.
         """
         query = attempt.query
         if state is None or query.is_done or attempt.outcome or now_ms >= query.deadline_ms:
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -2,7 +2,7 @@
 
 Times are milliseconds with fractions, memory is in megabytes. Objects refer to each other directly;
 identifiers are for the gateway alone. Nothing here decides anything: a gateway fills these in, the controller
-reads them.
+reads them, and sets the last fields of `Query`.
 """
 
 from dataclasses import dataclass, field
@@ -113,12 +113,12 @@
     late_weight_share: float  # share of the weight that a result after the objective still has
     threads: int = 1
     is_bulk_load: bool = False  # locks its tables on its engine
-    waits_for_bulk_load: bool = False  # stands still while a bulk load locks its tables
+    waits_for_bulk_load: bool = False  # cannot run while a bulk load locks its tables
     is_ordered_by_key: bool = False  # queries of one ordering key run one at a time
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     idempotency_window_ms: float = 0.0  # how long an idempotency key is remembered
-    allowed_zones: frozenset | None = None  # None: all
-    allowed_kinds: frozenset | None = None  # kinds of engine; None: all
+    allowed_zones: frozenset[str] | None = None  # None: all
+    allowed_kinds: frozenset[str] | None = None  # kinds of engine; None: all
 
 
 @dataclass(eq=False)
@@ -159,7 +159,7 @@
     estimated_work_ms: float = 0.0  # of all its threads together; 0: no estimate
     estimated_memory_mb: float = 0.0  # 0: no estimate
     table_group: str | None = None
-    attempts: list = field(default_factory=list)
+    attempts: list["Attempt"] = field(default_factory=list)
     has_idempotency_key: bool = True
     is_done: bool = False  # completed, rejected, failed, or its client has gone
     over_quota: bool | None = None  # as the fleet's quota ledger says; None: no ledger
@@ -244,6 +244,6 @@
     memory_shortage: MemoryShortageBehaviour
     progress_interval_ms: float  # 0: no progress events
     reports_cost: bool
-    load_report_fields: tuple = ()
+    load_report_fields: tuple[str, ...] = ()
     load_report_source: LoadReportSource = LoadReportSource.NONE
     connect_timeout_ms: float = 0.0
--- a/lichenquay/admission/endpoint_list.py
+++ b/lichenquay/admission/endpoint_list.py
@@ -83,7 +83,7 @@
                 if may_have_been_used and engine.started_ms:
                     self.slow_start.charge_budget_at_start(state, now_ms)
             elif engine.started_ms and engine.started_ms > state.last_response_ms:
-                state.restarted(now_ms)
+                state.reset_after_restart(now_ms)
             if self.slow_start.usable_share(engine, now_ms) < 1:
                 self.fleet.not_fully_usable[state] = True
         self._remove_unlisted(engines, whole)
--- a/lichenquay/admission/engine_state.py
+++ b/lichenquay/admission/engine_state.py
@@ -9,7 +9,7 @@
 from lichenquay.admission.reservation import InFlightTotals, Reservation
 from lichenquay.admission.sliding_window import SlidingWindow
 
-UNKNOWN_SIZE = 1.0  # stands for cores and memory that the settings do not give
+UNKNOWN_SIZE = 1.0  # used for cores and memory that the settings do not give
 
 
 @dataclass(eq=False, slots=True)
@@ -51,8 +51,8 @@
         self.last_response_ms = now_ms
         self.is_unresponsive = False
 
-    def restarted(self, now_ms: float) -> None:
-        """The engine has started again: what was known of the former process says nothing about it."""
+    def reset_after_restart(self, now_ms: float) -> None:
+        """The engine has restarted: what was known of the former process does not hold for the new one."""
         self.is_unresponsive = False
         self.report = None
         self.last_response_ms = now_ms
--- a/lichenquay/admission/engine_subset.py
+++ b/lichenquay/admission/engine_subset.py
@@ -1,7 +1,7 @@
 """Engine subsetting: a gateway with little traffic uses few engines first, and so knows their load.
 
-Where its traffic is too thin to hear of every engine while a report counts, each of many gateways would
-choose blindly, and open a connection for every query.
+Where traffic is too thin to get a report of every engine while reports count, each of many gateways would
+otherwise choose blindly, and open a connection for every query.
 """
 
 from itertools import islice
@@ -36,7 +36,7 @@
         self.queries.add(now_ms, 1)
 
     def _engines_kept_fresh(self, now_ms: float) -> int:
-        """How many engines hear of us while a report counts."""
+        """How many engines get a query of ours, and so report, within the lifetime of a report."""
         lifetime_ms = self.report_lifetime_ms
         query_count = self.queries.count(now_ms)
         measured_ms = min(TRAFFIC_LIFETIMES * lifetime_ms, now_ms - (self.first_query_ms or now_ms))
--- a/lichenquay/admission/final_answers.py
+++ b/lichenquay/admission/final_answers.py
@@ -1,4 +1,7 @@
-"""Deadlines and final answers: each query gets exactly one, in time, whatever happens to its attempts."""
+"""Deadlines and final answers: each query gets exactly one, in time, whatever happens to its attempts.
+
+A client without an answer holds its resources and asks again; one with two answers may act on the wrong one.
+"""
 
 from lichenquay.admission.domain import GatewayPermissions, Query
 from lichenquay.admission.idempotency import is_client_retry_harmless
@@ -12,12 +15,18 @@
 class FinalAnswers:
     """Ends queries that did not complete."""
 
-    def __init__(self, port: GatewayPort, permissions: GatewayPermissions, waiting: WaitingQueries):
-        """`key_ordering` is set by the controller before the first query."""
+    def __init__(
+        self,
+        port: GatewayPort,
+        permissions: GatewayPermissions,
+        waiting: WaitingQueries,
+        key_ordering: KeyOrdering,
+    ):
+        """Keeps no state of its own."""
         self.port = port
         self.permissions = permissions
         self.waiting = waiting
-        self.key_ordering: KeyOrdering | None = None
+        self.key_ordering = key_ordering
 
     def give(self, query: Query) -> None:
         """Rejects the query with Retry-After if it may be sent again, and time is left; else fails it.
@@ -33,12 +42,12 @@
             self.port.reject(query, retry_after_ms)
         else:
             self.port.fail(query)
-        self.key_ordering.on_attempt_ended(query)
+        self.key_ordering.on_query_over(query)
 
     def on_client_gone(self, query: Query) -> None:
         """Nobody waits for the query any more: its work stops, and its ordering key is free."""
         self.stop_work(query)
-        self.key_ordering.on_attempt_ended(query)
+        self.key_ordering.on_query_over(query)
 
     def stop_work(self, query: Query) -> None:
         """The query waits no more, and its attempt is cancelled where engines heed that.
--- a/lichenquay/admission/key_ordering.py
+++ b/lichenquay/admission/key_ordering.py
@@ -13,7 +13,7 @@
     """Passes on the queries of one key in the order of their arrival, each when the one before it is over.
 
     After an attempt that may still run, the key pauses for the settings' time. Without the pause, the next
-    query could overtake what its engine goes on working on.
+    query could overtake work that its engine has not finished.
     """
 
     def __init__(self, port: GatewayPort, pause_ms: float, submit: Callable[[Query], None]):
@@ -32,14 +32,21 @@
         self.queues.setdefault(query.ordering_key, []).append(query)
         self._advance(query.ordering_key)
 
-    def on_attempt_ended(self, query: Query, attempt: Attempt | None = None) -> None:
-        """An attempt of the query ended, or (without `attempt`) the query is over."""
+    def on_attempt_ended(self, attempt: Attempt) -> None:
+        """An attempt ended: its key pauses if it may still run, and goes on if its query is over."""
+        query = attempt.query
+        if query not in self.queues.get(query.ordering_key, ()):
+            return
+        if attempt.outcome in MAY_STILL_RUN:
+            self.paused_until_ms[query.ordering_key] = self.port.now_ms + self.pause_ms
+        self.on_query_over(query)
+
+    def on_query_over(self, query: Query) -> None:
+        """The query may be over: then, and with no attempt in flight, its key's next one has its turn."""
         key = query.ordering_key
         if query not in self.queues.get(key, ()):
             return
-        if attempt is not None and attempt.outcome in MAY_STILL_RUN:
-            self.paused_until_ms[key] = self.port.now_ms + self.pause_ms
-        if query.is_done and all(other.outcome is not None for other in query.attempts):
+        if query.is_done and all(attempt.outcome is not None for attempt in query.attempts):
             self.queues[key].remove(query)
             self._advance(key)
 
--- a/lichenquay/admission/load_report.py
+++ b/lichenquay/admission/load_report.py
@@ -2,6 +2,13 @@
 
 from dataclasses import dataclass
 
+# Names of report columns, as the simulator and the gateway's parser give them.
+UTILISATION = "cpu"
+ACTIVE_QUERIES = "active"
+WAITING_QUERIES = "waiting"
+GRANTED_MEMORY_SHARE = "x0"
+BUSY_DISK_SHARE = "x1"
+
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
@@ -17,9 +24,9 @@
     def from_fields(cls, fields: dict[str, float]) -> "LoadReport":
         """Reads a report by the names of its columns on the wire."""
         return cls(
-            fields.get("cpu"),
-            fields.get("active", 0.0),
-            fields.get("waiting", 0.0),
-            fields.get("x0", 0.0),
-            fields.get("x1", 0.0),
+            fields.get(UTILISATION),
+            fields.get(ACTIVE_QUERIES, 0.0),
+            fields.get(WAITING_QUERIES, 0.0),
+            fields.get(GRANTED_MEMORY_SHARE, 0.0),
+            fields.get(BUSY_DISK_SHARE, 0.0),
         )
--- a/lichenquay/admission/memory_grants.py
+++ b/lichenquay/admission/memory_grants.py
@@ -28,7 +28,7 @@
         self.max_grant_share = capabilities.max_grant_share
         self.interactive = interactive
         self.estimate_factor = dict.fromkeys(groups, 1.0)
-        self.mean_memory_mb = dict.fromkeys(groups, 0.0)  # needed by a query, as far as engines told
+        self.mean_memory_mb = dict.fromkeys(groups, 0.0)  # needed by a query, as far as engines reported it
 
     def full_grant_mb(self, query: Query, state: EngineState) -> float:
         """The grant of a maximum slot on the engine; 0: the engine decides.
--- a/lichenquay/admission/outlier_detection.py
+++ b/lichenquay/admission/outlier_detection.py
@@ -9,7 +9,7 @@
 
 MIN_ERRORS = 2  # fewer say nothing about the engine
 ERROR_SHARE_OVER_MEDIAN = 0.25
-MIN_SLOWDOWN_WEIGHT = 0.02  # a slow engine keeps this share of its weight, so that it is heard of again
+MIN_SLOWDOWN_WEIGHT = 0.02  # a slow engine keeps this share of its weight, so that its recovery is noticed
 SLOWDOWN_EXPONENT = 1
 SWAPPING_SLOWDOWN_EXPONENT = 2
 
--- a/lichenquay/admission/pooled_slots.py
+++ b/lichenquay/admission/pooled_slots.py
@@ -74,8 +74,8 @@
     def _must_space_admissions(self, is_pressed: bool, usable_threads: float, now_ms: float) -> bool:
         """Whether it is too early for another admission, where one query exceeds our share of the fleet.
 
-        A query that takes k times our share is followed by the next one after k times its runtime. One query
-        over a share that holds few would otherwise be a jam, as all gateways send one.
+        A query that needs k times our share is followed by the next one after k times its runtime. If all
+        gateways sent such queries one after the other, the fleet would be overloaded k times.
         """
         latest = self.latest
         thread_excess = latest.threads / usable_threads if is_pressed else 0.0
--- a/lichenquay/admission/ports.py
+++ b/lichenquay/admission/ports.py
@@ -1,13 +1,13 @@
 """The two ports between a gateway and the admission controller (ports and adapters).
 
-`GatewayPort` is what the controller asks of its gateway. `AdmissionPort` is what a gateway tells the
-controller, in the order in which things happen. Times are milliseconds of the gateway's clock.
+`GatewayPort` is what the controller asks of its gateway. `AdmissionPort` is what a gateway reports to the
+controller, in the order of events. Times are milliseconds of the gateway's clock.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from lichenquay.admission.domain import Attempt, Engine, ProgressKind, Query
+from lichenquay.admission.domain import Attempt, Engine, ExecutionCost, ProgressKind, Query
 
 
 class GatewayPort(Protocol):
@@ -53,9 +53,9 @@
 
 
 class AdmissionPort(Protocol):
-    """What a gateway tells the admission controller."""
+    """What a gateway reports to the admission controller."""
 
-    def endpoints_updated(self, engines: list, whole: bool) -> None:
+    def endpoints_updated(self, engines: Sequence[Engine], whole: bool) -> None:
         """The endpoint list changed: `engines` are all there are (`whole`), or those that changed."""
 
     def endpoints_unavailable(self) -> None:
@@ -74,12 +74,20 @@
         """A query arrived."""
 
     def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
-        """An engine reported on an attempt in flight."""
+        """An engine reported on an attempt in flight; `amount` is as the kind says."""
 
     def on_attempt_ended(
-        self, attempt: Attempt, took_ms: float, cost: tuple | None, report: dict | None
+        self,
+        attempt: Attempt,
+        took_ms: float,
+        cost: ExecutionCost | None,
+        report: dict[str, float] | None,
     ) -> None:
-        """An attempt ended; `cost` is (work in ms, memory in MB), `report` the engine's load report."""
+        """An attempt ended, as its `outcome` says.
+
+        `took_ms`: since it was sent. `cost`: what the engine says that it used. `report`: the engine's load
+        report as numbers by column; empty if it came without a known column, None if there was none.
+        """
 
     def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
         """Whether an attempt is still allowed; asked in the instant before its first byte."""
@@ -90,5 +98,7 @@
     def give_final_answer(self, query: Query) -> None:
         """Rejects or fails the query now."""
 
-    def on_health_check(self, engine: Engine, healthy: bool, took_ms: float, report: dict | None) -> None:
+    def on_health_check(
+        self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
+    ) -> None:
         """A health check ended."""
--- a/lichenquay/admission/pressure.py
+++ b/lichenquay/admission/pressure.py
@@ -11,7 +11,7 @@
 from lichenquay.admission.sliding_window import SlidingWindow
 
 SLOW_FACTOR = 2  # latency "well above best": slowdown over the best mean slowdown
-MEMORY_WAIT_SHARE = 1 / 3  # share of first progress events that tell of waiting for memory
+MEMORY_WAIT_SHARE = 1 / 3  # share of first progress events that report a wait for memory
 MIN_WINDOW_BUCKET_MS = 100.0
 SLOWDOWN_BUCKETS = 8
 MEMORY_WAIT_BUCKETS = 16
--- a/lichenquay/admission/process_pause.py
+++ b/lichenquay/admission/process_pause.py
@@ -1,7 +1,7 @@
 """The controller's tick, and pauses of this process itself.
 
 After a pause of this process, overdue responses say nothing about the engines: they may lie unread in its own
-buffers. Without this rule, a gateway that was suspended takes every engine for unresponsive.
+buffers. Without this rule, a gateway that was suspended would mark every engine unresponsive.
 """
 
 from collections.abc import Callable
--- a/lichenquay/admission/query_dispatcher.py
+++ b/lichenquay/admission/query_dispatcher.py
@@ -1,6 +1,7 @@
 """Dispatch: whether a query runs now, on which engine, and with which grant; else it waits for a slot."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from lichenquay.admission.admission_slot import SlotKind
@@ -29,7 +30,7 @@
 
 
 class Objections(NamedTuple):
-    """What speaks against an engine, the most serious first; the engine with the least is taken."""
+    """What speaks against an engine, the most serious first; objections compare in this order."""
 
     is_unresponsive: bool
     has_outlying_errors: bool
@@ -39,6 +40,14 @@
     is_overcommitted: bool
 
 
+@dataclass(frozen=True, slots=True)
+class Candidate:
+    """An engine that may get the query, and what speaks against it."""
+
+    state: EngineState
+    objections: Objections
+
+
 class QueryDispatcher:
     """Starts attempts where engines have room, and keeps the other queries waiting."""
 
@@ -85,7 +94,10 @@
         self.busy: dict[EngineState, bool] = {}  # an ordered set: engines with reservations
 
     def submit(self, query: Query) -> None:
-        """Starts an attempt now, or lets the query wait for a tenth of its time (paper, 4.5)."""
+        """Starts an attempt now, or lets the query wait for a tenth of its time (paper, 4.5).
+
+        A query that waits longer has little time left for an attempt; its client can retry elsewhere instead.
+        """
         now_ms = self.port.now_ms
         if self._try_start(query, now_ms):
             return
@@ -114,21 +126,21 @@
             pooled_kind = self.pooled_slots.free_kind(query, now_ms)
             if pooled_kind is None:
                 return False
-        state, objections = self._choose_engine(query, now_ms, only, pooled_kind)
-        if state is None:
+        chosen = self._choose_engine(query, now_ms, only, pooled_kind)
+        if chosen is None:
             return False
-        state.next_probe_ms = now_ms + query.group.latency_objective_ms
-        kind = SlotKind.MINIMUM if objections.has_minimum_slot_only else SlotKind.MAXIMUM
-        self._start_attempt(query, state, kind, now_ms)
+        chosen.state.next_probe_ms = now_ms + query.group.latency_objective_ms
+        kind = SlotKind.MINIMUM if chosen.objections.has_minimum_slot_only else SlotKind.MAXIMUM
+        self._start_attempt(query, chosen.state, kind, now_ms)
         return True
 
     def _choose_engine(
         self, query: Query, now_ms: float, only: EngineState | None, pooled_kind: SlotKind | None
-    ) -> tuple[EngineState | None, Objections | None]:
-        """The first engine drawn that has room and nothing against it, else the one with least against it.
+    ) -> Candidate | None:
+        """The first engine drawn that has room and no objection, else the one with the least objections.
 
-        An unresponsive engine is taken only if no engine that may get the query is responsive; then one gets
-        a read-only query as a probe now and then. Otherwise nothing would ever be heard of any of them.
+        An unresponsive engine is chosen only if no engine that may get the query is responsive; then one gets
+        a read-only query as a probe now and then. Otherwise a fleet that recovers would not be noticed.
         """
         group = query.group
         is_bulk_load = group.is_bulk_load
@@ -138,8 +150,7 @@
         free_kind = self.availability.free_kind
         tried = {attempt.engine for attempt in query.attempts}
         is_any_responsive = only is not None
-        best = None
-        least = None
+        best: Candidate | None = None
         for state in (only,) if only is not None else self.selection.draw(query, now_ms):
             if not may_send(query, state, now_ms):
                 continue
@@ -161,14 +172,13 @@
                 kind is SlotKind.MINIMUM,
                 self.memory_share.would_overcommit(query, state),
             )
-            if best is None or objections < least:
-                best = state
-                least = objections
+            if best is None or objections < best.objections:
+                best = Candidate(state, objections)
             if not any(objections):
                 break
-        if best is None or (best.is_unresponsive and is_any_responsive):
-            return None, None
-        return best, least
+        if best is not None and best.state.is_unresponsive and is_any_responsive:
+            return None
+        return best
 
     def _start_attempt(self, query: Query, state: EngineState, kind: SlotKind, now_ms: float) -> None:
         """Starts an attempt on the engine, and counts it everywhere."""
--- a/lichenquay/admission/relocation.py
+++ b/lichenquay/admission/relocation.py
@@ -14,7 +14,10 @@
         self.permissions = permissions
 
     def cancel_and_retry(self, reservation: Reservation) -> None:
-        """Cancels the attempt if engines heed that, a retry is harmless, and the query may have one more."""
+        """Cancels the attempt if engines heed that, a retry is harmless, and the query may have one more.
+
+        Without it, the query would wait for the rest of its time for an engine that is unlikely to answer.
+        """
         query = reservation.query
         if not self.permissions.may_cancel or reservation.group.effect != Effect.READ_ONLY:
             return
--- a/lichenquay/admission/silence_detection.py
+++ b/lichenquay/admission/silence_detection.py
@@ -4,7 +4,7 @@
 new but probes, and attempts that may run twice move elsewhere.
 """
 
-from lichenquay.admission.domain import EngineCapabilities, GatewayPermissions
+from lichenquay.admission.domain import EngineCapabilities
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.ports import GatewayPort
 from lichenquay.admission.query_size import expected_runtime_ms
@@ -18,19 +18,17 @@
 
 
 class SilenceDetection:
-    """Judges engines and attempts by the time since they were last heard of."""
+    """Judges engines and attempts by the time since their last response."""
 
     def __init__(
         self,
         port: GatewayPort,
-        permissions: GatewayPermissions,
         capabilities: EngineCapabilities,
         shortest_objective_ms: float,
         relocation: Relocation,
     ):
         """The silence limit is the shortest objective where engines send no progress events."""
         self.port = port
-        self.permissions = permissions
         self.has_progress_events = bool(capabilities.progress_interval_ms)
         self.silence_limit_ms = (
             SILENCE_PROGRESS_INTERVALS * capabilities.progress_interval_ms or shortest_objective_ms
@@ -66,7 +64,7 @@
     def check_engine(self, state: EngineState, now_ms: float) -> None:
         """Moves lost attempts away, and marks the engine unresponsive if it and an attempt there are silent.
 
-        Without progress events nothing is heard of long work for as long as it takes; then an engine is
+        Without progress events an engine sends nothing while it works on long queries; then it is
         unresponsive only if all its attempts are overdue.
         """
         reservations = list(state.reservations.values())
--- a/lichenquay/admission/slot_availability.py
+++ b/lichenquay/admission/slot_availability.py
@@ -1,5 +1,7 @@
 """Slot availability: which kind of slot, if any, a query gets on one engine."""
 
+from collections.abc import Sequence
+
 from lichenquay.admission.admission_slot import SlotKind
 from lichenquay.admission.domain import (
     EngineCapabilities,
@@ -25,7 +27,7 @@
     def __init__(
         self,
         capabilities: EngineCapabilities,
-        groups: list[ResourceGroup],
+        groups: Sequence[ResourceGroup],
         interactive: frozenset[ResourceGroup],
         slot_table: SlotTable,
         grants: MemoryGrants,
@@ -97,9 +99,9 @@
     def _has_room(self, query: Query, state: EngineState, is_pressed: bool, is_pooled: bool) -> bool:
         """Whether our attempts and this query stay within our share of the engine.
 
-        Memory binds always where engines swap, threads under pressure only. Limits of single groups add up to
-        far more than an engine holds; without a limit for all of them, an engine can jam so that nothing ends
-        in time. One attempt always fits.
+        Memory binds always where engines swap, threads under pressure only. The limits of single groups add
+        up to far more than an engine holds; without a limit for all of them, an engine can be overloaded so
+        that nothing ends in time. One attempt always fits.
         """
         if self.engines_swap and not is_pooled and self.memory_share.would_overcommit(query, state):
             return False
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -63,7 +63,9 @@
         if interval.results >= RESULTS_PER_INTERVAL:
             self.end_interval(slot, state, now_ms)
 
-    def end_stale_intervals(self, state: EngineState, slots: dict, now_ms: float) -> None:
+    def end_stale_intervals(
+        self, state: EngineState, slots: dict[ResourceGroup, AdmissionSlot], now_ms: float
+    ) -> None:
         """Ends intervals that have lasted too long: an engine that hangs gives no results to end them."""
         for group, slot in slots.items():
             age_ms = now_ms - slot.interval.started_ms
--- a/lichenquay/admission/usable_capacity.py
+++ b/lichenquay/admission/usable_capacity.py
@@ -10,7 +10,7 @@
 class UsableCapacity:
     """Cores and memory of the fleet that new work can count on.
 
-    A gateway that goes by the size of the whole fleet overloads the engines that are left after a restart.
+    A gateway that used the size of the whole fleet would overload the engines that are left during a restart.
     """
 
     def __init__(self, fleet: EngineFleet, slow_start: SlowStart):
--- a/lichenquay/testbed/scale/probes/door.py
+++ b/lichenquay/testbed/scale/probes/door.py
@@ -19,7 +19,16 @@
 MEMORY_MB = 100.0
 LICENCE = domain.GatewayPermissions(4, True, True, False, 500.0)
 SAFEGUARDS = domain.SafetyLimits(20.0, 250.0, 0.3, 15_000.0, 3.0, 1_500.0, 300.0, None, 0.0, 0.0, 10_000.0)
-MAKE = domain.EngineCapabilities(True, True, 0.4, "queue", 500.0, True, ("active",), "answers")
+MAKE = domain.EngineCapabilities(
+    True,
+    True,
+    0.4,
+    domain.MemoryShortageBehaviour.QUEUE,
+    500.0,
+    True,
+    ("active",),
+    domain.LoadReportSource.ANSWERS,
+)
 REPORTED = {"active": 2.0}
 
 
