--- a/lichenquay/admission/attempt_results.py
+++ b/lichenquay/admission/attempt_results.py
@@ -1,12 +1,12 @@
 """The end of an attempt: its effect on the engine's state, the reservation and the slot's feedback."""
 
+from lichenquay.admission.attempts_in_flight import AttemptsInFlight
 from lichenquay.admission.domain import NEVER_EXECUTED, Attempt, ExecutionCost, GatewayPermissions, Outcome
 from lichenquay.admission.engine_load import EngineLoad
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.memory_grants import MemoryGrants
 from lichenquay.admission.ports import GatewayPort
 from lichenquay.admission.pressure import Pressure
-from lichenquay.admission.query_dispatcher import QueryDispatcher
 from lichenquay.admission.query_size import expected_runtime_ms
 from lichenquay.admission.reservation import Reservation
 from lichenquay.admission.silence_detection import SilenceDetection
@@ -29,7 +29,7 @@
         pressure: Pressure,
         grants: MemoryGrants,
         feedback: SlotFeedback,
-        dispatcher: QueryDispatcher,
+        attempts_in_flight: AttemptsInFlight,
     ):
         """Keeps no state of its own."""
         self.port = port
@@ -39,7 +39,7 @@
         self.pressure = pressure
         self.grants = grants
         self.feedback = feedback
-        self.dispatcher = dispatcher
+        self.attempts_in_flight = attempts_in_flight
 
     def on_attempt_ended(
         self,
@@ -65,7 +65,7 @@
         if attempt.outcome in MAY_RUN_ON and not self.permissions.may_cancel:
             self._release_later(reservation, took_ms, now_ms)
         else:
-            self.dispatcher.release(reservation)
+            self.attempts_in_flight.release(reservation)
 
     def _release_later(self, reservation: Reservation, took_ms: float, now_ms: float) -> None:
         """The engine works on for an unknown time: to the expected end, or for as long again if that is past.
@@ -74,8 +74,8 @@
         """
         slowdown_ratio = reservation.engine_state.slowdown_ratio or 1.0
         left_ms = max(slowdown_ratio * expected_runtime_ms(reservation.query) - took_ms, took_ms)
-        reservation.leave_total(self.dispatcher.in_flight)
-        self.port.call_at(now_ms + left_ms, lambda: self.dispatcher.release(reservation))
+        self.attempts_in_flight.leave_total(reservation)
+        self.port.call_at(now_ms + left_ms, lambda: self.attempts_in_flight.release(reservation))
 
     def _record_result(
         self, reservation: Reservation, took_ms: float, cost: ExecutionCost | None, now_ms: float
--- a/lichenquay/admission/constrained_groups.py
+++ b/lichenquay/admission/constrained_groups.py
@@ -51,9 +51,10 @@
     def update_spare_share(
         self, fleet: EngineFleet, engine_load: EngineLoad, active: Sequence[EngineState]
     ) -> None:
-        """Sets the spare share: what the constrained groups leave of their engines.
+        """Sets the spare share: what the constrained groups do not need of their engines' cores.
 
-        It counts in proportion to itself, or to the share of other engines that are full, if that is more.
+        It is scaled by itself, or by the share of the other engines that are full where that is more: the
+        fuller the others are, the more of what is spare is used.
         """
         work_ms = self.mean_work_ms * fleet.constrained_cores or 1.0
         needed_share = self.mean_constrained_work_ms * fleet.cores / work_ms
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -8,6 +8,7 @@
 from collections.abc import Sequence
 
 from lichenquay.admission.attempt_results import AttemptResults
+from lichenquay.admission.attempts_in_flight import AttemptsInFlight
 from lichenquay.admission.constrained_groups import ConstrainedGroups
 from lichenquay.admission.dispatch_checks import DispatchChecks
 from lichenquay.admission.domain import (
@@ -25,6 +26,7 @@
     Tenant,
 )
 from lichenquay.admission.endpoint_list import EndpointList, EndpointStaleness
+from lichenquay.admission.engine_choice import EngineChoice
 from lichenquay.admission.engine_evaluation import EngineEvaluation
 from lichenquay.admission.engine_fleet import EngineFleet
 from lichenquay.admission.engine_load import EngineLoad
@@ -134,10 +136,10 @@
         limits: SafetyLimits,
         capabilities: EngineCapabilities,
     ) -> None:
-        """Slots, memory grants, retries, and the dispatcher that asks them."""
+        """Slots, memory grants, retries, and the dispatcher that uses them."""
         gateway_share = 1.0 / max(1, gateway.gateway_count)
         interactive = interactive_groups(groups)
-        self.in_flight = InFlightTotals()
+        totals = InFlightTotals()
         self.waiting = WaitingQueries(groups)
         self.pressure = Pressure(groups, self.engine_load)
         self.memory_grants = MemoryGrants(capabilities, groups, interactive)
@@ -155,29 +157,40 @@
             self.waiting,
         )
         self.pooled_slots = PooledSlots(
-            self.fleet, self.capacity, self.pressure, memory_share, self.availability, self.in_flight
+            self.fleet, self.capacity, self.pressure, memory_share, self.availability, totals
         )
         self.feedback = SlotFeedback(self.fleet, self.engine_load, self.waiting, gateway_share)
         self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_turn_ms)
         self.checks = DispatchChecks(limits, self.retry_policy, self.slow_start)
-        self.dispatcher = QueryDispatcher(
-            self.port,
-            capabilities,
-            self.fleet,
-            self.staleness,
-            self.retry_policy,
+        self.engine_choice = EngineChoice(
             self.checks,
-            self.slow_start,
             self.selection,
-            self.outliers,
-            self.pressure,
             self.slot_table,
             self.availability,
             self.pooled_slots,
-            self.memory_grants,
+            self.outliers,
             memory_share,
+        )
+        self.attempts_in_flight = AttemptsInFlight(
+            self.port,
+            capabilities,
+            self.fleet,
+            totals,
+            self.slot_table,
+            self.pooled_slots,
+            self.memory_grants,
+            self.pressure,
+            self.retry_policy,
+            self.slow_start,
+        )
+        self.dispatcher = QueryDispatcher(
+            self.port,
+            self.fleet,
+            self.staleness,
+            self.retry_policy,
+            self.engine_choice,
+            self.attempts_in_flight,
             self.waiting,
-            self.in_flight,
             self.give_final_answer,
         )
 
@@ -212,7 +225,7 @@
             self.pressure,
             self.memory_grants,
             self.feedback,
-            self.dispatcher,
+            self.attempts_in_flight,
         )
         self.ticker = Ticker(self.port, self.fleet, scales.tick_interval_ms, self.tick)
 
@@ -312,12 +325,12 @@
     def tick(self) -> None:
         """Runs at each tick interval while anything is in flight or waiting."""
         now_ms = self.ticker.excuse_pause()
-        for state in list(self.dispatcher.busy):
+        for state in list(self.attempts_in_flight.busy):
             self.silence.check_engine(state, now_ms)
         self.evaluation.evaluate_if_due(now_ms)
         self.dispatcher.dispatch_waiting(now_ms)
         self.ticker.tick_is_over()
-        if self.dispatcher.busy or not self.waiting.is_empty():
+        if self.attempts_in_flight.busy or not self.waiting.is_empty():
             self.ticker.schedule(now_ms)
 
     def is_under_pressure(self) -> bool:
--- /dev/null
+++ b/lichenquay/admission/engine_choice.py
@@ -0,0 +1,117 @@
+"""Engine choice: which of the engines that are drawn gets a query, and with which kind of slot."""
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from lichenquay.admission.admission_slot import SlotKind
+from lichenquay.admission.bulk_loads import waits_for_lock, would_queue_too_long
+from lichenquay.admission.dispatch_checks import DispatchChecks
+from lichenquay.admission.domain import Effect, Query
+from lichenquay.admission.engine_selection import EngineSelection
+from lichenquay.admission.engine_state import EngineState
+from lichenquay.admission.memory_grants import MemoryShare
+from lichenquay.admission.outlier_detection import OutlierDetection
+from lichenquay.admission.pooled_slots import PooledSlots
+from lichenquay.admission.slot_availability import SlotAvailability
+from lichenquay.admission.slot_table import SlotTable
+
+
+class Objections(NamedTuple):
+    """What speaks against an engine, the most serious first; objections compare in this order."""
+
+    is_unresponsive: bool
+    has_outlying_errors: bool
+    waits_for_lock: bool
+    was_tried: bool  # by an earlier attempt of the query
+    has_minimum_slot_only: bool
+    is_overcommitted: bool
+
+
+@dataclass(frozen=True, slots=True)
+class Candidate:
+    """An engine that may get the query, and what speaks against it."""
+
+    state: EngineState
+    objections: Objections
+
+    @property
+    def slot_kind(self) -> SlotKind:
+        """The kind of slot that is free there."""
+        return SlotKind.MINIMUM if self.objections.has_minimum_slot_only else SlotKind.MAXIMUM
+
+
+class EngineChoice:
+    """Tests the engines in the order of the weighted draw."""
+
+    def __init__(
+        self,
+        checks: DispatchChecks,
+        selection: EngineSelection,
+        slot_table: SlotTable,
+        availability: SlotAvailability,
+        pooled_slots: PooledSlots,
+        outliers: OutlierDetection,
+        memory_share: MemoryShare,
+    ):
+        """Keeps no state of its own."""
+        self.checks = checks
+        self.selection = selection
+        self.slot_table = slot_table
+        self.availability = availability
+        self.pooled_slots = pooled_slots
+        self.outliers = outliers
+        self.memory_share = memory_share
+
+    def choose(self, query: Query, now_ms: float, only: EngineState | None = None) -> Candidate | None:
+        """The engine (or the engine `only`) that gets the query now; None: the query must wait.
+
+        It is the first engine drawn that has room and no objection, else the one with the least objections.
+        The fleet must not be empty.
+        """
+        pooled_kind = None
+        if self.slot_table.is_pooled(query.group):
+            pooled_kind = self.pooled_slots.free_kind(query, now_ms)
+            if pooled_kind is None:
+                return None
+        is_bulk_load = query.group.is_bulk_load
+        gateway_share = self.slot_table.gateway_share
+        may_send = self.checks.may_send
+        free_kind = self.availability.free_kind
+        is_any_responsive = only is not None
+        best: Candidate | None = None
+        for state in (only,) if only is not None else self.selection.draw(query, now_ms):
+            if not may_send(query, state, now_ms):
+                continue
+            if is_bulk_load and would_queue_too_long(query, state, gateway_share, now_ms):
+                continue
+            is_any_responsive = is_any_responsive or not state.is_unresponsive
+            kind = free_kind(query, state, now_ms, pooled_kind)
+            if kind is None or (state.is_unresponsive and not _may_probe(query, state, now_ms)):
+                continue
+            objections = self._objections(query, state, kind, now_ms)
+            if best is None or objections < best.objections:
+                best = Candidate(state, objections)
+            if not any(objections):
+                break
+        if best is not None and best.state.is_unresponsive and is_any_responsive:
+            return None
+        return best
+
+    def _objections(self, query: Query, state: EngineState, kind: SlotKind, now_ms: float) -> Objections:
+        return Objections(
+            is_unresponsive=state.is_unresponsive,
+            has_outlying_errors=self.outliers.has_outlying_errors(state, now_ms),
+            waits_for_lock=waits_for_lock(query, state, now_ms),
+            was_tried=any(attempt.engine is state.engine for attempt in query.attempts),
+            has_minimum_slot_only=kind is SlotKind.MINIMUM,
+            is_overcommitted=self.memory_share.would_overcommit(query, state),
+        )
+
+
+def _may_probe(query: Query, state: EngineState, now_ms: float) -> bool:
+    """Whether the query may be a probe of an unresponsive engine: read-only, one at a time, now and then.
+
+    An unresponsive engine is chosen only if no engine that may get the query is responsive. Without such
+    probes, a fleet that recovers would not be noticed.
+    """
+    return query.group.effect == Effect.READ_ONLY and now_ms >= state.next_probe_ms and not state.reservations
--- a/lichenquay/admission/engine_load.py
+++ b/lichenquay/admission/engine_load.py
@@ -55,7 +55,7 @@
         """Reported use of the engine, 1 where it is full; None without a fresh report.
 
         Where cores in use are not reported: the threads of its active queries, its disks, or a query that
-        waits for memory, whichever says most.
+        waits for memory, whichever gives the highest use.
         """
         report = self._fresh_report(state)
         if report is None or report.utilisation is not None:
--- a/lichenquay/admission/engine_subset.py
+++ b/lichenquay/admission/engine_subset.py
@@ -19,7 +19,7 @@
 
 
 class EngineSubset:
-    """The engines that are drawn from first: as many as our traffic keeps fresh, and warming ones of ours."""
+    """The engines drawn from first: as many as our traffic reaches, and warming ones of our share."""
 
     def __init__(self, fleet: EngineFleet, slow_start: SlowStart, report_lifetime_ms: float):
         """No query yet."""
--- a/lichenquay/admission/pressure.py
+++ b/lichenquay/admission/pressure.py
@@ -28,9 +28,8 @@
         self.engine_load = engine_load
         self.slowdowns = SlidingWindow(bucket_ms, SLOWDOWN_BUCKETS)  # of all our attempts
         self.best_slowdown: float | None = None  # least mean so far
-        self.memory_waits = SlidingWindow(
-            bucket_ms, MEMORY_WAIT_BUCKETS
-        )  # 1 for an attempt that waited first
+        # 1 for an attempt whose first progress event reported a wait for memory, 0 for another:
+        self.memory_waits = SlidingWindow(bucket_ms, MEMORY_WAIT_BUCKETS)
 
     def record_slowdown(self, slowdown: float, now_ms: float) -> None:
         """An attempt took `slowdown` times its expected runtime."""
--- a/lichenquay/admission/slot_availability.py
+++ b/lichenquay/admission/slot_availability.py
@@ -52,16 +52,17 @@
     def free_kind(
         self, query: Query, state: EngineState, now_ms: float, pooled_kind: SlotKind | None
     ) -> SlotKind | None:
-        """The kind of slot that is free for the query on the engine; None: it must not go there now.
+        """The kind of slot that is free for the query on the engine; None: it must not be sent there now.
 
         `pooled_kind`: what the pooled slots gave, for a group that uses them. Tested in this order:
 
-        1. an engine that made an attempt wait for memory gets only interactive queries for a while;
-        2. an engine that shed an attempt gets none for a while;
-        3. the query fits into our share of the engine (`_has_room`);
-        4. interactive queries and pooled ones need no slot of the engine, and without pressure none is
-           needed: a maximum slot (or the pooled kind);
-        5. under pressure, a slot of the engine is free (`kind_by_slot`).
+        1. An engine that made an attempt wait for memory gets only interactive queries for one progress
+           interval, as others would queue for its memory too.
+        2. An engine that shed an attempt gets none for a quarter of the shortest objective: it is overloaded.
+        3. The query must fit into our share of the engine (`_has_room`).
+        4. Without pressure no slot is needed, and interactive and pooled queries need none of the engine: the
+           result is a maximum slot, or the pooled kind.
+        5. Under pressure, one of the engine's slots must be free (`kind_by_slot`).
         """
         group = query.group
         is_interactive = group in self.interactive
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -103,9 +103,8 @@
         unreserved_mb = USABLE_MEMORY_SHARE * memory_mb - pools_mb
         pool_mb = slot.pool_mb or 0.0
         mean_grant_mb = slot.interval.granted_mb / results
-        needs_slots = slot.interval.waiting / results >= MIN_MEAN_WAITING and not self.engine_load.is_full(
-            state
-        )
+        is_contended = slot.interval.waiting / results >= MIN_MEAN_WAITING
+        needs_slots = is_contended and not self.engine_load.is_full(state)
         slot.meets_objective = False
         slot.delay_ms = 0.0
         if needs_slots and mean_grant_mb < unreserved_mb:
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -254,7 +254,7 @@
     attempt = gateway.in_flight()[0]
     state = gateway.state_of(attempt.engine)
     gateway.end_attempt(attempt, Outcome.TIMED_OUT)
-    total = gateway.controller.in_flight
+    total = gateway.controller.attempts_in_flight.totals
     assert state.in_flight.granted_mb == 1600.0 and total.granted_mb == 3 * 1600.0
     assert total.threads == 9 and total.interactive_threads == 0
     gateway.run_for(10_000.0)
