--- a/lichenquay/admission/engine_choice.py
+++ b/lichenquay/admission/engine_choice.py
@@ -77,6 +77,7 @@
         gateway_share = self.slot_table.gateway_share
         may_send = self.checks.may_send
         free_kind = self.availability.free_kind
+        tried = {attempt.engine for attempt in query.attempts}
         is_any_responsive = only is not None
         best: Candidate | None = None
         for state in (only,) if only is not None else self.selection.draw(query, now_ms):
@@ -88,7 +89,7 @@
             kind = free_kind(query, state, now_ms, pooled_kind)
             if kind is None or (state.is_unresponsive and not _may_probe(query, state, now_ms)):
                 continue
-            objections = self._objections(query, state, kind, now_ms)
+            objections = self._objections(query, state, kind, state.engine in tried, now_ms)
             if best is None or objections < best.objections:
                 best = Candidate(state, objections)
             if not any(objections):
@@ -97,12 +98,14 @@
             return None
         return best
 
-    def _objections(self, query: Query, state: EngineState, kind: SlotKind, now_ms: float) -> Objections:
+    def _objections(
+        self, query: Query, state: EngineState, kind: SlotKind, was_tried: bool, now_ms: float
+    ) -> Objections:
         return Objections(
             is_unresponsive=state.is_unresponsive,
             has_outlying_errors=self.outliers.has_outlying_errors(state, now_ms),
             waits_for_lock=waits_for_lock(query, state, now_ms),
-            was_tried=any(attempt.engine is state.engine for attempt in query.attempts),
+            was_tried=was_tried,
             has_minimum_slot_only=kind is SlotKind.MINIMUM,
             is_overcommitted=self.memory_share.would_overcommit(query, state),
         )
