--- a/lichenquay/admission/endpoint_list.py
+++ b/lichenquay/admission/endpoint_list.py
@@ -43,7 +43,11 @@
 
 
 class EndpointList:
-    """Applies changes of the endpoint list to the fleet."""
+    """Applies changes of the endpoint list to the fleet.
+
+    An engine that leaves the list is kept until our attempts there have ended; otherwise their reservations
+    would be lost, and the engine would look free if it comes back.
+    """
 
     def __init__(
         self,
@@ -65,9 +69,8 @@
         self.constrained_groups = constrained_groups
         self.table_affinity = table_affinity
         self.evaluation_interval_ms = evaluation_interval_ms
-        self.removed_in_use: dict[
-            Engine, bool
-        ] = {}  # an ordered set: off the list, attempts of ours run there
+        # An ordered set: engines off the list on which attempts of ours still run.
+        self.removed_in_use: dict[Engine, bool] = {}
 
     def update(self, engines: Sequence[Engine], whole: bool, now_ms: float) -> None:
         """Engines joined or changed; `whole`: these are all there are.
@@ -124,5 +127,5 @@
                 self.table_affinity.remove_engine(state)
 
     def poll_again(self) -> None:
-        """Discovery could not be reached: it is asked again after a while."""
+        """Discovery could not be reached: it is asked again after `poll_retry_ms`."""
         self.port.call_at(self.port.now_ms + self.poll_retry_ms, self.port.watch_endpoints)
--- a/lichenquay/admission/health_checks.py
+++ b/lichenquay/admission/health_checks.py
@@ -36,7 +36,10 @@
         self.credit = 0.0  # of checks for load reports, 1 at most
 
     def on_query_admitted(self, now_ms: float) -> None:
-        """Requests a load report for every third query, from the engine that was asked longest ago."""
+        """Requests a load report for every third query, from the engine that was asked longest ago.
+
+        Without it, engines that report in health checks alone would all count as average.
+        """
         self.credit = min(1.0, self.credit + CHECKS_PER_QUERY)
         if not self.are_reports_requested or self.credit < 1 or not self.fleet.states:
             return
@@ -47,7 +50,11 @@
             self.port.send_health_check(state.engine)
 
     def probe_if_unresponsive(self, state: EngineState, now_ms: float) -> None:
-        """Checks an unresponsive engine again after a while; no query there could show its recovery."""
+        """Checks an unresponsive engine again from time to time.
+
+        Such an engine gets no queries while others are responsive; without checks its recovery would go
+        unnoticed.
+        """
         is_due = state.is_unresponsive and now_ms >= state.next_probe_ms
         if is_due and self.may_check and _is_serving(state):
             state.next_probe_ms = now_ms + self.interval_ms
--- a/lichenquay/admission/interactive_groups.py
+++ b/lichenquay/admission/interactive_groups.py
@@ -8,7 +8,7 @@
 def interactive_groups(groups: Sequence[ResourceGroup]) -> frozenset[ResourceGroup]:
     """Groups that have no slots, no grant of ours, and the highest priority.
 
-    They use one thread, are no bulk loads, and their longest objective is shorter than some other group's.
+    They use one thread, are no bulk loads, and have a shorter longest objective than some other group.
     Their work is small against its value; waiting for slots would cost more than it protects. A deployment
     with one group has none.
     """
--- a/lichenquay/admission/progress_events.py
+++ b/lichenquay/admission/progress_events.py
@@ -55,7 +55,7 @@
     def _record_first_progress(
         self, reservation: Reservation, kind: ProgressKind, amount: float, now_ms: float
     ) -> None:
-        if not reservation.has_progress and reservation.group not in self.grants.interactive:
+        if not reservation.has_progress and not reservation.is_interactive:
             waits_for_memory = kind == ProgressKind.WAITING and amount == WaitReason.MEMORY
             self.pressure.record_first_progress(waits_for_memory, now_ms)
         reservation.has_progress = True
--- a/lichenquay/admission/table_affinity.py
+++ b/lichenquay/admission/table_affinity.py
@@ -13,7 +13,9 @@
 
 ENGINES_PER_ROLE = 2  # preferred engines for readers, and as many for bulk loads
 MAX_TABLE_GROUPS = 4096  # whose preferred engines are remembered
-PREFERRED_SHARE_DIVISOR = 5  # weight factor len/5: about a third of the draws, in a fleet of any size
+PREFERRED_SHARE_DIVISOR = (
+    5  # weights are multiplied by fleet size / 5: about a third of the draws, in any fleet
+)
 
 
 def affinity_key(table_group: str) -> Callable[[EngineState], int]:
