--- a/lichenquay/gateway/configuration.py
+++ b/lichenquay/gateway/configuration.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from lichenquay.connection_admission.limits import ConnectionRules
-from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection, flat
+from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection
 from lichenquay.gateway.errors import GatewayError
 
 CONFIG_VARIABLE = "BALANCER_CONFIG"  # the path of the platform's configuration
@@ -89,7 +89,7 @@
 def read_deployment_settings(settings: Any, seed: int) -> DeploymentSettings:
     """The deployment's settings as objects, from the parsed JSON. Errors: StartError."""
     try:
-        deployment_settings = DeploymentSettings(SettingsSection(flat(settings)), seed)
+        deployment_settings = DeploymentSettings(SettingsSection.from_json(settings), seed)
         if not deployment_settings.groups:
             raise SettingsError("no classes")
     except (SettingsError, AttributeError) as error:
--- a/lichenquay/gateway/engine_protocol.py
+++ b/lichenquay/gateway/engine_protocol.py
@@ -36,13 +36,6 @@
     amount: float
 
 
-class QueryCost(NamedTuple):
-    """What a completed query used."""
-
-    work_ms: float
-    memory_mb: float
-
-
 RESPONSIVE = ProgressEvent(domain.ProgressKind.RESPONSIVE, 0.0)
 
 
@@ -156,13 +149,13 @@
     return report or None
 
 
-def read_cost(reply: Reply) -> QueryCost | None:
+def read_cost(reply: Reply) -> domain.ExecutionCost | None:
     """What a completed query used; None where the engine does not say."""
     work_ms = _figure(reply, "x-cpu-ms")
     memory_mb = _figure(reply, "x-mem-used")
     if work_ms is None or memory_mb is None:
         return None
-    return QueryCost(work_ms, memory_mb)
+    return domain.ExecutionCost(work_ms, memory_mb)
 
 
 def _figure(reply, header):
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -243,8 +243,10 @@
     monkeypatch.setattr(service.time, "time", lambda: real() - 3600)
     world.discovery.add_event({**world.engines[0].row(), "boot_ms": (real() - 3600) * 1000})
     until(lambda: world.service.discovery.last_number == 2)
-    (engine_state,) = world.service.adapter.controller.fleet.values()
+    (engine_state,) = world.service.adapter.controller.fleet.states.values()
     assert (
-        world.service.adapter.controller.guards.warmth(engine_state.engine, world.service.adapter.clock_ms())
+        world.service.adapter.controller.slow_start.warm_share(
+            engine_state.engine, world.service.adapter.clock_ms()
+        )
         < 0.35
     )
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -68,7 +68,7 @@
         """The controller dispatches nothing, as the endpoint list may be stale."""
         self.adapter.endpoints_stale(2000.0)
         self.ask()
-        until(lambda: any(self.adapter.controller.slots.waiting.values()))
+        until(lambda: not self.adapter.controller.waiting.is_empty())
         self.resume = self.adapter.endpoints_confirmed
 
     def connecting(self):
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -21,7 +21,11 @@
 
 def unresponsive_engines(world):
     """The engines that the controller takes for unresponsive."""
-    return [stream.engine.id for stream in world.service.adapter.controller.fleet.values() if stream.silent]
+    return [
+        stream.engine.id
+        for stream in world.service.adapter.controller.fleet.states.values()
+        if stream.is_unresponsive
+    ]
 
 
 def test_an_engine_that_acknowledges_a_cancellation_is_responsive(make_world):
@@ -30,8 +34,8 @@
     client, world.engines[0].behaviours = world.client(), ["hold"]
     stream = client.ask("report", allow=4000)
     until(lambda: world.posts() == 1)
-    (engine_state,) = world.service.adapter.controller.fleet.values()
-    engine_state.silent = True
+    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    engine_state.is_unresponsive = True
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     wait_until_over(world)
     assert counter(world, "attempts cancelled") == 1
@@ -236,17 +240,16 @@
     row = {**world.engines[0].row(), "boot_ms": 1000 * time.time()}
     world.discovery.add_event(row)
     until(lambda: world.service.discovery.last_number == 2)
-    (engine_state,) = world.service.adapter.controller.fleet.values()
-    guards = world.service.adapter.controller.guards
+    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    slow_start = world.service.adapter.controller.slow_start
     delayed_connections, client, stream = ask_delayed(world, effort="20.0")
     (query,) = world.service.adapter.open_queries
     attempt, later = (
         query.attempts[0],
-        world.service.adapter.clock_ms() + 2 * guards.safety_limits.slow_start_window_ms,
-    )
-    engine_state.cold_sent.add(
-        later, guards.cold_budget(engine_state.engine, guards.warmth(engine_state.engine, later))
+        world.service.adapter.clock_ms() + 2 * slow_start.limits.slow_start_window_ms,
     )
+    budget_ms = slow_start.budget_ms(engine_state.engine, slow_start.warm_share(engine_state.engine, later))
+    engine_state.slow_start_work.add(later, budget_ms)
     query.deadline_ms = later + 1000
     assert not world.service.adapter.controller.may_dispatch(attempt, later)
     delayed_connections.resume()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,6 +11,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
+from lichenquay.admission.load_report import LoadReport
 from lichenquay.gateway import engine_protocol, frames
 from lichenquay.gateway.engine_call import EngineCall
 from lichenquay.gateway.engine_connection import EngineConnection
@@ -34,9 +35,14 @@
         and headers["X-Nice"] in "0123"
     )
     assert client.notices == [(frames.FrameType.READINESS, 9, b"\0\0")]
-    (engine_state,) = world.service.adapter.controller.fleet.values()
-    until(lambda: engine_state.report == {"active": 7.0})  # the end comes with its load report and cost
-    assert world.service.adapter.controller.slots.needed[world.service.settings.groups["report"]] == 64.0
+    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    until(
+        lambda: engine_state.report == LoadReport.from_fields({"active": 7.0})
+    )  # the end comes with its load report and cost
+    assert (
+        world.service.adapter.controller.memory_grants.mean_memory_mb[world.service.settings.groups["report"]]
+        == 64.0
+    )
     assert (
         world.service.metrics.counters["answers completed"] == 1
         and world.service.attempts.in_flight_count == 0
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -9,12 +9,13 @@
 from gateway_world import SETTINGS
 
 from lichenquay.admission import domain
-from lichenquay.deployment_settings import DeploymentSettings, SettingsSection, flat
+from lichenquay.deployment_settings import DeploymentSettings, SettingsSection
 from lichenquay.gateway import engine_protocol, frames, http
 from lichenquay.gateway.endpoint_events import EndpointListError, read_endpoint_list
 from lichenquay.gateway.log import Log
 from lichenquay.gateway.statement import table_group_of
-from lichenquay.simulator_adapter.codec import Fields
+from lichenquay.settings_section import flatten
+from lichenquay.simulator_adapter.codec import WireLine
 
 
 def fed(reader, data, cuts):
@@ -186,9 +187,10 @@
 
 def test_gateway_and_simulator_read_settings_alike():
     """From JSON and from the simulator's text."""
-    parts = flat(SETTINGS)
-    connection = "hello\t" + "\t".join(f"{n}={v}" for n, v in parts.items())
-    one, other = DeploymentSettings(SettingsSection(parts), 5), DeploymentSettings(Fields(1, connection), 5)
+    fields = flatten(SETTINGS)
+    line = "hello\t" + "\t".join(f"{n}={v}" for n, v in fields.items())
+    one = DeploymentSettings(SettingsSection.from_json(SETTINGS), 5)
+    other = DeploymentSettings(SettingsSection(WireLine(1, line).fields), 5)
     assert [vars(g) for g in one.groups.values()] == [vars(g) for g in other.groups.values()]
     assert (one.gateway, one.permissions, one.safety_limits, one.capabilities, one.sizes_by_kind) == (
         other.gateway,
