--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 from lease_audit import InvariantError
 from lease_broken import BROKEN
-from lease_explore import Budget, Explorer
+from lease_explore import Explorer
+from lease_explore_state import Budget
 from lease_faults import MAX_RECOVERY_MS, run_schedule, shape_of
 from lease_mutation import run_mutants
 
