--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -1,159 +1,205 @@
-"""Publishes the list of engines: what discovery announces becomes entries under `engine/`. No I/O.
+"""Publishes the endpoint list: what discovery announces becomes entries under `engine/`. No I/O.
 
 Each voter follows discovery; the one that holds the publisher's lease proposes what differs from what is
-published. So a new publisher goes on where the last one was, and one that lost its lease proposes nothing.
+published. So a new publisher continues where the last one stopped, and one that lost its lease proposes
+nothing.
 """
 
 from collections import Counter
+from collections.abc import Sequence
+from random import Random
 
 from lichenquay.admission import domain
 from lichenquay.config.distributed_values import CHECKS_BY_PREFIX
 from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import size_of
+from lichenquay.distribution.publisher import Publisher
 from lichenquay.distribution.validation import find_entry_error
+from lichenquay.endpoint_record import EndpointRecord
 
-LOOK_MS = 250.0  # between two looks at whether the lease is held
-RETRY_MS = 1000.0  # after a refusal
-MOST_UNDER_WAY = 64  # changes; a quarter of what the publisher takes, the rest is for operators
+LEASE_CHECK_INTERVAL_MS = 250.0
+RETRY_DELAY_MS = 1000.0  # After a change that was not accepted.
+MAX_PENDING_CHANGES = 64  # A quarter of what the publisher holds; the rest is for operators.
+REQUEST_NUMBER_BITS = 63
 
 
-class EngineImporter:
-    """`publisher`: this voter's. `log`: for the first of each row that cannot be published."""
+class EndpointImporter:
+    """Proposes the changes that bring the published endpoint list to the announced one."""
 
-    def __init__(self, publisher, rng, now_ms, log):
-        """Discovery has not answered yet: nothing is proposed."""
-        self.publisher, self.rng, self.log = publisher, rng, log
-        self.outbox, self.counts, self.due_ms = [], Counter(), now_ms
-        self._wanted, self._known = {}, False  # {key: value} as announced; whether all of it is
-        self._keys = {}  # {uid: key}
-        self._dirty = {}  # keys that may differ from what is published or proposed
-        self._generation, self._changes = 0, 0  # the lease's; changes under way
-        self._compared = False  # with all that is published, under this lease
+    def __init__(self, publisher: Publisher, rng: Random, now_ms: float, log):
+        """Start without an announcement: nothing is proposed until discovery has answered.
+
+        publisher: this voter's. log: a structlog logger; it gets the first invalid record and the first
+        change that was not accepted.
+        """
+        self.publisher = publisher
+        self.rng = rng
+        self.log = log
+        self.outbox = []
+        self.counts = Counter()
+        self.due_ms = now_ms
+        self._announced_values: dict[str, bytes] = {}  # By key.
+        self._has_whole_list = False
+        self._key_by_uid: dict[str, str] = {}
+        # Keys that may differ from what is published or proposed, in the order in which they changed.
+        self._changed_keys: dict[str, bool] = {}
+        self._generation = 0  # Of the lease; 0 while it is not held.
+        self._pending_changes = 0
+        self._is_compared = False  # With all that is published, under this lease.
         self._retry_ms = now_ms
 
-    def announced(self, now_ms, whole, rows):
-        """Rows of discovery: all there are, or those that changed."""
-        if whole:
-            named = {row.uid for row in rows}
-            for uid in [uid for uid in self._keys if uid not in named]:
-                self._forget(uid)
-        for row in rows:
-            self._take(row)
-        self._known = self._known or whole
+    # What discovery announces.
+
+    def on_endpoints(self, now_ms: float, is_whole: bool, records: Sequence[EndpointRecord]) -> None:
+        """Record an announcement: the whole list, or the records that changed. now_ms: milliseconds."""
+        if is_whole:
+            self._forget_all_but({record.uid for record in records})
+        for record in records:
+            self._record_endpoint(record)
+        self._has_whole_list = self._has_whole_list or is_whole
         self.due_ms = now_ms
 
-    def _take(self, row):
-        key = key_of(row)
-        if self._keys.get(row.uid, key) != key:  # in another zone: under one key at a time
-            self._forget(row.uid)
-        if row.state == domain.EndpointState.REMOVED:
-            self._forget(row.uid)
+    def _forget_all_but(self, uids):
+        missing = [uid for uid in self._key_by_uid if uid not in uids]
+        for uid in missing:
+            self._forget(uid)
+
+    def _record_endpoint(self, record):
+        key = key_of(record)
+        if self._key_by_uid.get(record.uid, key) != key:
+            # The engine is in another zone now; it is published under one key at a time.
+            self._forget(record.uid)
+        if record.state == domain.EndpointState.REMOVED:
+            self._forget(record.uid)
             return
-        entry = pb.Entry(key=key, value=value_of(row))
-        fault = find_entry_error(entry, CHECKS_BY_PREFIX)
-        if fault is not None:
-            if not self.counts["senseless"]:
-                self.log.warning("engines", why=fault)
-            self.counts["senseless"] += 1
+        value = value_of(record)
+        error = find_entry_error(pb.Entry(key=key, value=value), CHECKS_BY_PREFIX)
+        if error is not None:
+            self._count_invalid(error)
             return
-        self._keys[row.uid] = key
-        if self._wanted.get(key) != entry.value:
-            self._wanted[key] = entry.value
-            self._dirty[key] = True
+        self._key_by_uid[record.uid] = key
+        if self._announced_values.get(key) != value:
+            self._announced_values[key] = value
+            self._changed_keys[key] = True
+
+    def _count_invalid(self, error):
+        if not self.counts["invalid"]:
+            self.log.warning("engines", reason=error)
+        self.counts["invalid"] += 1
 
     def _forget(self, uid):
-        key = self._keys.pop(uid, None)
+        key = self._key_by_uid.pop(uid, None)
         if key is not None:
-            del self._wanted[key]
-            self._dirty[key] = True
+            del self._announced_values[key]
+            self._changed_keys[key] = True
 
-    # What the host calls.
+    # What the runtime calls.
 
-    def heard(self, now_ms, sender, message):
-        """Nobody speaks to it."""
+    def heard(self, now_ms: float, sender: tuple[str, int], message) -> None:
+        """Ignore a message: no process sends any to the importer."""
 
-    def tick(self, now_ms):
-        """Proposes what differs, while the lease is held."""
-        self.due_ms = now_ms + LOOK_MS
-        generation = self.publisher.group.generation if self.publisher.group.holds(now_ms) else 0
-        if generation != self._generation:
-            self._generation, self._changes, self._compared = generation, 0, False
-        if generation and self._known and not self._compared:
+    def tick(self, now_ms: float) -> None:
+        """Propose what differs while the lease is held. now_ms: milliseconds."""
+        self.due_ms = now_ms + LEASE_CHECK_INTERVAL_MS
+        self._update_generation(now_ms)
+        if not self._generation:
+            return
+        if self._has_whole_list and not self._is_compared:
             self._compare_all()
-        while self._may_propose(now_ms):
-            entries = self._next_entries()
-            if not entries:
-                break
-            self._propose(now_ms, entries, generation)
-        if generation and self._compared and not self._dirty and not self._changes:
-            self._tell_complete(now_ms, generation)
-
-    def _tell_complete(self, now_ms, generation):
-        """Once; fronts wait for it. Risk: they take the first engines that are published for all."""
-        if COMPLETE_KEY not in self.publisher.speculative_state.entries and now_ms >= self._retry_ms:
-            self._propose(now_ms, [pb.Entry(key=COMPLETE_KEY, value=COMPLETE)], generation)
+        self._propose_changes(now_ms)
+        if self._is_compared and not self._changed_keys and not self._pending_changes:
+            self._propose_completeness(now_ms)
 
-    def _may_propose(self, now_ms):
-        ready = self._generation and self._known and now_ms >= self._retry_ms
-        return ready and self._dirty and self._changes < MOST_UNDER_WAY
+    def _update_generation(self, now_ms):
+        group = self.publisher.group
+        generation = group.generation if group.holds(now_ms) else 0
+        if generation != self._generation:
+            self._generation = generation
+            self._pending_changes = 0
+            self._is_compared = False
 
     def _compare_all(self):
-        """Under a new lease: what others published counts, too."""
+        """Under a new lease, what earlier publishers published counts, too."""
         published = self.publisher.speculative_state.entries
-        theirs = (key for key in published if key.startswith(ENGINE_PREFIX) and key not in self._wanted)
-        self._dirty = dict.fromkeys([*theirs, *self._wanted], True)
-        self._compared = True
-
-    def _next_entries(self):
-        """Of the next change: as many as fit, in the order in which they changed."""
-        entries, settled, size = [], [], 0
-        for key in self._dirty:
-            entry = self._entry_of(key)
-            size += size_of(entry) if entry is not None else 0
-            if size > self.publisher.settings.most_change_bytes:
+        unannounced = [
+            key for key in published if key.startswith(ENGINE_PREFIX) and key not in self._announced_values
+        ]
+        self._changed_keys = dict.fromkeys([*unannounced, *self._announced_values], True)
+        self._is_compared = True
+
+    def _propose_changes(self, now_ms):
+        while self._may_propose(now_ms):
+            entries = self._take_next_entries()
+            if not entries:
+                return
+            self._propose(now_ms, entries)
+
+    def _may_propose(self, now_ms):
+        if not self._has_whole_list or now_ms < self._retry_ms:
+            return False
+        return bool(self._changed_keys) and self._pending_changes < MAX_PENDING_CHANGES
+
+    def _propose_completeness(self, now_ms):
+        """Gateways wait for this marker; without it they take the first published engines for all."""
+        is_published = COMPLETE_KEY in self.publisher.speculative_state.entries
+        if not is_published and now_ms >= self._retry_ms:
+            self._propose(now_ms, [pb.Entry(key=COMPLETE_KEY, value=COMPLETE)])
+
+    def _take_next_entries(self):
+        """The entries of the next change: as many as fit, in the order in which they changed."""
+        entries = []
+        compared_keys = []
+        size_bytes = 0
+        for key in self._changed_keys:
+            entry = self._difference(key)
+            if entry is not None:
+                size_bytes += size_of(entry)
+            if size_bytes > self.publisher.settings.most_change_bytes:
                 break
-            settled.append(key)
+            compared_keys.append(key)
             if entry is not None:
                 entries.append(entry)
-        for key in settled:
-            del self._dirty[key]
+        for key in compared_keys:
+            del self._changed_keys[key]
         return entries
 
-    def _entry_of(self, key):
-        """What brings a key to what is wanted; None where it is that already."""
+    def _difference(self, key):
+        """The entry that brings a key to what is announced; None where the two agree."""
         published = self.publisher.speculative_state.entries.get(key)
-        wanted = self._wanted.get(key)
-        if wanted is None:
+        announced_value = self._announced_values.get(key)
+        if announced_value is None:
             return pb.Entry(key=key, deleted=True) if published is not None else None
-        if published is not None and published[0] == wanted:
+        if published is not None and published.value == announced_value:
             return None
-        return pb.Entry(key=key, value=wanted)
+        return pb.Entry(key=key, value=announced_value)
 
-    def _propose(self, now_ms, entries, generation):
-        self._changes += 1
+    def _propose(self, now_ms, entries):
+        self._pending_changes += 1
+        generation = self._generation
 
-        def done(at_ms, proposed):
-            self._done(at_ms, entries, generation, proposed)
+        def on_outcome(at_ms, proposed):
+            self._on_outcome(at_ms, entries, generation, proposed)
 
-        self.publisher.propose(now_ms, entries, self.rng.getrandbits(63) + 1, done)
+        request = self.rng.getrandbits(REQUEST_NUMBER_BITS) + 1
+        self.publisher.propose(now_ms, entries, request, on_outcome)
 
-    def _done(self, now_ms, entries, generation, proposed):
+    def _on_outcome(self, now_ms, entries, generation, proposed):
         self.counts[pb.Proposed.Outcome.Name(proposed.outcome).lower()] += 1
         if generation != self._generation:
-            return  # all is compared anew
-        self._changes -= 1
+            return  # Under the next lease everything is compared again.
+        self._pending_changes -= 1
         if proposed.outcome == pb.Proposed.ACCEPTED:
             self.due_ms = min(self.due_ms, now_ms)
             return
         if self.counts["refused"] + self.counts["unknown"] == 1:
-            self.log.warning("engines", why=proposed.reason)
-        self._dirty |= {entry.key: True for entry in entries if entry.key != COMPLETE_KEY}
-        self._retry_ms = now_ms + RETRY_MS
+            self.log.warning("engines", reason=proposed.reason)
+        self._changed_keys |= {entry.key: True for entry in entries if entry.key != COMPLETE_KEY}
+        self._retry_ms = now_ms + RETRY_DELAY_MS
 
-    def lines(self):
-        """For SIGUSR1."""
+    def lines(self) -> list[str]:
+        """Counters for SIGUSR1, one a line."""
         return [
-            f"engines announced {len(self._wanted)} to be published {len(self._dirty)}",
-            *(f"engine changes {what}: {number}" for what, number in sorted(self.counts.items())),
+            f"engines announced {len(self._announced_values)} to be published {len(self._changed_keys)}",
+            *(f"engine changes {outcome}: {count}" for outcome, count in sorted(self.counts.items())),
         ]
--- /dev/null
+++ b/lichenquay/control_plane/errors.py
@@ -0,0 +1,13 @@
+"""Errors of the control plane. The text of each is one line."""
+
+
+class ControlPlaneError(Exception):
+    """Base class of all errors of this package."""
+
+
+class CannotStartError(ControlPlaneError):
+    """A process lacks something that it needs to start; the text names it."""
+
+
+class NoAnswerError(ControlPlaneError):
+    """No voter gave a final answer in time: a proposed change may have been committed or not."""
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -13,7 +13,7 @@
 from lichenquay.config.distributed_values import CHECKS_BY_PREFIX as CHECKS
 from lichenquay.config.distribution_settings import distribution_fingerprint, distribution_settings
 from lichenquay.config.fleet_settings import parse_address
-from lichenquay.control_plane.endpoint_importer import EngineImporter
+from lichenquay.control_plane.endpoint_importer import EndpointImporter
 from lichenquay.control_plane.lease_candidate import Candidate
 from lichenquay.control_plane.report import publisher_lines, relay_lines
 from lichenquay.distribution import distribution_pb2, publisher
@@ -147,7 +147,7 @@
 
     def import_engines(self, now_ms):
         """The list of engines is followed here, and published while this voter holds the lease."""
-        self.importer = self.parts[IMPORTER] = EngineImporter(self.publisher, self.rng, now_ms, self.log)
+        self.importer = self.parts[IMPORTER] = EndpointImporter(self.publisher, self.rng, now_ms, self.log)
         discovery = Discovery(NO_EVENTS, self.announced, self.tell_discovery)
         host, port = parse_address(self.settings.discovery)
         self.discovery = DiscoveryFactory(self.reactor, discovery, host, port, CONNECT_MS)
@@ -155,7 +155,7 @@
     def announced(self, whole, rows):
         """Discovery's word."""
         if not self.closed:
-            self.importer.announced(self.now_ms(), whole, rows)
+            self.importer.on_endpoints(self.now_ms(), whole, rows)
             self.turn()
 
     def tell_discovery(self, kind, line):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
     "test_engine_connections",
     "test_membership",
     "test_storage",
-    "test_engine_importer",
+    "test_endpoint_importer",
     "test_lease",
     "test_quota",
     "test_migration",
