--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -6,7 +6,8 @@
 
 from lichenquay.cli import console
 from lichenquay.config.fleet_settings import NAME_PATTERN, parse_address
-from lichenquay.control_plane.client import Client, NoAnswerError
+from lichenquay.control_plane.client import Client
+from lichenquay.control_plane.errors import NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.validation import find_entry_error
 
@@ -96,11 +97,11 @@
     """Show what is accepted, and what is in force everywhere."""
     try:
         with Client(fleet, voters, seconds) as client:
-            found = client.status()
-    except NoAnswerError as why:
-        raise click.ClickException(str(why)) from None
-    figures = {field: getattr(found, field) for field in STATUS_FIELDS}
-    figures["digest"] = f"{found.digest:016x}"
+            answer = client.status()
+    except NoAnswerError as error:
+        raise click.ClickException(str(error)) from None
+    figures = {field: getattr(answer, field) for field in STATUS_FIELDS}
+    figures["digest"] = f"{answer.digest:016x}"
     console.write_json(json_path, figures)
     console.print_table(
         f"fleet {fleet}", [(name.replace("_", " "), value) for name, value in figures.items()]
@@ -114,8 +115,8 @@
     try:
         with Client(fleet, voters, seconds) as client:
             proposed = client.propose([entry])
-    except NoAnswerError as why:
-        exit_with("in doubt", 0, f"it may have been made or not; {why}", IN_DOUBT, json_path)
+    except NoAnswerError as error:
+        exit_with("in doubt", 0, f"it may have been made or not; {error}", IN_DOUBT, json_path)
     if proposed.outcome == pb.Proposed.REFUSED:
         exit_with("refused", 0, proposed.reason, REJECTED, json_path)
     console.write_json(json_path, {"outcome": "accepted", "version": proposed.version, "reason": ""})
@@ -134,5 +135,5 @@
         return value.encode()
     try:
         return Path(path).read_bytes()
-    except OSError as why:
-        raise click.ClickException(f"{path}: {why.strerror}") from None
+    except OSError as error:
+        raise click.ClickException(f"{path}: {error.strerror}") from None
--- a/lichenquay/control_plane/client.py
+++ b/lichenquay/control_plane/client.py
@@ -1,93 +1,128 @@
-"""Asks the voters, whichever of them publishes: one blocking socket, for the command line and for tests."""
+"""Asks the voters, whichever of them publishes, over one blocking socket: for the command line and tests."""
 
 import random
 import socket
 import time
+from collections.abc import Callable, Iterable, Sequence
+from typing import NamedTuple, Self
 
 from google.protobuf.message import DecodeError
 
 from lichenquay.config.distribution_settings import distribution_fingerprint
+from lichenquay.control_plane.errors import NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
 
-ANSWER_S = 0.4  # for one voter's answer; then the next one is asked
-REDIRECT_S = 0.05  # before the next question after `not the leader`: an election may be under way
-ANYBODY = ""  # the receiver, of whom only the address is known
+DEFAULT_TIMEOUT_S = 10.0
+ANSWER_TIMEOUT_S = 0.4  # For one voter; then the next one is asked.
+REDIRECT_DELAY_S = 0.05  # After an answer that is not final: an election may be under way.
+REQUEST_NUMBER_BITS = 63
+CLIENT_NUMBER_BITS = 48
+ANY_RECEIVER = ""  # Only the address of the receiver is known.
+NO_ANSWER = "no voter answered"
+FINAL_OUTCOMES = (pb.Proposed.ACCEPTED, pb.Proposed.REFUSED)
 
+Address = tuple[str, int]
 
-class NoAnswerError(Exception):
-    """No voter gave a final answer in time. The text is one line."""
 
+class Request(NamedTuple):
+    """A message to the voters, and which part of an answer is final.
+
+    `read_final(message)` returns the final answer, or None where the message has none.
+    """
+
+    number: int
+    message: pb.Message
+    read_final: Callable[[pb.Message], pb.Proposed | pb.Status | None]
 
-class Client:
-    """A context. `voters`: [(host, port)]."""
 
-    def __init__(self, fleet, voters, seconds=10.0, rng=None):
-        """`seconds`: for each call."""
-        self.voters, self.seconds, self.rng = list(voters), seconds, rng or random.SystemRandom()
-        name = f"client-{self.rng.getrandbits(48):012x}"
+class Client:
+    """A context manager; on leaving it, the socket is closed."""
+
+    def __init__(
+        self,
+        fleet: str,
+        voters: Iterable[Address],
+        timeout_s: float = DEFAULT_TIMEOUT_S,
+        rng: random.Random | None = None,
+    ):
+        """Open a socket.
+
+        fleet: the fleet's name. voters: the (host, port) of some voters or all. timeout_s: for each call, in
+        seconds.
+        """
+        self.voters = list(voters)
+        self.timeout_s = timeout_s
+        self.rng = rng or random.SystemRandom()
+        name = f"client-{self.rng.getrandbits(CLIENT_NUMBER_BITS):012x}"
         layers = {DISTRIBUTION: distribution_fingerprint(fleet)}
         self.envelope = Envelope(fleet, 0, name, (), layers)
         self.incarnation = int(time.time() * 1000)
-        self.known = {}  # {voter's name: address}, by its answers
-        self.socket = socket.socket(_family(self.voters), socket.SOCK_DGRAM)
+        self.address_by_voter: dict[str, Address] = {}  # Learned from answers.
+        self.socket = socket.socket(_address_family(self.voters), socket.SOCK_DGRAM)
 
-    def __enter__(self):
-        """Itself."""
+    def __enter__(self) -> Self:
+        """Return the client itself."""
         return self
 
-    def __exit__(self, *_):
-        """The socket is closed."""
+    def __exit__(self, *_) -> None:
+        """Close the socket."""
         self.socket.close()
 
-    def propose(self, entries, request=None):
-        """The publisher's `Proposed`, ACCEPTED or REFUSED. NoAnswerError: it may have been made or not.
+    def propose(self, entries: Sequence[pb.Entry], request: int | None = None) -> pb.Proposed:
+        """Return the publisher's answer to a change, ACCEPTED or REFUSED.
 
-        A repeat goes with the same request number, so that the change is made once.
+        A repeat has the same `request` number, so that the change is made once. Errors: NoAnswerError; the
+        change may have been made or not.
         """
-        request = request or self.rng.getrandbits(63) + 1
-        question = pb.Message(propose=pb.Propose(request=request, entries=entries))
-        return self._ask(question, request, _final_outcome)
-
-    def status(self):
-        """The publisher's `Status`. Errors: NoAnswerError."""
-        request = self.rng.getrandbits(63) + 1
-        question = pb.Message(status_request=pb.StatusRequest(request=request))
-        return self._ask(question, request, _status)
-
-    def _ask(self, question, request, final):
-        """One voter after the other, until `final(message)` gives something."""
-        end = time.monotonic() + self.seconds
-        turn, target, last = 0, self.voters[0], "nobody answered"
-        while time.monotonic() < end:
-            self._send(question, target)
-            message = self._answer(request, min(end, time.monotonic() + ANSWER_S))
-            answer = None if message is None else final(message)
-            if answer is not None:
-                return answer
+        number = request or self._new_request_number()
+        message = pb.Message(propose=pb.Propose(request=number, entries=entries))
+        return self._call(Request(number, message, _read_final_outcome))
+
+    def status(self) -> pb.Status:
+        """Return the publisher's status. Errors: NoAnswerError."""
+        number = self._new_request_number()
+        message = pb.Message(status_request=pb.StatusRequest(request=number))
+        return self._call(Request(number, message, _read_status))
+
+    def _new_request_number(self):
+        return self.rng.getrandbits(REQUEST_NUMBER_BITS) + 1
+
+    def _call(self, request):
+        """Ask one voter after the other until an answer is final."""
+        deadline_s = time.monotonic() + self.timeout_s
+        attempts = 0
+        target = self.voters[0]
+        last_problem = NO_ANSWER
+        while time.monotonic() < deadline_s:
+            self._send(request.message, target)
+            message = self._receive(request.number, min(deadline_s, time.monotonic() + ANSWER_TIMEOUT_S))
+            final_answer = None if message is None else request.read_final(message)
+            if final_answer is not None:
+                return final_answer
             if message is not None:
-                last = _why(message)
-                time.sleep(min(REDIRECT_S, max(0.0, end - time.monotonic())))
-            turn += 1
-            target = self._leader(message) or self.voters[turn % len(self.voters)]
-        raise NoAnswerError(f"no final answer within {self.seconds:g} s: {last}")
-
-    def _leader(self, message):
-        """Where the leader is that an answer names, if that is known by now."""
+                last_problem = _describe_problem(message)
+                time.sleep(min(REDIRECT_DELAY_S, max(0.0, deadline_s - time.monotonic())))
+            attempts += 1
+            target = self._leader_address(message) or self.voters[attempts % len(self.voters)]
+        raise NoAnswerError(f"no final answer within {self.timeout_s:g} s: {last_problem}")
+
+    def _leader_address(self, message):
+        """The address of the leader that an answer names, if it is known by now."""
         if message is None or message.WhichOneof("kind") != "not_leader":
             return None
-        return self.known.get(message.not_leader.leader)
+        return self.address_by_voter.get(message.not_leader.leader)
 
     def _send(self, message, address):
-        data = self.envelope.seal(self.incarnation, ANYBODY, DISTRIBUTION, message.SerializeToString())
+        data = self.envelope.seal(self.incarnation, ANY_RECEIVER, DISTRIBUTION, message.SerializeToString())
         try:
             self.socket.sendto(data, address)
-        except OSError:  # as good as lost
-            return
+        except OSError:
+            return  # The same as a lost datagram: the next voter is asked.
 
-    def _answer(self, request, until):
-        """The next message on this request, None if none comes in time."""
-        while (left_s := until - time.monotonic()) > 0:
+    def _receive(self, request_number, deadline_s):
+        """The next answer to a request, None if there is none in time."""
+        while (left_s := deadline_s - time.monotonic()) > 0:
             self.socket.settimeout(left_s)
             try:
                 data, address = self.socket.recvfrom(MOST + 1)
@@ -95,33 +130,34 @@
                 message = pb.Message.FromString(body)
             except (OSError, Dropped, DecodeError):
                 continue
-            self.known[name] = address
-            if request in _requests_of(message):
+            self.address_by_voter[name] = address
+            if request_number in _request_numbers_of(message):
                 return message
         return None
 
 
-def _family(voters):
-    return socket.AF_INET6 if any(":" in host for host, _ in voters) else socket.AF_INET
+def _address_family(addresses):
+    has_ipv6 = any(":" in host for host, _ in addresses)
+    return socket.AF_INET6 if has_ipv6 else socket.AF_INET
 
 
-def _requests_of(message):
-    """The request numbers that a message may answer."""
+def _request_numbers_of(message):
+    """The request numbers that a message may answer; `not_leader` has the number in `session`."""
     body = getattr(message, message.WhichOneof("kind") or "unknown")
     return {getattr(body, "request", 0), getattr(body, "session", 0)} - {0}
 
 
-def _final_outcome(message):
-    final = message.proposed.outcome in (pb.Proposed.ACCEPTED, pb.Proposed.REFUSED)
-    return message.proposed if message.HasField("proposed") and final else None
+def _read_final_outcome(message):
+    is_final = message.HasField("proposed") and message.proposed.outcome in FINAL_OUTCOMES
+    return message.proposed if is_final else None
 
 
-def _status(message):
+def _read_status(message):
     return message.status if message.HasField("status") else None
 
 
-def _why(message):
-    """An answer that is not final, in words."""
+def _describe_problem(message):
+    """Why an answer is not final."""
     if message.HasField("not_leader"):
         return f"the leader is {message.not_leader.leader or 'not known'}"
     return message.proposed.reason or "no outcome yet"
--- a/tests/distribution/changes.py
+++ b/tests/distribution/changes.py
@@ -7,7 +7,8 @@
 from installation import FLEET
 from running import until
 
-from lichenquay.control_plane.client import Client, NoAnswerError
+from lichenquay.control_plane.client import Client
+from lichenquay.control_plane.errors import NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
 
 HOT_KEY = "config/hot"  # all clients change it
