--- a/lichenquay/control_plane/__main__.py
+++ b/lichenquay/control_plane/__main__.py
@@ -11,7 +11,7 @@
 
 from lichenquay.control_plane.service import CannotStartError, Service  # noqa: E402
 
-# Risk: the reactor's own clock is the wall's; where that steps back an hour, nothing due happens for an hour.
+# The reactor uses the wall clock by default; a step back of an hour would delay all timers by an hour.
 reactor.seconds = time.monotonic
 sys.exit(
     run_service("lichenquay.control_plane", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError)
--- a/lichenquay/control_plane/lease_candidate.py
+++ b/lichenquay/control_plane/lease_candidate.py
@@ -1,27 +1,29 @@
-"""When a voter acquires the publisher's lease. No I/O: a part of the host like any other."""
+"""Decides when a voter acquires the publisher's lease. No I/O."""
 
-CHECK_INTERVAL_MS = 250.0  # between two checks of who holds the lease
-MAX_SILENT_LEASES = 1.0  # without a heartbeat of the holder; then others acquire the lease
+from lichenquay.lease.group import LeaseGroup
 
+CHECK_INTERVAL_MS = 250.0
+MAX_SILENT_LEASES = 1.0  # Lease durations without a heartbeat of the holder; then others acquire the lease.
 
-class Candidate:
+
+class LeaseCandidate:
     """Makes the group a candidate for the lease while no active holder is known."""
 
-    def __init__(self, group, now_ms):
-        """Checks at once."""
+    def __init__(self, group: LeaseGroup, now_ms: float):
+        """Check at the first tick. now_ms: milliseconds."""
         self.group = group
         self.due_ms = now_ms
         self.outbox = []
-        self.leaving = False
+        self.is_leaving = False
 
-    def tick(self, now_ms):
-        """Checks who holds the lease."""
+    def tick(self, now_ms: float) -> None:
+        """Check who holds the lease. now_ms: milliseconds."""
         self.due_ms = now_ms + CHECK_INTERVAL_MS
-        self.group.set_candidate(now_ms, self._is_vacant(now_ms) and not self.leaving)
+        self.group.set_candidate(now_ms, self._is_vacant(now_ms) and not self.is_leaving)
 
-    def leave(self, now_ms):
-        """Releases the lease: others may acquire it at once, and this process does not again."""
-        self.leaving = True
+    def leave(self, now_ms: float) -> None:
+        """Release the lease: others may acquire it at once, and this process does not again."""
+        self.is_leaving = True
         self.group.release(now_ms)
 
     def _is_vacant(self, now_ms):
--- a/lichenquay/control_plane/report.py
+++ b/lichenquay/control_plane/report.py
@@ -1,45 +1,62 @@
-"""What a control process shows of its parts, as lines of text."""
+"""The state of a control process as lines of text, for SIGUSR1."""
 
+from collections.abc import Mapping
+
+from lichenquay.distribution import distribution_pb2 as pb
+from lichenquay.distribution.publisher import Publisher
+from lichenquay.distribution.relay import Relay
 from lichenquay.fleet.applied_configuration import subscriber_lines
+from lichenquay.lease.group import LeaseGroup
 
 
-def publisher_lines(group, publisher, now_ms):
-    """A voter's: its part in the group, and what is published while it holds the lease."""
-    voter, leadership, source = group.voter, group.leadership, publisher.source
-    holder, generation = group.holder
+def voter_lines(group: LeaseGroup, publisher: Publisher, now_ms: float) -> list[str]:
+    """Return a voter's lines: its part in the group, and what it publishes while it holds the lease."""
     lines = [
-        f"lease {'holds' if group.holds(now_ms) else 'follows'} {holder or '-'} generation {generation}",
-        f"group {leadership.phase} promised {voter.promise.generation} to {voter.promise.name or '-'} "
-        f"record {voter.log.index} {'recovering ' * voter.is_recovering}"
-        f"waits {max(0.0, voter.no_grants_until_ms - now_ms):.0f}",
-        *_count_lines("leadership", leadership.counts),
-        *_count_lines("votes", voter.counts),
+        _lease_line(group, now_ms),
+        _group_line(group, now_ms),
+        *_count_lines("leadership", group.leadership.counts),
+        *_count_lines("votes", group.voter.counts),
     ]
     if group.holds(now_ms):
-        lines += status_lines(publisher.status(now_ms))
-    return lines + _count_lines("source", source.counts)
+        lines += _status_lines(publisher.status(now_ms))
+    return lines + _count_lines("source", publisher.source.counts)
 
 
-def status_lines(status):
-    """What is accepted, and what is in force where."""
+def relay_lines(relay: Relay, now_ms: float) -> list[str]:
+    """Return a relay's lines: what it holds, and what its subscribers have in force."""
+    coverage = relay.source.coverage(now_ms)
     return [
-        f"published newest {status.newest} generation {status.generation} digest {status.digest:016x}",
-        f"published in force {status.in_force} subscribers {status.subscribers} refused {status.refused} "
-        f"stale {status.stale}",
-        f"published keys {status.keys} bytes {status.bytes}",
+        *subscriber_lines(relay.subscriber, now_ms),
+        f"downstream in force {coverage.oldest} subscribers {coverage.subscribers} "
+        f"refused {coverage.refused} stale {coverage.stale}",
+        *_count_lines("source", relay.source.counts),
     ]
 
 
-def relay_lines(relay, now_ms):
-    """A relay's: what it holds, and what its subscribers have in force."""
-    coverage = relay.source.coverage(now_ms)
+def _lease_line(group, now_ms):
+    relation = "holds" if group.holds(now_ms) else "follows"
+    return f"lease {relation} {group.holder.name or '-'} generation {group.holder.generation}"
+
+
+def _group_line(group, now_ms):
+    voter = group.voter
+    recovering = "recovering " if voter.is_recovering else ""
+    wait_ms = max(0.0, voter.no_grants_until_ms - now_ms)
+    return (
+        f"group {group.leadership.phase} promised {voter.promise.generation} to {voter.promise.name or '-'} "
+        f"record {voter.log.index} {recovering}waits {wait_ms:.0f}"
+    )
+
+
+def _status_lines(status: pb.Status) -> list[str]:
+    """What is accepted, and what is in force where."""
     return [
-        *subscriber_lines(relay.subscriber, now_ms),
-        f"below in force {coverage.oldest} subscribers {coverage.subscribers} refused {coverage.refused} "
-        f"stale {coverage.stale}",
-        *_count_lines("source", relay.source.counts),
+        f"published newest {status.newest} generation {status.generation} digest {status.digest:016x}",
+        f"published in force {status.in_force} subscribers {status.subscribers} "
+        f"refused {status.refused} stale {status.stale}",
+        f"published keys {status.keys} bytes {status.bytes}",
     ]
 
 
-def _count_lines(of, counts):
-    return [f"{of} {what}: {number}" for what, number in sorted(counts.items())]
+def _count_lines(prefix: str, counts: Mapping[str, int]) -> list[str]:
+    return [f"{prefix} {name}: {count}" for name, count in sorted(counts.items())]
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -2,74 +2,91 @@
 
 import signal
 import sys
+from collections.abc import Sequence
+from enum import StrEnum
 
+from lichenquay.config.control_settings import VOTER
 from lichenquay.config.errors import ConfigurationError
 from lichenquay.config.reader import read_control, read_file
-from lichenquay.control_plane.runtime import control_of
+from lichenquay.control_plane.errors import CannotStartError
+from lichenquay.control_plane.relay_runtime import RelayRuntime
+from lichenquay.control_plane.runtime import ControlRuntime
+from lichenquay.control_plane.voter_runtime import VoterRuntime
 from lichenquay.process import install_signal_handlers
 
-STARTING, SERVING, LEAVING, ENDED = "starting", "serving", "leaving", "ended"
-LOOK_S = 0.02  # between two looks at whether leaving is over
+LEAVE_CHECK_INTERVAL_S = 0.02
 
 
-class CannotStartError(Exception):
-    """Something that the process needs is missing; the text names it, in one line."""
+class ServicePhase(StrEnum):
+    """Where a control process is between its start and its exit."""
+
+    STARTING = "starting"
+    SERVING = "serving"
+    LEAVING = "leaving"
+    ENDED = "ended"
+
+
+def make_runtime(reactor, process_settings) -> ControlRuntime:
+    """Return the runtime of the role that a checked settings file names."""
+    runtime_type = VoterRuntime if process_settings.control.role == VOTER else RelayRuntime
+    return runtime_type(reactor, process_settings)
 
 
 class Service:
-    """Reads the settings, and runs what they speak of."""
+    """Reads the settings, and runs the process that they describe."""
 
-    def __init__(self, reactor, arguments):
-        """`arguments`: the settings file alone. Errors: CannotStartError."""
+    def __init__(self, reactor, arguments: Sequence[str]):
+        """Read the settings. arguments: the path of the settings file alone. Errors: CannotStartError."""
         if len(arguments) != 1:
-            raise CannotStartError("one settings file is wanted")
+            raise CannotStartError(f"expected one argument, the settings file, not {len(arguments)}")
         try:
-            said = read_file(arguments[0], read_control)
-        except ConfigurationError as bad:
-            raise CannotStartError(str(bad)) from None
-        self.reactor, self.state = reactor, STARTING
-        self.host = control_of(reactor, said)
-
-    def start(self):
-        """Folder and socket are had, or CannotStartError; the rest follows once the reactor runs."""
-        why = self.host.open()
-        if why:
-            raise CannotStartError(why)
+            process_settings = read_file(arguments[0], read_control)
+        except ConfigurationError as error:
+            raise CannotStartError(str(error)) from None
+        self.reactor = reactor
+        self.phase = ServicePhase.STARTING
+        self.runtime = make_runtime(reactor, process_settings)
+
+    def start(self) -> None:
+        """Open folder and socket; serve once the reactor runs. Errors: CannotStartError."""
+        problem = self.runtime.open()
+        if problem:
+            raise CannotStartError(problem)
         self.reactor.callWhenRunning(self.run)
 
-    def run(self):
-        """Serves, and hears signals."""
-        calls = {
+    def run(self) -> None:
+        """Serve, and handle signals."""
+        handlers = {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
             signal.SIGUSR1: self.log_counters,
-            signal.SIGHUP: self.tell_settings_stay,
+            signal.SIGHUP: self.log_settings_unchanged,
         }
-        install_signal_handlers(self.reactor, calls)
-        self.host.begin()
-        self.state = SERVING
-
-    def leave(self):
-        """In order; a second signal changes nothing."""
-        if self.state == SERVING:
-            self.state = LEAVING
-            self.host.leave()
+        install_signal_handlers(self.reactor, handlers)
+        self.runtime.begin()
+        self.phase = ServicePhase.SERVING
+
+    def leave(self) -> None:
+        """Leave in order (SIGTERM, SIGINT); a second signal changes nothing."""
+        if self.phase == ServicePhase.SERVING:
+            self.phase = ServicePhase.LEAVING
+            self.runtime.leave()
             self.end_when_over()
 
-    def end_when_over(self):
-        """Looks until the host has said all that it had to."""
-        if not self.host.is_over():
-            self.reactor.callLater(LOOK_S, self.end_when_over)
+    def end_when_over(self) -> None:
+        """End the process once the runtime has left; check again a little later until then."""
+        if not self.runtime.is_over():
+            self.reactor.callLater(LEAVE_CHECK_INTERVAL_S, self.end_when_over)
             return
-        self.state = ENDED
-        self.host.close()
+        self.phase = ServicePhase.ENDED
+        self.runtime.close()
         self.reactor.stop()
 
-    def log_counters(self):
-        """SIGUSR1: counters and what is in force, as lines on standard error."""
-        for line in [*self.host.lines(), f"state: {self.state}"]:
+    def log_counters(self) -> None:
+        """Print counters and what is in force on standard error, one a line (SIGUSR1)."""
+        for line in [*self.runtime.lines(), f"state: {self.phase}"]:
             print(line, file=sys.stderr, flush=True)
 
-    def tell_settings_stay(self):
-        """SIGHUP: voters, relays and addresses count from the next start."""
-        self.host.log.warning("settings", why="read at the start only")
+    def log_settings_unchanged(self) -> None:
+        """Log that settings apply from the next start only (SIGHUP)."""
+        self.runtime.log.warning("settings", reason="read at the start only")
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -16,7 +16,9 @@
 from google.protobuf import text_format
 
 from lichenquay.config.reader import read_control
-from lichenquay.control_plane.runtime import Control, VoterHost, control_of
+from lichenquay.control_plane.runtime import ControlRuntime
+from lichenquay.control_plane.service import make_runtime
+from lichenquay.control_plane.voter_runtime import VoterRuntime
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.storage.store import DurableStore
 from lichenquay.testbed.scale import orders
@@ -34,18 +36,18 @@
     def __init__(self, reactor, spec: WorldSpec, name: str):
         """The settings go through production's own reading and checks."""
         self.reactor = reactor
-        said = read_control(text_format.MessageToString(control_settings(spec, name)), name)
-        self.host: Control = control_of(reactor, said)
+        process_settings = read_control(text_format.MessageToString(control_settings(spec, name)), name)
+        self.host: ControlRuntime = make_runtime(reactor, process_settings)
         self.network = Network(reactor, Impairment(f"{spec.shape.seed}/{name}"))
         self.host.post = LabPost(self.host.post, self.network)
         self.disk = FaultyOs()
         self.host.new_folder = partial(DurableStore, file_system=self.disk)
 
     def start(self):
-        """Opens folder and socket, and takes part; a fault ends the process with one line."""
-        fault = self.host.open()
-        if fault is not None:
-            print(fault, file=sys.stderr, flush=True)
+        """Opens folder and socket, and takes part; a problem ends the process with one line."""
+        problem = self.host.open()
+        if problem is not None:
+            print(problem, file=sys.stderr, flush=True)
             stop(self.reactor)
             return
         self.host.begin()
@@ -66,7 +68,7 @@
     def counts(self):
         """Of this process."""
         counts = self.host.post.add_to(orders.Counts())
-        if isinstance(self.host, VoterHost):
+        if isinstance(self.host, VoterRuntime):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
         return replace(counts, oldest=self.host.relay.subscriber.applied_version)
 
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass, field
 
-from lichenquay.control_plane.lease_candidate import Candidate
+from lichenquay.control_plane.lease_candidate import LeaseCandidate
 from lichenquay.distribution.publisher import group_settings, make
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
@@ -46,7 +46,7 @@
             host.now_ms(),
             dict(disk.kept),
         )
-        self.candidate = Candidate(self.group, host.now_ms())
+        self.candidate = LeaseCandidate(self.group, host.now_ms())
         self.outbox = []
 
     @property
