--- a/tests/test_endpoint_importer.py
+++ b/tests/test_endpoint_importer.py
@@ -26,7 +26,7 @@
 
 
 class StandInPublisher:
-    """Takes all that passes the check; answers when it is told to."""
+    """Accepts every change that passes the check; outcomes follow with `answer`."""
 
     def __init__(self):
         """Holds the lease, of generation 1."""
@@ -44,7 +44,7 @@
         self.group.generation = generation
 
     def propose(self, now_ms, entries, request, on_outcome):
-        """As the publisher."""
+        """Like `Publisher.propose`."""
         error = self._find_error(entries)
         if error is not None:
             on_outcome(now_ms, pb.Proposed(request=request, outcome=pb.Proposed.REFUSED, reason=error))
@@ -59,7 +59,7 @@
         return find_change_error(entries, self.speculative_state, self.settings, CHECKS_BY_PREFIX)
 
     def answer(self, now_ms, outcome=pb.Proposed.ACCEPTED):
-        """All that waits."""
+        """Gives all pending changes an outcome."""
         waiting, self.waiting = self.waiting, []
         for request, on_outcome in waiting:
             on_outcome(now_ms, pb.Proposed(request=request, outcome=outcome, reason="in doubt"))
@@ -97,7 +97,7 @@
 
 
 def test_what_is_announced_is_published_and_no_more():
-    """What is as it was costs nothing; what is gone is deleted."""
+    """Unchanged engines cause no change; removed ones are deleted."""
     world = World()
     world.announce(make_record("e1"), make_record("e2"), is_whole=True)
     assert world.publisher.published() == {
@@ -146,7 +146,7 @@
     }
     other = World()
     other.publisher.speculative_state = world.publisher.speculative_state
-    other.announce(make_record("e9"))  # a part, before the whole
+    other.announce(make_record("e9"))  # Some records, before the whole list.
     assert other.publisher.proposed == 0
     other.announce(make_record("e2"), is_whole=True)
     assert other.publisher.published() == {"e2": domain.EndpointState.SERVING}
@@ -159,7 +159,7 @@
     world.importer.tick(0.0)
     world.publisher.set_lease(0)
     world.publisher.answer(0.0, pb.Proposed.UNKNOWN)
-    world.publisher.speculative_state = KeyStore()  # it was not made
+    world.publisher.speculative_state = KeyStore()  # The change was not committed.
     world.settle()
     world.publisher.set_lease(5)
     world.settle()
@@ -167,7 +167,7 @@
 
 
 def test_a_refusal_is_retried_later_and_logged_once():
-    """Room may come; until then it is no loop."""
+    """The publisher may have room later; until then there is a delay between two attempts."""
     world = World()
     world.publisher.is_full = True
     world.announce(make_record("e1"), is_whole=True)
