--- /dev/null
+++ b/tests/test_golden_fleet.py
@@ -0,0 +1,34 @@
+"""Datagrams between gateways of two versions: what revision 0018238 sealed opens here, and is sealed the same.
+
+`golden/fleet/datagrams.json` holds one datagram of each layer as that revision sealed it.
+"""
+
+import json
+from pathlib import Path
+
+import pytest
+
+from lichenquay.fleet.message_envelope import DISTRIBUTION, Envelope
+
+pytestmark = pytest.mark.together
+
+DATAGRAMS = json.loads((Path(__file__).parent / "golden" / "fleet" / "datagrams.json").read_text("utf-8"))
+FLEET = "yard"
+FINGERPRINT = 17
+DISTRIBUTION_FINGERPRINT = 7
+INCARNATION = 1_234_567
+
+
+def envelope_of(name):
+    """The envelope of one of the two gateways."""
+    return Envelope(FLEET, FINGERPRINT, name, ("a", "b"), {DISTRIBUTION: DISTRIBUTION_FINGERPRINT})
+
+
+@pytest.mark.parametrize("label", ["members", "owner", "quota", "distribution"])
+def test_a_datagram_of_the_earlier_version_opens_and_is_sealed_the_same(label):
+    """Sender, incarnation, layer and body on the way in; every byte on the way out."""
+    layer = DATAGRAMS[label]["layer"]
+    data = bytes.fromhex(DATAGRAMS[label]["bytes"])
+    body = b"body of " + label.encode()
+    assert tuple(envelope_of("b").open(data)) == ("a", INCARNATION, layer, body)
+    assert envelope_of("a").seal(INCARNATION, "b", layer, body) == data
