--- a/lichenquay/control_plane/client.py
+++ b/lichenquay/control_plane/client.py
@@ -8,7 +8,8 @@
 
 from lichenquay.config.distribution_settings import distribution_fingerprint
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError
+from lichenquay.fleet.message_envelope import MAX_DATAGRAM_BYTES, Layer, MessageEnvelope
 
 ANSWER_S = 0.4  # for one voter's answer; then the next one is asked
 REDIRECT_S = 0.05  # before the next question after `not the leader`: an election may be under way
@@ -26,8 +27,8 @@
         """`seconds`: for each call."""
         self.voters, self.seconds, self.rng = list(voters), seconds, rng or random.SystemRandom()
         name = f"client-{self.rng.getrandbits(48):012x}"
-        layers = {DISTRIBUTION: distribution_fingerprint(fleet)}
-        self.envelope = Envelope(fleet, 0, name, (), layers)
+        layers = {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
+        self.envelope = MessageEnvelope(fleet, 0, name, (), layers)
         self.incarnation = int(time.time() * 1000)
         self.known = {}  # {voter's name: address}, by its answers
         self.socket = socket.socket(_family(self.voters), socket.SOCK_DGRAM)
@@ -79,7 +80,7 @@
         return self.known.get(message.not_leader.leader)
 
     def _send(self, message, address):
-        data = self.envelope.seal(self.incarnation, ANYBODY, DISTRIBUTION, message.SerializeToString())
+        data = self.envelope.seal(self.incarnation, ANYBODY, Layer.DISTRIBUTION, message.SerializeToString())
         try:
             self.socket.sendto(data, address)
         except OSError:  # as good as lost
@@ -90,10 +91,10 @@
         while (left_s := until - time.monotonic()) > 0:
             self.socket.settimeout(left_s)
             try:
-                data, address = self.socket.recvfrom(MOST + 1)
+                data, address = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 name, _, _, body = self.envelope.open(data)
                 message = pb.Message.FromString(body)
-            except (OSError, Dropped, DecodeError):
+            except (OSError, DroppedDatagramError, DecodeError):
                 continue
             self.known[name] = address
             if request in _requests_of(message):
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -20,9 +20,9 @@
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.validation import find_change_error
 from lichenquay.fleet.addresses import EXPIRE_MS, Addresses
-from lichenquay.fleet.datagram_transport import Post
-from lichenquay.fleet.message_envelope import DISTRIBUTION, OWNER, Envelope
-from lichenquay.fleet.runtime import Host, Identity, Outside, boot_ms, json_logger
+from lichenquay.fleet.datagram_transport import DatagramTransport
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
+from lichenquay.fleet.runtime import Environment, Identity, Runtime, boot_ms, json_logger
 from lichenquay.fleet.source_ranking import ranked
 from lichenquay.gateway.discovery import Discovery, DiscoveryFactory
 from lichenquay.lease import lease_pb2
@@ -42,10 +42,10 @@
     return find_change_error(entries, store, settings, CHECKS)
 
 
-class Control(Host):
+class Control(Runtime):
     """What a voter and a relay have in common."""
 
-    kinds = {DISTRIBUTION: distribution_pb2.Message}
+    kinds = {Layer.DISTRIBUTION: distribution_pb2.Message}
 
     def __init__(self, reactor, said, log=None):
         """`said`: the settings of one control process, checked."""
@@ -55,8 +55,12 @@
         self.addresses = self._new_addresses()
         self.leave_by_ms, self.said_version, self.said_ms = None, 0, float("-inf")
         identity = Identity(settings.fleet, settings.name, settings.listen, settings.folder, FOLDER_MOST)
-        post = Post(_envelope(settings), self.addresses, self.kinds, self.heard, self.addresses.learn)
-        super().__init__(Outside(reactor), identity, post, (log or json_logger()).bind(process=settings.name))
+        post = DatagramTransport(
+            _envelope(settings), self.addresses, self.kinds, self.on_message, self.addresses.learn
+        )
+        super().__init__(
+            Environment(reactor), identity, post, (log or json_logger()).bind(process=settings.name)
+        )
 
     def _new_addresses(self):
         """Room for all sessions, and as many clients and earlier starts; none expires before its session."""
@@ -83,14 +87,14 @@
             region=region_of(self.settings),
             incarnation=self.incarnation,
         )
-        self.turn()
+        self.run_due_parts()
 
     def leave(self):
         """SIGTERM; `is_over` tells when the process may end."""
         if self.leave_by_ms is None:
             self.leave_by_ms = self.now_ms() + LEAVE_MOST_MS
             self.give_up(self.now_ms())
-            self.turn()
+            self.run_due_parts()
 
     def is_over(self):
         """After `leave`: all is said, or there is no more time for it."""
@@ -111,8 +115,8 @@
             f"control {self.settings.name} {self.role} incarnation {self.incarnation}",
             *self.part_lines(self.now_ms()),
             *self.addresses.lines(),
-            *self.post_lines(),
-            *self.folder_lines(),
+            *self.datagram_lines(),
+            *self.store_lines(),
         ]
 
 
@@ -120,8 +124,8 @@
     """A voter: the group's messages and disk, the publisher, and the claim to be it."""
 
     role = "voter"
-    prefix = f"owner/{publisher.GROUP}/"
-    kinds = {**Control.kinds, OWNER: lease_pb2.Message}
+    section_prefix = f"owner/{publisher.GROUP}/"
+    kinds = {**Control.kinds, Layer.OWNER: lease_pb2.Message}
     was_generation = 0
     importer = discovery = None
     said_fault_ms = float("-inf")
@@ -137,11 +141,11 @@
             publisher.group_settings(self.figures, lease_duration_ms(settings)),
             self.figures,
             now_ms,
-            self.kept_sections(),
+            self.stored_sections(),
             check=check,
         )
         self.candidate = Candidate(self.group, now_ms)
-        self.parts = {OWNER: self.group, DISTRIBUTION: self.publisher, CANDIDATE: self.candidate}
+        self.parts = {Layer.OWNER: self.group, Layer.DISTRIBUTION: self.publisher, CANDIDATE: self.candidate}
         if settings.discovery:
             self.import_engines(now_ms)
 
@@ -154,9 +158,9 @@
 
     def announced(self, whole, rows):
         """Discovery's word."""
-        if not self.closed:
+        if not self.is_closed:
             self.importer.announced(self.now_ms(), whole, rows)
-            self.turn()
+            self.run_due_parts()
 
     def tell_discovery(self, kind, line):
         """Discovery's word on a fault, now and then."""
@@ -171,7 +175,7 @@
             self.discovery.stop()
         super().close()
 
-    def after_turn(self):
+    def after_flush(self):
         """The log says who publishes, and what."""
         generation = self.group.generation
         if generation != self.was_generation:
@@ -206,13 +210,13 @@
         settings = self.settings
         voters = ranked(settings.voters, settings.name, region=region_of(settings))
         self.relay = Relay(settings.name, voters, self.rng, self.figures, now_ms, self.told)
-        self.parts = {DISTRIBUTION: self.relay}
+        self.parts = {Layer.DISTRIBUTION: self.relay}
 
     def told(self, now_ms, line):
         """The subscriber's word on a fault."""
         self.log.warning("distribution", why=line, source=self.relay.subscriber.source)
 
-    def after_turn(self):
+    def after_flush(self):
         """The log says whom it follows, and how far."""
         subscriber = self.relay.subscriber
         if subscriber.source != self.was_source:
@@ -246,6 +250,6 @@
 
 
 def _envelope(settings):
-    layers = {DISTRIBUTION: distribution_fingerprint(settings.fleet)}
+    layers = {Layer.DISTRIBUTION: distribution_fingerprint(settings.fleet)}
     voters = {voter.name for voter in settings.voters}
-    return Envelope(settings.fleet, group_fingerprint(settings), settings.name, voters, layers)
+    return MessageEnvelope(settings.fleet, group_fingerprint(settings), settings.name, voters, layers)
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -14,10 +14,10 @@
 from lichenquay.config.fleet_settings import parse_address
 from lichenquay.distribution import distribution_pb2
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 from lichenquay.fleet.source_ranking import ranked
 
-KINDS = {DISTRIBUTION: distribution_pb2.Message}
+KINDS = {Layer.DISTRIBUTION: distribution_pb2.Message}
 
 
 class Applies(Protocol):
@@ -37,7 +37,7 @@
 
 def open_layers(fleet):
     """The layer that relays speak in, with its fingerprint."""
-    return {DISTRIBUTION: distribution_fingerprint(fleet)}
+    return {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
 
 
 class Following:
--- a/lichenquay/fleet/datagram_transport.py
+++ b/lichenquay/fleet/datagram_transport.py
@@ -1,25 +1,47 @@
-"""The one UDP socket of a front among others: datagrams out and in, sealed and opened, and counted."""
+"""The one UDP socket of a process: seals, sends, receives, opens and counts datagrams."""
 
 from collections import Counter
+from collections.abc import Callable, Mapping
 
-from google.protobuf.message import DecodeError
+from google.protobuf.message import DecodeError, Message
 from twisted.internet.protocol import DatagramProtocol
 
-from lichenquay.fleet.message_envelope import Dropped
+from lichenquay.fleet.errors import DroppedDatagramError, DropReason
+from lichenquay.fleet.message_envelope import MessageEnvelope, Sender
 
 
-class Post(DatagramProtocol):
-    """`addresses`: where each peer is, seen from here. `kinds`: each layer's message class. `heard(layer, sender, message)` gets
-    what was opened, the sender being (name, incarnation). `learn(name, incarnation, address)`, where given, is told where the sender in an open layer is."""
+class DatagramTransport(DatagramProtocol):
+    """Messages of several layers over one UDP socket.
+
+    `counters` counts datagrams by what became of them; `bytes_out` is the number of bytes sent.
+    """
 
     noisy = False
 
-    def __init__(self, envelope, addresses, kinds, heard, learn=None):
-        self.envelope, self.addresses, self.kinds, self.heard = envelope, addresses, kinds, heard
-        self.learn = learn
-        self.counters, self.bytes_out = Counter(), 0
+    def __init__(
+        self,
+        envelope: MessageEnvelope,
+        addresses,
+        message_types: Mapping[int, type[Message]],
+        on_message: Callable[[int, Sender, Message], None],
+        on_address: Callable[[str, int, tuple], None] | None = None,
+    ):
+        """Parameters.
+
+        addresses: its `get(name)` gives (host, port) or None. message_types: {layer: protobuf class}.
+        on_message: called with layer, sender and message. on_address: called with name, incarnation and
+        address of each sender in an open layer.
+        """
+        self.envelope = envelope
+        self.addresses = addresses
+        self.message_types = message_types
+        self.on_message = on_message
+        self.on_address = on_address
+        self.counters = Counter()
+        self.bytes_out = 0
 
-    def send(self, incarnation, name, layer, message):
+    def send(self, incarnation: int, name: str, layer: int, message: Message) -> None:
+        """Sends a message once. It may be lost; nothing is reported. Raises MessageTooLargeError."""
         address = self.addresses.get(name)
         if address is None or self.transport is None:
             self.counters["datagrams for nobody"] += 1
@@ -27,27 +49,34 @@
         data = self.envelope.seal(incarnation, name, layer, message.SerializeToString())
         try:
             self.transport.write(data, address)
+        except OSError:  # A network link that is down is reported here; the datagram counts as lost.
+            self.counters["datagrams not sent"] += 1
+        else:
             self.counters["datagrams sent"] += 1
             self.bytes_out += len(data)
-        except OSError:  # a link that is down says so: as good as lost
-            self.counters["datagrams not sent"] += 1
 
     def datagramReceived(self, data, address):
+        """Delivers a datagram, or drops and counts it."""
         try:
-            name, incarnation, layer, body = self.envelope.open(data)
-            kind = self.kinds.get(layer)
-            if kind is None:
-                raise Dropped("of no layer here")
-            message = kind.FromString(body)
-        except Dropped as why:
-            self.counters[f"datagrams dropped: {why}"] += 1
+            datagram = self.envelope.open(data)
+            message = self._parse_body(datagram)
+        except DroppedDatagramError as error:
+            self.counters[f"datagrams dropped: {error.reason}"] += 1
+            return
+        self.counters["datagrams heard"] += 1
+        if self.on_address is not None and datagram.layer in self.envelope.open_layers:
+            self.on_address(datagram.name, datagram.incarnation, address)
+        self.on_message(datagram.layer, datagram.sender, message)
+
+    def _parse_body(self, datagram):
+        message_type = self.message_types.get(datagram.layer)
+        if message_type is None:
+            raise DroppedDatagramError(DropReason.UNKNOWN_LAYER)
+        try:
+            return message_type.FromString(datagram.body)
         except DecodeError:
-            self.counters["datagrams dropped: unreadable"] += 1
-        else:
-            self.counters["datagrams heard"] += 1
-            if self.learn is not None and layer in self.envelope.open_layers:
-                self.learn(name, incarnation, address)
-            self.heard(layer, (name, incarnation), message)
+            raise DroppedDatagramError(DropReason.UNREADABLE) from None
 
-    def lines(self):
-        return [f"{what}: {n}" for what, n in sorted(self.counters.items())]
+    def lines(self) -> list[str]:
+        """Status lines: the counters by name."""
+        return [f"{name}: {count}" for name, count in sorted(self.counters.items())]
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -6,10 +6,10 @@
 import random
 
 from lichenquay.config.fleet_settings import fingerprint, gateway_names, parse_address
-from lichenquay.fleet.datagram_transport import Post
-from lichenquay.fleet.message_envelope import DISTRIBUTION, MEMBERS, OWNER, QUOTA, Envelope
+from lichenquay.fleet.datagram_transport import DatagramTransport
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 from lichenquay.fleet.quota_part import PREFIX, Accounts
-from lichenquay.fleet.runtime import Host, Identity, Outside, boot_ms, json_logger, unix_now_ms
+from lichenquay.fleet.runtime import Environment, Identity, Runtime, boot_ms, json_logger, unix_now_ms
 from lichenquay.fleet.tenant_usage import Tenants
 from lichenquay.lease import lease_pb2
 from lichenquay.membership import members_pb2
@@ -22,13 +22,13 @@
 from lichenquay.storage.writer import StoreWriter
 
 FOLDER_MOST = 16 << 20  # bytes that a front's folder may take
-KINDS = {MEMBERS: members_pb2.Message, OWNER: lease_pb2.Message, QUOTA: quota_pb2.Message}
+KINDS = {Layer.MEMBERS: members_pb2.Message, Layer.OWNER: lease_pb2.Message, Layer.QUOTA: quota_pb2.Message}
 
 
-class Fleet(Host):
+class GatewayRuntime(Runtime):
     """`folder`, `writer`: what makes them; a test in virtual time has its own, as it has its own reactor and clocks."""
 
-    prefix = PREFIX
+    section_prefix = PREFIX
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.names = gateway_names(settings)
         self.left, self.accounts, self.quota, self.rising = False, None, None, None
         super().__init__(
-            Outside(reactor, now_ms, unix_ms, folder, writer),
+            Environment(reactor, now_ms, unix_ms, folder, writer),
             Identity(settings.fleet, settings.name, settings.listen, settings.folder, FOLDER_MOST),
             self.new_post(settings),
             (log or json_logger()).bind(front=settings.name),
@@ -63,15 +63,15 @@
 
             addresses |= following.relay_addresses(self.distribution)
             kinds, layers = kinds | following.KINDS, following.open_layers(settings.fleet)
-        envelope = Envelope(settings.fleet, fingerprint(settings), settings.name, self.names, layers)
-        return Post(envelope, addresses, kinds, self.heard)
+        envelope = MessageEnvelope(settings.fleet, fingerprint(settings), settings.name, self.names, layers)
+        return DatagramTransport(envelope, addresses, kinds, self.on_message)
 
     # from start to end
 
     def begin(self):
         """The front serves: it tells the others."""
         self.start_writer()
-        self.watch = self.parts[MEMBERS] = self.new_watch()
+        self.watch = self.parts[Layer.MEMBERS] = self.new_watch()
         if self.settings.accounts:
             self.keep_accounts()
         if self.distribution is not None:
@@ -79,22 +79,22 @@
         self.log.info(
             "fleet", incarnation=self.incarnation, fleet=self.settings.fleet, peers=len(self.names) - 1
         )
-        self.turn()
+        self.run_due_parts()
 
     def keep_accounts(self):
-        self.accounts = self.parts[QUOTA] = Accounts(
+        self.accounts = self.parts[Layer.QUOTA] = Accounts(
             self.settings,
             self.incarnation,
             self.rng,
             self.now_ms(),
-            self.kept_sections(),
+            self.stored_sections(),
             lambda name: self.watch.state_of(name),
             self.pressed,
             self.log,
         )
         if self.accounts.group is not None:
-            self.parts[OWNER] = self.accounts.group
-        self.quota = Tenants(self.accounts, self.now_ms, self.wait)
+            self.parts[Layer.OWNER] = self.accounts.group
+        self.quota = Tenants(self.accounts, self.now_ms, self.set_timer)
 
     def follow(self):
         """Distributed configuration, where the settings name relays."""
@@ -103,7 +103,7 @@
         self.following = Following(
             self.distribution, self.settings.name, self.rng, self.now_ms(), self.apply_to, self.log
         )
-        self.parts[DISTRIBUTION] = self.following.subscriber
+        self.parts[Layer.DISTRIBUTION] = self.following.subscriber
 
     def new_watch(self):
         peers = [n for n in self.names if n != self.settings.name]
@@ -120,7 +120,7 @@
                 self.accounts.leave(self.now_ms())
             if self.following is not None:
                 self.following.subscriber.stop()
-            self.turn()
+            self.run_due_parts()
 
     def is_over(self):
         """After `leave`: whether it has said all that it had to."""
@@ -128,7 +128,7 @@
 
     # turns
 
-    def after_turn(self):
+    def after_flush(self):
         self.tell_changes()
         if self.following is not None:
             self.following.put_first_list()
@@ -156,14 +156,14 @@
                 )
 
     def risen(self, kept):
-        if self.closed or self.left:
+        if self.is_closed or self.left:
             return
         self.incarnation, self.rising = self.rising, None
         self.log.warning("gone, and back", incarnation=self.incarnation, kept=kept)
-        self.watch = self.parts[MEMBERS] = self.new_watch()
+        self.watch = self.parts[Layer.MEMBERS] = self.new_watch()
         if self.accounts is not None:
             self.accounts.reborn(self.incarnation)
-        self.turn()
+        self.run_due_parts()
 
     # what is seen
 
@@ -175,10 +175,10 @@
         lines += [
             f"view {number} {digest:016x}",
             f"reach {' '.join(self.watch.reachable) or '-'}",
-            *self.post_lines(),
+            *self.datagram_lines(),
         ]
         if self.accounts is not None:
             lines += self.accounts.lines(self.now_ms()) + self.quota.lines()
         if self.following is not None:
             lines += self.following.lines(self.now_ms())
-        return lines + self.folder_lines()
+        return lines + self.store_lines()
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -1,42 +1,47 @@
-"""Parts without I/O over one socket, one disk and one timer: what all processes of ours have in common.
+"""Runs state machines without I/O ("parts") on one UDP socket, one store and one timer.
 
-A part has `heard(now_ms, sender, message)`, `tick(now_ms)`, `due_ms` and `outbox`. The host brings it
-datagrams and time, and takes out what it has to say. Times are milliseconds of CLOCK_BOOTTIME, which runs on
-while a machine is suspended.
+A part has `heard(now_ms, sender, message)`, `tick(now_ms)`, `due_ms` (when it is to be ticked next) and
+`outbox` (messages to send, as (receiver, message)). Times are milliseconds of CLOCK_BOOTTIME, which also
+counts while the machine is suspended.
 """
 
 import signal
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from contextlib import contextmanager
 from dataclasses import dataclass
+from typing import Any
 
 import structlog
 from twisted.internet.error import CannotListenError
 
 from lichenquay.config.fleet_settings import parse_address
-from lichenquay.fleet.message_envelope import OWNER
+from lichenquay.fleet.datagram_transport import DatagramTransport
+from lichenquay.fleet.message_envelope import Layer, Sender
 from lichenquay.storage.errors import UnusableStoreError
 from lichenquay.storage.incarnation import next_incarnation
 from lichenquay.storage.store import DurableStore
 from lichenquay.storage.writer import StoreWriter
 
-CLOSE_MS = 500.0  # for what the disk still has to do at the end
-LEAST_WAIT_MS = 1.0  # between two turns of the timer; risk: a part that is always due takes all turns
+CLOSE_TIMEOUT_MS = 500.0  # for writes that are still queued at the end
+# Without a least wait, a part that is always due would leave the reactor no time for anything else.
+MIN_TIMER_MS = 1.0
+NEVER_MS = float("inf")
 
 
-def boot_ms():
-    """Milliseconds of the clock that runs on while the machine is suspended."""
+def boot_ms() -> float:
+    """Milliseconds since boot, time in suspension included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
-def unix_now_ms():
-    """Milliseconds of the wall clock. Only a first incarnation is drawn from it."""
+def unix_now_ms() -> float:
+    """Milliseconds of the wall clock. It is only used to choose an incarnation."""
     return time.time() * 1000
 
 
 def json_logger():
-    """JSON lines on standard error."""
+    """A logger that writes JSON lines to standard error."""
     return structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
         processors=[
@@ -49,186 +54,210 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """Who a process is, where it listens (address:port, UDP), and the folder that it keeps; "" is none."""
+    """Which process of which fleet this is, where it listens (address:port, UDP) and its store.
+
+    An empty `store_directory` means that the process stores nothing.
+    """
 
     fleet: str
     name: str
     listen: str
-    folder: str = ""
-    folder_bytes: int = 0
+    store_directory: str = ""
+    store_max_bytes: int = 0
 
 
 @dataclass(frozen=True)
-class Outside:
-    """What reaches a host from outside; a test in virtual time has its own."""
+class Environment:
+    """Reactor, clocks and store classes. Tests in virtual time pass their own."""
 
-    reactor: object
-    now_ms: Callable = boot_ms
-    unix_ms: Callable = unix_now_ms
-    folder: Callable = DurableStore
-    writer: Callable = StoreWriter
+    reactor: Any
+    now_ms: Callable[[], float] = boot_ms
+    unix_ms: Callable[[], float] = unix_now_ms
+    new_store: Callable = DurableStore
+    new_writer: Callable = StoreWriter
 
 
-class Host:
-    """Subclasses fill `parts` by layer, and say what else there is to do after a turn (`after_turn`).
+@contextmanager
+def _signals_blocked():
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
+    try:
+        yield
+    finally:
+        signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
 
-    outside: `Outside`. identity: `Identity`. post: the socket's protocol, whose `heard` is this host's.
-    prefix: of the group's sections in the folder.
-    """
 
-    prefix = ""
+class Runtime:
+    """Base class of the processes of a fleet. Subclasses fill `parts` and override `after_flush`.
 
-    def __init__(self, outside, identity, post, log):
-        """Nothing is opened yet."""
-        self.reactor, self.now_ms, self.unix_ms = outside.reactor, outside.now_ms, outside.unix_ms
-        self.new_folder, self.new_writer = outside.folder, outside.writer
-        self.identity, self.post, self.log = identity, post, log
+    `parts` is {layer: part}; a key that is no layer is allowed for a part that sends no messages.
+    `section_prefix` starts the names of the lease group's sections in the store.
+    """
+
+    section_prefix = ""
+
+    def __init__(self, environment: Environment, identity: Identity, datagrams: DatagramTransport, log):
+        """Opens nothing yet. The `on_message` of `datagrams` is this object's."""
+        self.reactor = environment.reactor
+        self.now_ms = environment.now_ms
+        self.unix_ms = environment.unix_ms
+        self.new_store = environment.new_store
+        self.new_writer = environment.new_writer
+        self.identity = identity
+        self.datagrams = datagrams
+        self.log = log
         self.incarnation = 0
-        self.folder = self.writer = self.port = self.timer = None
+        self.store = None
+        self.writer = None
+        self.port = None
+        self.timer = None
         self.timer_ms = 0.0  # when the timer fires
-        self.parts, self.closed = {}, False
+        self.parts: dict[Any, Any] = {}
+        self.is_closed = False
 
-    # from start to end
+    # start and end
 
-    def open(self):
-        """Folder, incarnation, socket: None, or one line that says which cannot be had. Sends nothing."""
-        who = self.identity
+    def open(self) -> str | None:
+        """Opens store and socket, and sends nothing. Returns None, or one line that says what failed."""
+        identity = self.identity
         try:
-            if who.folder:
-                self.folder = self.new_folder(
-                    who.folder, who.fleet, who.name, who.folder_bytes, now_ms=self.now_ms()
+            if identity.store_directory:
+                self.store = self.new_store(
+                    identity.store_directory,
+                    identity.fleet,
+                    identity.name,
+                    identity.store_max_bytes,
+                    now_ms=self.now_ms(),
                 )
-            self.rise()
-            host, port = parse_address(who.listen)
-            self.port = self.reactor.listenUDP(port, self.post, interface=host)
-        except UnusableStoreError as bad:
-            return str(bad)
-        except CannotListenError as bad:
-            return f"cannot listen on {who.listen} (UDP): {bad.socketError.strerror}"
+            self._choose_incarnation()
+            host, port = parse_address(identity.listen)
+            self.port = self.reactor.listenUDP(port, self.datagrams, interface=host)
+        except UnusableStoreError as error:
+            return str(error)
+        except CannotListenError as error:
+            return f"cannot listen on {identity.listen} (UDP): {error.socketError.strerror}"
         return None
 
-    def rise(self):
-        """An incarnation that was never ours before: the folder's, and never under the clock."""
-        now = int(self.unix_ms())
-        if self.folder is None:
-            self.incarnation = now
+    def _choose_incarnation(self):
+        """Larger than every earlier one in the store, and not below the wall clock."""
+        unix_ms = int(self.unix_ms())
+        if self.store is None:
+            self.incarnation = unix_ms
             return
-        self.incarnation, kept = next_incarnation(self.folder, now, self.now_ms())
-        if not kept:
-            self.log.warning("incarnation not kept", incarnation=self.incarnation, why=self.folder.last_error)
-
-    def start_writer(self):
-        """The folder is the writer's thread's from now on."""
-        if self.folder is None:
+        self.incarnation, is_stored = next_incarnation(self.store, unix_ms, self.now_ms())
+        if not is_stored:
+            self.log.warning(
+                "incarnation not stored", incarnation=self.incarnation, why=self.store.last_error
+            )
+
+    def start_writer(self) -> None:
+        """Hands the store over to a writer thread, which owns it from then on."""
+        if self.store is None:
             return
-        blocked = signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
-        try:  # risk: a signal goes to the writer's thread, and the reactor sleeps on
-            self.writer = self.new_writer(self.folder, self.reactor.callFromThread, self.now_ms, log=self.log)
-        finally:
-            signal.pthread_sigmask(signal.SIG_SETMASK, blocked)
+        # A signal delivered to the writer thread would not wake the reactor.
+        with _signals_blocked():
+            self.writer = self.new_writer(self.store, self.reactor.callFromThread, self.now_ms, log=self.log)
 
-    def kept_sections(self):
-        """The group's sections as the folder had them at the start.
+    def stored_sections(self) -> Mapping[str, bytes]:
+        """The lease group's sections as they were in the store at the start, without their prefix.
 
-        A folder that could not be read yet is as good as lost: a voter without promises asks the others.
+        Empty if the store could not be read: a voter without its promises recovers them from the others.
         """
-        if not self.folder.is_open:
+        if not self.store.is_open:
             return {}
         return {
-            key.removeprefix(self.prefix): value
-            for key, value in self.folder.state.items()
-            if key.startswith(self.prefix)
+            key.removeprefix(self.section_prefix): value
+            for key, value in self.store.state.items()
+            if key.startswith(self.section_prefix)
         }
 
-    def close(self):
-        """What has been said stays to be seen (`lines`)."""
+    def close(self) -> None:
+        """Stops timer, socket and writer. `lines` of subclasses can still be called."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.timer, self.closed = None, True
+        self.timer = None
+        self.is_closed = True
         if self.port is not None:
             self.port.stopListening()
         if self.writer is not None:
-            self.writer.close(CLOSE_MS)
-        elif self.folder is not None:
-            self.folder.close()
+            self.writer.close(CLOSE_TIMEOUT_MS)
+        elif self.store is not None:
+            self.store.close()
 
-    # turns
+    # events
 
-    def heard(self, layer, sender, message):
-        """A datagram came: its part takes it, and what that leads to goes out at once."""
+    def on_message(self, layer: int, sender: Sender, message) -> None:
+        """Passes a received message to the part of its layer, and sends what follows from it."""
         part = self.parts.get(layer)
-        if part is not None and not self.closed:
+        if part is not None and not self.is_closed:
             part.heard(self.now_ms(), sender, message)
             self.flush()
 
-    def turn(self):
-        """What is due, then what it has to say."""
-        now = self.now_ms()
+    def run_due_parts(self) -> None:
+        """Ticks every part that is due, and sends what follows from it."""
+        now_ms = self.now_ms()
         for part in list(self.parts.values()):
-            if part.due_ms <= now:
-                part.tick(now)
+            if part.due_ms <= now_ms:
+                part.tick(now_ms)
         self.flush()
 
-    def flush(self):
-        """What the parts have to say goes out, what they want on disk goes to the writer."""
+    def flush(self) -> None:
+        """Sends the messages of all parts, submits the lease group's writes and sets the timer."""
         for layer, part in list(self.parts.items()):
-            sent = list(part.outbox)
-            part.outbox.clear()  # in place: parts of one part may share it
-            for name, message in sent:
-                self.post.send(self.incarnation, name, layer, message)
-        if OWNER in self.parts:
-            self.store()
-        self.after_turn()
-        self.wait()
-
-    def after_turn(self):
-        """What else there is to do once all has been said."""
-
-    def store(self):
-        """What the group wants on disk; each store is answered once."""
-        group = self.parts[OWNER]
-        requests, group.store_requests = group.store_requests, []
+            messages = list(part.outbox)
+            part.outbox.clear()  # In place: the members of a composite part may share one list.
+            for receiver, message in messages:
+                self.datagrams.send(self.incarnation, receiver, layer, message)
+        if Layer.OWNER in self.parts:
+            self._submit_writes()
+        self.after_flush()
+        self.set_timer()
+
+    def after_flush(self) -> None:
+        """Called after each `flush`. Subclasses override it."""
+
+    def _submit_writes(self):
+        group = self.parts[Layer.OWNER]
+        requests = group.store_requests
+        group.store_requests = []
         for number, changes in requests:
-            sections = {self.prefix + key: value for key, value in changes.items()}
-            self.writer.store(sections, lambda ok, number=number: self.stored(number, ok))
+            sections = {self.section_prefix + key: value for key, value in changes.items()}
+            self.writer.store(sections, lambda is_stored, number=number: self._on_stored(number, is_stored))
 
-    def stored(self, number, ok):
-        """The writer's answer to one store."""
-        if not self.closed:
-            self.parts[OWNER].on_stored(self.now_ms(), number, ok)
+    def _on_stored(self, number, is_stored):
+        if not self.is_closed:
+            self.parts[Layer.OWNER].on_stored(self.now_ms(), number, is_stored)
             self.flush()
 
-    def wait(self):
-        """One timer, for whichever part is due next."""
-        if self.closed:
+    def set_timer(self) -> None:
+        """Sets the one timer to the part that is due first."""
+        if self.is_closed:
             return
-        due = min(part.due_ms for part in self.parts.values())
-        active = self.timer is not None and self.timer.active()
-        if due == float("inf"):
-            if active:
+        due_ms = min(part.due_ms for part in self.parts.values())
+        is_active = self.timer is not None and self.timer.active()
+        if due_ms == NEVER_MS:
+            if is_active:
                 self.timer.cancel()
             return
         now_ms = self.now_ms()
-        wait_ms = max(LEAST_WAIT_MS, due - now_ms)
-        # Risk: what is due already is put off by each message; under many of them the timer never fires, and
-        # no part is ticked.
-        if active and due <= now_ms and self.timer_ms <= now_ms + wait_ms:
+        wait_ms = max(MIN_TIMER_MS, due_ms - now_ms)
+        # If each message postponed a part that is already due, the timer would never fire under load.
+        if is_active and due_ms <= now_ms and self.timer_ms <= now_ms + wait_ms:
             return
         self.timer_ms = now_ms + wait_ms
-        if active:
+        if is_active:
             self.timer.reset(wait_ms / 1000)
         else:
-            self.timer = self.reactor.callLater(wait_ms / 1000, self.turn)
+            self.timer = self.reactor.callLater(wait_ms / 1000, self.run_due_parts)
 
-    # what is seen
+    # status
 
-    def post_lines(self):
-        """Datagrams, by what became of them."""
-        return [*self.post.lines(), f"datagram bytes sent: {self.post.bytes_out}"]
+    def datagram_lines(self) -> list[str]:
+        """Status lines: datagrams by what became of them."""
+        return [*self.datagrams.lines(), f"datagram bytes sent: {self.datagrams.bytes_out}"]
 
-    def folder_lines(self):
-        """Stores, by what became of them, and why nothing can be stored."""
+    def store_lines(self) -> list[str]:
+        """Status lines: writes by what became of them, and the last error of the store."""
         if self.writer is None:
             return []
-        counts = [f"folder {what}: {number:.0f}" for what, number in self.writer.counts.items()]
-        return [*counts, f"folder trouble: {self.writer.last_error or 'none'}"]
+        counts = [f"store {name}: {count:.0f}" for name, count in self.writer.counts.items()]
+        return [*counts, f"store last error: {self.writer.last_error or 'none'}"]
--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -5,8 +5,8 @@
 
 
 class Tenants:
-    def __init__(self, accounts, now_ms, wait):
-        self.accounts, self.now_ms, self.wait = accounts, now_ms, wait
+    def __init__(self, accounts, now_ms, set_timer):
+        self.accounts, self.now_ms, self.set_timer = accounts, now_ms, set_timer
         self.taken = {
             f.tenant: [0, 0.0, 0] for f in accounts.figures
         }  # within quota, their work in ms; beyond it
@@ -18,7 +18,7 @@
         within, taken = self.accounts.take(self.now_ms(), q, expected_work_ms(q)), self.taken[q.tenant.name]
         taken[0 if within else 2] += 1
         taken[1] += expected_work_ms(q) * within
-        self.wait()  # it may ask for more, now
+        self.set_timer()  # it may ask for more, now
         return not within
 
     def finished(self, q, cost):
--- a/lichenquay/gateway/configuration.py
+++ b/lichenquay/gateway/configuration.py
@@ -146,9 +146,9 @@
     distribution = feature_settings.distribution if feature_settings.HasField("distribution") else None
     # Imported here, as above.
     if feature_settings.HasField("fleet"):
-        from lichenquay.fleet.gateway_runtime import Fleet
+        from lichenquay.fleet.gateway_runtime import GatewayRuntime
 
-        return Fleet(
+        return GatewayRuntime(
             reactor,
             feature_settings.fleet,
             seed,
@@ -157,7 +157,7 @@
             apply_to=apply_to,
         )
     if distribution is not None:
-        from lichenquay.fleet.follower_runtime import Follower
+        from lichenquay.fleet.follower_runtime import FollowerRuntime
 
-        return Follower(reactor, distribution, seed, apply_to)
+        return FollowerRuntime(reactor, distribution, seed, apply_to)
     return None
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -37,9 +37,9 @@
         said = read_control(text_format.MessageToString(control_settings(spec, name)), name)
         self.host: Control = control_of(reactor, said)
         self.network = Network(reactor, Impairment(f"{spec.shape.seed}/{name}"))
-        self.host.post = LabPost(self.host.post, self.network)
+        self.host.datagrams = LabPost(self.host.datagrams, self.network)
         self.disk = FaultyOs()
-        self.host.new_folder = partial(DurableStore, file_system=self.disk)
+        self.host.new_store = partial(DurableStore, file_system=self.disk)
 
     def start(self):
         """Opens folder and socket, and takes part; a fault ends the process with one line."""
@@ -65,7 +65,7 @@
 
     def counts(self):
         """Of this process."""
-        counts = self.host.post.add_to(orders.Counts())
+        counts = self.host.datagrams.add_to(orders.Counts())
         if isinstance(self.host, VoterHost):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
         return replace(counts, oldest=self.host.relay.subscriber.applied_version)
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -4,8 +4,8 @@
     python -m lichenquay.testbed.scale.hollow WORLD NUMBER
 
 WORLD is the file of a `WorldSpec`; NUMBER tells this process from its likes. Orders come on standard input.
-A hollow front is production's `Follower`, as a front that follows distributed configuration has it. It has
-no membership (at most 1,024 names), no account client, no controller, and no clients.
+A hollow front is production's `FollowerRuntime`, as a front that follows distributed configuration has it.
+It has no membership (at most 1,024 names), no account client, no controller, and no clients.
 """
 
 import gc
@@ -15,7 +15,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lichenquay.fleet.follower_runtime import Follower
+from lichenquay.fleet.follower_runtime import FollowerRuntime
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.testbed.scale import orders, record
 from lichenquay.testbed.scale.digest import values_digest
@@ -35,7 +35,7 @@
     """A hollow front has no socket. The text is one line."""
 
 
-class HollowFront(Follower):
+class HollowFront(FollowerRuntime):
     """One front without traffic, from its start to its end."""
 
     def __init__(self, reactor, settings, seed, network, controller=None):
@@ -43,7 +43,7 @@
         one.
         """
         super().__init__(reactor, settings, seed, self)
-        self.post = LabPost(self.post, network)
+        self.datagrams = LabPost(self.datagrams, network)
         self.life = record.Life(settings.name, boot_ms())
         self.gate, self.controller = None, controller
 
@@ -64,9 +64,9 @@
             raise CannotListenError(fault)
         super().begin()
 
-    def after_turn(self):
+    def after_flush(self):
         """Keeps the version in force, whichever way it moved."""
-        super().after_turn()
+        super().after_flush()
         self.life.step(self.following.subscriber.applied_version, boot_ms())
 
     def end(self):
@@ -114,7 +114,7 @@
             case orders.ReadSlowly(names, on):
                 for name in names:
                     if name in self.fronts:
-                        self.fronts[name].post.read_slowly(on)
+                        self.fronts[name].datagrams.read_slowly(on)
             case orders.Impair(rules):
                 self.network.impairment.rules = list(rules)
             case orders.Count():
@@ -173,13 +173,13 @@
             front = self.fronts.pop(name, None)
             if front is not None:
                 front.end()
-                self.gone = front.post.add_to(self.gone)
+                self.gone = front.datagrams.add_to(self.gone)
 
     def counts(self):
         """Of all fronts that run or ran here."""
         counts = self.gone
         for front in self.fronts.values():
-            counts = front.post.add_to(counts)
+            counts = front.datagrams.add_to(counts)
         in_force = [front.following.subscriber.applied_version for front in self.fronts.values()]
         return replace(counts, fronts=len(self.fronts), oldest=min(in_force, default=0))
 
--- a/lichenquay/testbed/scale/lab_post.py
+++ b/lichenquay/testbed/scale/lab_post.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from lichenquay.fleet.datagram_transport import Post
+from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.testbed.scale.impairment import Impairment
 from lichenquay.testbed.scale.orders import Counts
 from lichenquay.testbed.scale.scenario import zone_of_name
@@ -16,12 +16,12 @@
     impairment: Impairment
 
 
-class LabPost(Post):
+class LabPost(DatagramTransport):
     """Takes the place of a host's own post, before the host opens its socket."""
 
-    def __init__(self, post: Post, network: Network):
+    def __init__(self, post: DatagramTransport, network: Network):
         """All that `post` has."""
-        super().__init__(post.envelope, post.addresses, post.kinds, post.heard, post.learn)
+        super().__init__(post.envelope, post.addresses, post.message_types, post.on_message, post.on_address)
         self.network = network
         self.zone = zone_of_name(post.envelope.name)
         self.bytes_in = 0
--- a/lichenquay/testbed/scale/probes/datagram.py
+++ b/lichenquay/testbed/scale/probes/datagram.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from lichenquay.fleet.message_envelope import MEMBERS, Envelope
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms
 
 FLEET, FINGERPRINT, INCARNATION = "scale", 1, 1_700_000_000_000
@@ -15,7 +15,7 @@
     """`sizes`: bytes of the message, up to `envelope.MOST_BODY`. Sockets on 127.0.0.1 alone."""
     rng, samples = random.Random(f"datagram/{seed}"), []
     names = ["front-0001", "front-0002"]
-    out, into = (Envelope(FLEET, FINGERPRINT, name, names) for name in names)
+    out, into = (MessageEnvelope(FLEET, FINGERPRINT, name, names) for name in names)
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
@@ -25,7 +25,7 @@
         address = receiver.getsockname()
         for done, size in enumerate(sizes):
             body = rng.randbytes(size)
-            sealed = out.seal(INCARNATION, names[1], MEMBERS, body)
+            sealed = out.seal(INCARNATION, names[1], Layer.MEMBERS, body)
 
             def carry(data: bytes = sealed) -> None:
                 sender.sendto(data, address)
@@ -33,7 +33,7 @@
 
             samples += [
                 Sample(size, "datagram.length", "bytes", (float(len(sealed)),)),
-                each(size, "datagram.seal", lambda b=body: out.seal(INCARNATION, names[1], MEMBERS, b)),
+                each(size, "datagram.seal", lambda b=body: out.seal(INCARNATION, names[1], Layer.MEMBERS, b)),
                 each(size, "datagram.open", lambda data=sealed: into.open(data)),
                 each(size, "datagram.socket", carry),
             ]
--- a/lichenquay/testbed/scale/probes/starved.py
+++ b/lichenquay/testbed/scale/probes/starved.py
@@ -6,8 +6,8 @@
 from twisted.internet.task import Clock
 
 from lichenquay.config.reader import read_settings
-from lichenquay.fleet.gateway_runtime import Fleet
-from lichenquay.fleet.message_envelope import MEMBERS
+from lichenquay.fleet.gateway_runtime import GatewayRuntime
+from lichenquay.fleet.message_envelope import Layer
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.testbed.scale.sample import Progress, Sample
 
@@ -47,7 +47,7 @@
         )
         text = f'fleet {{ fleet: "scale" name: "{names[0]}" listen: "127.0.0.1:9000" {peers} }}'
         self.clock, self.turns = Reactor(), 0
-        self.fleet = Fleet(
+        self.fleet = GatewayRuntime(
             self.clock,
             read_settings(text).fleet,
             seed,
@@ -57,7 +57,7 @@
             log=Silent(),
         )
         self.fleet.open()
-        self.fleet.post.transport = Silent()
+        self.fleet.datagrams.transport = Silent()
         self.fleet.begin()
         for name in self.peers:
             self.hear(name, pb.Message(gossip=pb.Gossip()))
@@ -72,7 +72,7 @@
 
     def hear(self, name: str, message: pb.Message) -> None:
         """One message of another front."""
-        self.fleet.heard(MEMBERS, (name, INCARNATION), message)
+        self.fleet.on_message(Layer.MEMBERS, (name, INCARNATION), message)
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
@@ -80,12 +80,12 @@
     samples = []
     for done, size in enumerate(sizes):
         heard = Heard(seed)
-        before = heard.fleet.post.counters["datagrams sent"]
+        before = heard.fleet.datagrams.counters["datagrams sent"]
         for number in range(round(size * MEASURED_S)):
             ping = pb.Ping(no=number + 1, name=heard.fleet.settings.name)
             heard.hear(heard.peers[number % len(heard.peers)], pb.Message(ping=ping))
             heard.clock.advance(1 / size)
-        sent = heard.fleet.post.counters["datagrams sent"] - before
+        sent = heard.fleet.datagrams.counters["datagrams sent"] - before
         samples += [
             Sample(size, "starved.turns", "1/s", (heard.turns / MEASURED_S,)),
             Sample(size, "starved.sent", "1/s", (sent / MEASURED_S,)),
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -7,7 +7,8 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError
+from lichenquay.fleet.message_envelope import MAX_DATAGRAM_BYTES, Layer, MessageEnvelope
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.testbed.scale.client import Client, Proposal
 from lichenquay.testbed.scale.world_spec import CLIENT, FLEET, OPEN_LAYERS, WorldSpec
@@ -24,7 +25,7 @@
         self.spec = spec
         rng = random.Random(f"{spec.shape.seed}/proposer")
         self.client = Client(spec.shape.publisher_names(), rng, make_entries)
-        self.envelope = Envelope(FLEET, 0, CLIENT, (), OPEN_LAYERS)
+        self.envelope = MessageEnvelope(FLEET, 0, CLIENT, (), OPEN_LAYERS)
         self.lock = threading.Lock()
         self.ending = threading.Event()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -84,7 +85,7 @@
             self._hear()
 
     def _send(self, name, message):
-        datagram = self.envelope.seal(INCARNATION, name, DISTRIBUTION, message.SerializeToString())
+        datagram = self.envelope.seal(INCARNATION, name, Layer.DISTRIBUTION, message.SerializeToString())
         try:
             self.socket.sendto(datagram, self.spec.addresses[name])
         except OSError:  # As good as lost.
@@ -92,10 +93,10 @@
 
     def _hear(self):
         try:
-            datagram, _ = self.socket.recvfrom(MOST + 1)
+            datagram, _ = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             name, incarnation, _, body = self.envelope.open(datagram)
             message = pb.Message.FromString(body)
-        except (OSError, Dropped, DecodeError):  # Nothing came, or nothing that makes sense.
+        except (OSError, DroppedDatagramError, DecodeError):  # Nothing came, or nothing that makes sense.
             return
         with self.lock:
             self.client.heard(boot_ms(), (name, incarnation), message)
--- a/lichenquay/testbed/scale/talker.py
+++ b/lichenquay/testbed/scale/talker.py
@@ -12,18 +12,18 @@
 from twisted.internet import reactor
 
 from lichenquay.config.reader import read_file, read_settings
-from lichenquay.fleet.gateway_runtime import Fleet
+from lichenquay.fleet.gateway_runtime import GatewayRuntime
 
 
-def spent(fleet: Fleet) -> tuple[float, int, int]:
+def spent(fleet: GatewayRuntime) -> tuple[float, int, int]:
     """Processor time in milliseconds, datagrams and bytes sent so far."""
-    post = fleet.post
+    post = fleet.datagrams
     return time.process_time() * 1_000, post.counters["datagrams sent"], post.bytes_out
 
 
 def main(path: str, warm_s: float, measured_s: float) -> None:
     """Talks for the two times, then tells of the second one."""
-    fleet = Fleet(reactor, read_file(path, read_settings).fleet, 1, lambda: False)
+    fleet = GatewayRuntime(reactor, read_file(path, read_settings).fleet, 1, lambda: False)
     trouble = fleet.open()
     if trouble:
         sys.exit(trouble)
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -13,7 +13,7 @@
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 from lichenquay.fleet.source_ranking import ranked
 from lichenquay.lease import lease_pb2
 from lichenquay.testbed.fleetnet import FleetNet
@@ -112,7 +112,7 @@
         for zone in shape.zones:
             for name in shape.relay_names(zone):
                 self.net.host(name, self._make_relay)
-        self.net.host(CLIENT, lambda host: {DISTRIBUTION: self.client})
+        self.net.host(CLIENT, lambda host: {Layer.DISTRIBUTION: self.client})
 
     def run_until(self, is_so, most_ms: float) -> bool:
         """Runs until `is_so()`, for `most_ms` at most; False: it was not."""
@@ -144,7 +144,7 @@
 
     def set_rate(self, per_s):
         """Of the client."""
-        self.net.call(CLIENT, DISTRIBUTION, "set_rate", per_s)
+        self.net.call(CLIENT, Layer.DISTRIBUTION, "set_rate", per_s)
 
     def newest(self):
         """By the client."""
@@ -186,7 +186,7 @@
         """The publisher that holds the lease."""
         for name in self.shape.publisher_names():
             host = self.net.hosts[name]
-            if host.up and not host.paused and host.parts[DISTRIBUTION].group.holds(host.now_ms()):
+            if host.up and not host.paused and host.parts[Layer.DISTRIBUTION].group.holds(host.now_ms()):
                 return name
         return None
 
@@ -198,7 +198,7 @@
     def propose(self, entries):
         """A change of the run's own."""
         self.client.propose(entries)
-        self.net.call(CLIENT, DISTRIBUTION, "tick")
+        self.net.call(CLIENT, Layer.DISTRIBUTION, "tick")
 
     def start_fronts(self, names):
         """Starts those that do not run."""
@@ -223,17 +223,17 @@
     def end(self):
         """Keeps what the fronts hold."""
         for name, life in self.running.items():
-            subscriber = self.net.hosts[name].parts[DISTRIBUTION]
+            subscriber = self.net.hosts[name].parts[Layer.DISTRIBUTION]
             life.values_digest = values_digest(subscriber.applied_values)
             life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
             life.counts = dict(subscriber.counts)
 
     def _make_voter(self, host):
-        return {DISTRIBUTION: Voter(host, self.shape, self.settings, self.disks[host.name])}
+        return {Layer.DISTRIBUTION: Voter(host, self.shape, self.settings, self.disks[host.name])}
 
     def _make_relay(self, host):
         publishers = self.shape.publisher_names()
-        return {DISTRIBUTION: Relay(host.name, publishers, host.rng, self.settings, host.now_ms())}
+        return {Layer.DISTRIBUTION: Relay(host.name, publishers, host.rng, self.settings, host.now_ms())}
 
     def _make_front(self, host):
         zone = zone_of_name(host.name)
@@ -241,7 +241,7 @@
         subscriber = Subscriber(
             host.name, sources, list(PREFIXES), host.rng, self.settings, host.now_ms(), take_all
         )
-        return {DISTRIBUTION: subscriber}
+        return {Layer.DISTRIBUTION: subscriber}
 
     def _fate(self, number, source, target, layer, message):
         """The impairment's word for a message; None: FleetNet's own usual delay."""
@@ -271,7 +271,7 @@
             return
         if not disk.full:
             disk.kept.update(changes)
-        self.net.call(name, DISTRIBUTION, "stored", number, not disk.full)
+        self.net.call(name, Layer.DISTRIBUTION, "stored", number, not disk.full)
 
 
 @dataclass(frozen=True)
--- a/lichenquay/testbed/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -6,14 +6,14 @@
 
 from lichenquay.config.distribution_settings import distribution_fingerprint
 from lichenquay.config.endpoint_list import ENGINE_PREFIX
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape
 
 FLEET = "scale"
 CLIENT = f"{CONTROL_ZONE}-client"  # Who proposes changes.
 CONFIG_PREFIX = "config/"
 PREFIXES = (CONFIG_PREFIX, ENGINE_PREFIX)  # What a front subscribes to.
-OPEN_LAYERS = {DISTRIBUTION: distribution_fingerprint(FLEET)}
+OPEN_LAYERS = {Layer.DISTRIBUTION: distribution_fingerprint(FLEET)}
 
 
 @dataclass(frozen=True)
--- a/tests/distribution/recording_subscriber.py
+++ b/tests/distribution/recording_subscriber.py
@@ -11,7 +11,8 @@
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.message_envelope import DISTRIBUTION, Dropped, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 
 SETTINGS = Settings(report_ms=200.0, silent_ms=800.0, stale_ms=1200.0, expire_ms=3000.0, merge_ms=20.0)
 PREFIXES = ["config/"]
@@ -53,8 +54,8 @@
         self.deaf_until_ms = 0.0
         self.read_interval_ms = 0.0
         self.next_read_ms = 0.0
-        layers = {DISTRIBUTION: distribution_fingerprint(fleet)}
-        self.envelope = Envelope(fleet, 0, name, (), layers)
+        layers = {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
+        self.envelope = MessageEnvelope(fleet, 0, name, (), layers)
         self.incarnation = int(time.time() * 1000)
         rng = random.Random(f"{seed}:{name}")
         self.subscriber = Subscriber(name, sources, PREFIXES, rng, SETTINGS, clock_ms(), self.apply)
@@ -88,7 +89,7 @@
         for data in self._receive(now_ms):
             try:
                 name, incarnation, _, body = self.envelope.open(data)
-            except Dropped:  # of another test
+            except DroppedDatagramError:  # of another test
                 continue
             self.subscriber.heard(clock_ms(), (name, incarnation), pb.Message.FromString(body))
         if now_ms >= self.deaf_until_ms and self.subscriber.due_ms <= now_ms:
@@ -110,7 +111,7 @@
         self.subscriber.outbox.clear()
         for name, message in sent:
             body = message.SerializeToString()
-            data = self.envelope.seal(self.incarnation, name, DISTRIBUTION, body)
+            data = self.envelope.seal(self.incarnation, name, Layer.DISTRIBUTION, body)
             self.socket.sendto(data, self.addresses[name])
 
 
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -10,7 +10,7 @@
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST_BODY
+from lichenquay.fleet.message_envelope import MAX_BODY_BYTES, Layer
 from lichenquay.lease.lease_pb2 import Message as LeaseMessage
 from lichenquay.testbed.fleetnet import FleetNet, Weather
 
@@ -113,7 +113,7 @@
         if self.host.paused:
             net.at(net.now_ms + PAUSED_RETRY_MS, self._report_stored, life, number)
             return
-        net.call(self.host.name, DISTRIBUTION, "stored", number)
+        net.call(self.host.name, Layer.DISTRIBUTION, "stored", number)
 
 
 class GatewayPart:
@@ -217,7 +217,7 @@
         self.gateways = []
         self.zones = zones
         for name in voters:
-            self._host(name, lambda host: {DISTRIBUTION: VoterPart(self, host)})
+            self._host(name, lambda host: {Layer.DISTRIBUTION: VoterPart(self, host)})
         for zone in range(zones):
             self._zone(zone, gateways)
 
@@ -228,7 +228,7 @@
     def _zone(self, zone, gateways):
         relays = [f"r{zone}{letter}" for letter in "ab"]
         for name in relays:
-            self._host(name, lambda host: {DISTRIBUTION: RelayPart(self, host)})
+            self._host(name, lambda host: {Layer.DISTRIBUTION: RelayPart(self, host)})
             self.relays.append(name)
         for number in range(gateways):
             order = relays if number % 2 == 0 else relays[::-1]
@@ -236,7 +236,7 @@
 
     def add_gateway(self, name, sources, prefixes):
         """One more gateway."""
-        self._host(name, lambda host: {DISTRIBUTION: GatewayPart(self, host, sources, prefixes)})
+        self._host(name, lambda host: {Layer.DISTRIBUTION: GatewayPart(self, host, sources, prefixes)})
         self.gateways.append(name)
         return self
 
@@ -251,7 +251,7 @@
             if isinstance(message, pb.Message):
                 size = message.ByteSize()
                 self.longest = max(self.longest, size)
-                require(size <= MOST_BODY, f"{host.name}: a message of {size} bytes: {message}")
+                require(size <= MAX_BODY_BYTES, f"{host.name}: a message of {size} bytes: {message}")
                 is_published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHING_KINDS
                 may_be_sent = not is_published or part.group.holds(host.now_ms())
                 require(may_be_sent, f"{host.name} publishes without the lease: {message}")
@@ -260,7 +260,7 @@
 
     def part(self, name):
         """The part of a process."""
-        return self.net.hosts[name].parts[DISTRIBUTION]
+        return self.net.hosts[name].parts[Layer.DISTRIBUTION]
 
     def subscriber(self, name):
         """A gateway's or a relay's."""
@@ -317,7 +317,7 @@
 
         if voter is not None:
             entries = [entry_of(key, value) for key, value in changes.items()]
-            self.net.call(voter, DISTRIBUTION, "propose", entries, request, on_answer)
+            self.net.call(voter, Layer.DISTRIBUTION, "propose", entries, request, on_answer)
         return answers
 
     def accept(self, changes, ms=10_000):
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -8,7 +8,8 @@
 from contextlib import ExitStack
 from unittest.mock import patch
 
-from lichenquay.fleet.message_envelope import SUM, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError
+from lichenquay.fleet.message_envelope import CHECKSUM, MessageEnvelope, OpenedDatagram
 from lichenquay.lease.leadership import Leadership
 from lichenquay.lease.messages import AppendReply
 from lichenquay.lease.voter import Voter
@@ -42,20 +43,20 @@
 
 
 def lenient(check):
-    real = Envelope.open
+    real = MessageEnvelope.open
 
     def open_(self, data):
         from lichenquay.fleet import fleet_pb2
 
         try:
             return real(self, data)
-        except ValueError as why:
+        except DroppedDatagramError as why:
             if str(why) != check:
                 raise
-            got = fleet_pb2.Datagram.FromString(bytes(data[SUM.size :]))
-            return got.sender, got.incarnation, got.layer, got.body
+            got = fleet_pb2.Datagram.FromString(bytes(data[CHECKSUM.size :]))
+            return OpenedDatagram(got.sender, got.incarnation, got.layer, got.body)
 
-    return [(Envelope, "open", open_)]
+    return [(MessageEnvelope, "open", open_)]
 
 
 @rule("receiver not checked")
--- a/tests/fleet/fleet_mutations.py
+++ b/tests/fleet/fleet_mutations.py
@@ -11,24 +11,25 @@
 from google.protobuf.message import DecodeError
 
 from lichenquay.fleet import fleet_pb2
-from lichenquay.fleet.message_envelope import MEMBERS, OWNER, QUOTA, SUM, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError, MessageTooLargeError
+from lichenquay.fleet.message_envelope import CHECKSUM, Layer, MessageEnvelope
 from lichenquay.lease import lease_pb2
 from lichenquay.membership import members_pb2
 from lichenquay.quota import quota_pb2
 
 KINDS = {
-    MEMBERS: (members_pb2.Message, "kind"),
-    OWNER: (lease_pb2.Message, "body"),
-    QUOTA: (quota_pb2.Message, "what"),
+    Layer.MEMBERS: (members_pb2.Message, "kind"),
+    Layer.OWNER: (lease_pb2.Message, "body"),
+    Layer.QUOTA: (quota_pb2.Message, "what"),
 }
-LAYERS = {MEMBERS: "members", OWNER: "owner", QUOTA: "quota"}
+LAYERS = {Layer.MEMBERS: "members", Layer.OWNER: "owner", Layer.QUOTA: "quota"}
 LATE_MS, LONG_MS, AFTER_MS = 400.0, 1500.0, 0.1
 MOST_OF = {Field.CPPTYPE_UINT32: 2**32 - 1, Field.CPPTYPE_UINT64: 2**64 - 1}
 
 
 def opened(data):
     """(datagram, message) of what a front sent."""
-    datagram = fleet_pb2.Datagram.FromString(data[SUM.size :])
+    datagram = fleet_pb2.Datagram.FromString(data[CHECKSUM.size :])
     return datagram, KINDS[datagram.layer][0].FromString(datagram.body)
 
 
@@ -39,7 +40,7 @@
 
 def sealed(datagram, receiver=None, body=None):
     to = receiver or datagram.receiver
-    return Envelope(datagram.fleet, datagram.fingerprint, datagram.sender, ()).seal(
+    return MessageEnvelope(datagram.fleet, datagram.fingerprint, datagram.sender, ()).seal(
         datagram.incarnation, to, datagram.layer, datagram.body if body is None else body
     )
 
@@ -179,7 +180,7 @@
     body = message.SerializeToString()
     try:
         return sealed(datagram, body=body)
-    except ValueError:
+    except MessageTooLargeError:
         return None
 
 
@@ -218,8 +219,8 @@
     if process.fleet is None:
         return True
     try:
-        process.fleet.post.envelope.open(data)
-    except (ValueError, DecodeError):
+        process.fleet.datagrams.envelope.open(data)
+    except (DroppedDatagramError, DecodeError):
         return True
     return False
 
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -15,7 +15,7 @@
 
 from lichenquay.config.fleet_settings import fingerprint
 from lichenquay.config.reader import read_file, read_settings
-from lichenquay.fleet.message_envelope import MEMBERS, Envelope
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 from lichenquay.membership import members_pb2
 
 ALL_THERE_S, AIM_MS = 20.0, 3000.0
@@ -175,8 +175,8 @@
                 ("yard", "a", "a", 7),
                 ("yard", "a", "b", 0),
             ):
-                data = Envelope(fleet, 1, name, "ab").seal(
-                    incarnation, to, MEMBERS, members_pb2.Message().SerializeToString()
+                data = MessageEnvelope(fleet, 1, name, "ab").seal(
+                    incarnation, to, Layer.MEMBERS, members_pb2.Message().SerializeToString()
                 )
                 s.sendto(data, c.relay.targets["b"])
         until(lambda: "datagrams dropped: another fleet" in c.log("b") or not c.told("b"), 5)
@@ -247,8 +247,8 @@
         said = members_pb2.Message(gossip=members_pb2.Gossip(), rows=[row])
         path = tmp_path / "a.textproto"
         settings = read_file(path, read_settings).fleet
-        data = Envelope("yard", fingerprint(settings), "a", c.names).seal(
-            c.members("b")["a"][0], "b", MEMBERS, said.SerializeToString()
+        data = MessageEnvelope("yard", fingerprint(settings), "a", c.names).seal(
+            c.members("b")["a"][0], "b", Layer.MEMBERS, said.SerializeToString()
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as s:
             s.sendto(data, c.relay.targets["b"])
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Whole fronts in virtual time: `lichenquay.fleet.gateway_runtime.Fleet` itself, over a reactor, a network, clocks and disks that
+"""Whole fronts in virtual time: `lichenquay.fleet.gateway_runtime.GatewayRuntime` itself, over a reactor, a network, clocks and disks that
 a test has in hand.
 
 Every datagram is sealed and opened as on a socket, and has a number, so that a run can be repeated with one of them
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 from lichenquay.config import lichenquay_pb2 as conf
-from lichenquay.fleet.gateway_runtime import Fleet
+from lichenquay.fleet.gateway_runtime import GatewayRuntime
 from lichenquay.membership.failure_detector import FailureDetector
 from lichenquay.membership.settings import Settings as MembershipSettings
 
@@ -159,7 +159,7 @@
         return True
 
 
-class Host(Fleet):
+class Host(GatewayRuntime):
     """With a quicker watch: a scenario is seconds long."""
 
     def new_watch(self):
@@ -335,7 +335,7 @@
     def arrive(self, process, data, whole=True):
         if process.fleet is None or process.deaf:
             return
-        post = process.fleet.post
+        post = process.fleet.datagrams
         heard = post.counters["datagrams heard"]
         post.datagramReceived(data, ("127.0.0.1", 1))
         if not whole and post.counters["datagrams heard"] > heard:
@@ -352,7 +352,7 @@
         fleet, life = process.fleet, process.starts
         q = Query(tenant, work_ms)
         within = fleet.accounts.take(fleet.now_ms(), q, work_ms)
-        fleet.quota.wait()
+        fleet.quota.set_timer()
         self.audit.took(process, tenant, within)
         self.stepped(process)
         if within:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -7,7 +7,7 @@
 from distribution_world import FIVE_VOTERS, LEASE_MS, SETTINGS, VOTERS, World, entry_of
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 
 pytestmark = pytest.mark.together
 
@@ -136,14 +136,14 @@
     leader = world.leader()
     publisher = world.part(leader).publisher
     heard = []
-    world.net.host("client", lambda host: {DISTRIBUTION: Client(heard)})
+    world.net.host("client", lambda host: {Layer.DISTRIBUTION: Client(heard)})
     for request, key in ((1, "config/a"), (2, "nonsense")):
         propose = pb.Propose(request=request, entries=[entry_of(key, b"1")])
         world.audit.requests[request] = 1
         publisher.heard(world.now(leader), ("client", 1), pb.Message(propose=propose))
     status = pb.StatusRequest(request=3)
     publisher.heard(world.now(leader), ("client", 1), pb.Message(status_request=status))
-    world.net.call(leader, DISTRIBUTION, "tick")
+    world.net.call(leader, Layer.DISTRIBUTION, "tick")
     world.audit.record_change(1, 1, {"config/a": b"1"})
     world.run(1000)
     answers = {m.proposed.request: m.proposed for m in heard if m.HasField("proposed")}
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -9,7 +9,7 @@
 from distribution_world import World
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 
 pytestmark = pytest.mark.together
 
@@ -65,7 +65,7 @@
     """Accepted, or refused with one line."""
     world = World(3, zones=0)
     client = Client()
-    world.net.host("client", lambda host: {DISTRIBUTION: client})
+    world.net.host("client", lambda host: {Layer.DISTRIBUTION: client})
     world.run(10_000, lambda: world.leader() is not None)
     leader = world.leader()
     publisher = world.part(leader).publisher
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -25,7 +25,7 @@
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.snapshot import Snapshot
 from lichenquay.distribution.validation import find_change_error
-from lichenquay.fleet.message_envelope import MOST_BODY
+from lichenquay.fleet.message_envelope import MAX_BODY_BYTES
 
 pytestmark = pytest.mark.together
 
@@ -253,7 +253,7 @@
     fetch = pb.FetchPages(session=1 << 63, version=harness.source.version, first=0, count=1 << 31)
     harness.source.heard(harness.now_ms, ("f", 1), pb.Message(fetch=fetch))
     sizes = {message.WhichOneof("kind"): message.ByteSize() for _, message in harness.source.outbox}
-    assert max(sizes.values()) <= MOST_BODY
+    assert max(sizes.values()) <= MAX_BODY_BYTES
     assert {"delta", "offer", "page"} <= set(sizes)
 
 
@@ -270,7 +270,7 @@
     gateway.resync.is_needed = True
     gateway.tick(harness.now_ms + 1000)
     (follow,) = messages_of(gateway, "follow")
-    assert 950 < pb.Message(follow=follow).ByteSize() <= MOST_BODY
+    assert 950 < pb.Message(follow=follow).ByteSize() <= MAX_BODY_BYTES
     with pytest.raises(ValueError):
         harness.subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
 
--- a/tests/test_fleet_envelope.py
+++ b/tests/test_fleet_envelope.py
@@ -3,31 +3,32 @@
 import pytest
 
 from lichenquay.fleet.addresses import Addresses
-from lichenquay.fleet.message_envelope import DISTRIBUTION, MEMBERS, OWNER, Dropped, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 
-OPEN = {DISTRIBUTION: 7}
+OPEN = {Layer.DISTRIBUTION: 7}
 
 
 def envelope(name="v1", fleet="yard", fingerprint=1, names=("v1", "v2"), layers=None):
     """Of one process."""
-    return Envelope(fleet, fingerprint, name, names, OPEN if layers is None else layers)
+    return MessageEnvelope(fleet, fingerprint, name, names, OPEN if layers is None else layers)
 
 
-def opened(sender, receiver="v1", layer=DISTRIBUTION, by=None):
+def opened(sender, receiver="v1", layer=Layer.DISTRIBUTION, by=None):
     """What comes out at v1, or why it was dropped."""
     try:
         return (by or envelope()).open(sender.seal(5, receiver, layer, b"body"))
-    except Dropped as why:
+    except DroppedDatagramError as why:
         return str(why)
 
 
 def test_an_open_layer_takes_any_well_formed_name_of_the_fleet():
     """4,400 fronts are listed nowhere."""
     front = envelope("front-4399", fingerprint=99, names=())
-    assert opened(front) == ("front-4399", 5, DISTRIBUTION, b"body")
+    assert opened(front) == ("front-4399", 5, Layer.DISTRIBUTION, b"body")
 
 
-@pytest.mark.parametrize("layer", [MEMBERS, OWNER])
+@pytest.mark.parametrize("layer", [Layer.MEMBERS, Layer.OWNER])
 def test_other_layers_take_named_processes_alone(layer):
     """As before."""
     assert opened(envelope("stranger"), layer=layer) == "a stranger"
@@ -40,7 +41,7 @@
     "sender, why",
     [
         (envelope("a", fleet="moor"), "another fleet"),
-        (envelope("a", layers={DISTRIBUTION: 8}), "other settings"),
+        (envelope("a", layers={Layer.DISTRIBUTION: 8}), "other settings"),
         (envelope("no name"), "a stranger"),
         (envelope("x" * 25), "a stranger"),
         (envelope(""), "a stranger"),
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -19,7 +19,7 @@
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 
 pytestmark = pytest.mark.together
 
@@ -56,7 +56,7 @@
 
 def ask(world, name, **kind):
     """A client's message to a voter."""
-    world.net.call(name, DISTRIBUTION, "heard", CLIENT, pb.Message(**kind))
+    world.net.call(name, Layer.DISTRIBUTION, "heard", CLIENT, pb.Message(**kind))
 
 
 def play():
--- a/tests/test_golden_fleet.py
+++ b/tests/test_golden_fleet.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways of two versions: what revision 0018238 sealed opens here, and is sealed the same.
+"""Datagrams between gateways of two versions: what revision 0018238 sealed opens and is sealed the same.
 
 `golden/fleet/datagrams.json` holds one datagram of each layer as that revision sealed it.
 """
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lichenquay.fleet.message_envelope import DISTRIBUTION, Envelope
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 
 pytestmark = pytest.mark.together
 
@@ -21,7 +21,9 @@
 
 def envelope_of(name):
     """The envelope of one of the two gateways."""
-    return Envelope(FLEET, FINGERPRINT, name, ("a", "b"), {DISTRIBUTION: DISTRIBUTION_FINGERPRINT})
+    return MessageEnvelope(
+        FLEET, FINGERPRINT, name, ("a", "b"), {Layer.DISTRIBUTION: DISTRIBUTION_FINGERPRINT}
+    )
 
 
 @pytest.mark.parametrize("label", ["members", "owner", "quota", "distribution"])
