--- a/lichenquay/fleet/__init__.py
+++ b/lichenquay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A front among others: one UDP socket, its timers and its disk, round decisions that have no I/O."""
+"""The runtime of the processes of a fleet: one UDP socket, one timer and one store around decisions without I/O."""
--- a/lichenquay/fleet/addresses.py
+++ b/lichenquay/fleet/addresses.py
@@ -1,66 +1,79 @@
-"""Where other processes are: named ones by the settings, others by where their datagrams came from."""
+"""Addresses of other processes: from the settings, or discovered from the datagrams that they send."""
 
 from collections import Counter, OrderedDict
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-MOST_LEARNED = 8192  # senders that no settings name
-EXPIRE_MS = 60_000.0  # one not heard for so long gives way to a new one
+MAX_DISCOVERED = 8192
+EXPIRE_MS = 60_000.0  # without a datagram, after which an address may give way to a new one
 
+Address = tuple  # (host, port)
 
-@dataclass
-class Learned:
-    """Where a sender was last heard from. A lower incarnation of it is out of date."""
 
-    address: tuple
+@dataclass(frozen=True)
+class DiscoveredAddress:
+    """Where the last datagram of a sender came from."""
+
+    address: Address
     incarnation: int
-    heard_ms: float
+    received_ms: float
 
 
 class Addresses:
-    """As a mapping for `get`. Settings win: what a datagram says of a named process changes nothing.
+    """Finds a process by its name. An address in the settings is never replaced by a discovered one.
 
-    Risk: senders by the thousand fill the memory. The table is bounded; where all in it are fresh a new one
-    is not learned, and counted.
+    The table of discovered addresses is bounded, as any number of senders may appear. If it is full of recent
+    ones, a new sender is counted and not added.
     """
 
-    def __init__(self, named, now_ms, most=MOST_LEARNED, expire_ms=EXPIRE_MS):
-        """named: {name: address}. now_ms: a function."""
-        self.named, self.now_ms, self.most, self.expire_ms = named, now_ms, most, expire_ms
-        self.learned = OrderedDict()  # by when it was last heard
-        self.counts = Counter()
+    def __init__(
+        self,
+        named: Mapping[str, Address],
+        now_ms: Callable[[], float],
+        max_discovered: int = MAX_DISCOVERED,
+        expire_ms: float = EXPIRE_MS,
+    ):
+        """named: addresses from the settings, by name."""
+        self.named = named
+        self.now_ms = now_ms
+        self.max_discovered = max_discovered
+        self.expire_ms = expire_ms
+        self.discovered: OrderedDict[str, DiscoveredAddress] = OrderedDict()  # least recent first
+        self.counts: Counter[str] = Counter()
 
-    def get(self, name):
-        """(host, port), or None."""
+    def get(self, name: str) -> Address | None:
+        """(host, port), or None if it is not known."""
         address = self.named.get(name)
-        if address is None and name in self.learned:
-            address = self.learned[name].address
+        if address is None and name in self.discovered:
+            address = self.discovered[name].address
         return address
 
-    def learn(self, name, incarnation, address):
-        """A datagram of this sender came from this address."""
+    def learn(self, name: str, incarnation: int, address: Address) -> None:
+        """Records the source address of a datagram. Those of earlier incarnations are ignored."""
         if name in self.named:
             return
-        now_ms, known = self.now_ms(), self.learned.get(name)
+        now_ms = self.now_ms()
+        known = self.discovered.get(name)
         if known is not None and incarnation < known.incarnation:
             self.counts["addresses out of date"] += 1
             return
-        if known is None and not self._has_room(now_ms):
+        if known is None and not self._make_room(now_ms):
             self.counts["addresses without room"] += 1
             return
-        self.learned[name] = Learned(address, incarnation, now_ms)
-        self.learned.move_to_end(name)
+        self.discovered[name] = DiscoveredAddress(address, incarnation, now_ms)
+        self.discovered.move_to_end(name)
 
-    def _has_room(self, now_ms):
-        """Whether one more fits; who has not been heard for long goes."""
-        while self.learned:
-            oldest = next(iter(self.learned))
-            if now_ms - self.learned[oldest].heard_ms < self.expire_ms:
+    def _make_room(self, now_ms):
+        """Removes expired addresses; returns whether one more fits."""
+        while self.discovered:
+            name, oldest = next(iter(self.discovered.items()))
+            if now_ms - oldest.received_ms < self.expire_ms:
                 break
-            del self.learned[oldest]
+            del self.discovered[name]
             self.counts["addresses expired"] += 1
-        return len(self.learned) < self.most
+        return len(self.discovered) < self.max_discovered
 
-    def lines(self):
-        """What the table holds, and what it did not take."""
-        counts = [f"{what}: {number}" for what, number in sorted(self.counts.items())]
-        return [f"addresses learned: {len(self.learned)}", *counts]
+    def lines(self) -> list[str]:
+        """Status lines: the size of the table, and counts."""
+        counts = [f"{name}: {count}" for name, count in sorted(self.counts.items())]
+        return [f"addresses learned: {len(self.discovered)}", *counts]
--- a/tests/test_fleet_envelope.py
+++ b/tests/test_fleet_envelope.py
@@ -83,7 +83,7 @@
     """Whatever a datagram's source is."""
     table = Table()
     table.learn("v1", 99)
-    assert table.addresses.get("v1") == ("127.0.0.1", 1) and not table.addresses.learned
+    assert table.addresses.get("v1") == ("127.0.0.1", 1) and not table.addresses.discovered
 
 
 def test_a_sender_is_found_where_it_was_last_heard():
--- /dev/null
+++ b/tests/test_fleet_runtime.py
@@ -0,0 +1,22 @@
+"""The runtime's timer fires however many messages arrive."""
+
+import pytest
+
+from lichenquay.testbed.scale.probes import starved
+
+pytestmark = pytest.mark.together
+
+FEW_PER_S = 50
+MANY_PER_S = 2_000  # closer to each other than the timer's least wait
+
+
+def test_messages_do_not_postpone_the_timer():
+    """If each message set the timer anew, no part would be ticked under many messages.
+
+    A gateway would then conclude that it had been paused and probe others at each message, and they it.
+    """
+    samples = starved.measure((FEW_PER_S, MANY_PER_S), seed=1, progress=lambda share: None)
+    turns = {sample.size: sample.values[0] for sample in samples if sample.what == "starved.turns"}
+    sent = {sample.size: sample.values[0] for sample in samples if sample.what == "starved.sent"}
+    assert turns[MANY_PER_S] >= turns[FEW_PER_S]
+    assert sent[MANY_PER_S] - MANY_PER_S <= 2 * (sent[FEW_PER_S] - FEW_PER_S)
