--- a/lichenquay/control_plane/client.py
+++ b/lichenquay/control_plane/client.py
@@ -11,7 +11,8 @@
 from lichenquay.config.distribution_settings import distribution_fingerprint
 from lichenquay.control_plane.errors import NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.fleet.message_envelope import DISTRIBUTION, MOST, Dropped, Envelope
+from lichenquay.fleet.errors import DroppedDatagramError
+from lichenquay.fleet.message_envelope import MAX_DATAGRAM_BYTES, Layer, MessageEnvelope
 
 DEFAULT_TIMEOUT_S = 10.0
 ANSWER_TIMEOUT_S = 0.4  # For one voter; then the next one is asked.
@@ -55,8 +56,8 @@
         self.timeout_s = timeout_s
         self.rng = rng or random.SystemRandom()
         name = f"client-{self.rng.getrandbits(CLIENT_NUMBER_BITS):012x}"
-        layers = {DISTRIBUTION: distribution_fingerprint(fleet)}
-        self.envelope = Envelope(fleet, 0, name, (), layers)
+        layers = {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
+        self.envelope = MessageEnvelope(fleet, 0, name, (), layers)
         self.incarnation = int(time.time() * 1000)
         self.address_by_voter: dict[str, Address] = {}  # Learned from answers.
         self.socket = socket.socket(_address_family(self.voters), socket.SOCK_DGRAM)
@@ -114,7 +115,9 @@
         return self.address_by_voter.get(message.not_leader.leader)
 
     def _send(self, message, address):
-        data = self.envelope.seal(self.incarnation, ANY_RECEIVER, DISTRIBUTION, message.SerializeToString())
+        data = self.envelope.seal(
+            self.incarnation, ANY_RECEIVER, Layer.DISTRIBUTION, message.SerializeToString()
+        )
         try:
             self.socket.sendto(data, address)
         except OSError:
@@ -125,10 +128,10 @@
         while (left_s := deadline_s - time.monotonic()) > 0:
             self.socket.settimeout(left_s)
             try:
-                data, address = self.socket.recvfrom(MOST + 1)
+                data, address = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 name, _, _, body = self.envelope.open(data)
                 message = pb.Message.FromString(body)
-            except (OSError, Dropped, DecodeError):
+            except (OSError, DroppedDatagramError, DecodeError):
                 continue
             self.address_by_voter[name] = address
             if request_number in _request_numbers_of(message):
--- a/lichenquay/control_plane/relay_runtime.py
+++ b/lichenquay/control_plane/relay_runtime.py
@@ -4,7 +4,7 @@
 from lichenquay.control_plane.report import relay_lines
 from lichenquay.control_plane.runtime import ControlRuntime
 from lichenquay.distribution.relay import Relay
-from lichenquay.fleet.message_envelope import DISTRIBUTION
+from lichenquay.fleet.message_envelope import Layer
 from lichenquay.fleet.source_ranking import ranked
 
 
@@ -19,13 +19,13 @@
         settings = self.settings
         voters = ranked(settings.voters, settings.name, region=region_of(settings))
         self.relay = Relay(settings.name, voters, self.rng, self.figures, now_ms, self.log_subscriber_error)
-        self.parts = {DISTRIBUTION: self.relay}
+        self.parts = {Layer.DISTRIBUTION: self.relay}
 
     def log_subscriber_error(self, now_ms: float, line: str) -> None:
         """Log an error of the subscriber."""
         self.log.warning("distribution", reason=line, source=self.relay.subscriber.source)
 
-    def after_turn(self) -> None:
+    def after_flush(self) -> None:
         """Log which source the relay follows, and the newest version."""
         subscriber = self.relay.subscriber
         if subscriber.source != self.logged_source:
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -9,9 +9,9 @@
 from lichenquay.config.fleet_settings import parse_address
 from lichenquay.distribution import distribution_pb2
 from lichenquay.fleet.addresses import EXPIRE_MS, Addresses
-from lichenquay.fleet.datagram_transport import Post
-from lichenquay.fleet.message_envelope import DISTRIBUTION, Envelope
-from lichenquay.fleet.runtime import Host, Identity, Outside, boot_ms, json_logger
+from lichenquay.fleet.datagram_transport import DatagramTransport
+from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
+from lichenquay.fleet.runtime import Environment, Identity, Runtime, boot_ms, json_logger
 
 # Two states, and eight times that: the store's shares of the folder for them.
 MAX_FOLDER_BYTES = 256 << 20
@@ -22,11 +22,11 @@
 RNG_SEED_BITS = 128
 
 
-class ControlRuntime(Host, ABC):
+class ControlRuntime(Runtime, ABC):
     """A control process. A subclass sets `role`, and makes the parts of its role."""
 
     role: str
-    kinds = {DISTRIBUTION: distribution_pb2.Message}
+    kinds = {Layer.DISTRIBUTION: distribution_pb2.Message}
 
     def __init__(self, reactor, process_settings, log=None):
         """Open nothing yet.
@@ -42,11 +42,11 @@
         self.leave_deadline_ms: float | None = None
         self.logged_version = 0
         self.version_logged_ms = float("-inf")
-        post = Post(
-            _make_envelope(self.settings), self.addresses, self.kinds, self.heard, self.addresses.learn
+        datagrams = DatagramTransport(
+            _make_envelope(self.settings), self.addresses, self.kinds, self.on_message, self.addresses.learn
         )
         process_log = (log or json_logger()).bind(process=self.settings.name)
-        super().__init__(Outside(reactor), self._make_identity(), post, process_log)
+        super().__init__(Environment(reactor), self._make_identity(), datagrams, process_log)
 
     def _make_identity(self):
         settings = self.settings
@@ -102,7 +102,7 @@
             region=region_of(self.settings),
             incarnation=self.incarnation,
         )
-        self.turn()
+        self.run_due_parts()
 
     def leave(self) -> None:
         """Start to leave in order; `is_over` says when the process may end. Later calls change nothing."""
@@ -110,7 +110,7 @@
             return
         self.leave_deadline_ms = self.now_ms() + MAX_LEAVE_MS
         self.start_leaving(self.now_ms())
-        self.turn()
+        self.run_due_parts()
 
     def is_over(self) -> bool:
         """Whether, after `leave`, everything is released, or the time for it is up."""
@@ -134,8 +134,8 @@
             f"control {self.settings.name} {self.role} incarnation {self.incarnation}",
             *self.part_lines(self.now_ms()),
             *self.addresses.lines(),
-            *self.post_lines(),
-            *self.folder_lines(),
+            *self.datagram_lines(),
+            *self.store_lines(),
         ]
 
 
@@ -148,6 +148,6 @@
 
 
 def _make_envelope(settings):
-    layers = {DISTRIBUTION: distribution_fingerprint(settings.fleet)}
+    layers = {Layer.DISTRIBUTION: distribution_fingerprint(settings.fleet)}
     voters = {voter.name for voter in settings.voters}
-    return Envelope(settings.fleet, group_fingerprint(settings), settings.name, voters, layers)
+    return MessageEnvelope(settings.fleet, group_fingerprint(settings), settings.name, voters, layers)
--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -15,7 +15,7 @@
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.validation import find_change_error
 from lichenquay.endpoint_record import EndpointRecord
-from lichenquay.fleet.message_envelope import DISTRIBUTION, OWNER
+from lichenquay.fleet.message_envelope import Layer
 from lichenquay.gateway.discovery import Discovery, DiscoveryFactory
 from lichenquay.lease import lease_pb2
 
@@ -35,8 +35,8 @@
     """Runs a voter, which publishes while it holds the lease."""
 
     role = "voter"
-    prefix = f"owner/{publisher.GROUP}/"
-    kinds = {**ControlRuntime.kinds, OWNER: lease_pb2.Message}
+    section_prefix = f"owner/{publisher.GROUP}/"
+    kinds = {**ControlRuntime.kinds, Layer.OWNER: lease_pb2.Message}
     importer: EndpointImporter | None = None
     discovery: DiscoveryFactory | None = None
     logged_generation = 0
@@ -46,7 +46,7 @@
         """Make the group from its stored state, the publisher, and the importer if there is discovery."""
         self.group, self.publisher = self._make_group(now_ms)
         self.candidate = LeaseCandidate(self.group, now_ms)
-        self.parts = {OWNER: self.group, DISTRIBUTION: self.publisher, CANDIDATE: self.candidate}
+        self.parts = {Layer.OWNER: self.group, Layer.DISTRIBUTION: self.publisher, CANDIDATE: self.candidate}
         if self.settings.discovery:
             self._follow_discovery(now_ms)
 
@@ -59,7 +59,7 @@
             publisher.group_settings(self.figures, lease_duration_ms(self.settings)),
             self.figures,
             now_ms,
-            self.kept_sections(),
+            self.stored_sections(),
             check=find_error_in_change,
         )
 
@@ -72,9 +72,9 @@
 
     def on_endpoints(self, is_whole: bool, records: Sequence[EndpointRecord]) -> None:
         """Pass an announcement of discovery to the importer: the whole list, or what changed."""
-        if not self.closed:
+        if not self.is_closed:
             self.importer.on_endpoints(self.now_ms(), is_whole, records)
-            self.turn()
+            self.run_due_parts()
 
     def log_discovery_error(self, kind: str, line: str) -> None:
         """Log an error of discovery, at most once in `MIN_LOG_INTERVAL_MS`."""
@@ -89,7 +89,7 @@
             self.discovery.stop()
         super().close()
 
-    def after_turn(self) -> None:
+    def after_flush(self) -> None:
         """Log whether this voter publishes, and the newest version."""
         generation = self.group.generation
         if generation != self.logged_generation:
--- a/lichenquay/fleet/__init__.py
+++ b/lichenquay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A front among others: one UDP socket, its timers and its disk, round decisions that have no I/O."""
+"""Gateways among each other, and control processes: one UDP socket, timer and disk around parts without I/O."""
