--- a/lichenquay/fleet/__init__.py
+++ b/lichenquay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways among each other, and control processes: one UDP socket, timer and disk around parts without I/O."""
+"""The runtime of the processes of a fleet: one UDP socket, timer and store around decisions without I/O."""
