--- a/tests/fleet/fleet_marks.py
+++ b/tests/fleet/fleet_marks.py
@@ -10,6 +10,7 @@
 
 SKIP = {
     "counts",
+    "foreign_messages",
     "implausible_answers",
     "implausible_messages",
     "misdirected_requests",
