--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -9,7 +9,8 @@
 from lichenquay.config.reader import read_file
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.errors import ComparisonError
-from lichenquay.load.run import Workers, report_of
+from lichenquay.load.report import report_of
+from lichenquay.load.run import Workers
 
 OUT = click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
 
@@ -45,7 +46,7 @@
     workers = Workers(testbed, target, out)
     workers.start()
     with console.progress("load") as done:
-        kept = workers.go(done)
+        kept = workers.run(done)
     figures = {**report_of(kept, testbed), "out": str(out)}
     keep(out, testbed, kept, figures)
     console.write_json(json_path, figures)
@@ -67,10 +68,10 @@
 @console.reports_errors(*USER_ERRORS)
 def stall(seconds, rate, stall_ms, out, json_path):
     """A deliberate stall, seen by an open loop and missed by a closed one of the same rate."""
-    from lichenquay.load import proof
+    from lichenquay.load import self_test
 
     with console.progress("stall") as done:
-        found = proof.stall(output_folder(out), rate, seconds, stall_ms, done)
+        found = self_test.measure_stall(output_folder(out), rate, seconds, stall_ms, done)
     console.write_json(json_path, found)
     console.print_table(
         f"a stall of {stall_ms:g} ms at {rate:g} a second",
@@ -98,14 +99,14 @@
 @console.reports_errors(*USER_ERRORS)
 def capacity(seconds, workers, rates, out, json_path):
     """The rate that the generator sustains against null servers, with its overhead."""
-    from lichenquay.load import proof
+    from lichenquay.load import self_test
 
     try:
         rates = [float(rate) for rate in rates.split(",")]
     except ValueError:
         raise click.UsageError(f"--rates: not numbers: {rates!r}") from None
     with console.progress("capacity") as done:
-        found = proof.capacity(output_folder(out), rates, seconds, workers, progress=done)
+        found = self_test.measure_capacity(output_folder(out), rates, seconds, workers, progress=done)
     console.write_json(json_path, found)
     names = (
         "rate",
--- a/lichenquay/load/child.py
+++ b/lichenquay/load/child.py
@@ -1,4 +1,4 @@
-"""Processes of our own: what they are started with, and their first words."""
+"""Child processes: their environment, and the lines that they print."""
 
 import os
 import select
@@ -8,12 +8,12 @@
 
 
 def environment():
-    """This process's, with the package found wherever it is started from."""
+    """Returns this process's environment, with the package on the path from any working directory."""
     paths = (str(ROOT), os.environ.get("PYTHONPATH", ""))
-    return {**os.environ, "PYTHONPATH": os.pathsep.join(p for p in paths if p)}
+    return {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in paths if path)}
 
 
-def hear(process, seconds):
-    """The next line that a process says, '' if none comes in time."""
-    ready, _, _ = select.select([process.stdout], [], [], max(0.0, seconds))
+def read_line(process, timeout_s):
+    """Returns the next line that a process prints, stripped, or '' if none comes in time."""
+    ready, _, _ = select.select([process.stdout], [], [], max(0.0, timeout_s))
     return process.stdout.readline().strip() if ready else ""
--- a/lichenquay/load/client_connection.py
+++ b/lichenquay/load/client_connection.py
@@ -1,4 +1,4 @@
-"""Clients of the load generator: a query as its client keeps it, and the connection that it goes out on."""
+"""The connections of the load generator's clients."""
 
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientFactory, Protocol
@@ -6,123 +6,105 @@
 from lichenquay.gateway import frames
 from lichenquay.load.task import statement_of
 
-STREAMS = 32  # PROTOCOL: open queries on a connection
-AGAIN_S = 0.05  # before a connection that did not come up is tried again
-
-
-RECORDED = (  # of a query, in a worker's table
-    "ref",
-    "group",
-    "tenant",
-    "address",
-    "at_ms",
-    "reached_ms",
-    "sent_ms",
-    "answered_ms",
-    "code",
-    "answers",
-    "odd",
-    "left",
-    "cut",
-    "waited",
-    "tries",
-    "allowed",
-)
-
-
-class Ask:
-    """A query as its client keeps it; times in ms of its worker's run, NaN for what has not happened."""
-
-    __slots__ = (
-        *RECORDED,
-        "task",
-        "effort",
-        "claim",
-        "leave_ms",
-        "line",
-        "stream",
-    )
-
-    def __init__(self, **facts):
-        """`facts`: what is known of it before it goes, each a slot."""
-        self.reached_ms = self.sent_ms = self.answered_ms = float("nan")
-        self.code, self.answers, self.tries, self.line, self.stream = -1, 0, 0, None, 0
-        self.odd = self.left = self.cut = self.waited = False
-        for name, value in facts.items():
-            setattr(self, name, value)
-
-
-class Line(Protocol):
-    """A client's connection."""
+MAX_STREAMS = 32  # open queries on a connection, by the protocol
+RECONNECT_DELAY_S = 0.05
+NOTICE_STREAM = 0  # answers on it belong to no query
+
+
+class ClientConnection(Protocol):
+    """A connection of a client; it reports to the worker whose queries it carries."""
 
     def __init__(self, worker, address):
-        """`address`: the client's own, that the connection is bound to."""
-        self.worker, self.address, self.reader = worker, address, frames.FrameReader()
-        self.open, self.streams, self.old, self.told = {}, 0, {}, False
+        """Takes the `worker` and the client's `address`, which the connection is bound to."""
+        self.worker = worker
+        self.address = address
+        self.frame_reader = frames.FrameReader()
+        self.open_queries = {}  # by stream
+        self.ended_queries = {}  # by stream: answered or cancelled
+        self.last_stream = 0
+        self.is_going_away = False
+        self.next_send_ms = None  # of the closed loop
+
+    @property
+    def has_free_stream(self):
+        """Whether the protocol allows another open query."""
+        return len(self.open_queries) < MAX_STREAMS
 
     def connectionMade(self):
-        """It is up: the worker counts it in."""
+        """Reports the connection to the worker."""
         self.transport.setTcpNoDelay(True)
-        self.worker.connected(self)
+        self.worker.on_connected(self)
 
     def dataReceived(self, data):
-        """Answers go to their queries; one for a stream that is not known is counted as strange."""
-        now = self.worker.now_ms()
-        for kind, stream, payload in self.reader.feed(data):
-            if kind == frames.FrameType.ANSWER:
-                ask = self.open.pop(stream, None)
-                if ask is not None:
-                    self.old[stream] = ask
-                    self.worker.answered(ask, payload, now)
-                elif stream in self.old:
-                    self.old[stream].answers += 1
-                elif stream:
-                    self.worker.strange += 1
-                else:
-                    self.worker.told += 1
-            elif kind == frames.FrameType.GO_AWAY:
-                self.told = True
-                self.worker.replace(self)
-        self.worker.more(self)
+        """Handles the frames in the data, then lets waiting queries use the streams that became free."""
+        now_ms = self.worker.now_ms()
+        for frame_type, stream, payload in self.frame_reader.feed(data):
+            if frame_type == frames.FrameType.ANSWER:
+                self._on_answer(stream, payload, now_ms)
+            elif frame_type == frames.FrameType.GO_AWAY:
+                self.is_going_away = True
+                self.worker.on_going_away(self)
+        self.worker.send_waiting(self)
 
     def connectionLost(self, reason):
-        """What is open on it is cut off."""
-        self.worker.lost(self)
-
-    def ask(self, ask):
-        """Sends a query on its next stream."""
-        self.streams += 1
-        ask.line, ask.stream = self, self.streams
-        self.open[self.streams] = ask
+        """Reports the loss to the worker, which marks the open queries."""
+        self.worker.on_connection_lost(self)
+
+    def send(self, query):
+        """Sends a query on the next stream."""
+        self.last_stream += 1
+        query.connection = self
+        query.stream = self.last_stream
+        self.open_queries[query.stream] = query
         fields = frames.encode_fields(
             [
-                ("service", ask.group),
-                ("ref", ask.ref),
-                ("allow", str(ask.allowed)),
-                ("project", ask.tenant),
-                ("effort", f"{ask.effort:.1f}"),
-                ("memory", f"{ask.claim:.0f}"),
+                ("service", query.group),
+                ("ref", query.ref),
+                ("allow", str(query.timeout_ms)),
+                ("project", query.tenant),
+                ("effort", f"{query.estimated_work_ms:.1f}"),
+                ("memory", f"{query.estimated_memory_mb:.0f}"),
             ]
         )
-        self.transport.write(
-            frames.encode_frame(frames.FrameType.QUERY, self.streams, fields, statement_of(ask.task))
-        )
-
-
-class LineFactory(ClientFactory):
-    """Makes one connection of a client, again until it is up."""
+        statement = statement_of(query.task)
+        self.transport.write(frames.encode_frame(frames.FrameType.QUERY, query.stream, fields, statement))
+
+    def cancel(self, query):
+        """Cancels an open query; returns False if it is no longer open."""
+        if self.open_queries.pop(query.stream, None) is None:
+            return False
+        self.ended_queries[query.stream] = query
+        self.transport.write(frames.encode_frame(frames.FrameType.CANCEL, query.stream))
+        return True
+
+    def _on_answer(self, stream, payload, now_ms):
+        query = self.open_queries.pop(stream, None)
+        if query is not None:
+            self.ended_queries[stream] = query
+            self.worker.on_answer(query, payload, now_ms)
+        elif stream in self.ended_queries:
+            self.ended_queries[stream].answer_count += 1
+        elif stream != NOTICE_STREAM:
+            self.worker.unknown_answers += 1
+        else:
+            self.worker.notices += 1
+
+
+class ClientConnectionFactory(ClientFactory):
+    """Makes one connection of a client, and tries again until it is up."""
 
     noisy = False
 
     def __init__(self, worker, address):
-        """`address`: the client's own."""
-        self.worker, self.address = worker, address
+        """Takes the `worker` and the client's `address`."""
+        self.worker = worker
+        self.address = address
 
     def buildProtocol(self, peer):
-        """The connection, once it is up."""
-        return Line(self.worker, self.address)
+        """Returns the connection, once it is up."""
+        return ClientConnection(self.worker, self.address)
 
     def clientConnectionFailed(self, connector, reason):
-        """It did not come up: it is counted, and tried again a moment later."""
-        self.worker.refused += 1
-        reactor.callLater(AGAIN_S, self.worker.connect, self.address)
+        """Counts the failure, and connects again after a delay."""
+        self.worker.failed_connects += 1
+        reactor.callLater(RECONNECT_DELAY_S, self.worker.connect, self.address)
--- /dev/null
+++ b/lichenquay/load/client_query.py
@@ -0,0 +1,86 @@
+"""A query as its client records it, and the table that a worker process writes of its queries."""
+
+from dataclasses import dataclass
+from math import nan
+from typing import NamedTuple
+
+import pyarrow as pa
+
+from lichenquay.load.task import Task
+
+NOT_ANSWERED = -1  # in place of an answer code
+
+
+@dataclass(eq=False, slots=True)
+class ClientQuery:
+    """A query as its client records it.
+
+    Times are milliseconds of the run, NaN for what has not happened.
+    """
+
+    ref: str
+    group: str
+    tenant: str
+    address: str
+    at_ms: float  # the intended send time
+    task: Task
+    estimated_work_ms: float
+    estimated_memory_mb: float
+    timeout_ms: int
+    cancel_after_ms: float  # infinite if the client waits for its answer
+    retry_count: int = 0
+    due_handled_ms: float = nan  # when the generator came to it
+    sent_ms: float = nan
+    answered_ms: float = nan
+    answer_code: int = NOT_ANSWERED
+    answer_count: int = 0
+    has_wrong_rows: bool = False
+    is_cancelled: bool = False
+    connection_lost: bool = False
+    waited_for_stream: bool = False
+    connection: object = None
+    stream: int = 0
+
+    @property
+    def is_outstanding(self):
+        """Whether it was sent and its client still waits for the answer."""
+        is_sent = self.sent_ms == self.sent_ms  # NaN differs from itself
+        return is_sent and self.answer_count == 0 and not (self.connection_lost or self.is_cancelled)
+
+
+class RecordedColumn(NamedTuple):
+    """A column of the stored table, and the attribute of `ClientQuery` that it holds."""
+
+    name: str
+    attribute: str
+    type: pa.DataType
+
+
+RECORDED_COLUMNS = (
+    RecordedColumn("ref", "ref", pa.string()),
+    RecordedColumn("group", "group", pa.string()),
+    RecordedColumn("tenant", "tenant", pa.string()),
+    RecordedColumn("address", "address", pa.string()),
+    RecordedColumn("at_ms", "at_ms", pa.float64()),
+    RecordedColumn("reached_ms", "due_handled_ms", pa.float64()),
+    RecordedColumn("sent_ms", "sent_ms", pa.float64()),
+    RecordedColumn("answered_ms", "answered_ms", pa.float64()),
+    RecordedColumn("code", "answer_code", pa.int64()),
+    RecordedColumn("answers", "answer_count", pa.int64()),
+    RecordedColumn("odd", "has_wrong_rows", pa.bool_()),
+    RecordedColumn("left", "is_cancelled", pa.bool_()),
+    RecordedColumn("cut", "connection_lost", pa.bool_()),
+    RecordedColumn("waited", "waited_for_stream", pa.bool_()),
+    RecordedColumn("tries", "retry_count", pa.int64()),
+    RecordedColumn("allowed", "timeout_ms", pa.int64()),
+)
+
+
+def table_of_queries(queries):
+    """Returns the queries as a table with one row each, in the columns of `RECORDED_COLUMNS`."""
+    return pa.table(
+        {
+            column.name: pa.array([getattr(query, column.attribute) for query in queries], column.type)
+            for column in RECORDED_COLUMNS
+        }
+    )
--- a/lichenquay/load/compare.py
+++ b/lichenquay/load/compare.py
@@ -1,85 +1,132 @@
-"""Two sets of runs side by side: means and bootstrap intervals of their difference; free of I/O but for reading runs."""
+"""Compares two sets of runs: metrics, and bootstrap intervals of their difference."""
 
 import json
+from dataclasses import dataclass
+from functools import cached_property
 from pathlib import Path
+from typing import NamedTuple
 
 import numpy as np
 from pyarrow import parquet
 
+from lichenquay.gateway.frames import AnswerCode
 from lichenquay.load.errors import ComparisonError
 
-DRAWS, BLOCK_MS = 2000, 500.0
+RESAMPLES = 2000
+BLOCK_MS = 500.0
+INTERVAL_PERCENTILES = (2.5, 97.5)
+NOT_ANSWERED_MS = 1e9  # the latency of a query without an answer, so that percentiles stay finite
 METRICS = ("finished share", "in time share", "p50 ms", "p90 ms", "p99 ms")
 
+QUERIES_FILE = "queries.parquet"
+TARGETS_FILE = "targets.json"
+COLUMNS = ("at_ms", "answered_ms", "code", "left", "group")
+
+
+class MetricComparison(NamedTuple):
+    """A metric of two sets of runs; the interval holds 95 of 100 resampled differences."""
+
+    metric: str
+    first: float
+    second: float
+    difference: float  # second - first
+    low: float
+    high: float
 
-def runs_in(folder):
-    """The runs of a folder: itself, or its sub-folders."""
-    folder = Path(folder)
-    found = [
-        p.parent for p in sorted(folder.glob("queries.parquet")) or sorted(folder.glob("*/queries.parquet"))
-    ]
-    if not found:
-        raise ComparisonError(f"{folder}: no run is kept there (queries.parquet)")
-    runs = []
-    for path in found:
-        try:
-            table = parquet.read_table(path / "queries.parquet")
-            targets = json.loads((path / "targets.json").read_text())
-        except (OSError, ValueError) as why:
-            raise ComparisonError(f"{path}: cannot be read: {why}") from None
-        c = {
-            n: table.column(n).to_numpy(zero_copy_only=False)
-            for n in ("at_ms", "answered_ms", "code", "left", "group")
-        }
-        stays = ~c["left"]
-        took = np.where(np.isnan(c["answered_ms"]), np.inf, c["answered_ms"] - c["at_ms"])[stays]
-        done = (c["code"] == 0)[stays]
-        target = np.array([targets.get(g, np.inf) for g in c["group"]])[stays]
-        runs.append(
-            {"at_ms": c["at_ms"][stays], "took": took, "done": done, "timely": done & (took <= target)}
-        )
-    return runs
 
+@dataclass(frozen=True)
+class QuerySample:
+    """The outcomes of queries, an entry each; latency in milliseconds is infinite without an answer."""
 
-def metrics_of(took, done, timely):
-    if not len(took):
-        return np.full(len(METRICS), np.nan)
-    answered = np.where(np.isfinite(took), took, 1e9)
-    return np.array([done.mean(), timely.mean(), *np.percentile(answered, [50, 90, 99])])
+    latency_ms: np.ndarray
+    finished: np.ndarray
+    in_time: np.ndarray
 
+    def rows(self, indices):
+        """Returns the queries at the given indices."""
+        return QuerySample(self.latency_ms[indices], self.finished[indices], self.in_time[indices])
 
-def resample(runs, chance):
-    """Runs drawn anew, and half-second blocks within each: queries near each other in time fare alike."""
-    took, done, timely = [], [], []
-    for i in chance.integers(0, len(runs), len(runs)):
-        run = runs[i]
-        blocks = run["blocks"]
-        for j in chance.integers(0, len(blocks), len(blocks)):
-            rows = blocks[j]
-            took.append(run["took"][rows])
-            done.append(run["done"][rows])
-            timely.append(run["timely"][rows])
-    return metrics_of(*(np.concatenate(x) for x in (took, done, timely)))
+    @classmethod
+    def join(cls, samples):
+        """Returns the queries of all samples in one."""
+        return cls(
+            np.concatenate([sample.latency_ms for sample in samples]),
+            np.concatenate([sample.finished for sample in samples]),
+            np.concatenate([sample.in_time for sample in samples]),
+        )
+
+    def metrics(self):
+        """Returns the values of `METRICS`, NaN if there are no queries."""
+        if not len(self.latency_ms):
+            return np.full(len(METRICS), np.nan)
+        latency_ms = np.where(np.isfinite(self.latency_ms), self.latency_ms, NOT_ANSWERED_MS)
+        percentiles = np.percentile(latency_ms, [50, 90, 99])
+        return np.array([self.finished.mean(), self.in_time.mean(), *percentiles])
 
 
-def with_blocks(runs):
-    for run in runs:
-        which = (run["at_ms"] // BLOCK_MS).astype(int)
-        run["blocks"] = [np.flatnonzero(which == b) for b in np.unique(which)] or [np.zeros(0, int)]
-    return runs
+@dataclass(frozen=True)
+class ComparedRun:
+    """A run whose queries are compared; `at_ms` are their intended send times."""
 
+    at_ms: np.ndarray
+    queries: QuerySample
 
-def compare(a, b, seed=1, draws=DRAWS):
-    """[(metric, a, b, b - a, low, high)]: the interval holds 95 of 100 draws of the difference."""
-    a, b, chance = with_blocks(a), with_blocks(b), np.random.default_rng(seed)
+    @cached_property
+    def blocks(self):
+        """The indices of the queries in each block of time that has any."""
+        block_numbers = (self.at_ms // BLOCK_MS).astype(int)
+        blocks = [np.flatnonzero(block_numbers == number) for number in np.unique(block_numbers)]
+        return blocks or [np.zeros(0, int)]
 
-    def whole(runs):
-        return metrics_of(*(np.concatenate([r[n] for r in runs]) for n in ("took", "done", "timely")))
 
-    drawn = np.array([resample(b, chance) - resample(a, chance) for _ in range(draws)])
-    low, high = np.nanpercentile(drawn, [2.5, 97.5], axis=0)
-    mean_a, mean_b = whole(a), whole(b)
+def runs_in(folder):
+    """Returns the runs of a folder: itself, or its sub-folders. Raises ComparisonError."""
+    folder = Path(folder)
+    paths = sorted(folder.glob(QUERIES_FILE)) or sorted(folder.glob(f"*/{QUERIES_FILE}"))
+    if not paths:
+        raise ComparisonError(f"{folder}: no run is kept there ({QUERIES_FILE})")
+    return [_read_run(path.parent) for path in paths]
+
+
+def compare(first_runs, second_runs, seed=1, resamples=RESAMPLES):
+    """Returns a MetricComparison for each of `METRICS`."""
+    random = np.random.default_rng(seed)
+    differences = [
+        _resample(second_runs, random).metrics() - _resample(first_runs, random).metrics()
+        for _ in range(resamples)
+    ]
+    low, high = np.nanpercentile(np.array(differences), INTERVAL_PERCENTILES, axis=0)
+    first = QuerySample.join([run.queries for run in first_runs]).metrics()
+    second = QuerySample.join([run.queries for run in second_runs]).metrics()
+    columns = (first, second, second - first, low, high)
     return [
-        (m, *(round(float(v), 4) for v in (x, y, y - x, lo, hi)))
-        for m, x, y, lo, hi in zip(METRICS, mean_a, mean_b, low, high)
+        MetricComparison(metric, *(round(float(column[index]), 4) for column in columns))
+        for index, metric in enumerate(METRICS)
     ]
+
+
+def _read_run(folder):
+    try:
+        table = parquet.read_table(folder / QUERIES_FILE)
+        targets_ms = json.loads((folder / TARGETS_FILE).read_text())
+    except (OSError, ValueError) as error:
+        raise ComparisonError(f"{folder}: cannot be read: {error}") from None
+    columns = {name: table.column(name).to_numpy(zero_copy_only=False) for name in COLUMNS}
+    # A client that cancelled its query did not wait for the outcome.
+    compared = ~columns["left"]
+    is_answered = ~np.isnan(columns["answered_ms"])
+    latency_ms = np.where(is_answered, columns["answered_ms"] - columns["at_ms"], np.inf)[compared]
+    finished = (columns["code"] == AnswerCode.COMPLETED)[compared]
+    target_ms = np.array([targets_ms.get(group, np.inf) for group in columns["group"]])[compared]
+    in_time = finished & (latency_ms <= target_ms)
+    return ComparedRun(columns["at_ms"][compared], QuerySample(latency_ms, finished, in_time))
+
+
+def _resample(runs, random):
+    """Draws runs, and blocks of time within each: queries near each other in time are not independent."""
+    samples = []
+    for run_index in random.integers(0, len(runs), len(runs)):
+        run = runs[run_index]
+        for block_index in random.integers(0, len(run.blocks), len(run.blocks)):
+            samples.append(run.queries.rows(run.blocks[block_index]))
+    return QuerySample.join(samples)
--- a/lichenquay/load/worker.py
+++ b/lichenquay/load/worker.py
@@ -1,309 +1,347 @@
-"""One process of the load generator. It sends what it is told when it is told, whatever comes back, and keeps for each
-query when it was meant to go, when it went, and what was answered.
+"""One process of the load generator: it sends each query at its intended time, whatever is answered.
 
     python -m lichenquay.load.worker JOB
 
-JOB is a JSON file. READY is printed once all connections are up; `START SECONDS` (of the monotonic clock) begins the
-run, `STOP` ends its sending; DONE is printed when what it kept has been written.
+JOB is a JSON file (`worker_job`). READY is printed once all connections are up; `START SECONDS` (of the
+monotonic clock) begins the run, `STOP` ends its sending; DONE is printed when the results are written.
 """
 
 import gc
-import json
-import os
-import resource
 import signal
 import sys
 import time
 from collections import deque
+from math import inf
 
 import numpy as np
-import pyarrow as pa
-from hdrh.histogram import HdrHistogram
-from pyarrow import parquet
 from twisted.internet import reactor, stdio
 from twisted.protocols.basic import LineReceiver
 
 from lichenquay.gateway import frames
-from lichenquay.load.client_connection import RECORDED, STREAMS, Ask, LineFactory
+from lichenquay.load.client_connection import ClientConnectionFactory
+from lichenquay.load.client_query import ClientQuery
 from lichenquay.load.task import Task
+from lichenquay.load.worker_job import DONE, READY, START, STOP, read_job
+from lichenquay.load.worker_results import LatencyRecorder, WorkerCounters, write_results
 
-GRACE_MS = 400.0  # after its allowance a query without an answer counts as silent
+ANSWER_GRACE_MS = 400.0  # after its timeout a query without an answer counts as silent
+STOP_GRACE_MS = 1000.0  # for answers after STOP
 TICK_S = 0.001
-MOST_US = 120_000_000  # of the histograms
+CONNECT_TIMEOUT_S = 5
+RETRY_DELAY_MIN_S = 0.02
+RETRY_DELAY_MAX_S = 0.2
+RECENT_QUERIES = 4096  # looked through for outstanding ones
 
 
 class Worker:
+    """Sends its part of the plan on its connections, and records each query."""
+
     def __init__(self, job):
-        self.job, self.lines, self.next = job, {}, 0
-        self.groups = {g["name"]: g for g in job["groups"]}
-        self.plan = np.load(job["plan"], allow_pickle=False)
-        self.asks, self.waiting, self.begun_s, self.stopped = [], {}, None, False
-        self.strange = self.told = self.refused = self.lost_lines = 0
-        self.chance = np.random.default_rng(job["seed"])
-        self.lag = HdrHistogram(1, MOST_US, 3)
-        self.latency = {g: HdrHistogram(1, MOST_US, 3) for g in ("all", *self.groups)}
-        self.cpu = 0.0
+        """Takes its `WorkerJob`, and opens the plan that it names."""
+        self.job = job
+        self.groups = {group.name: group for group in job.groups}
+        self.plan = np.load(job.plan_path, allow_pickle=False)
+        self.columns = {}  # of the plan, as lists
+        self.planned_ms = []
+        self.next_planned = 0
+        self.queries = []
+        self.connections = {}  # by address: lists
+        self.waiting = {}  # by address: queues of queries that found no free stream
+        self.random = np.random.default_rng(job.seed)
+        self.recorder = LatencyRecorder(self.groups)
+        self.started_s = None  # of the monotonic clock
+        self.is_stopped = False
+        self.stopped_ms = 0.0
+        self.cpu_at_start_s = 0.0
+        self.unknown_answers = 0
+        self.notices = 0
+        self.failed_connects = 0
+        self.lost_connections = 0
 
     def now_ms(self):
-        return (time.monotonic() - self.begun_s) * 1000 if self.begun_s is not None else 0.0
-
-    # connections
-
-    def start(self):
-        for address in self.job["addresses"]:
+        """Returns the time since the start of the run, 0 before it."""
+        if self.started_s is None:
+            return 0.0
+        return (time.monotonic() - self.started_s) * 1000
+
+    def open_connections(self):
+        """Opens all connections."""
+        for address in self.job.addresses:
             self.connect(address)
 
     def connect(self, address):
-        if not self.stopped:
-            host, _, port = self.job["target"].rpartition(":")
-            reactor.connectTCP(
-                host, int(port), LineFactory(self, address), timeout=5, bindAddress=(address, 0)
-            )
-
-    def connected(self, line):
-        self.lines.setdefault(line.address, []).append(line)
-        if self.begun_s is None and sum(map(len, self.lines.values())) == len(self.job["addresses"]):
-            self.say("READY")
-        self.more(line)
-
-    def replace(self, line):
-        """The front takes no more on it: what is open is still answered, the next go on a new one."""
-        if line in self.lines.get(line.address, ()):
-            self.lines[line.address].remove(line)
-            self.connect(line.address)
-
-    def lost(self, line):
-        for ask in line.open.values():
-            ask.cut = True
-        self.lost_lines += bool(line.open)
-        line.open.clear()
-        self.replace(line)
-
-    # queries
-
-    def begin(self, begun_s):
-        self.begun_s = begun_s
-        self.at = self.plan["at_ms"].tolist()
-        self.columns = {n: self.plan[n].tolist() for n in self.plan.files}
+        """Opens a connection from the given address."""
+        if self.is_stopped:
+            return
+        host, _, port = self.job.target.rpartition(":")
+        factory = ClientConnectionFactory(self, address)
+        reactor.connectTCP(host, int(port), factory, timeout=CONNECT_TIMEOUT_S, bindAddress=(address, 0))
+
+    def on_connected(self, connection):
+        """Adds a connection; tells the parent once all are up."""
+        self.connections.setdefault(connection.address, []).append(connection)
+        connection_count = sum(map(len, self.connections.values()))
+        if self.started_s is None and connection_count == len(self.job.addresses):
+            self._tell_parent(READY)
+        self.send_waiting(connection)
+
+    def on_going_away(self, connection):
+        """Replaces a connection that takes no more queries; its open ones are still answered."""
+        if connection in self.connections.get(connection.address, ()):
+            self.connections[connection.address].remove(connection)
+            self.connect(connection.address)
+
+    def on_connection_lost(self, connection):
+        """Marks the open queries of a connection, and replaces it."""
+        for query in connection.open_queries.values():
+            query.connection_lost = True
+        if connection.open_queries:
+            self.lost_connections += 1
+        connection.open_queries.clear()
+        self.on_going_away(connection)
+
+    def start(self, started_s):
+        """Starts the run, whose time 0 is `started_s` of the monotonic clock."""
+        self.started_s = started_s
+        self.columns = {name: self.plan[name].tolist() for name in self.plan.files}
+        self.planned_ms = self.columns["at_ms"]
+        # A garbage collection of the plan's many objects would delay the sending.
         gc.collect()
         gc.freeze()
-        self.cpu = time.process_time()
-        if self.job["closed"]:
-            for line in [x for lines in self.lines.values() for x in lines]:
-                self.pace(line)
-        self.tick()
-
-    def query(self, i):
-        c = self.columns
-        group = self.groups[c["group"][i]]
-        ref = f"{self.job['number'] + 1:04x}{self.job['run']:04x}{len(self.asks):08x}"
+        self.cpu_at_start_s = time.process_time()
+        if self.job.is_closed_loop:
+            for connections in list(self.connections.values()):
+                for connection in list(connections):
+                    self._schedule_closed_loop(connection)
+        self._tick()
+
+    def stop(self):
+        """Ends the sending; before the start it ends the process."""
+        if self.is_stopped:
+            return
+        self.is_stopped = True
+        self.stopped_ms = self.now_ms()
+        if self.started_s is None:
+            self._finish()
+
+    def send_waiting(self, connection):
+        """Sends waiting queries of the connection's address on its free streams."""
+        waiting = self.waiting.get(connection.address)
+        while waiting and self._can_send_on(connection):
+            self._send_on(connection, waiting.popleft())
+
+    def on_answer(self, query, payload, now_ms):
+        """Records the first answer to a query; a rejected one is tried again."""
+        query.answer_count = 1
+        query.answered_ms = now_ms
+        query.answer_code = payload[0]
+        self.recorder.record_latency(query.group, now_ms - query.at_ms)
+        if query.answer_code == frames.AnswerCode.COMPLETED and self.job.checks_rows:
+            body = bytes(frames.read_fields(payload[1:])[1])
+            expected_rows = query.task.rows
+            query.has_wrong_rows = (
+                body.count(b"\n") != expected_rows or body.count(query.ref.encode()) != expected_rows
+            )
+        is_rejected = query.answer_code == frames.AnswerCode.REJECTED
+        if is_rejected and query.retry_count < self.job.max_retries and not self.is_stopped:
+            delay_s = self.random.uniform(RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S)
+            reactor.callLater(delay_s, self._retry, query)
+        if self.job.is_closed_loop:
+            self._schedule_closed_loop(query.connection)
+
+    def _tick(self):
+        now_ms = self.now_ms()
+        if not self.job.is_closed_loop:
+            self._send_due(now_ms)
+        if self._is_finished(now_ms):
+            self._finish()
+            return
+        reactor.callLater(TICK_S, self._tick)
+
+    def _send_due(self, now_ms):
+        while (
+            self.next_planned < len(self.planned_ms)
+            and self.planned_ms[self.next_planned] <= now_ms
+            and not self.is_stopped
+        ):
+            query = self._planned_query(self.next_planned)
+            self.next_planned += 1
+            self._send(query)
+
+    def _is_finished(self, now_ms):
+        all_sent = self.next_planned >= len(self.planned_ms) and not self.job.is_closed_loop
+        if not (self.is_stopped or all_sent or now_ms > self.job.end_ms):
+            return False
+        if now_ms > self.job.end_ms + self.job.longest_timeout_ms + ANSWER_GRACE_MS:
+            return True
+        if self.is_stopped and now_ms > self.stopped_ms + STOP_GRACE_MS:
+            return True
+        return not self._has_outstanding()
+
+    def _has_outstanding(self):
+        for connections in self.connections.values():
+            if any(connection.open_queries for connection in connections):
+                return True
+        if any(self.waiting.values()):
+            return True
+        return any(query.is_outstanding for query in self.queries[-RECENT_QUERIES:])
+
+    def _next_ref(self):
+        return f"{self.job.index + 1:04x}{self.job.run:04x}{len(self.queries):08x}"
+
+    def _planned_query(self, index):
+        columns = self.columns
+        group = self.groups[columns["group"][index]]
+        ref = self._next_ref()
         task = Task(
-            ref,
-            group["name"],
-            c["work_ms"][i],
-            c["memory_mb"][i],
-            group["threads"],
-            group["rows"],
-            str(c["tables"][i]),
-            group["load"],
+            ref=ref,
+            group=group.name,
+            work_ms=columns["work_ms"][index],
+            memory_mb=columns["memory_mb"][index],
+            threads=group.threads,
+            rows=group.rows,
+            tables=str(columns["tables"][index]),
+            load=group.load,
         )
-        ask = Ask(
+        all_addresses = self.job.all_addresses
+        query = ClientQuery(
             ref=ref,
-            group=group["name"],
-            tenant=c["tenant"][i],
-            at_ms=c["at_ms"][i],
+            group=group.name,
+            tenant=columns["tenant"][index],
+            address=all_addresses[columns["address"][index] % len(all_addresses)],
+            at_ms=columns["at_ms"][index],
             task=task,
-            address=self.job["all_addresses"][c["address"][i] % len(self.job["all_addresses"])],
-            effort=c["effort_ms"][i],
-            claim=c["claim_mb"][i],
-            allowed=int(group["timeout_ms"]),
-            leave_ms=c["leave_ms"][i],
+            estimated_work_ms=columns["effort_ms"][index],
+            estimated_memory_mb=columns["claim_mb"][index],
+            timeout_ms=int(group.timeout_ms),
+            cancel_after_ms=columns["leave_ms"][index],
         )
-        self.asks.append(ask)
-        return ask
-
-    def tick(self):
-        now, at = self.now_ms(), self.at
-        if not self.job["closed"]:
-            while self.next < len(at) and at[self.next] <= now and not self.stopped:
-                ask = self.query(self.next)
-                self.next += 1
-                self.send(ask)
-        done = self.stopped or (self.next >= len(at) and not self.job["closed"]) or now > self.job["ends_ms"]
-        if done and (
-            not self.is_open()
-            or now > self.job["ends_ms"] + self.job["longest_ms"] + GRACE_MS
-            or self.stopped
-            and now > self.stopped_ms + 1000
-        ):
-            return self.end()
-        reactor.callLater(TICK_S, self.tick)
-
-    def is_open(self):
-        return (
-            any(x.open for lines in self.lines.values() for x in lines)
-            or any(self.waiting.values())
-            or any(
-                a.answers == 0 and not (a.cut or a.left) and a.sent_ms == a.sent_ms for a in self.asks[-4096:]
-            )
-        )
-
-    def send(self, ask):
-        now = self.now_ms()
-        ask.reached_ms = now
-        self.lag.record_value(max(1, int((now - ask.at_ms) * 1000)))
-        address = (
-            ask.address
-            if ask.address in self.lines
-            else self.job["addresses"][len(self.asks) % len(self.job["addresses"])]
-        )
-        ask.address = address
-        free = [x for x in self.lines.get(address, ()) if len(x.open) < STREAMS]
-        if not free:
-            ask.waited = True  # its clock runs
-            self.waiting.setdefault(address, deque()).append(ask)
-            return
-        self.put(min(free, key=lambda x: len(x.open)), ask)
-
-    def put(self, line, ask):
-        ask.sent_ms = self.now_ms()
-        line.ask(ask)
-        if ask.leave_ms < ask.allowed:
-            reactor.callLater(ask.leave_ms / 1000, self.leave, ask)
-
-    def leave(self, ask):
-        if ask.line.open.pop(ask.stream, None) is not None:
-            ask.left = True
-            ask.line.old[ask.stream] = ask
-            ask.line.transport.write(frames.encode_frame(frames.FrameType.CANCEL, ask.stream))
-
-    def more(self, line):
-        waiting = self.waiting.get(line.address)
-        while (
-            waiting
-            and len(line.open) < STREAMS
-            and not line.told
-            and line in self.lines.get(line.address, ())
-        ):
-            self.put(line, waiting.popleft())
-
-    def answered(self, ask, payload, now):
-        ask.answers, ask.answered_ms, ask.code = 1, now, payload[0]
-        us = max(1, min(MOST_US, int((now - ask.at_ms) * 1000)))
-        self.latency["all"].record_value(us)
-        self.latency[ask.group].record_value(us)
-        if ask.code == frames.AnswerCode.COMPLETED and self.job["rows"]:
-            body = bytes(frames.read_fields(payload[1:])[1])
-            ask.odd = body.count(b"\n") != ask.task.rows or body.count(ask.ref.encode()) != ask.task.rows
-        if ask.code == frames.AnswerCode.REJECTED and ask.tries < self.job["repeats"] and not self.stopped:
-            reactor.callLater(self.chance.uniform(0.02, 0.2), self.again, ask)
-        if self.job["closed"]:
-            self.pace(ask.line)
-
-    def again(self, old):
-        """A client's own repeat: a new query, meant to go now."""
-        ask = Ask(
-            ref=f"{self.job['number'] + 1:04x}{self.job['run']:04x}{len(self.asks):08x}",
-            group=old.group,
-            tenant=old.tenant,
-            address=old.address,
+        self.queries.append(query)
+        return query
+
+    def _retry(self, rejected):
+        """Sends a rejected query again as a new one that is due now."""
+        query = ClientQuery(
+            ref=self._next_ref(),
+            group=rejected.group,
+            tenant=rejected.tenant,
+            address=rejected.address,
             at_ms=self.now_ms(),
-            task=old.task,
-            effort=old.effort,
-            claim=old.claim,
-            allowed=old.allowed,
-            leave_ms=float("inf"),
+            task=rejected.task,
+            estimated_work_ms=rejected.estimated_work_ms,
+            estimated_memory_mb=rejected.estimated_memory_mb,
+            timeout_ms=rejected.timeout_ms,
+            cancel_after_ms=inf,
+            retry_count=rejected.retry_count + 1,
         )
-        ask.task.ref, ask.tries = ask.ref, old.tries + 1
-        self.asks.append(ask)
-        self.send(ask)
-
-    def pace(self, line):
-        """Closed loop: the next query of a connection goes when its time has come and the last one is answered; what was
-        missed meanwhile is left out, and time counts from the sending. This is what hides a stall."""
-        now, step = self.now_ms(), self.job["step_ms"]
-        if self.stopped or now > self.job["ends_ms"]:
+        query.task.ref = query.ref
+        self.queries.append(query)
+        self._send(query)
+
+    def _send(self, query):
+        """Sends a query on the least used connection of its address, or lets it wait for a free stream."""
+        now_ms = self.now_ms()
+        query.due_handled_ms = now_ms
+        self.recorder.record_lag(now_ms - query.at_ms)
+        if query.address not in self.connections:
+            query.address = self.job.addresses[len(self.queries) % len(self.job.addresses)]
+        connections = self.connections.get(query.address, ())
+        free = [connection for connection in connections if connection.has_free_stream]
+        if free:
+            self._send_on(min(free, key=lambda connection: len(connection.open_queries)), query)
             return
-        due = max(now, getattr(line, "due", self.chance.uniform(0, step)))
-        line.due = due + step
-        reactor.callLater(max(0.0, due - now) / 1000, self.closed, line)
+        query.waited_for_stream = True
+        self.waiting.setdefault(query.address, deque()).append(query)
 
-    def closed(self, line):
-        if not self.stopped and self.now_ms() <= self.job["ends_ms"] and line.transport.connected:
-            ask = self.query(self.next % len(self.at))
-            self.next += 1
-            ask.at_ms = ask.reached_ms = self.now_ms()
-            self.put(line, ask)
+    def _can_send_on(self, connection):
+        is_in_use = connection in self.connections.get(connection.address, ())
+        return connection.has_free_stream and not connection.is_going_away and is_in_use
 
-    # the end
+    def _send_on(self, connection, query):
+        query.sent_ms = self.now_ms()
+        connection.send(query)
+        if query.cancel_after_ms < query.timeout_ms:
+            reactor.callLater(query.cancel_after_ms / 1000, self._cancel, query)
 
-    def stop(self):
-        if not self.stopped:
-            self.stopped, self.stopped_ms = True, self.now_ms()
-            if self.begun_s is None:
-                self.end()
-
-    def end(self):
-        self.stopped = True
-        cpu = time.process_time() - self.cpu
-        table = pa.table({n: pa.array([getattr(a, n) for a in self.asks], self.kind(n)) for n in RECORDED})
-        out = self.job["out"]
-        parquet.write_table(table, out + ".parquet.part")
-        os.replace(out + ".parquet.part", out + ".parquet")
-        with open(out + ".json.part", "w", encoding="utf-8") as file:
-            json.dump(
-                {
-                    "strange": self.strange,
-                    "told": self.told,
-                    "refused": self.refused,
-                    "lost_lines": self.lost_lines,
-                    "cpu_s": cpu,
-                    "seconds": self.now_ms() / 1000,
-                    "lag": self.lag.encode().decode(),
-                    "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-                    "latency": {n: h.encode().decode() for n, h in self.latency.items()},
-                },
-                file,
-            )
-        os.replace(out + ".json.part", out + ".json")
-        self.say("DONE")
+    @staticmethod
+    def _cancel(query):
+        if query.connection.cancel(query):
+            query.is_cancelled = True
+
+    def _schedule_closed_loop(self, connection):
+        """Schedules the next query of a connection, once the last one is answered.
+
+        Sends that were missed meanwhile are left out, and time counts from the sending: this hides a stall.
+        """
+        now_ms = self.now_ms()
+        if self.is_stopped or now_ms > self.job.end_ms:
+            return
+        # Drawn at each call, though only the first is used: the draws after it depend on it.
+        first_send_ms = self.random.uniform(0, self.job.send_interval_ms)
+        if connection.next_send_ms is None:
+            connection.next_send_ms = first_send_ms
+        send_ms = max(now_ms, connection.next_send_ms)
+        connection.next_send_ms = send_ms + self.job.send_interval_ms
+        reactor.callLater(max(0.0, send_ms - now_ms) / 1000, self._send_closed_loop, connection)
+
+    def _send_closed_loop(self, connection):
+        if self.is_stopped or self.now_ms() > self.job.end_ms or not connection.transport.connected:
+            return
+        query = self._planned_query(self.next_planned % len(self.planned_ms))
+        self.next_planned += 1
+        query.at_ms = self.now_ms()
+        query.due_handled_ms = query.at_ms
+        self._send_on(connection, query)
+
+    def _finish(self):
+        """Writes the results and ends the process."""
+        self.is_stopped = True
+        counters = WorkerCounters(
+            unknown_answers=self.unknown_answers,
+            notices=self.notices,
+            failed_connects=self.failed_connects,
+            lost_connections=self.lost_connections,
+            cpu_s=time.process_time() - self.cpu_at_start_s,
+            run_seconds=self.now_ms() / 1000,
+        )
+        write_results(self.job.output_path, self.queries, self.recorder, counters)
+        self._tell_parent(DONE)
         reactor.stop()
 
     @staticmethod
-    def kind(name):
-        if name in ("ref", "group", "tenant", "address"):
-            return pa.string()
-        if name.endswith("_ms"):
-            return pa.float64()
-        return pa.bool_() if name in ("odd", "left", "cut", "waited") else pa.int64()
+    def _tell_parent(message):
+        print(message, flush=True)
 
-    def say(self, what):
-        print(what, flush=True)
 
+class ParentCommands(LineReceiver):
+    """Reads the commands of the parent process from the standard input."""
 
-class Orders(LineReceiver):
     delimiter = b"\n"
 
     def __init__(self, worker):
+        """Takes the worker that the commands are for."""
         self.worker = worker
 
     def lineReceived(self, line):
-        what, _, rest = line.decode().partition(" ")
-        if what == "START":
-            reactor.callLater(max(0.0, float(rest) - time.monotonic()), self.worker.begin, float(rest))
-        elif what == "STOP":
+        """Handles START and STOP."""
+        command, _, argument = line.decode().partition(" ")
+        if command == START:
+            started_s = float(argument)
+            reactor.callLater(max(0.0, started_s - time.monotonic()), self.worker.start, started_s)
+        elif command == STOP:
             self.worker.stop()
 
-    def connectionLost(self, reason):  # who started it is gone
+    def connectionLost(self, reason):
+        """Stops the worker, as its parent has ended."""
         self.worker.stop()
 
 
 def main():
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # its parent says when to stop
-    with open(sys.argv[1], encoding="utf-8") as file:
-        worker = Worker(json.load(file))
-    stdio.StandardIO(Orders(worker))
-    reactor.callWhenRunning(worker.start)
+    """Runs the worker of the job file that the first argument names."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent decides when to stop
+    worker = Worker(read_job(sys.argv[1]))
+    stdio.StandardIO(ParentCommands(worker))
+    reactor.callWhenRunning(worker.open_connections)
     reactor.run(installSignalHandlers=False)
 
 
--- /dev/null
+++ b/lichenquay/load/worker_job.py
@@ -0,0 +1,77 @@
+"""What a worker process and its parent exchange: the JSON file of the job, and the messages."""
+
+import json
+from dataclasses import asdict, dataclass
+from pathlib import Path
+
+READY = "READY"  # from the worker: its connections are up
+START = "START"  # to the worker, with the time of the monotonic clock in seconds
+STOP = "STOP"  # to the worker: it sends no more
+DONE = "DONE"  # from the worker: its results are written
+
+
+@dataclass(frozen=True)
+class JobGroup:
+    """What a worker has to know of a group of queries."""
+
+    name: str
+    threads: int
+    rows: int
+    load: bool
+    timeout_ms: float
+
+
+@dataclass
+class WorkerJob:
+    """The job of one worker process."""
+
+    index: int
+    run: int
+    plan_path: str  # .npz with the worker's part of the plan
+    output_path: str  # without suffix
+    target: str
+    addresses: list[str]  # of its connections
+    all_addresses: list[str]  # of the whole run
+    groups: list[JobGroup]
+    seed: list[int]
+    max_retries: int
+    is_closed_loop: bool
+    checks_rows: bool
+    end_ms: float
+    longest_timeout_ms: float
+    send_interval_ms: float  # of a connection in a closed loop
+
+
+# Attribute -> key in the file.
+JOB_KEYS = {
+    "index": "number",
+    "run": "run",
+    "plan_path": "plan",
+    "output_path": "out",
+    "target": "target",
+    "addresses": "addresses",
+    "all_addresses": "all_addresses",
+    "groups": "groups",
+    "seed": "seed",
+    "max_retries": "repeats",
+    "is_closed_loop": "closed",
+    "checks_rows": "rows",
+    "end_ms": "ends_ms",
+    "longest_timeout_ms": "longest_ms",
+    "send_interval_ms": "step_ms",
+}
+
+
+def write_job(path, job):
+    """Writes a job as JSON."""
+    values = asdict(job)
+    Path(path).write_text(json.dumps({key: values[name] for name, key in JOB_KEYS.items()}))
+
+
+def read_job(path):
+    """Reads a job that `write_job` wrote."""
+    with open(path, encoding="utf-8") as file:
+        stored = json.load(file)
+    values = {name: stored[key] for name, key in JOB_KEYS.items()}
+    values["groups"] = [JobGroup(**group) for group in values["groups"]]
+    return WorkerJob(**values)
--- a/lichenquay/testbed/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_fronts.py
@@ -9,7 +9,8 @@
 
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.run import Workers, columns_of, report_of
+from lichenquay.load.report import report_of
+from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.scale import measure
 from lichenquay.testbed.scale.settings_files import address_text, front_settings
@@ -89,7 +90,7 @@
     def __exit__(self, *exception):
         """Ends all of it."""
         for workers in getattr(self, "workers", ()):
-            workers.kill()
+            workers.close()
         self.world.__exit__(*exception)
 
     @property
@@ -124,7 +125,7 @@
         return self.fronts
 
     def _go(self, i):
-        self.kept[i] = self.workers[i].go()
+        self.kept[i] = self.workers[i].run()
 
     def _in_force(self, i) -> int | None:
         """By SIGUSR1, in the front's log."""
@@ -149,7 +150,7 @@
                 front.broken_rules.append(f"{front.name}: its load did not end in time")
         if len(self.fronts) == 1 and 0 in self.kept:
             ledger = read_ledger(self.world.ledger)
-            for check, number, _ in audit(columns_of(self.kept[0]), ledger, self.lab):
+            for check, number, _ in audit(self.kept[0].columns(), ledger, self.lab):
                 self.fronts[0].broken_rules.append(f"{self.fronts[0].name}: {check}: {number}")
 
 
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.load.child import ROOT, environment, hear
+from lichenquay.load.child import ROOT, environment, read_line
 from lichenquay.testbed.scale import measure, orders
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import WorldSpec
@@ -59,14 +59,14 @@
 
     def wait_ready(self, seconds=READY_S):
         """Raises CannotStart where it does not say so in time."""
-        if not self.ready and hear(self.process, seconds) != READY:
+        if not self.ready and read_line(self.process, seconds) != READY:
             lines = self.log.read_text().strip().splitlines()
             raise CannotStart(f"{self.name} did not start: {lines[-1] if lines else 'no word of it'}")
         self.ready = True
 
     def look_ready(self) -> bool:
         """Whether it said READY just now."""
-        if self.ready or not self.runs or self.paused or hear(self.process, 0.0) != READY:
+        if self.ready or not self.runs or self.paused or read_line(self.process, 0.0) != READY:
             return False
         self.ready = True
         return True
@@ -96,7 +96,7 @@
         """Its counts; None where it does not answer."""
         if not self.answers or not self.tell(orders.Count()):
             return None
-        line = hear(self.process, ANSWER_S)
+        line = read_line(self.process, ANSWER_S)
         return orders.counts_of(line) if line else None
 
     def kill(self):
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -3,15 +3,16 @@
 import json
 from pathlib import Path
 
-from lichenquay.load.page import page
-from lichenquay.load.run import Workers, columns_of, report_of
+from lichenquay.load.page import write_page
+from lichenquay.load.report import report_of
+from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import STRANGE, audit, read_ledger, value_of
 from lichenquay.testbed.world import World
 
 
 def figures_of(kept, lab, ledger):
     """A run's report with what the audit found and the value in time."""
-    report, c = report_of(kept, lab), columns_of(kept)
+    report, c = report_of(kept, lab), kept.columns()
     findings = audit(c, ledger, lab) if c else []
     if report.get("strange_answers"):
         findings.append((STRANGE, report["strange_answers"], []))
@@ -27,9 +28,11 @@
     """What a run leaves: its figures, its page, and the targets that `compare` needs."""
     (out / "targets.json").write_text(json.dumps({g.name: g.target_ms for g in lab.groups}))
     (out / "report.json").write_text(json.dumps(figures, indent=1))
-    c = columns_of(kept)
+    c = kept.columns()
     if c:
-        page(out / "report.html", f"a run of {figures['seconds']:g} s", figures, c, kept.latency, ledger)
+        write_page(
+            out / "report.html", f"a run of {figures['seconds']:g} s", figures, c, kept.latency, ledger
+        )
 
 
 def trial(lab, out, front="lichenquay.gateway", arguments=(), progress=lambda done: None, during=None):
@@ -40,7 +43,7 @@
         workers.start()
         world.start_script()
         before = world.cpu_s()
-        kept = workers.go(progress, during(world) if during else ())
+        kept = workers.run(progress, during(world) if during else ())
         used, peak = world.cpu_s() - before, world.peak_mb()
         code = world.leave()
     ledger = read_ledger(world.ledger)
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -13,7 +13,7 @@
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import ROOT, environment, hear
+from lichenquay.load.child import ROOT, environment, read_line
 
 READY_S = 15.0
 EFFECTS = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
@@ -109,7 +109,7 @@
                 start_new_session=True,
             )
             self.processes.append(self.emulator)
-            line = hear(self.emulator, READY_S)
+            line = read_line(self.emulator, READY_S)
             if not line:
                 raise CannotStart("the emulator did not start")
             self.told = json.loads(line)
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -11,7 +11,7 @@
 
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
-from lichenquay.load.child import environment, hear
+from lichenquay.load.child import environment, read_line
 from lichenquay.load.task import Task, statement_of
 from lichenquay.testbed.world import settings_of
 
@@ -45,7 +45,7 @@
             stdout=subprocess.PIPE,
             start_new_session=True,
         )
-        self.told = json.loads(hear(self.process, 15.0))
+        self.told = json.loads(read_line(self.process, 15.0))
         return self
 
     def __exit__(self, *_):
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lichenquay.load.child import ROOT, environment, hear
+from lichenquay.load.child import ROOT, environment, read_line
 from lichenquay.testbed.scale import orders
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world import free_addresses, loopback_addresses
@@ -33,7 +33,7 @@
         cwd=ROOT,
     )
     try:
-        assert hear(process, WAIT_S) == "READY"
+        assert read_line(process, WAIT_S) == "READY"
         names = shape.front_names()
         said = [orders.StartFronts(names), orders.StopFronts(names), orders.StartFronts(names)]
         process.stdin.write("".join(orders.line_of(order) + "\n" for order in said))
@@ -52,4 +52,4 @@
     time.sleep(0.1)
     process.stdin.write(orders.line_of(orders.Count()) + "\n")
     process.stdin.flush()
-    return json.loads(hear(process, WAIT_S))
+    return json.loads(read_line(process, WAIT_S))
