--- a/lichenquay/fleet/__init__.py
+++ b/lichenquay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime of the processes of a fleet: one UDP socket, one timer and one store around decisions without I/O."""
+"""The runtime of a fleet: one UDP socket, one timer and one store around decisions without I/O."""
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -259,5 +259,5 @@
         """Status lines: writes by what became of them, and the last error of the store."""
         if self.writer is None:
             return []
-        counts = [f"store {name}: {count:.0f}" for name, count in self.writer.counts.items()]
+        counts = [f"folder {name}: {count:.0f}" for name, count in self.writer.counts.items()]
         return [*counts, f"store last error: {self.writer.last_error or 'none'}"]
--- a/lichenquay/testbed/scale/probes/datagram.py
+++ b/lichenquay/testbed/scale/probes/datagram.py
@@ -12,7 +12,7 @@
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: bytes of the message, up to `envelope.MOST_BODY`. Sockets on 127.0.0.1 alone."""
+    """`sizes`: bytes of the message, up to `message_envelope.MAX_BODY_BYTES`. Sockets on 127.0.0.1 alone."""
     rng, samples = random.Random(f"datagram/{seed}"), []
     names = ["front-0001", "front-0002"]
     out, into = (MessageEnvelope(FLEET, FINGERPRINT, name, names) for name in names)
