--- a/lichenquay/load/client_query.py
+++ b/lichenquay/load/client_query.py
@@ -76,7 +76,7 @@
 )
 
 
-def table_of_queries(queries):
+def table_of_queries(queries: list[ClientQuery]) -> pa.Table:
     """Returns the queries as a table with one row each, in the columns of `RECORDED_COLUMNS`."""
     return pa.table(
         {
--- a/lichenquay/load/compare.py
+++ b/lichenquay/load/compare.py
@@ -79,7 +79,7 @@
         return blocks or [np.zeros(0, int)]
 
 
-def runs_in(folder):
+def runs_in(folder: str | Path) -> list[ComparedRun]:
     """Returns the runs of a folder: itself, or its sub-folders. Raises ComparisonError."""
     folder = Path(folder)
     paths = sorted(folder.glob(QUERIES_FILE)) or sorted(folder.glob(f"*/{QUERIES_FILE}"))
@@ -88,7 +88,9 @@
     return [_read_run(path.parent) for path in paths]
 
 
-def compare(first_runs, second_runs, seed=1, resamples=RESAMPLES):
+def compare(
+    first_runs: list[ComparedRun], second_runs: list[ComparedRun], seed: int = 1, resamples: int = RESAMPLES
+) -> list[MetricComparison]:
     """Returns a MetricComparison for each of `METRICS`."""
     random = np.random.default_rng(seed)
     differences = [
--- a/lichenquay/load/plan.py
+++ b/lichenquay/load/plan.py
@@ -33,7 +33,7 @@
 }
 
 
-def rate_multiplier(load, run_share):
+def rate_multiplier(load: pb.Load, run_share: np.ndarray) -> np.ndarray:
     """Returns the factors on the base rate at the given shares (array, 0 to 1) of the run."""
     peak = load.peak or 1.0
     if load.shape == pb.Load.STEP:
@@ -48,7 +48,7 @@
     return np.ones_like(run_share)
 
 
-def arrival_times_ms(load, random):
+def arrival_times_ms(load: pb.Load, random: np.random.Generator) -> np.ndarray:
     """Draws the intended send times, ascending.
 
     The integral of the rate is inverted at unit steps (constant arrivals) or exponential steps (Poisson
@@ -69,19 +69,19 @@
     return np.interp(arrivals, expected_count, run_share) * load.seconds * 1000
 
 
-def draw_indices(items, count, random):
+def draw_indices(items, count: int, random: np.random.Generator) -> np.ndarray:
     """Draws `count` indices into `items`, each weighted by its `share`."""
     shares = np.array([item.share for item in items], float)
     return random.choice(len(items), count, p=shares / shares.sum())
 
 
-def draw_tables(load, count, random):
+def draw_tables(load: pb.Load, count: int, random: np.random.Generator) -> np.ndarray:
     """Draws `count` table numbers, from 1, by a Zipf distribution with exponent `load.skew`."""
     weights = np.arange(1, load.tables + 1, dtype=float) ** -load.skew
     return 1 + random.choice(load.tables, count, p=weights / weights.sum())
 
 
-def draw_plan(testbed, seed=None):
+def draw_plan(testbed: pb.Lab, seed: int | None = None) -> dict[str, np.ndarray]:
     """Draws the queries of a run as columns (`COLUMNS`), one entry a query.
 
     The testbed gives the load, the groups and the tenants; `seed` takes the place of its own.
@@ -99,7 +99,9 @@
     return fill_missing_columns(testbed, random, given_columns)
 
 
-def fill_missing_columns(testbed, random, given_columns):
+def fill_missing_columns(
+    testbed: pb.Lab, random: np.random.Generator, given_columns: dict[str, np.ndarray]
+) -> dict[str, np.ndarray]:
     """Returns all columns: the given ones, and the others drawn by each query's group.
 
     Every column is drawn even when it is given, so that the others do not depend on which are given.
--- a/lichenquay/load/trace.py
+++ b/lichenquay/load/trace.py
@@ -7,6 +7,7 @@
 import pyarrow as pa
 from pyarrow import csv, parquet
 
+from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.load.errors import TraceError
 from lichenquay.load.plan import COLUMNS, fill_missing_columns
 
@@ -26,7 +27,7 @@
 }
 
 
-def read_trace(path, testbed, seed=0):
+def read_trace(path: str | Path, testbed: pb.Lab, seed: int = 0) -> dict[str, np.ndarray]:
     """Reads the queries of a trace as the columns of a plan.
 
     `at_ms` and `group` are required; other missing columns are drawn by the group. Raises TraceError.
@@ -47,7 +48,7 @@
     return fill_missing_columns(testbed, random, columns)
 
 
-def write_trace(path, plan):
+def write_trace(path: str | Path, plan: dict[str, np.ndarray]) -> None:
     """Writes a plan as a trace for `read_trace`; the suffix `.csv` selects CSV, any other Parquet."""
     path = Path(path)
     table = pa.table(
--- a/lichenquay/load/worker_job.py
+++ b/lichenquay/load/worker_job.py
@@ -62,13 +62,13 @@
 }
 
 
-def write_job(path, job):
+def write_job(path: str | Path, job: WorkerJob) -> None:
     """Writes a job as JSON."""
     values = asdict(job)
     Path(path).write_text(json.dumps({key: values[name] for name, key in JOB_KEYS.items()}))
 
 
-def read_job(path):
+def read_job(path: str | Path) -> WorkerJob:
     """Reads a job that `write_job` wrote."""
     with open(path, encoding="utf-8") as file:
         stored = json.load(file)
--- a/lichenquay/load/worker_results.py
+++ b/lichenquay/load/worker_results.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 from pyarrow import parquet
 
-from lichenquay.load.client_query import table_of_queries
+from lichenquay.load.client_query import ClientQuery, table_of_queries
 
 LOWEST_US = 1
 HIGHEST_US = 120_000_000
@@ -16,7 +16,7 @@
 ALL_GROUPS = "all"
 
 
-def new_histogram():
+def new_histogram() -> HdrHistogram:
     """Returns an empty histogram of microseconds."""
     return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
@@ -52,7 +52,9 @@
     run_seconds: float
 
 
-def write_results(output_path, queries, recorder, counters):
+def write_results(
+    output_path: str, queries: list[ClientQuery], recorder: LatencyRecorder, counters: WorkerCounters
+) -> None:
     """Writes the table of queries, then the counters and histograms, each file whole or not at all."""
     table_path = output_path + ".parquet"
     parquet.write_table(table_of_queries(queries), table_path + ".part")
