--- a/lichenquay/load/report.py
+++ b/lichenquay/load/report.py
@@ -2,7 +2,9 @@
 
 import numpy as np
 
+from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.gateway.frames import AnswerCode
+from lichenquay.load.run import RunResult
 from lichenquay.load.worker_results import ALL_GROUPS
 
 LAG_BOUND_MS = 5.0  # p99 of the generator's lag; a run beyond it is void
@@ -10,7 +12,7 @@
 QUANTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
 
 
-def report_of(result, testbed):
+def report_of(result: RunResult, testbed: pb.Lab) -> dict:
     """Returns the figures of a RunResult as a dict that JSON can hold; latency is in milliseconds."""
     columns = result.columns()
     if not columns:
--- a/lichenquay/load/run.py
+++ b/lichenquay/load/run.py
@@ -16,6 +16,7 @@
 import structlog
 from pyarrow import parquet
 
+from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.load.child import environment, read_line
 from lichenquay.load.errors import RunError
 from lichenquay.load.plan import draw_plan
@@ -52,7 +53,7 @@
     interrupted: bool = False
     seconds: float = 0.0
 
-    def columns(self):
+    def columns(self) -> dict[str, np.ndarray]:
         """Returns the table as arrays by column name; empty if no worker left a table."""
         if not self.table:
             return {}
@@ -61,7 +62,7 @@
         }
 
 
-def client_addresses(load):
+def client_addresses(load: pb.Load) -> list[str]:
     """Returns the loopback addresses of the clients, one for each connection."""
     return [_client_address(connection % load.addresses) for connection in range(load.connections)]
 
@@ -102,7 +103,7 @@
             self._write_plan_part(job)
             self.write_job(job)
 
-    def start(self):
+    def start(self) -> None:
         """Starts the processes; raises RunError if one cannot connect to its target."""
         for job in self.jobs:
             command = [sys.executable, "-m", "lichenquay.load.worker", str(self._job_path(job))]
@@ -120,7 +121,7 @@
                 self.close()
                 raise RunError("a worker of the load generator could not connect to its target")
 
-    def run(self, progress=lambda done: None, during=()):
+    def run(self, progress=lambda done: None, during=()) -> RunResult:
         """Runs the load and returns its RunResult. Ctrl-C ends the sending, and keeps the results so far.
 
         Parameters
@@ -144,7 +145,7 @@
         progress(1.0)
         return self._collect_results(interrupted, seconds)
 
-    def close(self):
+    def close(self) -> None:
         """Ends the processes, by a signal if they do not end by themselves."""
         for process in self.processes:
             with contextlib.suppress(OSError):
@@ -156,7 +157,7 @@
                 process.wait()
             process.stdout.close()
 
-    def write_job(self, job):
+    def write_job(self, job: WorkerJob) -> None:
         """Writes the job file of a worker, again after a change of the job."""
         write_job(self._job_path(job), job)
 
