--- a/lichenquay/admission/admission_slot.py
+++ b/lichenquay/admission/admission_slot.py
@@ -53,7 +53,7 @@
         self.maximum = maximum
         self.minimum = 0
         self.siblings = siblings
-        self.is_pooled = is_pooled  # stands for all engines together
+        self.is_pooled = is_pooled  # one slot for all engines together
         self.pool_mb: float | None = None  # set by the first grant
         self.pool_used_mb = 0.0
         self.running_maximum = 0
@@ -73,11 +73,13 @@
 
         The first holder may exceed the pool; otherwise a query larger than the pool would never run.
         """
-        fits_pool = (
-            not self.running_maximum or self.pool_mb is None or self.pool_used_mb + grant_mb <= self.pool_mb
-        )
-        return fits_pool and self.running_maximum < self.maximum
+        return self._fits_pool(grant_mb) and self.running_maximum < self.maximum
 
     def has_free_minimum(self) -> bool:
         """Whether a minimum slot is free."""
         return self.running_minimum < self.minimum
+
+    def _fits_pool(self, grant_mb: float) -> bool:
+        if not self.running_maximum or self.pool_mb is None:
+            return True
+        return self.pool_used_mb + grant_mb <= self.pool_mb
--- a/lichenquay/admission/attempt_results.py
+++ b/lichenquay/admission/attempt_results.py
@@ -31,7 +31,7 @@
         feedback: SlotFeedback,
         attempts_in_flight: AttemptsInFlight,
     ):
-        """Keeps no state of its own."""
+        """Each argument but the permissions records a part of a result, or reports it on."""
         self.port = port
         self.permissions = permissions
         self.engine_load = engine_load
--- a/lichenquay/admission/dispatch_checks.py
+++ b/lichenquay/admission/dispatch_checks.py
@@ -12,7 +12,7 @@
     """Draining, placement, idempotency and slow start, in this order."""
 
     def __init__(self, limits: SafetyLimits, retry_policy: RetryPolicy, slow_start: SlowStart):
-        """Keeps no state of its own."""
+        """`retry_policy` and `slow_start` have the budgets that `may_dispatch` charges."""
         self.answer_slack_ms = limits.answer_slack_ms
         self.retry_policy = retry_policy
         self.slow_start = slow_start
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -1,8 +1,9 @@
 """Domain types that a gateway shares with the admission controller.
 
 Times are milliseconds with fractions, memory is in megabytes. Objects refer to each other directly;
-identifiers are for the gateway alone. Nothing here decides anything: a gateway fills these in, the controller
-reads them, and sets the last fields of `Query`.
+identifiers are for the gateway alone. Nothing here decides anything: a gateway fills these in and the
+controller reads them. The controller sets the last fields of `Query`, and `Attempt.sent_ms` once more as the
+attempt is dispatched.
 """
 
 from dataclasses import dataclass, field
@@ -21,14 +22,14 @@
 class Outcome(StrEnum):
     """How an attempt ended."""
 
-    COMPLETED = "completed"
-    FAILED = "failed"
+    COMPLETED = "completed"  # the engine reported its result
+    FAILED = "failed"  # the engine reported an error; it may have run in part
     OVERLOADED = "overloaded"  # the engine shed it and promises that it never ran
-    TIMED_OUT = "timed out"
-    NOT_CONNECTED = "not connected"
-    CONNECTION_RESET = "connection reset"
-    CANCELLED = "cancelled"
-    NEVER_SENT = "never sent"
+    TIMED_OUT = "timed out"  # its time was up; it may have run, and may still run
+    NOT_CONNECTED = "not connected"  # no connection to the engine; it never ran
+    CONNECTION_RESET = "connection reset"  # its connection was lost; it may have run, and may still run
+    CANCELLED = "cancelled"  # the gateway cancelled it; it may have run, and may still run
+    NEVER_SENT = "never sent"  # the gateway wrote nothing of it; it never ran
 
 
 NEVER_EXECUTED = frozenset((Outcome.OVERLOADED, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT))
@@ -107,7 +108,7 @@
     name: str
     effect: Effect
     latency_objective_ms: float  # the target runtime, without the stretch
-    latency_objective_stretch: float  # added to it, times the estimated work per thread
+    latency_objective_stretch: float  # added to it: ms for each ms of estimated work per thread
     queue_timeout_ms: float
     priority_weight: float
     late_weight_share: float  # share of the weight that a result after the objective still has
--- a/lichenquay/admission/engine_choice.py
+++ b/lichenquay/admission/engine_choice.py
@@ -53,7 +53,7 @@
         outliers: OutlierDetection,
         memory_share: MemoryShare,
     ):
-        """Keeps no state of its own."""
+        """`selection` orders the engines; the other arguments decide whether one may get the query."""
         self.checks = checks
         self.selection = selection
         self.slot_table = slot_table
--- a/lichenquay/admission/engine_evaluation.py
+++ b/lichenquay/admission/engine_evaluation.py
@@ -47,7 +47,7 @@
             return
         self.next_ms = now_ms + self.interval_ms
         states = self.compare_with_peers(now_ms)
-        first = self.fleet.first()  # stands for all engines where slots are pooled
+        first = self.fleet.first()  # represents all engines where slots are pooled
         if first is not None and first not in self.fleet.active:
             states = [first, *states]
         for state in states:
@@ -57,7 +57,7 @@
             self.health_checks.probe_if_unresponsive(state, now_ms)
 
     def compare_with_peers(self, now_ms: float) -> list[EngineState]:
-        """Updates all that compares engines; the engines used or heard of, in the order of joining."""
+        """Updates all that compares engines; the engines used or with a report, in the order of joining."""
         active = self.fleet.active_in_join_order()
         self.outliers.update_medians(active, len(self.fleet.states), now_ms)
         self.engine_load.expire_reports(now_ms)
--- a/lichenquay/admission/engine_fleet.py
+++ b/lichenquay/admission/engine_fleet.py
@@ -51,7 +51,7 @@
         self.active.pop(state, None)
 
     def first(self) -> EngineState | None:
-        """The engine that joined first; it stands for all of them where slots are pooled."""
+        """The engine that joined first; it represents all of them where slots are pooled."""
         return next(iter(self.states.values()), None)
 
     def active_in_join_order(self) -> list[EngineState]:
--- a/lichenquay/admission/engine_state.py
+++ b/lichenquay/admission/engine_state.py
@@ -19,7 +19,7 @@
     engine: Engine
     last_response_ms: float
     slowdowns: SlidingWindow  # runtime over expected runtime, of its finished attempts
-    slow_start_work: SlidingWindow  # work sent to it, in milliseconds
+    slow_start_work: SlidingWindow  # work sent to it, in milliseconds of one thread
     errors: SlidingWindow  # 1 for an attempt that failed, 0 for another
     cores: float = field(init=False)
     memory_mb: float = field(init=False)
--- a/lichenquay/admission/final_answers.py
+++ b/lichenquay/admission/final_answers.py
@@ -22,7 +22,7 @@
         waiting: WaitingQueries,
         key_ordering: KeyOrdering,
     ):
-        """Keeps no state of its own."""
+        """`waiting`, `key_ordering`: where a query that ends is taken out."""
         self.port = port
         self.permissions = permissions
         self.waiting = waiting
--- a/lichenquay/admission/key_ordering.py
+++ b/lichenquay/admission/key_ordering.py
@@ -33,7 +33,7 @@
         self._advance(query.ordering_key)
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
-        """An attempt ended: its key pauses if it may still run, and goes on if its query is over."""
+        """An attempt ended: its key pauses if it may still run, or advances if its query has ended."""
         query = attempt.query
         if query not in self.queues.get(query.ordering_key, ()):
             return
--- a/lichenquay/admission/progress_events.py
+++ b/lichenquay/admission/progress_events.py
@@ -26,7 +26,7 @@
         pressure: Pressure,
         relocation: Relocation,
     ):
-        """Keeps no state of its own."""
+        """What the engines support and report decides which events are acted on."""
         self.port = port
         self.progress_interval_ms = capabilities.progress_interval_ms
         self.honours_priorities = capabilities.honours_priorities
--- a/lichenquay/admission/relocation.py
+++ b/lichenquay/admission/relocation.py
@@ -9,7 +9,7 @@
     """Cancels attempts whose engine is unresponsive, lost them or runs them badly; a retry follows."""
 
     def __init__(self, port: GatewayPort, permissions: GatewayPermissions):
-        """Keeps no state of its own."""
+        """`port` cancels the attempts; `permissions`: whether it may, and how many attempts a query gets."""
         self.port = port
         self.permissions = permissions
 
--- a/lichenquay/admission/retry_policy.py
+++ b/lichenquay/admission/retry_policy.py
@@ -5,7 +5,7 @@
 from lichenquay.admission.sliding_window import SlidingWindow
 
 BUCKETS_PER_WINDOW = 8  # of the settings' retry budget window
-NO_WINDOW_MS = 1.0  # stands for a window that the settings do not give
+NO_WINDOW_MS = 1.0  # in place of a window that the settings do not give
 
 
 class RetryPolicy:
--- a/lichenquay/admission/slot_availability.py
+++ b/lichenquay/admission/slot_availability.py
@@ -36,7 +36,7 @@
         pressure: Pressure,
         waiting: WaitingQueries,
     ):
-        """Keeps no state of its own."""
+        """Derives the pauses after overload and memory waits from the groups and the engines' settings."""
         shortest_ms = min((group.latency_objective_ms for group in groups), default=0.0)
         self.overload_backoff_ms = shortest_ms / OVERLOAD_BACKOFF_DIVISOR
         self.memory_wait_ms = capabilities.progress_interval_ms
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -80,7 +80,7 @@
 
         A mean lateness over one standard deviation misses the objective; below 0, the objective is met. In
         between nothing changes, so that chance alone moves no limit. `state`: the slot's engine, or one that
-        stands for all where the slot is pooled.
+        represents all where the slot is pooled.
         """
         interval = slot.interval
         results = max(1, interval.results)
--- a/lichenquay/admission/slot_table.py
+++ b/lichenquay/admission/slot_table.py
@@ -8,7 +8,7 @@
 
 
 class SlotTable:
-    """Finds the slot that a group's query needs on an engine, and makes it at its first use."""
+    """The admission slots by engine and group; a slot is made at its first use."""
 
     def __init__(self, fleet: EngineFleet, gateway_share: float, interactive: frozenset[ResourceGroup]):
         """`gateway_share`: our share of each engine, 0 to 1."""
--- a/lichenquay/admission/slow_start.py
+++ b/lichenquay/admission/slow_start.py
@@ -17,7 +17,7 @@
 SUSTAINED_CORE_SHARE = 0.85  # of its cores' time that an engine can spend on queries
 SPENT_AT_START_SHARE = 0.75  # of our budget that counts as spent when this gateway starts
 BUCKETS_PER_WINDOW = 8  # of the settings' slow-start window
-NO_WINDOW_BUCKET_MS = 1.0  # stands for a window that the settings do not give
+NO_WINDOW_BUCKET_MS = 1.0  # in place of a window that the settings do not give
 WORK_AVERAGE_QUERIES = 50  # queries over which a group's mean work is averaged
 
 
@@ -60,7 +60,7 @@
         return max(self.mean_work_ms.get(query.group, 0.0), expected_work_ms(query))
 
     def warm_share(self, engine: Engine, now_ms: float) -> float:
-        """Share of its capacity (0 to 1) that the engine surely has, by the time since its start.
+        """Share of its capacity (0 to 1) that the engine certainly has, by the time since its start.
 
         How capacity rises is not announced, so it is taken to rise late: with the square of the age.
         """
--- a/lichenquay/admission/usable_capacity.py
+++ b/lichenquay/admission/usable_capacity.py
@@ -26,6 +26,7 @@
         usable_share = self.slow_start.usable_share
         shares = {state: usable_share(state.engine, now_ms) for state in fleet.not_fully_usable}
         fleet.not_fully_usable = {state: True for state, share in shares.items() if share < 1}
+        # Warming up limits speed alone: memory is missing only where an engine accepts no new work.
         missing_cores = sum((1 - shares[state]) * state.cores for state in fleet.not_fully_usable)
         missing_mb = sum(state.memory_mb for state in fleet.not_fully_usable if not shares[state])
         self.cores = max(MIN_CAPACITY, fleet.cores - missing_cores)
--- a/lichenquay/config/control_settings.py
+++ b/lichenquay/config/control_settings.py
@@ -146,7 +146,7 @@
 
 
 def _problem_with_own_entry(control):
-    """What this process says of itself has to agree with its entry in the lists."""
+    """The settings of this process have to agree with its entry in the lists."""
     is_voter = control.role == VOTER
     list_name = "voters" if is_voter else "relays"
     own_list = control.voters if is_voter else control.relays
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -19,7 +19,7 @@
 
 
 def problem_with_completeness(value: bytes) -> str | None:
-    """Why a value cannot stand under `COMPLETE_KEY`, or None."""
+    """Why a value is not valid under `COMPLETE_KEY`, or None."""
     return None if value == COMPLETE else f"{COMPLETE_KEY}: {COMPLETE.decode()!r} is all that it can be"
 
 
--- a/lichenquay/connection_admission/account_registry.py
+++ b/lichenquay/connection_admission/account_registry.py
@@ -22,7 +22,7 @@
 
 
 class AccountRegistry:
-    """Finds and keeps accounts. Owner of all `ClientAccount` objects."""
+    """The accounts of clients by address and prefix. Owner of all `ClientAccount` objects."""
 
     def __init__(self, rules: ConnectionRules):
         """No account yet."""
--- a/lichenquay/connection_admission/decisions.py
+++ b/lichenquay/connection_admission/decisions.py
@@ -30,7 +30,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a connection or query is rejected; each is a counter, and the text goes to the client."""
+    """Why a connection or query is rejected; its text is sent to the client."""
 
     CONNECTIONS = "connections of one address"
     RATE = "new connections a second"
@@ -60,7 +60,7 @@
     """What one address holds."""
 
     name: str
-    known: bool
+    is_known: bool
     connections: int
     queries: int
     held_bytes: int
--- a/lichenquay/connection_admission/limits.py
+++ b/lichenquay/connection_admission/limits.py
@@ -31,12 +31,12 @@
     max_ending: int = 8  # connections that are ending, beyond `max_connections`
     max_remembered: int = 4096  # addresses and prefixes that hold nothing and are remembered for their rates
     quiet_ms: float = 20.0  # a client that has something to send has begun by then
-    retry_after_ms: float = 1000.0  # told with a rejection, unless its limit knows better
-    rise_at: tuple[float, ...] = (0.75, 0.9, 0.98)  # used share from which each load state holds ...
+    retry_after_ms: float = 1000.0  # sent with a rejection whose limit gives no better value
+    rise_at: tuple[float, ...] = (0.75, 0.9, 0.98)  # used share (0 to 1) from which each load state holds ...
     fall_below: tuple[float, ...] = (0.65, 0.8, 0.92)  # ... and under which it ends, ...
     fall_after_ms: float = 250.0  # ... after this time
-    max_lag_ms: float = 50.0  # a standing event-loop lag that counts as all used up; 0: not regarded
-    lag_window_ms: float = 200.0  # the least lag within this window is the standing one
+    max_lag_ms: float = 50.0  # a persistent event-loop lag that counts as all used up; 0: not regarded
+    lag_window_ms: float = 200.0  # the least lag within this window is the persistent one
 
 
 def parse_networks(texts: Iterable[str]) -> tuple[IPv4Network | IPv6Network, ...]:
--- a/lichenquay/connection_admission/load_state.py
+++ b/lichenquay/connection_admission/load_state.py
@@ -60,7 +60,7 @@
         self.lags = [*recent[-(MAX_LAG_SAMPLES - 1) :], (now_ms, lag_ms)]
 
     def _standing_lag_ms(self, now_ms):
-        """The least lag of the window, as in CoDel: a burst passes, a queue that stands does not."""
+        """The least lag of the window, as in CoDel: a burst passes, a persistent queue does not."""
         oldest_ms, _ = self.lags[0]
         if oldest_ms > now_ms - self.rules.lag_window_ms / 2:
             return 0.0
--- a/lichenquay/gateway/__main__.py
+++ b/lichenquay/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`run`: one gateway, from its start to its exit."""
+"""Entry point of a gateway process: the `run` command of `deploy/balancer.toml`."""
 
 from lichenquay.process import block_signals, run_service
 
--- a/lichenquay/gateway/attempt_in_flight.py
+++ b/lichenquay/gateway/attempt_in_flight.py
@@ -10,9 +10,9 @@
 
 
 class AttemptInFlight:
-    """An attempt on its way.
+    """An attempt in flight.
 
-    engine, address: where it went; an engine's address may change.
+    engine, address: where it was sent; an engine's address may change.
     lifecycle: what may be concluded of it.
     cancel_outcome: the outcome that it ends with, once the gateway has begun to cancel it.
     first_call: its POST, until that is settled.
@@ -86,7 +86,7 @@
 
 
 class AttemptTracker:
-    """The account of attempts in flight: each has one outcome, which goes to the controller from here."""
+    """The account of attempts in flight: each has one outcome, which is reported to the controller."""
 
     def __init__(self, metrics, on_ended: Callable):
         """`on_ended(in_flight, outcome, cost, load_report, result)`: called once for each attempt."""
@@ -95,7 +95,7 @@
         self.in_flight_count = 0
 
     def dispatched(self) -> None:
-        """An attempt is out."""
+        """Counts an attempt that is started."""
         self.in_flight_count += 1
         self.metrics.count("attempts sent")
 
--- a/lichenquay/gateway/attempt_lifecycle.py
+++ b/lichenquay/gateway/attempt_lifecycle.py
@@ -1,8 +1,8 @@
 """The lifecycle of one attempt at its engine, from its POST to its end: a state machine, free of I/O.
 
-Another attempt of a query may be sent only when the one before surely is not running and cannot come to run.
-An attempt is over by one of the rules that `Proof` lists; each is a method here, and times come in with the
-calls.
+Another attempt of a query may be sent only when the one before is certainly not running and cannot come to
+run. An attempt is over by one of the rules that `Proof` lists; each is a method here, and times come in with
+the calls.
 
 'Unknown' from the engine is no proof while the POST's connection is open and silent (`SENT`): the engine may
 read the POST later, after calls on other connections. Nor is it after that connection was closed by the
@@ -80,7 +80,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether it surely is not running, and cannot come to run, having been sent."""
+        """Whether it is certainly not running, and cannot come to run, having been sent."""
         return self.state is AttemptState.OVER
 
     def post_written(self, now_ms: float) -> None:
@@ -102,7 +102,8 @@
     def connection_closed_by_engine(self, now_ms: float) -> None:
         """The engine closed the connection of its POST before a reply, or the one that it last replied on.
 
-        Not what the gateway closes over a reply that makes no sense: the POST may lie there unread.
+        Not called where the gateway closes the connection after a reply that is not valid: the engine may not
+        have read the POST yet.
         """
         if self.state in (AttemptState.SENT, AttemptState.ACKNOWLEDGED):
             self._enter(AttemptState.DISCONNECTED, now_ms)
@@ -171,7 +172,7 @@
         return self.is_over
 
     def _counts_as_unknown(self, written_ms, may_be_other_engine):
-        """Whether 'unknown' says something of the POST; a call written before may have overtaken it."""
+        """Whether 'unknown' proves anything about the POST; a call written before may have overtaken it."""
         if not self.may_run:
             return False
         if may_be_other_engine and self.state is not AttemptState.DISCONNECTED:
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -86,7 +86,7 @@
     # Reading.
 
     def connectionMade(self):
-        """It is up."""
+        """Sets up the new connection and registers it with the intake."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
         self.intake.connection_opened(self)
@@ -124,7 +124,7 @@
         elif frame.type == FrameType.CANCEL:
             self._on_cancel(frame.stream)
         elif frame.type == FrameType.READINESS_CHECK:
-            frames.read_fields(frame.payload)
+            frames.read_fields(frame.payload)  # raises FrameError where the fields overrun the payload
             self.write(frames.encode_readiness(frame.stream, self.intake.is_ready()))
         else:
             raise FrameError(f"a frame of type {frame.type}")
@@ -144,7 +144,7 @@
             self._drop_held_request(stream)
 
     def _pause_reading(self):
-        """Reads on after a while: what is not wanted, at full speed, must not take the turns of others."""
+        """Reads on after a while: unusable input at full speed must not delay other clients."""
         if self.pause_timer is None:
             self.transport.pauseProducing()
             self.pause_timer = self.intake.reactor.callLater(PAUSE_S, self._resume_reading)
@@ -249,7 +249,7 @@
         self._close_if_answered()
 
     def send_go_away(self) -> None:
-        """Tells the client to send no more requests on this connection."""
+        """Asks the client to send no more requests on this connection."""
         if not self.go_away_sent:
             self.go_away_sent = True
             self.write(frames.encode_frame(FrameType.GO_AWAY, 0))
--- a/lichenquay/gateway/client_listener.py
+++ b/lichenquay/gateway/client_listener.py
@@ -22,7 +22,7 @@
 
 
 def refuse(connection_socket, text: bytes) -> None:
-    """Tells a connection why it is refused, and closes it, without a transport of its own.
+    """Sends a connection the reason why it is refused, and closes it, without a transport of its own.
 
     Refusing must not cost more than serving. What has come is read first, as closing over unread bytes may
     take the answer back.
@@ -97,8 +97,8 @@
     def _wait_for_room(self, is_closing):
         """Whether room is about to come, and is waited for: some clients have not had their time to speak.
 
-        Not in a flood, nor as the listener closes. What waits in the kernel's queue is told nothing
-        meanwhile.
+        Not in a flood of connections, nor as the listener closes. Connections in the kernel's queue get no
+        answer while the listener waits.
         """
         now_s = self.intake.seconds()
         if now_s - self._window_started_s > COUNTED_OVER_S:
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False)
 class GatewayQuery(domain.Query):
-    """A query as the gateway keeps it: whom to answer, and what goes to engines unchanged."""
+    """A query as the gateway keeps it: whom to answer, and what is sent to engines unchanged."""
 
     client: object = None  # its connection, until it is answered
     stream: int = 0
@@ -100,7 +100,7 @@
         self._enqueue(self._on_progress, attempt, kind, amount)
 
     def attempt_ended(self, in_flight, outcome, cost, load_report, result) -> None:
-        """An attempt ended; a whole result goes to the client at once, so that nothing can come between."""
+        """An attempt ended; a whole result is sent to the client at once, before anything else can happen."""
         query = in_flight.query
         if outcome == domain.Outcome.COMPLETED:
             self.answer(query, AnswerCode.COMPLETED, result)
--- a/lichenquay/gateway/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -71,7 +71,7 @@
         self.poll_wait_ms = POLL_WAIT_MS  # of its current poll
 
     def connectionMade(self):
-        """It is up: the first poll."""
+        """Sends the first poll on the new connection."""
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         self._poll()
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -80,7 +80,7 @@
             return
         reply = outcome
         if isinstance(outcome, Exception):
-            # It may have run, and may run on. Polls on another connection tell: the engine goes on with it,
+            # It may have run, and may still run. Polls on another connection show: the engine continues it,
             # reports its end again, or does not know it, which proves little (see `attempt_lifecycle`).
             label = outcome.label if isinstance(outcome, EngineCallError) else type(outcome).__name__
             self.metrics.count(f"first calls {label}")
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -30,7 +30,7 @@
 class NeverSentError(EngineCallError):
     """It was cancelled, or no longer allowed, before a byte was written.
 
-    It says nothing of the engine, other than NotConnectedError.
+    Unlike NotConnectedError, it says nothing about the engine.
     """
 
     label = "never sent"
@@ -58,11 +58,11 @@
 class EngineCall:
     """One call.
 
-    engine, address: where it goes; the address is the engine's at this time, unless one is given.
+    engine, address: where it is sent; the address is the engine's at this time, unless one is given.
     data: its bytes.
     accepts: whether a reply is one to this call.
     attempt: what it is for; a connection's last reply to another attempt may come once more, late.
-    is_urgent: it goes before others, and may use reserved descriptors.
+    is_urgent: it is sent before others, and may use reserved descriptors.
     needs_new_connection: an idle connection will not do.
     starts_attempt: it starts work at the engine, which has to be serving.
     preferred_connection: the one that the attempt's last reply came on.
@@ -85,8 +85,8 @@
     address: str | None = None
     attempt: object = None
     reply: Deferred = field(default_factory=Deferred)  # of a Reply
-    connection: object = None  # the one that it is out on
-    last_connection: object = None  # the same, also when it is out no more
+    connection: object = None  # the one that it was sent on
+    last_connection: object = None  # the same, kept after the call has left it
     is_over: bool = False
     is_written: bool = False
     connection_attempts: int = 0  # connections that broke before a byte was written
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -64,7 +64,7 @@
         self._last_anonymous_reply = None  # the last reply on it, where it names no query
 
     def connectionMade(self):
-        """It is up: its first call is sent, if that still may go."""
+        """Sends the first call on the new connection, if that call may still be sent."""
         self.transport.setTcpNoDelay(True)
         self.pool.connections.add(self)
         if not self.is_clean():
@@ -88,7 +88,7 @@
         return False
 
     def send(self, call: EngineCall) -> None:
-        """Sends a call on it; nothing else is out on it."""
+        """Sends a call on this connection, which carries no other call."""
         self.call = call
         self.attempt = call.attempt
         call.is_written = True
@@ -204,7 +204,10 @@
         return EngineConnection(self.pool, self.call)
 
     def clientConnectionFailed(self, connector, reason):
-        """Refused or silent: that is the engine. Reset before this side knew it was up: the connection."""
+        """Ends the call if the engine refused or did not respond; else has another connection tried.
+
+        A reset before this side knew that the connection was up says nothing about the engine.
+        """
         self.pool.open_count -= 1
         is_refused = reason.check(ConnectionRefusedError) is not None
         if is_refused or reason.check(TimeoutError):
--- a/lichenquay/gateway/engine_pool.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -136,13 +136,13 @@
     # What connections report.
 
     def release(self, connection: EngineConnection) -> None:
-        """Its call has a reply: another may use it."""
+        """The connection's call has its reply: it is idle, and free for another call."""
         connection.idle_since_s = self.reactor.seconds()
         connection.engine.idle_connections.append(connection)
         self.send_waiting()
 
     def on_connection_closed(self, connection: EngineConnection) -> None:
-        """It has ended: its descriptor is for a call that waits."""
+        """A connection has ended: its descriptor is given to a waiting call."""
         if self._forget(connection):
             self.send_waiting()
 
@@ -159,9 +159,8 @@
     def on_reused_connection_broken(self, idle_s: float) -> None:
         """A call broke on a connection that had been idle for `idle_s`.
 
-        Something on the way may close idle connections sooner than the engines say, and shows it only to the
-        next
-        call: a POST that may have run.
+        Something between gateway and engine may close idle connections sooner than the engine does. It shows
+        only at the next call, which may be a POST that has run.
         """
         if idle_s > MIN_STALE_S:
             self.stale_after_s = max(MIN_STALE_S, min(self.stale_after_s, idle_s * STALE_SHARE_AFTER_BREAK))
@@ -169,7 +168,7 @@
     # Descriptors.
 
     def _submit(self, call):
-        """Sends a call, or queues it: an urgent one goes to the head."""
+        """Sends a call, or queues it: an urgent one is put at the head."""
         if self._try_to_send(call):
             return
         if call.is_urgent:
@@ -236,6 +235,6 @@
 
     def _close_unused(self, connections):
         for connection in connections:
-            # Each end makes room for a call that waited, and that may be out on one of the others by now.
+            # Each end makes room for a call that waited, and that may be sent on one of the others by now.
             if connection.call is None:
                 connection.abort()
--- a/lichenquay/gateway/engine_protocol.py
+++ b/lichenquay/gateway/engine_protocol.py
@@ -127,7 +127,7 @@
 
 
 def read_progress(reply: Reply) -> ProgressEvent | None:
-    """The progress event in a reply. An engine that makes no progress goes on replying, without one."""
+    """The progress event in a reply. An engine that makes no progress still replies, without one."""
     kind = PROGRESS_KINDS.get(reply.headers.get("x-tell"))
     amount = _figure(reply, "x-amount")
     if kind is None or amount is None:
--- a/lichenquay/gateway/http.py
+++ b/lichenquay/gateway/http.py
@@ -160,7 +160,7 @@
         return headers
 
     def _read_framing(self, reply):
-        """How far the body goes."""
+        """Determines how the body ends: by its length, by chunks, or with the connection."""
         self._is_chunked = False
         self._body_length = None
         if reply.status in (Status.NO_CONTENT, Status.NOT_MODIFIED) or reply.status < 200:
--- a/lichenquay/gateway/log.py
+++ b/lichenquay/gateway/log.py
@@ -45,5 +45,5 @@
         """Writes a line, whatever came before."""
         try:
             print(text, file=self._out, flush=True)
-        except OSError:  # nobody reads the log any more: the gateway goes on
+        except OSError:  # nobody reads the log any more: the gateway continues
             return
--- a/lichenquay/gateway/metrics.py
+++ b/lichenquay/gateway/metrics.py
@@ -7,7 +7,7 @@
     """Counters by their text, from the start of the process."""
 
     def __init__(self):
-        """All at 0."""
+        """Begins with every counter at 0."""
         self.counters = Counter()
 
     def count(self, name: str) -> None:
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -119,7 +119,7 @@
         self.connection_admission.on_connection_closed(connection.record, self.admission_ms())
 
     def stop_listening(self) -> None:
-        """No more connections; clients are told to send no more requests."""
+        """No more connections; clients are asked to send no more requests."""
         self.listener.close()
         self.send_go_away()
 
--- a/lichenquay/gateway/result_relay.py
+++ b/lichenquay/gateway/result_relay.py
@@ -200,7 +200,7 @@
 
     @inlineCallbacks
     def _cancel(self, in_flight, outcome=None):
-        """Cancels; the outcome is reported once the engine surely works on the attempt no longer."""
+        """Cancels; the outcome is reported once the engine certainly no longer works on the attempt."""
         if in_flight.is_ending:
             return
         if in_flight.first_call is not None and in_flight.first_call.withdraw():
@@ -325,7 +325,7 @@
     def _process_may_live(self, in_flight):
         """Whether the engine's process may live though its address refuses connections.
 
-        So it is while the first call is out, another connection is open, the gateway itself closed the
+        So it is while the first call is in flight, another connection is open, the gateway itself closed the
         connection that it last replied on, or the engine drains. One that accepts no more connections, and
         works on, must not be taken for gone; a reset beside a refusal proves no more.
         """
--- a/lichenquay/gateway/routing.py
+++ b/lichenquay/gateway/routing.py
@@ -32,7 +32,7 @@
         return in_flight
 
     def set_priority(self, in_flight: AttemptInFlight, priority: int) -> None:
-        """Sets the priority of an attempt that is out already."""
+        """Sets the priority of an attempt that is in flight already."""
         if in_flight.priority != priority and not in_flight.is_ending:
             in_flight.priority = priority
             self.relay.update_priority(in_flight)
--- a/lichenquay/gateway/service_report.py
+++ b/lichenquay/gateway/service_report.py
@@ -32,12 +32,10 @@
 
 def _account_lines(connection_admission):
     """The client accounts with most connections."""
-    for name, is_known, connections, queries, held_bytes in connection_admission.largest_clients(
-        LARGEST_ACCOUNTS
-    ):
-        known = " (known)" if is_known else ""
-        held = f"{connections} connections, {queries} queries, {held_bytes} bytes"
-        yield f"largest client: {name}{known}: {held}"
+    for client in connection_admission.largest_clients(LARGEST_ACCOUNTS):
+        known = " (known)" if client.is_known else ""
+        held = f"{client.connections} connections, {client.queries} queries, {client.held_bytes} bytes"
+        yield f"largest client: {client.name}{known}: {held}"
 
 
 def _peak_memory_mb():
--- a/lichenquay/settings_section.py
+++ b/lichenquay/settings_section.py
@@ -9,7 +9,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or makes no sense; the text names the section, the setting and its value."""
+    """A setting is missing or is not valid; the text names the section, the setting and its value."""
 
 
 class FieldReader:
@@ -26,7 +26,7 @@
         self.fields = fields
 
     def error(self, name: str, problem: str) -> Exception:
-        """The error to raise for a field; `problem` goes on after its name."""
+        """The error to raise for a field; `problem` follows its name in the text."""
         return SettingsError(f"'{name}' {problem}")
 
     def has(self, name: str) -> bool:
--- a/tests/test_connection_admission.py
+++ b/tests/test_connection_admission.py
@@ -10,6 +10,7 @@
 )
 from lichenquay.connection_admission.limits import ClientLimits, ConnectionRules, parse_networks
 from lichenquay.connection_admission.load_state import LoadState
+from lichenquay.gateway import service_report
 
 KNOWN_NETWORK = "10.9.0.0/16"
 KNOWN_ADDRESS = "10.9.0.1"
@@ -203,3 +204,15 @@
     """In the error."""
     with pytest.raises(ValueError, match="10.9"):
         parse_networks(["10.9.0.0/33"])
+
+
+def test_the_report_names_the_largest_clients_first_and_marks_known_ones():
+    """One line a client: its connections, open queries and the bytes that it makes the gateway hold."""
+    admission = admission_with(max_connections=99)
+    connect(admission, "10.1.1.1")
+    connect(admission, KNOWN_ADDRESS)
+    admission.on_held_bytes_changed(connect(admission, KNOWN_ADDRESS, query=True), 30)
+    assert list(service_report._account_lines(admission)) == [
+        f"largest client: {KNOWN_ADDRESS} (known): 2 connections, 1 queries, 30 bytes",
+        "largest client: 10.1.1.1: 1 connections, 0 queries, 0 bytes",
+    ]
