--- a/lichenquay/admission/attempt_results.py
+++ b/lichenquay/admission/attempt_results.py
@@ -14,7 +14,7 @@
 
 ENGINE_ANSWERED = (Outcome.COMPLETED, Outcome.FAILED, Outcome.OVERLOADED)
 ENGINE_UNREACHABLE = (Outcome.NOT_CONNECTED, Outcome.CONNECTION_RESET)
-MAY_RUN_ON = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # unless engines heed a cancel
+CHARGED_AFTER_END = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # unless engines heed a cancel
 
 
 class AttemptResults:
@@ -62,7 +62,7 @@
         if reservation is None:
             return
         self._record_result(reservation, took_ms, cost, now_ms)
-        if attempt.outcome in MAY_RUN_ON and not self.permissions.may_cancel:
+        if attempt.outcome in CHARGED_AFTER_END and not self.permissions.may_cancel:
             self._release_later(reservation, took_ms, now_ms)
         else:
             self.attempts_in_flight.release(reservation)
@@ -90,7 +90,7 @@
         outcome = reservation.attempt.outcome
         if outcome == Outcome.OVERLOADED:
             state.last_overloaded_ms = now_ms
-        if outcome in NEVER_EXECUTED or (outcome == Outcome.CANCELLED and reservation.is_cancelled):
+        if outcome in NEVER_EXECUTED or (outcome == Outcome.CANCELLED and reservation.is_relocated):
             return
         state.errors.add(now_ms, outcome == Outcome.FAILED)
         has_estimate = bool(query.estimated_work_ms)
--- a/lichenquay/admission/attempts_in_flight.py
+++ b/lichenquay/admission/attempts_in_flight.py
@@ -49,7 +49,7 @@
         """Starts an attempt on the chosen engine, and counts it in its slot and in every budget."""
         state = chosen.state
         group = query.group
-        state.next_probe_ms = now_ms + group.latency_objective_ms
+        state.next_try_ms = now_ms + group.latency_objective_ms
         slot = self.slot_table.slot_for(state, group, now_ms)
         grant_mb = self.grants.grant_mb(query, state, chosen.slot_kind)
         is_interactive = group in self.grants.interactive
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -25,7 +25,7 @@
     SafetyLimits,
     Tenant,
 )
-from lichenquay.admission.endpoint_list import EndpointList, EndpointStaleness
+from lichenquay.admission.endpoint_list import EndpointListUpdater, EndpointStaleness
 from lichenquay.admission.engine_choice import EngineChoice
 from lichenquay.admission.engine_evaluation import EngineEvaluation
 from lichenquay.admission.engine_fleet import EngineFleet
@@ -105,7 +105,7 @@
         self.constrained_groups = ConstrainedGroups(groups, gateway.seed)
         self.table_affinity = TableAffinity(self.fleet)
         self.staleness = EndpointStaleness()
-        self.endpoint_list = EndpointList(
+        self.endpoint_list = EndpointListUpdater(
             self.port,
             limits,
             self.fleet,
@@ -334,5 +334,5 @@
             self.ticker.schedule(now_ms)
 
     def is_under_pressure(self) -> bool:
-        """Whether the fleet has no room for queries over quota."""
-        return self.pressure.is_fleet_pressed(self.port.now_ms)
+        """Whether the engines have no room for queries over quota."""
+        return self.pressure.are_engines_under_pressure(self.port.now_ms)
--- a/lichenquay/admission/dispatch_checks.py
+++ b/lichenquay/admission/dispatch_checks.py
@@ -17,7 +17,7 @@
         self.retry_policy = retry_policy
         self.slow_start = slow_start
 
-    def may_send(
+    def satisfies_rules(
         self, query: Query, state: EngineState, now_ms: float, decided: Attempt | None = None
     ) -> bool:
         """Whether the engine may get the query now. `decided`: the attempt, if it was started already.
@@ -43,7 +43,7 @@
         query = attempt.query
         if state is None or query.is_done or attempt.outcome or now_ms >= query.deadline_ms:
             return False
-        if not self.may_send(query, state, now_ms, attempt):
+        if not self.satisfies_rules(query, state, now_ms, attempt):
             return False
         delay_ms = now_ms - attempt.sent_ms
         is_late_retry = attempt.number and delay_ms > self.retry_policy.bucket_ms
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -109,7 +109,7 @@
     effect: Effect
     latency_objective_ms: float  # the target runtime, without the stretch
     latency_objective_stretch: float  # added to it: ms for each ms of estimated work per thread
-    queue_timeout_ms: float
+    max_timeout_ms: float  # longest deadline of a query
     priority_weight: float
     late_weight_share: float  # share of the weight that a result after the objective still has
     threads: int = 1
--- a/lichenquay/admission/endpoint_list.py
+++ b/lichenquay/admission/endpoint_list.py
@@ -42,7 +42,7 @@
         self.stale_until_ms = 0.0
 
 
-class EndpointList:
+class EndpointListUpdater:
     """Applies changes of the endpoint list to the fleet.
 
     An engine that leaves the list is kept until our attempts there have ended; otherwise their reservations
--- a/lichenquay/admission/engine_choice.py
+++ b/lichenquay/admission/engine_choice.py
@@ -75,19 +75,19 @@
                 return None
         is_bulk_load = query.group.is_bulk_load
         gateway_share = self.slot_table.gateway_share
-        may_send = self.checks.may_send
+        satisfies_rules = self.checks.satisfies_rules
         free_kind = self.availability.free_kind
         tried = {attempt.engine for attempt in query.attempts}
         is_any_responsive = only is not None
         best: Candidate | None = None
         for state in (only,) if only is not None else self.selection.draw(query, now_ms):
-            if not may_send(query, state, now_ms):
+            if not satisfies_rules(query, state, now_ms):
                 continue
             if is_bulk_load and would_queue_too_long(query, state, gateway_share, now_ms):
                 continue
             is_any_responsive = is_any_responsive or not state.is_unresponsive
             kind = free_kind(query, state, now_ms, pooled_kind)
-            if kind is None or (state.is_unresponsive and not _may_probe(query, state, now_ms)):
+            if kind is None or (state.is_unresponsive and not _may_try_unresponsive(query, state, now_ms)):
                 continue
             objections = self._objections(query, state, kind, state.engine in tried, now_ms)
             if best is None or objections < best.objections:
@@ -111,10 +111,10 @@
         )
 
 
-def _may_probe(query: Query, state: EngineState, now_ms: float) -> bool:
-    """Whether the query may be a probe of an unresponsive engine: read-only, one at a time, now and then.
+def _may_try_unresponsive(query: Query, state: EngineState, now_ms: float) -> bool:
+    """Whether an unresponsive engine may be tried with the query: read-only, one at a time, now and then.
 
     An unresponsive engine is chosen only if no engine that may get the query is responsive. Without such
-    probes, a fleet that recovers would not be noticed.
+    trials, a fleet that recovers would not be noticed.
     """
-    return query.group.effect == Effect.READ_ONLY and now_ms >= state.next_probe_ms and not state.reservations
+    return query.group.effect == Effect.READ_ONLY and now_ms >= state.next_try_ms and not state.reservations
--- a/lichenquay/admission/engine_evaluation.py
+++ b/lichenquay/admission/engine_evaluation.py
@@ -42,19 +42,19 @@
         self.next_ms = 0.0
 
     def evaluate_if_due(self, now_ms: float) -> None:
-        """Evaluates engines, ends stale slot intervals, and probes unresponsive engines."""
+        """Evaluates engines, ends stale slot intervals, and checks the health of unresponsive engines."""
         if now_ms < self.next_ms:
             return
         self.next_ms = now_ms + self.interval_ms
         states = self.compare_with_peers(now_ms)
-        first = self.fleet.first()  # represents all engines where slots are pooled
-        if first is not None and first not in self.fleet.active:
-            states = [first, *states]
+        representative = self.fleet.representative()  # represents all engines where slots are pooled
+        if representative is not None and representative not in self.fleet.active:
+            states = [representative, *states]
         for state in states:
             self.feedback.end_stale_intervals(state, state.slots, now_ms)
-            if state is first:
+            if state is representative:
                 self.feedback.end_stale_intervals(state, self.slot_table.pooled, now_ms)
-            self.health_checks.probe_if_unresponsive(state, now_ms)
+            self.health_checks.health_check_if_unresponsive(state, now_ms)
 
     def compare_with_peers(self, now_ms: float) -> list[EngineState]:
         """Updates all that compares engines; the engines used or with a report, in the order of joining."""
--- a/lichenquay/admission/engine_fleet.py
+++ b/lichenquay/admission/engine_fleet.py
@@ -50,7 +50,7 @@
         self.not_fully_usable.pop(state, None)
         self.active.pop(state, None)
 
-    def first(self) -> EngineState | None:
+    def representative(self) -> EngineState | None:
         """The engine that joined first; it represents all of them where slots are pooled."""
         return next(iter(self.states.values()), None)
 
--- a/lichenquay/admission/engine_state.py
+++ b/lichenquay/admission/engine_state.py
@@ -9,7 +9,7 @@
 from lichenquay.admission.reservation import InFlightTotals, Reservation
 from lichenquay.admission.sliding_window import SlidingWindow
 
-UNKNOWN_SIZE = 1.0  # used for cores and memory that the settings do not give
+ASSUMED_SIZE = 1.0  # used for cores and memory that the settings do not give
 
 
 @dataclass(eq=False, slots=True)
@@ -31,7 +31,7 @@
     reported_ms: float = -inf
     report_requested_ms: float = -inf
     is_unresponsive: bool = False
-    next_probe_ms: float = -inf  # an unresponsive engine may be tried again then
+    next_try_ms: float = -inf  # an unresponsive engine may be tried again then
     last_overloaded_ms: float = -inf  # it shed an attempt
     last_memory_wait_ms: float = -inf  # an attempt had to wait for memory
     slowdown_ratio: float | None = None  # the mean of its slowdowns, at the last evaluation
@@ -43,8 +43,8 @@
 
     def __post_init__(self) -> None:
         """Copies the engine's size."""
-        self.cores = self.engine.cores or UNKNOWN_SIZE
-        self.memory_mb = self.engine.memory_mb or UNKNOWN_SIZE
+        self.cores = self.engine.cores or ASSUMED_SIZE
+        self.memory_mb = self.engine.memory_mb or ASSUMED_SIZE
 
     def record_response(self, now_ms: float) -> None:
         """The engine answered or reported something."""
--- a/lichenquay/admission/health_checks.py
+++ b/lichenquay/admission/health_checks.py
@@ -49,15 +49,15 @@
             state.report_requested_ms = now_ms
             self.port.send_health_check(state.engine)
 
-    def probe_if_unresponsive(self, state: EngineState, now_ms: float) -> None:
+    def health_check_if_unresponsive(self, state: EngineState, now_ms: float) -> None:
         """Checks an unresponsive engine again from time to time.
 
         Such an engine gets no queries while others are responsive; without checks its recovery would go
         unnoticed.
         """
-        is_due = state.is_unresponsive and now_ms >= state.next_probe_ms
+        is_due = state.is_unresponsive and now_ms >= state.next_try_ms
         if is_due and self.may_check and _is_serving(state):
-            state.next_probe_ms = now_ms + self.interval_ms
+            state.next_try_ms = now_ms + self.interval_ms
             self.port.send_health_check(state.engine)
 
 
--- a/lichenquay/admission/interactive_groups.py
+++ b/lichenquay/admission/interactive_groups.py
@@ -14,7 +14,7 @@
     with one group has none.
     """
     longest_objective_ms = {
-        group: group.latency_objective_ms + group.latency_objective_stretch * group.queue_timeout_ms
+        group: group.latency_objective_ms + group.latency_objective_stretch * group.max_timeout_ms
         for group in groups
     }
     most_ms = max(longest_objective_ms.values(), default=0.0)
--- a/lichenquay/admission/pooled_slots.py
+++ b/lichenquay/admission/pooled_slots.py
@@ -54,12 +54,12 @@
         Threads and slots bind under pressure of the fleet, memory always where engines swap. The fleet must
         not be empty.
         """
-        is_pressed = self.pressure.is_fleet_pressed(now_ms)
+        is_pressed = self.pressure.are_engines_under_pressure(now_ms)
         usable_threads = THREADS_PER_CORE * self.capacity.cores * self.memory_share.gateway_share
-        first = self.fleet.first()
+        representative = self.fleet.representative()
         in_flight = self.in_flight
         fits_memory = not in_flight.threads or self.memory_share.has_room(
-            query, first, in_flight.granted_mb, self.capacity.memory_mb
+            query, representative, in_flight.granted_mb, self.capacity.memory_mb
         )
         if self._must_space_admissions(is_pressed, usable_threads, now_ms):
             return None
@@ -69,7 +69,7 @@
             return SlotKind.MAXIMUM
         if not fits_memory or in_flight.threads >= usable_threads:
             return None
-        return self.availability.kind_by_slot(query, first, now_ms)
+        return self.availability.kind_by_slot(query, representative, now_ms)
 
     def _must_space_admissions(self, is_pressed: bool, usable_threads: float, now_ms: float) -> bool:
         """Whether it is too early for another admission, where one query exceeds our share of the fleet.
--- a/lichenquay/admission/ports.py
+++ b/lichenquay/admission/ports.py
@@ -98,6 +98,9 @@
     def give_final_answer(self, query: Query) -> None:
         """Rejects or fails the query now."""
 
+    def is_under_pressure(self) -> bool:
+        """Whether the engines have no room for queries over quota."""
+
     def on_health_check(
         self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
     ) -> None:
--- a/lichenquay/admission/pressure.py
+++ b/lichenquay/admission/pressure.py
@@ -42,7 +42,7 @@
         """The engine reported on an attempt for the first time."""
         self.memory_waits.add(now_ms, waits_for_memory)
 
-    def is_engine_pressed(self, state: EngineState, group: ResourceGroup, now_ms: float) -> bool:
+    def is_engine_under_pressure(self, state: EngineState, group: ResourceGroup, now_ms: float) -> bool:
         """Whether slots of the group bind on the engine.
 
         It is full by its report, our own load alone exceeds the starting limit, it shed an attempt less than
@@ -56,7 +56,7 @@
             return False
         return state.slowdown_ratio > SLOW_FACTOR * self.best_slowdown
 
-    def is_fleet_pressed(self, now_ms: float) -> bool:
+    def are_engines_under_pressure(self, now_ms: float) -> bool:
         """Whether the fleet has no room: pooled slots bind, and queries over quota have none.
 
         All our attempts are well slower than the best mean, many had to wait for memory, or the mean report
--- a/lichenquay/admission/relocation.py
+++ b/lichenquay/admission/relocation.py
@@ -23,7 +23,7 @@
             return
         if len(query.attempts) >= self.permissions.max_attempts:
             return
-        if reservation.is_cancelled or query.is_done or reservation.attempt.outcome:
+        if reservation.is_relocated or query.is_done or reservation.attempt.outcome:
             return
-        reservation.is_cancelled = True
+        reservation.is_relocated = True
         self.port.cancel_attempt(reservation.attempt)
--- a/lichenquay/admission/reservation.py
+++ b/lichenquay/admission/reservation.py
@@ -33,7 +33,7 @@
     group: ResourceGroup = field(init=False)
     last_response_ms: float = field(init=False)
     has_progress: bool = False  # the engine reported on it
-    is_cancelled: bool = False  # by this gateway, to run it elsewhere
+    is_relocated: bool = False  # by this gateway, to run it elsewhere
     waiting_since_ms: float | None = None  # for memory or a lock on the engine
     waited_ms: float = 0.0  # before that, and while this process was paused
     counts_in_total: bool = True
--- a/lichenquay/admission/silence_detection.py
+++ b/lichenquay/admission/silence_detection.py
@@ -1,7 +1,7 @@
 """Silence detection: engines that do not respond, and attempts that were lost on a responsive engine.
 
 Missing progress events, time-outs and failed connections are one symptom. An unresponsive engine gets nothing
-new but probes, and attempts that may run twice move elsewhere.
+new but single queries on trial, and attempts that may run twice move elsewhere.
 """
 
 from lichenquay.admission.domain import EngineCapabilities
@@ -12,7 +12,7 @@
 from lichenquay.admission.reservation import Reservation
 
 SILENCE_PROGRESS_INTERVALS = 1.5  # without a response for as many progress intervals: silent
-PROBE_DELAY_DIVISOR = 2  # the first probe comes after 1/2 of the silence limit
+TRY_DELAY_DIVISOR = 2  # the first query is tried there after 1/2 of the silence limit
 LOST_RUNTIME_FACTOR = 4  # times the expected runtime on this engine
 LOST_OBJECTIVE_DIVISOR = 2  # no attempt counts as lost before 1/2 of its group's objective
 
@@ -39,7 +39,7 @@
         """The engine does not respond: what may be retried moves away from it."""
         if not state.is_unresponsive:
             state.is_unresponsive = True
-            state.next_probe_ms = now_ms + self.silence_limit_ms / PROBE_DELAY_DIVISOR
+            state.next_try_ms = now_ms + self.silence_limit_ms / TRY_DELAY_DIVISOR
             self.port.log(f"engine {state.engine.id} not heard from")
         for reservation in list(state.reservations.values()):
             self.relocation.cancel_and_retry(reservation)
--- a/lichenquay/admission/slot_availability.py
+++ b/lichenquay/admission/slot_availability.py
@@ -70,7 +70,7 @@
             return None
         if now_ms - state.last_overloaded_ms < self.overload_backoff_ms:
             return None
-        is_pressed = pooled_kind is None and self.pressure.is_engine_pressed(state, group, now_ms)
+        is_pressed = pooled_kind is None and self.pressure.is_engine_under_pressure(state, group, now_ms)
         if not self._has_room(query, state, is_pressed, pooled_kind is not None):
             return None
         if is_pressed and not is_interactive:
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -57,8 +57,8 @@
         interval.lateness_squared += lateness_ms * lateness_ms
         interval.granted_mb += granted_mb
         slot.delay_ms = max(0.0, -lateness_ms) if slot.meets_objective else 0.0
-        engine_count = 1 if slot.is_pooled else max(1, len(self.fleet.states))
-        interval.waiting += self.waiting.count(group) / engine_count
+        engines_sharing_queue = 1 if slot.is_pooled else max(1, len(self.fleet.states))
+        interval.waiting += self.waiting.count(group) / engines_sharing_queue
         interval.running += slot.running_maximum + slot.running_minimum
         if interval.results >= RESULTS_PER_INTERVAL:
             self.end_interval(slot, state, now_ms)
@@ -72,7 +72,7 @@
             is_overdue = (
                 slot.interval.results and age_ms > STALE_INTERVAL_OBJECTIVES * group.latency_objective_ms
             )
-            if is_overdue or age_ms > group.queue_timeout_ms:
+            if is_overdue or age_ms > group.max_timeout_ms:
                 self.end_interval(slot, state, now_ms)
 
     def end_interval(self, slot: AdmissionSlot, state: EngineState, now_ms: float) -> None:
@@ -97,8 +97,8 @@
 
         With few waiting queries, or on a full engine, no slot is added.
         """
-        engine_count = len(self.fleet.states) if slot.is_pooled else 1
-        memory_mb = self.gateway_share * state.memory_mb * engine_count
+        engines_of_slot = len(self.fleet.states) if slot.is_pooled else 1
+        memory_mb = self.gateway_share * state.memory_mb * engines_of_slot
         pools_mb = sum(sibling.pool_mb or 0.0 for sibling in slot.siblings.values())
         unreserved_mb = USABLE_MEMORY_SHARE * memory_mb - pools_mb
         pool_mb = slot.pool_mb or 0.0
--- a/lichenquay/deployment_settings.py
+++ b/lichenquay/deployment_settings.py
@@ -144,7 +144,7 @@
         effect=EFFECTS[effect],
         latency_objective_ms=section.milliseconds("aim_us"),
         latency_objective_stretch=section.number("aim_stretch", 0.0),
-        queue_timeout_ms=section.milliseconds("deadline_us"),
+        max_timeout_ms=section.milliseconds("deadline_us"),
         priority_weight=section.number("worth", 1.0),
         late_weight_share=section.number("late_worth", 0.0),
         threads=threads,
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -33,7 +33,7 @@
     code = AnswerCode.FAILED
 
 
-class HeldRequest(NamedTuple):
+class DeferredRequest(NamedTuple):
     """A request that waits while its client does not read its answers."""
 
     payload: bytes
@@ -53,7 +53,7 @@
     """One client's connection.
 
     While its client does not read its answers it is `is_backlogged`: `unsent_bytes` of them wait in the
-    transport, which asks for more (`resumeProducing`) once it is empty. Until then its requests are held;
+    transport, which asks for more (`resumeProducing`) once it is empty. Until then its requests are deferred;
     other frames are handled. With nothing read, a cancellation would wait in the kernel while its query is
     sent again.
 
@@ -68,8 +68,8 @@
         self.reader = FrameReader()
         self.streams = StreamNumbers()
         self.open_queries = {}  # by stream
-        self.held_requests: dict[int, HeldRequest] = {}  # by stream
-        self.held_request_bytes = 0
+        self.deferred_requests: dict[int, DeferredRequest] = {}  # by stream
+        self.deferred_request_bytes = 0
         self.unsent_bytes = 0
         self.invalid_requests = 0
         self.is_open = True
@@ -140,8 +140,8 @@
         query = self.open_queries.pop(stream, None)
         if query is not None:
             self._cancel_query(query)
-        elif stream in self.held_requests:
-            self._drop_held_request(stream)
+        elif stream in self.deferred_requests:
+            self._drop_deferred_request(stream)
 
     def _pause_reading(self):
         """Reads on after a while: unusable input at full speed must not delay other clients."""
@@ -151,7 +151,7 @@
 
     def _resume_reading(self):
         self.pause_timer = None
-        if self.held_request_bytes <= MAX_UNSENT_BYTES:
+        if self.deferred_request_bytes <= MAX_UNSENT_BYTES:
             self.transport.resumeProducing()
 
     # Requests.
@@ -205,28 +205,31 @@
         query.client = None
 
     def _hold_request(self, frame):
-        self.held_requests[frame.stream] = HeldRequest(bytes(frame.payload), self.intake.now_ms())
-        self._account_held_request(len(frame.payload))
-        if self.held_request_bytes > MAX_UNSENT_BYTES:
+        self.deferred_requests[frame.stream] = DeferredRequest(bytes(frame.payload), self.intake.now_ms())
+        self._account_deferred_request(len(frame.payload))
+        if self.deferred_request_bytes > MAX_UNSENT_BYTES:
             self.transport.pauseProducing()
 
-    def _drop_held_request(self, stream):
-        self._account_held_request(-len(self.held_requests.pop(stream).payload))
+    def _drop_deferred_request(self, stream):
+        self._account_deferred_request(-len(self.deferred_requests.pop(stream).payload))
 
-    def _accept_held_requests(self):
+    def _accept_deferred_requests(self):
         """In order; their time counts from when they were received."""
         try:
             while (
-                self.held_requests and not self.is_backlogged and self.is_open and not self.is_rejecting_input
+                self.deferred_requests
+                and not self.is_backlogged
+                and self.is_open
+                and not self.is_rejecting_input
             ):
-                stream, request = next(iter(self.held_requests.items()))
-                self._drop_held_request(stream)
+                stream, request = next(iter(self.deferred_requests.items()))
+                self._drop_deferred_request(stream)
                 self._accept_request(stream, request.payload, request.received_ms)
         except FrameError as error:
             self.reject_input(str(error))
 
-    def _account_held_request(self, size_bytes):
-        self.held_request_bytes += size_bytes
+    def _account_deferred_request(self, size_bytes):
+        self.deferred_request_bytes += size_bytes
         self._account_bytes(size_bytes)
 
     def _account_bytes(self, size_bytes):
@@ -278,8 +281,8 @@
         self.unsent_bytes = 0
         if self.is_backlogged:
             self.is_backlogged = False
-            self._accept_held_requests()
-            if self.pause_timer is None and self.held_request_bytes <= MAX_UNSENT_BYTES:
+            self._accept_deferred_requests()
+            if self.pause_timer is None and self.deferred_request_bytes <= MAX_UNSENT_BYTES:
                 self.transport.resumeProducing()
         if self.close_timer is not None:
             self._close_output()
@@ -293,7 +296,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether nothing that was accepted on it waits for an answer."""
-        return not self.open_queries and not self.held_requests
+        return not self.open_queries and not self.deferred_requests
 
     def evict(self) -> None:
         """Gives its place to another: its queries get their final answers now, then it is closed."""
@@ -315,8 +318,8 @@
         self.write(frames.encode_answer(0, code, reason.encode()))
         self.is_rejecting_input = True
         # its client has sent them: it gets their answers, if it reads
-        for stream in list(self.held_requests):
-            self._drop_held_request(stream)
+        for stream in list(self.deferred_requests):
+            self._drop_deferred_request(stream)
             self.write(frames.encode_answer(stream, code, reason.encode()))
         self.intake.connection_admission.on_connection_ending(self.record, self.intake.admission_ms())
         self._close_if_answered()
@@ -361,8 +364,8 @@
         self._account_bytes(-self.unsent_bytes - self.reader.buffered_bytes())
         self.unsent_bytes = 0
         self.reader.discard()
-        for stream in list(self.held_requests):
-            self._drop_held_request(stream)
+        for stream in list(self.deferred_requests):
+            self._drop_deferred_request(stream)
         for timer in (self.pause_timer, self.close_timer):
             if timer is not None and timer.active():
                 timer.cancel()
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -129,7 +129,7 @@
         for query in list(self.open_queries):
             self.evict(query)
 
-    def may_send(self, in_flight) -> bool:
+    def may_dispatch(self, in_flight) -> bool:
         """Whether an attempt is still allowed at the time that it is by now."""
         return self.controller.may_dispatch(in_flight.attempt, max(self.now_ms, self.clock_ms()))
 
--- a/lichenquay/gateway/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -11,8 +11,9 @@
 
 POLL_WAIT_MS = 1000  # of one poll; PROTOCOL allows 5,000: shorter, a half-open connection shows sooner
 FIRST_POLL_WAIT_MS = 1  # of the polls until one is answered: until then the endpoint list may be stale
-# well within the 7 s after which an event counts as announced (PROTOCOL, 'Figures')
-REPLY_TIMEOUT_MS = POLL_WAIT_MS + 500
+REPLY_MARGIN_MS = 500  # for an answer to arrive after its poll's wait
+# Well within the 7 s after which an event counts as announced (PROTOCOL, 'Figures')
+REPLY_TIMEOUT_MS = POLL_WAIT_MS + REPLY_MARGIN_MS
 RETRY_DELAY_MS = 100  # between polls that bring nothing
 
 
@@ -161,12 +162,15 @@
     def clientConnectionLost(self, connector, reason):
         """Connects again: after a pause, where it was up for a moment only."""
         if self.reactor.seconds() - self.connected_s < RETRY_DELAY_MS / 1000:
-            self.clientConnectionFailed(connector, reason)
+            self._reconnect_later(connector)
         else:
             self._reconnect(connector)
 
     def clientConnectionFailed(self, connector, reason):
         """Connects again after a pause."""
+        self._reconnect_later(connector)
+
+    def _reconnect_later(self, connector):
         self.reactor.callLater(RETRY_DELAY_MS / 1000, self._reconnect, connector)
 
     def _reconnect(self, connector):
--- a/lichenquay/gateway/endpoint_events.py
+++ b/lichenquay/gateway/endpoint_events.py
@@ -23,7 +23,7 @@
     """An answer or event that cannot be read; the text says why."""
 
 
-class EndpointList(NamedTuple):
+class EndpointUpdate(NamedTuple):
     """What one event says: all engines that there are (`is_whole`), or those that changed."""
 
     is_whole: bool
@@ -34,7 +34,7 @@
     """An event and its number, which is higher than those before it."""
 
     number: int
-    endpoints: EndpointList
+    endpoints: EndpointUpdate
 
 
 class EndpointEvents(NamedTuple):
@@ -65,12 +65,12 @@
     )
 
 
-def read_endpoint_list(item: Any) -> EndpointList:
+def read_endpoint_update(item: Any) -> EndpointUpdate:
     """The endpoint list in one event, as parsed from JSON. Errors: EndpointListError."""
     try:
         roster = item["roster"]
         records = [_read_record(target) for target in roster["targets"]]
-        return EndpointList(bool(roster["all"]), records)
+        return EndpointUpdate(bool(roster["all"]), records)
     except UNREADABLE as error:
         raise EndpointListError(f"an event that cannot be read: {error}") from None
 
@@ -79,7 +79,7 @@
     """The events after number `after` in an answer, as parsed from JSON. Errors: EndpointListError."""
     try:
         events = [
-            EndpointEvent(int(item["no"]), read_endpoint_list(item))
+            EndpointEvent(int(item["no"]), read_endpoint_update(item))
             for item in answer["items"]
             if int(item["no"]) > after
         ]
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -167,7 +167,7 @@
         self._check_room(connection, len(request.statement))
         group = self.groups[request.group]
         statement = bytes(request.statement)  # it outlives the buffer
-        max_timeout_ms = group.queue_timeout_ms or MAX_AMOUNT_MS
+        max_timeout_ms = group.max_timeout_ms or MAX_AMOUNT_MS
         timeout_ms = min(max_timeout_ms, _amount(request, "timeout_ms", 2 * max_timeout_ms))
         return GatewayQuery(
             id=0,
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -29,9 +29,11 @@
 
 POLL_REPLY_MS = 250.0  # PROTOCOL: an engine answers a poll after this at the latest
 # Then it is polled on another connection, before its query is late or counts as lost.
-REPLY_TIMEOUT_MS = 1.2 * POLL_REPLY_MS
+REPLY_TIMEOUT_POLLS = 1.2
+REPLY_TIMEOUT_MS = REPLY_TIMEOUT_POLLS * POLL_REPLY_MS
 DEFAULT_CONNECT_TIMEOUT_MS = POLL_REPLY_MS  # where the settings name none
-DEFAULT_KEEP_ALIVE_MS = 4 * POLL_REPLY_MS  # likewise
+DEFAULT_KEEP_ALIVE_POLLS = 4
+DEFAULT_KEEP_ALIVE_MS = DEFAULT_KEEP_ALIVE_POLLS * POLL_REPLY_MS  # likewise
 # PROTOCOL: an event of the discovery service counts as announced this much later at the latest.
 EVENTS_ANNOUNCED_WITHIN_MS = 7000.0
 # PROTOCOL: new connections go on coming 0.4 s after SIGTERM; the last of them is accepted.
@@ -41,6 +43,10 @@
 SIGKILL_AFTER_DEADLINE_MS = 700.0  # ... and this long more after SIGTERM
 FINAL_ANSWERS_BEFORE_MS = 300.0  # before SIGKILL, what is still open gets its final answer
 RESERVED_DESCRIPTORS = 48  # for the reactor, accepting, discovery and cancellations
+URGENT_DESCRIPTORS = RESERVED_DESCRIPTORS // 2  # of these, for urgent calls to engines
+OTHER_DESCRIPTORS = RESERVED_DESCRIPTORS - URGENT_DESCRIPTORS  # of these, always counted as used
+EXTRA_CLIENT_DESCRIPTORS = RESERVED_DESCRIPTORS // 4  # beyond the clients' share
+LATE_FINAL_ANSWERS_MS = FINAL_ANSWERS_BEFORE_MS / 2  # from here on nothing in flight is waited for
 CLIENT_DESCRIPTOR_SHARE = 3  # PROTOCOL: clients hold a third of the descriptors at most
 CHECK_CALLS_EACH_MS = 25.0  # for calls that have waited too long
 CHECK_CLIENTS_EACH_MS = 250.0  # for connections that have outlived their use
@@ -94,7 +100,7 @@
         """The stages of a query's way; each refers to the next."""
         self.engines = EnginePool(
             self.reactor,
-            urgent_reserve=RESERVED_DESCRIPTORS // 2,
+            urgent_reserve=URGENT_DESCRIPTORS,
             connect_timeout_ms=self.settings.capabilities.connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS,
             reply_timeout_ms=REPLY_TIMEOUT_MS,
             keep_alive_ms=self.settings.idle_ms or DEFAULT_KEEP_ALIVE_MS,
@@ -112,7 +118,7 @@
             self.attempts,
             self.metrics,
             self.adapter.call_at,
-            self.adapter.may_send,
+            self.adapter.may_dispatch,
             now_ms,
         )
         self.router = Router(self.dispatcher, self.relay)
@@ -127,7 +133,7 @@
         client_descriptors = max_descriptors // CLIENT_DESCRIPTOR_SHARE
         self.engines.descriptor_budget = max_descriptors - client_descriptors - RESERVED_DESCRIPTORS
         rules = configuration.effective_connection_rules(
-            self.feature_settings, client_descriptors + RESERVED_DESCRIPTORS // 4, self.distributed_rules
+            self.feature_settings, client_descriptors + EXTRA_CLIENT_DESCRIPTORS, self.distributed_rules
         )
         self.clients.set_bounds(self.config.client_memory_bytes, rules)
 
@@ -254,7 +260,7 @@
     def _used_share(self):
         """The larger of the shares of descriptors and of clients' memory that are used up."""
         clients = self.clients
-        descriptors = self.engines.open_count + len(clients.connections) + RESERVED_DESCRIPTORS // 2
+        descriptors = self.engines.open_count + len(clients.connections) + OTHER_DESCRIPTORS
         memory_share = clients.held_bytes / max(1, clients.max_held_bytes)
         return max(descriptors / self.config.max_descriptors, memory_share)
 
@@ -313,7 +319,7 @@
         if self.phase != ServicePhase.SERVING:
             return
         self.phase = ServicePhase.LEAVING
-        longest_ms = max(group.queue_timeout_ms or MAX_DEADLINE_MS for group in self.settings.groups.values())
+        longest_ms = max(group.max_timeout_ms or MAX_DEADLINE_MS for group in self.settings.groups.values())
         self.sigkill_expected_ms = now_ms() + min(MAX_DEADLINE_MS, longest_ms) + SIGKILL_AFTER_DEADLINE_MS
         self.clients.send_go_away()
         self.engines.call_later(ACCEPT_AFTER_SIGTERM_MS, self._stop_listening)
@@ -330,7 +336,7 @@
         """Until all that was accepted is answered, what was cancelled is over, and the answers are sent."""
         self.phase = ServicePhase.DRAINING
         left_ms = self.sigkill_expected_ms - now_ms()
-        is_late = left_ms < FINAL_ANSWERS_BEFORE_MS / 2
+        is_late = left_ms < LATE_FINAL_ANSWERS_MS
         if left_ms < FINAL_ANSWERS_BEFORE_MS:
             # What came since the final answers were asked for would end with the process, unanswered.
             self.clients.is_stopping = True
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -135,7 +135,7 @@
     def _ask(self):
         group = self.rng.choice(self.groups)
         now_ms = boot_ms()
-        query = GatewayQuery(0, group, now_ms, now_ms + group.queue_timeout_ms, estimated_work_ms=WORK_MS)
+        query = GatewayQuery(0, group, now_ms, now_ms + group.max_timeout_ms, estimated_work_ms=WORK_MS)
         self.asked += 1
         self.queries.query_received(query)
         self.timer = self.reactor.callLater(1 / self.per_s, self._ask)
--- a/lichenquay/testbed/scale/probes/door.py
+++ b/lichenquay/testbed/scale/probes/door.py
@@ -74,7 +74,7 @@
         self.at(self.now_ms + self._gap_ms(), lambda: self._arrive(until_ms))
         group = REPORT if self.rng.random() < REPORT_SHARE else QUICK
         tables = f"tables-{self.rng.randrange(TABLE_SETS)}" if group is REPORT else None
-        deadline_ms = self.now_ms + group.queue_timeout_ms
+        deadline_ms = self.now_ms + group.max_timeout_ms
         query = domain.Query(
             next(self.ids),
             group,
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -121,9 +121,9 @@
     client = world.client()
     assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     wait(0.1)  # its connection has rested for long enough to be used again
-    refusals, may_send = [], world.service.dispatcher.may_send
-    world.service.dispatcher.may_send = lambda in_flight: (
-        bool(refusals) and may_send(in_flight) or bool(refusals.append(in_flight))
+    refusals, may_dispatch = [], world.service.dispatcher.may_dispatch
+    world.service.dispatcher.may_dispatch = lambda in_flight: (
+        bool(refusals) and may_dispatch(in_flight) or bool(refusals.append(in_flight))
     )
     assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     assert len(refusals) == 1 and world.posts() == 2
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -33,7 +33,7 @@
     fields = dict(
         latency_objective_ms=2000.0,
         latency_objective_stretch=2.0,
-        queue_timeout_ms=10000.0,
+        max_timeout_ms=10000.0,
         priority_weight=5.0,
         late_weight_share=0.3,
         threads=2,
@@ -47,7 +47,7 @@
         "status",
         threads=1,
         latency_objective_ms=500.0,
-        queue_timeout_ms=2500.0,
+        max_timeout_ms=2500.0,
         priority_weight=1.0,
         **changes,
     )
@@ -272,7 +272,7 @@
             len(self.queries) + 1,
             group_,
             self.now_ms,
-            self.now_ms + (timeout_ms or group_.queue_timeout_ms),
+            self.now_ms + (timeout_ms or group_.max_timeout_ms),
             estimated_work_ms=work_ms,
             estimated_memory_mb=memory_mb,
             **fields,
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -217,7 +217,7 @@
 def test_interactive_groups_are_small_and_shorter_than_some_other():
     """A deployment with one group has none."""
     status, report = interactive_group(), group()
-    load = group("load", threads=1, is_bulk_load=True, latency_objective_ms=100.0, queue_timeout_ms=100.0)
+    load = group("load", threads=1, is_bulk_load=True, latency_objective_ms=100.0, max_timeout_ms=100.0)
     assert interactive_groups([status, report, load]) == {status}
     assert interactive_groups([status]) == frozenset()
 
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -241,7 +241,7 @@
             gateway.run_for(slowdown * 100.0)
             for attempt in [attempt for attempt in gateway.in_flight() if attempt.query is query]:
                 gateway.end_attempt(attempt, Outcome.COMPLETED)
-        assert gateway.controller.pressure.is_fleet_pressed(gateway.now_ms) == is_pressed, slowdown
+        assert gateway.controller.pressure.are_engines_under_pressure(gateway.now_ms) == is_pressed, slowdown
         gateway.run_for(4000)
 
 
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -55,7 +55,7 @@
             (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL)
         ),
         idempotency_window_ms=rng.choice((0.0, 500.0, 4000.0)),
-        queue_timeout_ms=rng.choice((800.0, 4000.0)),
+        max_timeout_ms=rng.choice((800.0, 4000.0)),
         latency_objective_ms=rng.choice((0.0, 500.0, 2000.0)),
         priority_weight=rng.choice((0.0, 1.0, 20.0)),
         allowed_zones=rng.choice((None, frozenset("a"))),
--- a/tests/test_engine_selection.py
+++ b/tests/test_engine_selection.py
@@ -37,7 +37,7 @@
 
 def test_an_engine_whose_errors_stand_out_gets_little_and_errors_of_all_blame_nobody():
     """What fails at once is free at once, and draws ever more: non-idempotent queries failed by the dozen."""
-    status = group("status", latency_objective_ms=500.0, threads=1, queue_timeout_ms=2500.0)
+    status = group("status", latency_objective_ms=500.0, threads=1, max_timeout_ms=2500.0)
     report = group("report", latency_objective_ms=3000.0)
     for all_fail in (False, True):
         gateway = FakeGateway([status, report], [engine(name) for name in "abc"], max_attempts=1)
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -11,7 +11,7 @@
 from lichenquay.admission import domain
 from lichenquay.deployment_settings import DeploymentSettings, SettingsSection
 from lichenquay.gateway import engine_protocol, frames, http
-from lichenquay.gateway.endpoint_events import EndpointListError, read_endpoint_list
+from lichenquay.gateway.endpoint_events import EndpointListError, read_endpoint_update
 from lichenquay.gateway.log import Log
 from lichenquay.gateway.statement import table_group_of
 from lichenquay.settings_section import flatten
@@ -238,7 +238,7 @@
         3,
     ):
         with pytest.raises(EndpointListError):
-            read_endpoint_list({"roster": {"all": False, "targets": [row]}})
+            read_endpoint_update({"roster": {"all": False, "targets": [row]}})
 
 
 def test_lines_of_one_kind_are_limited():
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -79,7 +79,7 @@
             self.fleet.next_number(),
             self.fleet.group,
             self.now_ms,
-            self.now_ms + self.fleet.group.queue_timeout_ms,
+            self.now_ms + self.fleet.group.max_timeout_ms,
             estimated_work_ms=work_ms,
         )
         self.open_queries.add(query)
