--- a/lichenquay/connection_admission/load_state.py
+++ b/lichenquay/connection_admission/load_state.py
@@ -37,7 +37,7 @@
         """
         rules = self.rules
         self._add_lag(lag_ms, now_ms)
-        lag_share = self._standing_lag_ms(now_ms) / rules.max_lag_ms if rules.max_lag_ms else 0.0
+        lag_share = self._persistent_lag_ms(now_ms) / rules.max_lag_ms if rules.max_lag_ms else 0.0
         used_share = max(used_share, lag_share)
         level = LOAD_STATES.index(self.state)
         reached_level = sum(used_share >= bound for bound in rules.rise_at)
@@ -59,7 +59,7 @@
         recent = [(at_ms, lag) for at_ms, lag in self.lags if at_ms > window_start_ms]
         self.lags = [*recent[-(MAX_LAG_SAMPLES - 1) :], (now_ms, lag_ms)]
 
-    def _standing_lag_ms(self, now_ms):
+    def _persistent_lag_ms(self, now_ms):
         """The least lag of the window, as in CoDel: a burst passes, a persistent queue does not."""
         oldest_ms, _ = self.lags[0]
         if oldest_ms > now_ms - self.rules.lag_window_ms / 2:
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -210,7 +210,7 @@
     client.socket.sendall(frames.encode_frame(frames.FrameType.CANCEL, 5))
     until(lambda: counter(world, "queries cancelled by their clients") == 1, 0.1)
     until(lambda: world.engines[0].cancelled)
-    assert world.posts() == 1 and len(connection.held_requests) == after
+    assert world.posts() == 1 and len(connection.deferred_requests) == after
     world.engines[0].behaviours = []
     until(
         lambda: {6, 7} <= set(answers(client)) if after else True, 5
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -305,11 +305,11 @@
     for stream in (1, 2):  # nothing more is taken in from it, and past a bound it is read no further
         assert done[-1] == "x"
         connection.dataReceived(frames.encode_frame(frames.FrameType.QUERY, stream, b"x" * 40_000))
-    assert done[-1] == "p" and list(connection.held_requests) == [1, 2]
+    assert done[-1] == "p" and list(connection.deferred_requests) == [1, 2]
     connection.dataReceived(
         frames.encode_frame(frames.FrameType.CANCEL, 1) + frames.encode_frame(frames.FrameType.CANCEL, 2)
     )  # what else it says is heard
-    assert not connection.held_requests
+    assert not connection.deferred_requests
     connection.resumeProducing()
     assert intake.held_bytes == 0 and done[-1] == "r"
 
