--- a/lichenquay/admission/engine_fleet.py
+++ b/lichenquay/admission/engine_fleet.py
@@ -50,8 +50,8 @@
         self.not_fully_usable.pop(state, None)
         self.active.pop(state, None)
 
-    def first(self) -> EngineState | None:
-        """The engine that joined first; it stands for all of them where slots are pooled."""
+    def representative(self) -> EngineState | None:
+        """The engine that joined first; it represents all of them where slots are pooled."""
         return next(iter(self.states.values()), None)
 
     def active_in_join_order(self) -> list[EngineState]:
--- a/lichenquay/admission/relocation.py
+++ b/lichenquay/admission/relocation.py
@@ -9,7 +9,7 @@
     """Cancels attempts whose engine is unresponsive, lost them or runs them badly; a retry follows."""
 
     def __init__(self, port: GatewayPort, permissions: GatewayPermissions):
-        """Keeps no state of its own."""
+        """`port` cancels the attempts; `permissions`: whether it may, and how many attempts a query gets."""
         self.port = port
         self.permissions = permissions
 
@@ -23,7 +23,7 @@
             return
         if len(query.attempts) >= self.permissions.max_attempts:
             return
-        if reservation.is_cancelled or query.is_done or reservation.attempt.outcome:
+        if reservation.is_relocated or query.is_done or reservation.attempt.outcome:
             return
-        reservation.is_cancelled = True
+        reservation.is_relocated = True
         self.port.cancel_attempt(reservation.attempt)
--- a/lichenquay/admission/slot_availability.py
+++ b/lichenquay/admission/slot_availability.py
@@ -36,7 +36,7 @@
         pressure: Pressure,
         waiting: WaitingQueries,
     ):
-        """Keeps no state of its own."""
+        """Derives the pauses after overload and memory waits from the groups and the engines' settings."""
         shortest_ms = min((group.latency_objective_ms for group in groups), default=0.0)
         self.overload_backoff_ms = shortest_ms / OVERLOAD_BACKOFF_DIVISOR
         self.memory_wait_ms = capabilities.progress_interval_ms
@@ -70,7 +70,7 @@
             return None
         if now_ms - state.last_overloaded_ms < self.overload_backoff_ms:
             return None
-        is_pressed = pooled_kind is None and self.pressure.is_engine_pressed(state, group, now_ms)
+        is_pressed = pooled_kind is None and self.pressure.is_engine_under_pressure(state, group, now_ms)
         if not self._has_room(query, state, is_pressed, pooled_kind is not None):
             return None
         if is_pressed and not is_interactive:
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -119,7 +119,7 @@
         self.connection_admission.on_connection_closed(connection.record, self.admission_ms())
 
     def stop_listening(self) -> None:
-        """No more connections; clients are told to send no more requests."""
+        """No more connections; clients are asked to send no more requests."""
         self.listener.close()
         self.send_go_away()
 
@@ -167,7 +167,7 @@
         self._check_room(connection, len(request.statement))
         group = self.groups[request.group]
         statement = bytes(request.statement)  # it outlives the buffer
-        max_timeout_ms = group.queue_timeout_ms or MAX_AMOUNT_MS
+        max_timeout_ms = group.max_timeout_ms or MAX_AMOUNT_MS
         timeout_ms = min(max_timeout_ms, _amount(request, "timeout_ms", 2 * max_timeout_ms))
         return GatewayQuery(
             id=0,
