--- a/lichenquay/distribution/applied_state.py
+++ b/lichenquay/distribution/applied_state.py
@@ -20,7 +20,7 @@
 class AppliedState:
     """The values in force, and the keys whose present values are not.
 
-    `apply(now_ms, changed, is_whole)` of the host takes all of `changed`, or returns one line that says why
+    `apply(now_ms, changed, is_whole)` of the host applies all of `changed`, or returns one line that says why
     it cannot. `changed` is {key: value, or None if the key is deleted}; `is_whole`: there are no other keys.
     """
 
@@ -43,11 +43,11 @@
         return bool(self._pending_keys) or self._is_whole_pending
 
     def add_pending(self, keys: Iterable[str]) -> None:
-        """Note that keys have new values."""
+        """Record that keys have new values."""
         self._pending_keys.update(keys)
 
     def set_whole_pending(self) -> None:
-        """Note that the whole state was replaced."""
+        """Record that the whole state was replaced."""
         self._is_whole_pending = True
 
     def apply_pending(self, now_ms: float, store: KeyStore) -> None:
--- a/lichenquay/distribution/coverage_tracker.py
+++ b/lichenquay/distribution/coverage_tracker.py
@@ -50,7 +50,7 @@
         self.subscribers = 0
         self.refused = 0
         self.stale = 0
-        self.silent_count = 0  # All that the silent subscribers stand for.
+        self.silent_count = 0  # All that the silent subscribers represent.
         self._silent: OrderedDict[str, SilentSubscriber] = OrderedDict()  # Longest silent first.
         self._sessions_at: Counter[int] = Counter()
         self._versions: list[int] = []  # A heap; holds versions that no session is at any more.
@@ -87,7 +87,7 @@
             self._forget_longest_silent()
 
     def mark_present(self, name: str) -> None:
-        """Note that a subscriber is heard of again, or left."""
+        """Record that a subscriber has sent again, or left."""
         silent = self._silent.pop(name, None)
         if silent is not None:
             self.silent_count -= silent.subscribers
--- a/lichenquay/distribution/errors.py
+++ b/lichenquay/distribution/errors.py
@@ -1,4 +1,4 @@
-"""Errors of distribution. Where one is raised, nothing of the message that caused it has been taken."""
+"""Errors of distribution. Where one is raised, nothing of the message that caused it has been applied."""
 
 
 class DistributionError(ValueError):
--- a/lichenquay/distribution/freshness.py
+++ b/lichenquay/distribution/freshness.py
@@ -15,9 +15,9 @@
         self.held_confirmed_ms = -INF
 
     def record(self, delta: pb.Delta, held_version: int, follow_sent_ms: float) -> None:
-        """Take what a delta says about the newest version.
+        """Apply what a delta reports about the newest version.
 
-        Its age counts from the sending of the Follow that it answers, so that a message that was on its way
+        Its age counts from the sending of the Follow that it answers, so that a message that was in transit
         for an hour does not make an old version look new.
         """
         confirmed_ms = follow_sent_ms - delta.age_ms
--- a/lichenquay/distribution/messages.py
+++ b/lichenquay/distribution/messages.py
@@ -28,7 +28,7 @@
 
 
 def size_of(entry: pb.Entry) -> int:
-    """Return how many bytes an entry takes in a message, at most."""
+    """Return how many bytes an entry has in a message, at most."""
     return len(entry.key) + len(entry.value) + ENTRY_OVERHEAD_BYTES
 
 
--- a/lichenquay/distribution/pacing.py
+++ b/lichenquay/distribution/pacing.py
@@ -65,7 +65,7 @@
         """Start without a fetch."""
         self.settings = settings
         self.bucket = TokenBucket(settings.snapshot_bytes_per_s, now_ms)
-        self.slots: OrderedDict[str, float] = OrderedDict()  # When each was heard last, longest ago first.
+        self.slots: OrderedDict[str, float] = OrderedDict()  # Time of the last message of each, oldest first.
         self.requests: OrderedDict[str, PageRequest] = OrderedDict()  # At most one window of each.
 
     def admit(self, now_ms: float, name: str) -> bool:
@@ -88,7 +88,7 @@
         self.requests.pop(name, None)
 
     def request(self, name: str, snapshot: Snapshot, first: int, count: int) -> None:
-        """Take a request for pages in place of the subscriber's last one."""
+        """Accept a request for pages in place of the subscriber's last one."""
         end = min(len(snapshot.pages), first + min(count, self.settings.window_pages))
         if first < end:
             self.requests[name] = PageRequest(snapshot, first, end)
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""The publisher takes proposals and publishes what a majority of the voters has recorded. No I/O.
+"""The publisher accepts proposals and publishes what a majority of the voters has recorded. No I/O.
 
 It does so only while its lease group holds the lease. The host hands the group its messages and the disk's
 answers, and empties both outboxes after each call of either: what is recorded there is published here.
@@ -84,7 +84,7 @@
     def propose(
         self, now_ms: float, entries: Sequence[pb.Entry], request: int, on_outcome: OnOutcome
     ) -> None:
-        """Take a change; on_outcome(now_ms, pb.Proposed) is called once, now or later.
+        """Accept a change; on_outcome(now_ms, pb.Proposed) is called once, now or later.
 
         A repeated request gets the same version again.
         """
@@ -101,7 +101,7 @@
         self._publish(now_ms)
 
     def _repeat(self, now_ms: float, proposal: Proposal, on_outcome: OnOutcome) -> None:
-        """Let a pending proposal answer the client that asked last, and tell the one before."""
+        """Let a pending proposal answer the client that asked last, and answer the one before."""
         before = proposal.on_outcome
         proposal.on_outcome = on_outcome
         before(now_ms, _in_doubt(proposal.request, "asked again since"))
@@ -156,7 +156,7 @@
         if event == "holds":
             self._begin(now_ms)
         else:
-            # What was about to be sent belongs to a lease that is over.
+            # What was about to be sent belongs to a lease that has ended.
             self.source.outbox.clear()
             self.outbox[:] = [sent for sent in self.outbox if not _is_publishing(sent[1])]
 
@@ -206,7 +206,7 @@
         self._publish(now_ms)
 
     def _redirect(self, receiver: str, body: Message) -> None:
-        """Tell a client or a relay who is the leader, as far as it is known here."""
+        """Inform a client or a relay who is the leader, as far as it is known here."""
         number = body.request if hasattr(body, "request") else body.session
         leader, generation = self.group.holder
         if leader is None or leader == self.name:
--- a/lichenquay/distribution/relay.py
+++ b/lichenquay/distribution/relay.py
@@ -25,7 +25,7 @@
         now_ms: float,
         report: Report | None = None,
     ):
-        """Start without a state: gateways are told to wait until there is one."""
+        """Start without a state: gateways are asked to wait until there is one."""
         self.name = name
         self.source = Source(name, rng, settings, now_ms)
         self.subscriber = Subscriber(name, publishers, EVERYTHING, rng, settings, now_ms, self._apply, report)
--- a/lichenquay/distribution/settings.py
+++ b/lichenquay/distribution/settings.py
@@ -30,7 +30,7 @@
     most_change_bytes: int = 740
     most_keys: int = 65_536
     most_state_bytes: int = 8 << 20
-    # At one source; one more subscriber is told to wait.
+    # At one source; one more subscriber is asked to wait.
     most_sessions: int = 4096
     # Different sets of prefixes at one source.
     most_views: int = 64
--- a/lichenquay/distribution/snapshot_fetch.py
+++ b/lichenquay/distribution/snapshot_fetch.py
@@ -50,7 +50,7 @@
         )
 
     def add_page(self, now_ms: float, page: pb.Page) -> bool:
-        """Take a page; return False if it is of another snapshot or was there already.
+        """Record a page; return False if it is of another snapshot or was there already.
 
         Raises DigestError if the pages hold more bytes than a state may.
         """
--- a/lichenquay/distribution/snapshot_server.py
+++ b/lichenquay/distribution/snapshot_server.py
@@ -27,7 +27,7 @@
         return self.pacer.due_ms
 
     def offer(self, now_ms: float, session: SubscriberSession) -> None:
-        """Offer a snapshot, or tell the subscriber to wait if too many fetch one."""
+        """Offer a snapshot, or ask the subscriber to wait if too many fetch one."""
         source = self.source
         if not self.pacer.admit(now_ms, session.name):
             source.counts["paced"] += 1
@@ -70,7 +70,7 @@
         return now_ms < audience.snapshot_made_ms + self.settings.report_ms
 
     def on_fetch(self, now_ms: float, session: SubscriberSession, fetch: pb.FetchPages) -> None:
-        """Take a request for pages of the snapshot that was offered, or offer one again."""
+        """Handle a request for pages of the snapshot that was offered, or offer one again."""
         snapshot = session.audience.snapshot
         is_offered = snapshot is not None and fetch.version == snapshot.version
         if not is_offered or session.name not in self.pacer.slots:
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -32,7 +32,7 @@
     """Serves one state. `outbox` is [(receiver, message)]; a sender is (name, incarnation)."""
 
     def __init__(self, name: str, rng: Random, settings: Settings, now_ms: float, generation: int = 0):
-        """Start without a state: subscribers are told to wait until `reset`, `advance` or `confirm`."""
+        """Start without a state: subscribers are asked to wait until `reset`, `advance` or `confirm`."""
         self.name = name
         self.rng = rng
         self.settings = settings
@@ -77,9 +77,9 @@
         entries: Sequence[pb.Entry],
         confirmed_ms: float,
     ) -> bool:
-        """Take the next change; `confirmed_ms` is when the publisher confirmed `version`, by the own clock.
+        """Apply the next change; `confirmed_ms` is when the publisher confirmed `version`, by the own clock.
 
-        Returns False, and takes nothing, if it is of an older generation or not after the version held.
+        Returns False, and applies nothing, if it is of an older generation or not after the version held.
         """
         if self._is_old_generation(generation):
             return False
@@ -92,7 +92,7 @@
         return True
 
     def confirm(self, now_ms: float, generation: int, newest_version: int, age_ms: float) -> bool:
-        """Note that `newest_version` was the newest `age_ms` ago; return False if of an older generation."""
+        """Record the newest version of `age_ms` ago; return False if of an older generation."""
         if self._is_old_generation(generation):
             return False
         self.is_open = True
@@ -172,7 +172,7 @@
         return not follow.prefixes or sorted_prefixes(follow) == session.audience.view.prefixes
 
     def _open_session(self, name: str, incarnation: int, follow: pb.Follow) -> SubscriberSession | None:
-        """Return a new session, None if there is none; the subscriber is told why."""
+        """Return a new session, None if there is none; the subscriber is informed why."""
         if not follow.prefixes:
             self.send(name, unknown=pb.UnknownSession(session=follow.session))
             return None
@@ -203,7 +203,7 @@
             self.deltas.forget(session.audience)
 
     def _record_follow(self, now_ms: float, session: SubscriberSession, follow: pb.Follow) -> bool:
-        """Take what a Follow reports; return whether it is a later one than the last and valid."""
+        """Apply what a Follow reports; return whether it is a later one than the last and valid."""
         last_number = session.follow_number
         if last_number and not last_number < follow.number <= last_number + MAX_LOST_FOLLOWS:
             self.counts["late" if follow.number <= last_number else "malformed"] += 1
@@ -280,7 +280,7 @@
     # Messages to subscribers.
 
     def send_wait(self, name: str, session_id: int) -> None:
-        """Tell a subscriber to ask again after a random time."""
+        """Ask a subscriber to retry after a random time."""
         wait_ms = self.rng.uniform(self.settings.retry_ms, 2 * self.settings.report_ms)
         self.send(name, wait=pb.Wait(session=session_id, wait_ms=wait_ms))
 
--- a/lichenquay/distribution/source_session.py
+++ b/lichenquay/distribution/source_session.py
@@ -61,7 +61,7 @@
         self.connect(now_ms, self.sources[(index + 1) % len(self.sources)])
 
     def replace(self, other: "SourceSession") -> None:
-        """Take the place of another session, which becomes a former one."""
+        """Replace another session, which becomes a former one."""
         self._former = {**other._former, other.source: other.session_id}
 
     def take_former(self) -> list[FormerSession]:
@@ -84,7 +84,7 @@
     # What the source sends.
 
     def on_useful_message(self, now_ms: float) -> None:
-        """Note a delta or an offer."""
+        """Record a delta or an offer."""
         self.heard_ms = now_ms
         self.useful_ms = now_ms
         self.is_known = True
@@ -92,12 +92,12 @@
         self.next_follow_ms = now_ms + self.settings.report_ms * self.rng.uniform(MIN_REPORT_SHARE, 1.0)
 
     def on_page(self, now_ms: float) -> None:
-        """Note a page. Follows go on as planned, as a session that is not heard expires."""
+        """Record a page. Follows continue as planned, as a session without messages expires."""
         self.heard_ms = now_ms
         self.useful_ms = now_ms
 
     def on_wait(self, now_ms: float, wait_ms: float) -> None:
-        """Note that the source is there but has nothing for this subscriber now."""
+        """Record that the source is there but has nothing for this subscriber now."""
         self.heard_ms = now_ms
         self._wait_until_ms = now_ms + min(wait_ms, self.settings.expire_ms)
         self.next_follow_ms = self._wait_until_ms
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -150,7 +150,7 @@
             self.session.follow_soon(now_ms)
 
     def stop(self) -> None:
-        """Send and take nothing any more; what is in force stays."""
+        """Send and accept nothing any more; what is in force stays."""
         self._is_stopped = True
         self.outbox.clear()
 
@@ -205,7 +205,7 @@
             self._record_freshness(delta)
 
     def _on_useful_message(self, now_ms: float) -> None:
-        """Note that the source serves this subscriber, and leave the former ones, which still count it."""
+        """Record that the source serves this subscriber, and leave the former ones, which still count it."""
         self.session.on_useful_message(now_ms)
         for former in self.session.take_former():
             leave = pb.Leave(session=former.session_id)
--- a/lichenquay/distribution/subscriber_sessions.py
+++ b/lichenquay/distribution/subscriber_sessions.py
@@ -17,7 +17,7 @@
     """One subscription of one subscriber. It has no queue: what it lacks is built from its view."""
 
     def __init__(self, name: str, incarnation: int, session_id: int, audience: "Audience"):
-        """Begin without a Follow that was taken."""
+        """Begin without an accepted Follow."""
         self.name = name
         self.incarnation = incarnation
         self.session_id = session_id
@@ -97,13 +97,13 @@
         return True
 
     def record_heard(self, now_ms: float, session: SubscriberSession) -> None:
-        """Note a message of a session's subscriber."""
+        """Record a message of a session's subscriber."""
         session.heard_ms = now_ms
         self.sessions.move_to_end(session.name)
 
     @property
     def next_expiry_ms(self) -> float:
-        """When the session that was not heard for longest expires."""
+        """When the session with the oldest last message expires."""
         first = next(iter(self.sessions.values()), None)
         return first.heard_ms + self.settings.expire_ms if first else INF
 
--- a/lichenquay/lease/acquisition.py
+++ b/lichenquay/lease/acquisition.py
@@ -57,7 +57,7 @@
         return message.token == self.token or self.quorum.voters[name].has_sent(message.token)
 
     def record_grant(self, name: str, position: LogPosition, offer: SnapshotOffer) -> None:
-        """Takes down what a voter granted with."""
+        """Records what a voter granted with."""
         voter = self.quorum.voters[name]
         voter.position = position
         voter.snapshot_offer = offer
@@ -82,7 +82,7 @@
         self.send(self.fetch.source, self.fetch.request(now_ms))
 
     def add_chunk(self, now_ms: float, name: str, chunk: SnapshotChunk) -> ReplicatedLog | None:
-        """Takes a chunk; the log once it is whole, else the next chunks are asked for."""
+        """Records a chunk; the log once it is whole, else the next chunks are asked for."""
         if not self.fetch.add_chunk(now_ms, name, chunk):
             return None
         log = self.fetch.assembled_log()
@@ -93,7 +93,7 @@
     def bootstrap(self, now_ms: float) -> None:
         """Asks again, with the nonces of all voters.
 
-        Each of them was recovering for `expiry_wait_ms` before it said so: nothing is on any disk.
+        Each of them was recovering for `expiry_wait_ms` before it reported that: nothing is on any disk.
         """
         voters = self.quorum.voters
         self.bootstrap_nonces = {name: voter.recovery_nonce for name, voter in voters.items()}
--- a/lichenquay/lease/errors.py
+++ b/lichenquay/lease/errors.py
@@ -10,4 +10,4 @@
 
 
 class RecordSizeError(LeaseError):
-    """A record is empty or longer than one append request takes."""
+    """A record is empty or longer than one append request holds."""
--- a/lichenquay/lease/group.py
+++ b/lichenquay/lease/group.py
@@ -1,13 +1,11 @@
-"""This process's part in one group: a voter (where it is named as one), and a candidate or holder of the
-lease.
+"""This process's part in one group: a voter (where named as one), and a candidate or holder of the lease.
 
 No I/O. The host calls
 
-    heard(now_ms, sender, message)         sender: (name, incarnation) as the envelope said
-    tick(now_ms)                           wanted at `due_ms`
-    on_stored(now_ms, number, is_stored)   the disk's answer to a store request, late or never; True:
-    fsynced with its
-                                           folder; False: it may be on disk or not
+    heard(now_ms, sender, message)         sender: (name, incarnation) of the envelope
+    tick(now_ms)                           to be called at `due_ms`
+    on_stored(now_ms, number, is_stored)   the disk's answer to a store request, late or never.
+                                           True: fsynced with its directory; False: it may be on disk or not
 
 and empties after each call
 
@@ -96,8 +94,9 @@
         fold: FoldFunction = concatenate,
         on_lease_event: Callable[[float, LeaseEvent], None] | None = None,
     ):
-        """`on_lease_event(now_ms, event)`: HOLDS when this process got the lease (see `state`), LOST at
-        its end.
+        """Start without a lease; a voter starts with the stored `sections`.
+
+        `on_lease_event(now_ms, event)`: HOLDS when this process got the lease (see `state`), LOST at its end.
 
         Raises InvalidGroupError where voters are none or share a name.
         """
@@ -178,7 +177,7 @@
         """Appends a record of up to `max_append_bytes`; RecordSizeError beyond.
 
         on_result(now_ms, result) comes exactly once, at once or later. True: it is committed, a majority
-        has it on disk and the lease holds; every later holder has it. False: it was not taken. None: in
+        has it on disk and the lease holds; every later holder has it. False: it was not accepted. None: in
         doubt, the lease was lost meanwhile; a later holder may have it or not.
         """
         self.leadership.expire(now_ms)
@@ -186,8 +185,7 @@
         self._settle(now_ms)
 
     def release(self, now_ms: float) -> None:
-        """Once the pending records are committed, others may acquire the lease at once. Until then it is
-        held.
+        """Release the lease once the pending records are committed; others may then acquire it at once.
 
         The process is no candidate afterwards.
         """
@@ -204,7 +202,7 @@
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is wanted; inf: never."""
+        """When `tick` is due; inf: never."""
         return min(self.leadership.due_ms, self.voter.due_ms if self.voter else INF)
 
     def tick(self, now_ms: float) -> None:
@@ -216,13 +214,13 @@
         self._settle(now_ms)
 
     def heard(self, now_ms: float, sender: tuple[str, int], message: Message) -> None:
-        """Takes a message of another process."""
+        """Handles a message of another process."""
         self.leadership.expire(now_ms)
         self._handle(now_ms, ProcessId(*sender), message)
         self._settle(now_ms)
 
     def on_stored(self, now_ms: float, number: int, is_stored: bool) -> None:
-        """Takes the disk's answer to a store request."""
+        """Handles the disk's answer to a store request."""
         self.leadership.expire(now_ms)
         # An answer to an earlier request must not pass for the one that is waited for.
         if number == self._store_number and self.voter and self.voter.is_writing:
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -107,7 +107,7 @@
         return None if self.replicator is None else self.replicator.log
 
     def expire(self, now_ms: float) -> None:
-        """Ends a lease or an acquisition that is over by now. To be called before anything else is done."""
+        """Ends a lease or an acquisition that has ended by now. To be called before anything else is done."""
         if self.phase is Phase.HOLDING and now_ms >= self.expires_ms:
             self.counts["expired"] += 1
             # After a pause of this process another may hold: acquiring at once would only disturb that one.
@@ -130,7 +130,7 @@
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is wanted."""
+        """When `tick` is due."""
         due_ms = self.release_notifier.due_ms
         if self.phase is Phase.IDLE:
             return min(due_ms, self.next_acquire_ms if self.is_candidate else INF)
@@ -194,7 +194,7 @@
         self.acquisition.send_requests(now_ms)
 
     def handle(self, now_ms: float, sender: ProcessId, kind: MessageKind, body) -> None:
-        """Takes a message of a kind in `FOR_LEADER`."""
+        """Handles a message of a kind in `FOR_LEADER`."""
         handlers = {
             MessageKind.ACQUIRE_GRANT: self.on_acquire_grant,
             MessageKind.REJECTION: self.on_rejection,
@@ -211,7 +211,7 @@
         return is_active and name in self.voters and message.generation == self.generation
 
     def on_acquire_grant(self, now_ms: float, sender: ProcessId, grant: AcquireGrant) -> None:
-        """Counts a grant; with those of a majority the newest log is taken."""
+        """Counts a grant; with those of a majority the newest log is adopted."""
         name = sender.name
         position = grant.position
         if not self._is_current(name, grant) or grant.token != self.acquisition.token or position is None:
@@ -240,7 +240,7 @@
             self.acquisition.start_fetch(now_ms, name)
 
     def on_snapshot_chunk(self, now_ms: float, sender: ProcessId, chunk: SnapshotChunk) -> None:
-        """Takes a chunk of the log that is being fetched."""
+        """Records a chunk of the log that is being fetched."""
         if self.phase is Phase.FETCHING:
             log = self.acquisition.add_chunk(now_ms, sender.name, chunk)
             if log is not None:
--- a/lichenquay/lease/leadership_term.py
+++ b/lichenquay/lease/leadership_term.py
@@ -23,7 +23,7 @@
     def append(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
         """Calls `done(now_ms, committed)` once, now or later.
 
-        `committed`: True, False (surely not), or None (not known). Without that call, this process never
+        `committed`: True, False (certainly not), or None (not known). Without that call, this process never
         leads again.
         """
 
@@ -98,7 +98,7 @@
         return True
 
     def step_down_after_write(self, now_ms: float, committed: bool | None, generation: int) -> None:
-        """A write of that generation was not committed, or that is not known.
+        """A write of that generation was not committed, or its result is unknown.
 
         Part of it may be committed; whoever leads next finds out from the group.
         """
--- a/lichenquay/lease/phases.py
+++ b/lichenquay/lease/phases.py
@@ -1,10 +1,10 @@
-"""The phases of a process on its way to a lease, and the events that its application is notified of."""
+"""The phases of a process that acquires a lease, and the events that its application is notified of."""
 
 from enum import StrEnum
 
 
 class Phase(StrEnum):
-    """Where a process is on its way to the lease."""
+    """How far a process is in acquiring the lease."""
 
     IDLE = "idle"
     ACQUIRING = "acquiring"
--- a/lichenquay/lease/quorum.py
+++ b/lichenquay/lease/quorum.py
@@ -9,7 +9,7 @@
 
 
 class SentAppend(NamedTuple):
-    """An append request on its way to one voter."""
+    """An append request in flight to one voter."""
 
     sent_ms: float
     token: int
@@ -20,7 +20,7 @@
 
     def __init__(self):
         """Nothing is known of it yet."""
-        self.position = None  # of the log on its disk, as it last said; None: it granted nothing
+        self.position = None  # of the log on its disk, as it last reported; None: it granted nothing
         self.snapshot_offer = None  # of its log, where it granted
         self.replied_number = 0  # of the latest append request that it answered
         self.match_index = -1  # its last record under this generation
@@ -29,11 +29,11 @@
         self.unanswered_since_ms = None  # sending of records or an offer that it has not answered
         self.acquire_sent_ms = -INF
         self.recovery_nonce = 0  # of a recovering voter
-        self.rejection_wait_ms = None  # how long it said to wait
+        self.rejection_wait_ms = None  # how long it asked to wait
 
     @property
     def needs_acquire_request(self) -> bool:
-        """Whether it has neither granted nor said that it is recovering."""
+        """Whether it has neither granted nor reported that it is recovering."""
         return self.position is None and not self.recovery_nonce
 
     def record_sent(self, now_ms: float, number: int, token: int) -> None:
@@ -79,7 +79,7 @@
         return rejections > len(self.voters) - self.majority
 
     def rejection_waits_ms(self) -> list[float]:
-        """How long the voters that rejected said to wait."""
+        """How long the voters that rejected asked to wait."""
         waits = (voter.rejection_wait_ms for voter in self.voters.values())
         return [wait_ms for wait_ms in waits if wait_ms is not None]
 
--- a/lichenquay/lease/replication.py
+++ b/lichenquay/lease/replication.py
@@ -24,7 +24,7 @@
         settings: LeaseSettings,
         send: Callable,
     ):
-        """Takes `log` over: from here on it is of this generation."""
+        """Adopts `log`: from here on it is of this generation."""
         self.generation = generation
         self.inherited_position = log.position  # where the log ended under the generation before
         self.log = log
@@ -74,7 +74,7 @@
         return LogPosition(generation, index, self.log.digest_at(index))
 
     def _records_after(self, before):
-        """As many records after `before` as one request takes; None where this log does not continue it."""
+        """As many records after `before` as one request holds; None where this log does not continue it."""
         is_inherited = (
             before.generation == self.inherited_position.generation
             and before.index <= self.inherited_position.index
--- a/lichenquay/lease/settings.py
+++ b/lichenquay/lease/settings.py
@@ -25,5 +25,5 @@
 
     @property
     def expiry_wait_ms(self) -> float:
-        """After this by any clock, a lease or acquisition of another process that began before is over."""
+        """After this by any clock, a lease or acquisition of another process that began before has ended."""
         return self.lease_ms * (1 + CLOCK_DRIFT_BOUND)
--- a/lichenquay/lease/snapshot_transfer.py
+++ b/lichenquay/lease/snapshot_transfer.py
@@ -7,7 +7,7 @@
 from lichenquay.lease.messages import SnapshotChunk, SnapshotOffer, SnapshotRequest
 from lichenquay.lease.settings import LeaseSettings
 
-# A log on the wire takes more than base and records: keys and lengths of each record.
+# A log on the wire is larger than base and records: keys and lengths of each record.
 _WIRE_SIZE_FACTOR = 2
 
 
@@ -99,7 +99,7 @@
         return now_ms - self.last_progress_ms > self.settings.lease_ms
 
     def add_chunk(self, now_ms: float, sender: str, chunk: SnapshotChunk) -> bool:
-        """Takes a chunk. True: the window is complete, so the next may be asked for, or all is there."""
+        """Records a chunk. True: the window is complete, so the next may be asked for, or all is there."""
         if not self._is_expected(sender, chunk) or chunk.offset in self.chunks:
             return False
         self.chunks[chunk.offset] = chunk.data
--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -5,7 +5,7 @@
 
 - a leader sends it the whole log. The voter asks for that, with a nonce drawn at its own start so that no
   earlier message can answer, only after `expiry_wait_ms`. By then every lease that it supported and every
-  acquire request that it granted is over: whoever leads then was elected by other voters, or has led all
+  acquire request that it granted has ended: whoever leads then was elected by other voters, or has led all
   along; or
 - all voters of the group are recovering at once. An acquire request that found this says so with the nonce
   of each voter. Then nothing can be lost, and the group is bootstrapped.
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class PendingWrite:
-    """What is on its way to the disk; `requester` and `request`: the acquire request to grant then."""
+    """What is being written to the disk; `requester` and `request`: the acquire request to grant then."""
 
     promise: Promise
     log: ReplicatedLog
@@ -117,7 +117,7 @@
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is wanted."""
+        """When `tick` is due."""
         return self.fetch.due_ms if self.fetch and not self.is_writing else float("inf")
 
     def tick(self, now_ms: float) -> None:
@@ -128,7 +128,7 @@
             self.send(self.fetch.source, self.fetch.request(now_ms))
 
     def handle(self, now_ms: float, sender: ProcessId, kind: MessageKind, body) -> None:
-        """Takes a message of a kind in `FOR_VOTER`."""
+        """Handles a message of a kind in `FOR_VOTER`."""
         handlers = {
             MessageKind.ACQUIRE_REQUEST: self.on_acquire_request,
             MessageKind.APPEND_REQUEST: self.on_append_request,
@@ -251,7 +251,7 @@
         return not is_promised or message.generation <= self.released_generation
 
     def _matches(self, before):
-        # Records after a gap would be taken for the whole log.
+        # Records after a gap would pass for the whole log.
         return before == self.log.position
 
     def _with_records(self, request):
@@ -284,7 +284,7 @@
         self.send(sender.name, self.fetch.request(now_ms))
 
     def on_snapshot_chunk(self, now_ms: float, sender: ProcessId, chunk: SnapshotChunk) -> None:
-        """Takes a chunk of the snapshot that is being fetched; a whole one is written to the disk."""
+        """Records a chunk of the snapshot that is being fetched; a whole one is written to the disk."""
         fetch = self.fetch
         if fetch is None or self.is_writing or not fetch.add_chunk(now_ms, sender.name, chunk):
             return
@@ -338,7 +338,7 @@
 
     @property
     def is_writing(self) -> bool:
-        """Whether a write is on its way to the disk. Meanwhile answers are about what is on disk."""
+        """Whether a write to the disk is in flight. Meanwhile answers are about what is on disk."""
         return self.pending_write is not None
 
     @property
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -1,7 +1,7 @@
 """Membership of one process: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018).
 
 No I/O: the host calls `heard` for each message and `tick` at `due_ms` or later, and after each call sends
-and empties `outbox` and takes `changes`. Times are milliseconds of the host's monotonic clock. Safety never
+and empties `outbox` and applies `changes`. Times are milliseconds of the host's monotonic clock. Safety never
 rests on a state here; it says only whom to try first. docs/design/membership.md has the protocol, the reasons
 and the measurements.
 """
@@ -104,7 +104,7 @@
 
     @property
     def changes(self) -> list[StateChange]:
-        """State changes (StateChange) that the host is to take, in the order of the view's numbers."""
+        """State changes (StateChange) that the host is to apply, in the order of the view's numbers."""
         return self.table.changes
 
     @property
--- a/lichenquay/membership/gossip.py
+++ b/lichenquay/membership/gossip.py
@@ -1,7 +1,7 @@
 """Dissemination of updates: piggybacked on every message, and in rounds of their own while there are any.
 
-An update is sent at most `3 log2(members)` times from here; a round goes to `FANOUT` members every fifth of a
-probe period while there are updates, and no round is sent without one.
+An update is sent at most `3 log2(members)` times from here; a round is sent to `FANOUT` members each fifth
+of a probe period while there are updates, and no round is sent without one.
 """
 
 from heapq import nsmallest
@@ -17,7 +17,7 @@
 
 INF = float("inf")
 FANOUT = 3
-MAX_ROWS = 40  # A row takes at least 25 bytes of a message.
+MAX_ROWS = 40  # A row is at least 25 bytes of a message.
 ROUNDS_PER_PERIOD = 5
 RETRANSMISSION_FACTOR = 3
 
--- a/lichenquay/membership/local_health.py
+++ b/lichenquay/membership/local_health.py
@@ -30,12 +30,12 @@
         self.score = max(0, self.score - 1)
 
     def record_pause(self, now_ms: float) -> None:
-        """Note that this process did not run until now."""
+        """Record that this process did not run until now."""
         self.observing_since_ms = now_ms
         self.worsen()
 
     def record_ack(self, now_ms: float) -> None:
-        """Note that some member answered."""
+        """Record that some member answered."""
         self.last_ack_ms = now_ms
 
     def silence_ms(self, now_ms: float) -> float:
--- a/lichenquay/membership/member_table.py
+++ b/lichenquay/membership/member_table.py
@@ -1,7 +1,7 @@
 """The membership table: for each name the newest claim, and the view that follows from them.
 
 The order of claims is total, so all processes that received the same claims hold the same table, whatever
-was duplicated, late or reordered. A member takes about 0.5 KB; a name keeps its entry after it left or was
+was duplicated, late or reordered. A member needs about 0.5 KB; a name keeps its entry after it left or was
 removed, so that an older message cannot bring it back.
 """
 
@@ -66,7 +66,7 @@
 
     def reset_observations(self, now_ms: float) -> None:
         """Forget what was observed of the previous incarnation."""
-        # Names of the members whose own probes failed, in the order in which they were heard of.
+        # Names of the members whose own probes failed, in the order in which they became known.
         self.accusers: dict[str, None] = {}
         self.state_since_ms = now_ms
         self.last_response_ms = NEVER  # The last response to anybody that this process knows of.
@@ -85,7 +85,7 @@
 
 
 class MemberTable:
-    """All known members by name, with the changes that the host has not yet taken."""
+    """All known members by name, with the changes that the host has not yet applied."""
 
     def __init__(self):
         """Make an empty table."""
@@ -122,7 +122,7 @@
         return name not in self.members and len(self.members) >= MAX_MEMBERS
 
     def apply(self, now_ms: float, record: MemberRecord) -> bool:
-        """Take a claim if it wins over the one that is held; return whether it did."""
+        """Adopt a claim if it wins over the one that is held; return whether it did."""
         member = self.members.get(record.name)
         if member is None:
             member = self.members[record.name] = Member(record.name)
--- a/lichenquay/membership/message_handling.py
+++ b/lichenquay/membership/message_handling.py
@@ -2,7 +2,7 @@
 
 What is dropped is counted by its cause: `malformed` (no kind, or fields that cannot be), `out_of_range` (a
 row or sender out of bounds), `own_name` (sent under this member's name), `old_incarnation` and `final_state`
-(of an incarnation that is over; its sender is informed), `table_full`, `misrouted` (for another member),
+(of an incarnation that has ended; its sender is informed), `table_full`, `misrouted` (for another member),
 `unexpected_ack`, `too_many_relayed` (pings for other members).
 """
 
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from lichenquay.membership.failure_detector import FailureDetector
 
-RELAYED_PINGS_PER_PERIOD = 3  # A relayed ping lasts a third of a probe period.
+RELAYED_PINGS_PER_PERIOD = 3  # A relayed ping may run for a third of a probe period.
 
 
 class MessageHandler:
@@ -98,7 +98,7 @@
             self.detector.messenger.send(sender, notice, required, with_gossip=False)
 
     def _apply_row(self, row: pb.Row, is_news: bool, known_incarnation: int = 0) -> bool:
-        """Take one row; return False if it is out of bounds or there is no room for its name."""
+        """Apply one row; return False if it is out of bounds or there is no room for its name."""
         member = self.table.get(row.name)
         if not is_valid_row(row, known_incarnation or (member.incarnation if member else 0)):
             self.counts["out_of_range"] += 1
--- a/lichenquay/membership/own_membership.py
+++ b/lichenquay/membership/own_membership.py
@@ -54,7 +54,7 @@
         detector.gossip.add_update(detector.name)
 
     def declare_faulty(self, refutation: int) -> None:
-        """Accept a faulty verdict of the group, or take it when nobody answers.
+        """Accept a faulty verdict of the group, or adopt it when nobody answers.
 
         The first rejoin is immediate. Each further one within ten minutes waits twice as long, so that a
         member on a link that is bad throughout does not change every view again and again.
--- a/lichenquay/membership/probing.py
+++ b/lichenquay/membership/probing.py
@@ -1,6 +1,6 @@
 """Probes: direct pings, indirect probes by other members, and pings that are relayed for others.
 
-A probe lasts one period (longer while the local health is bad): a ping; after a quarter another one and
+A probe runs for one period (longer while the local health is bad): a ping; after a quarter another one and
 `indirect_probes` members asked to ping; at half the same by other members; at the end it failed. At most
 `MAX_EXTRA_PROBES` beside the periodic one and `MAX_RELAYED_PINGS` for others are under way.
 """
--- a/lichenquay/membership/suspicion.py
+++ b/lichenquay/membership/suspicion.py
@@ -15,13 +15,13 @@
 INF = float("inf")
 MAX_CONFIRMATIONS = 3  # More independent accusers do not shorten a suspicion further.
 MIN_SUSPICION_SHARE = 0.76  # Of the suspicion timeout, from the first accusation on.
-UNCONFIRMED_FACTOR = 3  # A suspicion with a single accuser lasts so many timeouts.
+UNCONFIRMED_FACTOR = 3  # A suspicion with a single accuser ends after so many timeouts.
 EXPECTED_CONFIRMING_PROBES = 16  # About so many members probe a new suspect at once, and each period.
 REMOVAL_RETRY_PERIODS = 10
 
 
 class Suspicion:
-    """Plans and takes the verdicts on suspect and faulty members."""
+    """Plans and applies the verdicts on suspect and faulty members."""
 
     def __init__(self, detector: "FailureDetector"):
         """Start with nothing to evaluate."""
@@ -116,7 +116,7 @@
         return min(1, log(max(1, len(member.accusers))) / log(expected))
 
     def evaluate(self) -> None:
-        """Take all verdicts that are due, and plan the next evaluation."""
+        """Apply all verdicts that are due, and plan the next evaluation."""
         self.next_evaluation_ms = INF
         for member in list(self.table.suspects.values()):
             self._evaluate_suspect(member)
--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -51,7 +51,7 @@
         self.handover_target.forget_term()
 
     def on_write_ended(self, now_ms: float) -> None:
-        """Goes on with handovers."""
+        """Continues handovers."""
         self.handover_source.advance(now_ms)
 
     @property
@@ -60,7 +60,7 @@
         return self.handover_source.due_ms
 
     def tick(self, now_ms: float) -> None:
-        """Goes on with handovers, and sends again what was not answered."""
+        """Continues handovers, and sends again what was not answered."""
         if not self.is_leading(now_ms):
             self.handover_source.due_ms = now_ms + self.settings.tick_period_ms * IDLE_TICKS
             return
--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -5,8 +5,8 @@
     Offer                              ->              reserves bytes for a time, not on record
                                        <-              Room: yes or no
     record Gone: the point of no return
-    Handed, until acknowledged         ->              record Accepted; from then on it acts, a generation
-    higher
+    Handed, until acknowledged         ->              record Accepted; from then on it acts,
+                                                       a generation higher
                                        <-              Kept
     record Told
 
--- a/lichenquay/migration/handover_target.py
+++ b/lichenquay/migration/handover_target.py
@@ -65,7 +65,7 @@
         self.reservations: dict[ReservationKey, Reservation] = {}
 
     def expire_reservations(self, now_ms: float) -> None:
-        """Forgets those whose time is over."""
+        """Forgets those whose time has ended."""
         self.reservations = {
             key: reservation
             for key, reservation in self.reservations.items()
--- a/lichenquay/migration/messages.py
+++ b/lichenquay/migration/messages.py
@@ -43,7 +43,7 @@
 
 
 def with_checksum(message: pb.Message) -> pb.Message:
-    """Adds the digest of the other fields, by which a message that was damaged on its way is recognized."""
+    """Adds the digest of the other fields, by which a message that was damaged in transit is recognized."""
     message.mark = 0
     message.mark = digest(message.SerializeToString(deterministic=True))
     return message
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -12,7 +12,7 @@
 from lichenquay.migration.state_machine import StateMachine
 
 MAX_CHANGES_PER_RECORD = 16  # the rest waits for the next record
-ChangeCallback = Callable[[float, bool], None]  # (now_ms, whether the change is surely committed)
+ChangeCallback = Callable[[float, bool], None]  # (now_ms, whether the change is certainly committed)
 
 
 class PendingChange(NamedTuple):
@@ -55,7 +55,7 @@
         """Called after the result of a write, while this process leads."""
 
     def forget_term(self, now_ms: float) -> None:
-        """Changes that were not written yet are surely not committed."""
+        """Changes that were not written yet are certainly not committed."""
         waiting, self.pending_changes = self.pending_changes, []
         self.on_step_down()
         for pending in waiting:
@@ -65,7 +65,7 @@
     def propose(self, change: pb.Change | None, done: ChangeCallback | None = None) -> bool:
         """Decides a change; False for None, where nothing was decided.
 
-        `done(now_ms, committed)` is called once it is committed, or surely or perhaps never is.
+        `done(now_ms, committed)` is called once it is committed, or certainly or possibly never is.
         """
         if change is None:
             return False
--- a/lichenquay/migration/session.py
+++ b/lichenquay/migration/session.py
@@ -1,4 +1,4 @@
-"""A session as its replica group has it: its state, its queries, and how many bytes it takes. No I/O."""
+"""A session as its replica group has it: its state, its queries, and its size in bytes. No I/O."""
 
 from enum import IntEnum
 
--- a/lichenquay/migration/session_log.py
+++ b/lichenquay/migration/session_log.py
@@ -64,12 +64,12 @@
 
     @property
     def free_bytes(self) -> int:
-        """For further sessions; 0 where no further one fits by number."""
+        """How many bytes further sessions may have; 0 where no further one fits by number."""
         return self.remaining_bytes if len(self.live_sessions) < MAX_SESSIONS else 0
 
     @property
     def remaining_bytes(self) -> int:
-        """For further sessions and queries."""
+        """How many bytes further sessions and queries may have together."""
         used_bytes = sum(session.max_size_bytes for session in self.live_sessions)
         return max(0, MAX_SESSIONS_BYTES - used_bytes)
 
--- a/lichenquay/migration/settings.py
+++ b/lichenquay/migration/settings.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True)
 class MigrationSettings:
-    """Of one replica group.
+    """The settings of one replica group.
 
     `max_concurrent`: sessions that are frozen, or handed over and not yet acknowledged, at a time.
     `bytes_per_s`: size of the sessions that are handed over in a second.
--- a/lichenquay/migration/state_machine.py
+++ b/lichenquay/migration/state_machine.py
@@ -87,7 +87,7 @@
         return pb.Change(ended=pb.Ended(id=session_id, ref=query_id, outcome=recorded))
 
     def decide_freeze(self, session_id: str) -> pb.Change | None:
-        """From here on the session takes no further query; None where it is not held."""
+        """From here on the session accepts no further query; None where it is not held."""
         if self._held_session(session_id) is None:
             return None
         return pb.Change(frozen=pb.Frozen(id=session_id))
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -156,7 +156,7 @@
     # Epochs.
 
     def expire_if_due(self, now_ms: float) -> None:
-        """Seals the epoch once its term is over.
+        """Seals the epoch once its term has ended.
 
         Otherwise a gateway that was cut off or paused would spend what the leader has written off.
         """
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,6 +1,6 @@
 """The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
-`heard` and `tick` bring time in, `outbox` takes answers out. Requests are gathered for a period, decided as
+`heard` and `tick` bring time in, `outbox` holds the answers. Requests are gathered for a period, decided as
 one record, committed by the group, and only then answered. See `lease.leadership_term` for the two ledgers,
 committed and speculative.
 """
@@ -53,9 +53,8 @@
         super().__init__(group, "the quota's ledger")
         self.accounts = list(accounts)
         self.period_ms = period_ms
-        self.expiry_ms = term_ms * (
-            1 + CLOCK_DRIFT_BOUND
-        )  # after this silence a gateway's tokens have surely expired
+        # After this time without a message, a gateway's tokens have certainly expired.
+        self.expiry_ms = term_ms * (1 + CLOCK_DRIFT_BOUND)
         self.outbox: list[OutgoingMessage] = []
         self.due_ms = 0.0
         self.accrued_until_ms = 0.0
@@ -183,7 +182,7 @@
         )
 
     def on_write_ended(self, now_ms: float, record: pb.Record, committed: bool | None) -> None:
-        """The group's answer to a write; see `ReplicatedGroup.write`."""
+        """The group's answer to a write; see `ReplicatedGroup.append`."""
         if not self.pending_write or record is not self.pending_write.record:
             return
         generation = self.pending_write.generation
--- a/lichenquay/quota/ledger_records.py
+++ b/lichenquay/quota/ledger_records.py
@@ -39,9 +39,8 @@
         part = pb.Part.FromString(piece)
         if part.index == 0:
             incomplete = []
-        if part.index != len(
-            incomplete
-        ):  # its first piece is missing: no gateway was answered by this record
+        # Where its first piece is missing, no gateway was answered by this record.
+        if part.index != len(incomplete):
             incomplete = []
             continue
         incomplete.append(piece)
@@ -95,7 +94,7 @@
     def append(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
         """Writes a record; `done(now_ms, committed)` is called once all its pieces have ended.
 
-        `committed`: True, False (surely not), or None (not known).
+        `committed`: True, False (certainly not), or None (not known).
         """
         pieces = split(record)
         results = []
@@ -110,10 +109,7 @@
 
 
 def _result_of(results: list[bool | None]) -> bool | None:
-    """A record of which one piece was rejected can never be complete.
-
-    One of which any is uncertain may be.
-    """
+    """The result of a record: False if a piece was rejected, else None if one is unknown."""
     if all(results):
         return True
     return False if False in results else None
--- a/lichenquay/quota/pending_requests.py
+++ b/lichenquay/quota/pending_requests.py
@@ -6,7 +6,7 @@
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.tenant_account import EpochKey
 
-MAX_REPORTS = 8192  # in a period; gateways repeat what is over
+MAX_REPORTS = 8192  # in a period; gateways repeat what is beyond that
 MAX_REQUESTS_PER_GATEWAY = 8  # in a period
 TOTAL_LIMIT_US = 1 << 63  # no valid total is as large
 
@@ -20,7 +20,7 @@
 
 
 class PressureReport(NamedTuple):
-    """Whether a gateway had no room for work beyond quota, and when it said so."""
+    """Whether a gateway had no room for work beyond quota, and when it reported that."""
 
     reported_ms: float
     under_pressure: bool
--- a/lichenquay/quota/token_allocation.py
+++ b/lichenquay/quota/token_allocation.py
@@ -66,7 +66,10 @@
 
 
 def demands_of(ledger: Ledger, requests: Iterable[GatewayRequest]) -> dict[str, list[TokenDemand]]:
-    """By tenant. Requests name the total that they want, so that one which comes twice is granted once."""
+    """The demands by tenant.
+
+    Requests name the total that they need, so that one which is received twice is granted once.
+    """
     demands: dict[str, dict[EpochKey, TokenDemand]] = {}
     for gateway, incarnation, request in requests:
         key = EpochKey(gateway, incarnation, request.book)
--- a/lichenquay/storage/errors.py
+++ b/lichenquay/storage/errors.py
@@ -17,11 +17,11 @@
 
 
 class CapacityExceededError(StorageError, ValueError):
-    """A change that would pass the store's bound. Nothing of it was taken."""
+    """A change that would pass the store's bound. Nothing of it was accepted."""
 
 
 class InvalidChangeError(StorageError, ValueError):
-    """A key or a name that the format cannot hold, or a bound that makes no sense."""
+    """A key or a name that the format cannot hold, or a bound that is not valid."""
 
 
 class CorruptRecordError(StorageError, ValueError):
--- a/lichenquay/storage/generations.py
+++ b/lichenquay/storage/generations.py
@@ -154,7 +154,7 @@
         return join(self.directory.path, name)
 
     def _check_files(self):
-        """A folder that was removed or replaced takes writes and fsyncs of its open files as before.
+        """A folder that was removed or replaced accepts writes and fsyncs of its open files as before.
 
         No restart would find them.
         """
--- a/lichenquay/storage/pending_changes.py
+++ b/lichenquay/storage/pending_changes.py
@@ -1,4 +1,4 @@
-"""Changes that were taken and are not on disk yet, and the room that they leave. No I/O."""
+"""Changes that were accepted and are not on disk yet, and the space that they leave. No I/O."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -46,7 +46,7 @@
         return [(record.number, record.payload) for record in self._records]
 
     def add(self, number: int, changes: Changes) -> None:
-        """Takes a change as the record `number`. CapacityExceededError; InvalidChangeError for a key."""
+        """Accepts a change as the record `number`. CapacityExceededError; InvalidChangeError for a key."""
         payload = record_format.encode_changes(changes)
         record_bytes = record_format.FRAME_BYTES + len(payload)
         room = self._capacity_bytes - self.size_bytes
--- a/lichenquay/storage/recovery.py
+++ b/lichenquay/storage/recovery.py
@@ -31,7 +31,7 @@
     has_read_errors: bool = False  # and they were tolerated
 
     def skip(self, name: str, reason: str, size: int) -> None:
-        """Takes down that a file was skipped, in part or whole."""
+        """Records that a file was skipped, in part or whole."""
         self.damaged_files.add(name)
         self.skipped_bytes += size
         if len(self.skipped_files) < MAX_SKIPPED_LINES:
--- a/lichenquay/storage/store.py
+++ b/lichenquay/storage/store.py
@@ -29,15 +29,17 @@
 
 
 class DurableStore:
-    """`append` takes changes of sections, atomic each; `flush` makes all of them durable or raises
-    NotStoredError.
+    """Durable sections: `append` accepts changes, atomic each; `flush` makes all of them durable.
 
-    state: what is stored. is_open: it was read. is_durable: all of it is on disk by this process's own fsync.
-    last_error: one line, or None. due_ms: when the next attempt may be made. skipped_files, skipped_bytes:
-    what of the files was not taken at opening.
+    `state`: what is stored.
+    `is_open`: it was read.
+    `is_durable`: all of it is on disk by this process's own fsync.
+    `last_error`: one line, or None.
+    `due_ms`: when the next attempt may be made.
+    `skipped_files`, `skipped_bytes`: what of the files was not read at opening.
 
-    Opening raises UnusableStoreError, and InvalidChangeError for a bound that makes no sense; a disk that
-    fails does not raise then, it is a `last_error`.
+    Opening raises UnusableStoreError, and InvalidChangeError for a bound that is not valid; a disk that
+    fails does not raise then, it is a `last_error`. `flush` raises NotStoredError.
     """
 
     def __init__(
@@ -92,9 +94,9 @@
         return self._generations.current
 
     def append(self, changes: Changes) -> int:
-        """Takes {key: bytes, or None to delete it} as one record; its number. Nothing is stored before
-        `flush`.
+        """Appends {key: bytes, or None to delete it} as one record and returns the record's number.
 
+        Nothing is stored before `flush`.
         Errors: CapacityExceededError, NotStoredError; InvalidChangeError for a key that is empty or too long.
         """
         if not self.is_open or self.is_closed:
--- a/lichenquay/storage/writer.py
+++ b/lichenquay/storage/writer.py
@@ -118,10 +118,10 @@
         self._thread.start()
 
     def store(self, changes: Changes, on_result: Callable[[bool], None]) -> None:
-        """Queues changes. The queue is bounded, also while a disk stalls: what does not fit has its result
-        at once.
+        """Queues changes; `on_result(is_stored)` is called once.
 
-        So do changes of sections that nobody could read yet.
+        The queue is bounded, also while a disk stalls: what does not fit has its result at once, and so
+        have changes of sections that nobody could read yet.
         """
         if not self._is_open:
             self.counts["before_open"] += 1
