--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -129,7 +129,7 @@
     def make_parts(self, now_ms):
         """The group from what the folder kept."""
         settings = self.settings
-        self.group, self.publisher = publisher.make(
+        self.group, self.publisher = publisher.make_voter(
             settings.name,
             self.incarnation,
             sorted(voter.name for voter in settings.voters),
--- a/lichenquay/distribution/delta_sender.py
+++ b/lichenquay/distribution/delta_sender.py
@@ -52,8 +52,8 @@
         while self._retries and now_ms >= self._retries[0].at_ms:
             self._repeat(now_ms, heapq.heappop(self._retries))
 
-    def on_change(self, now_ms: float, views: list[PrefixView]) -> None:
-        """Push a change to the audiences of `views`, at once unless one was pushed within `merge_ms`."""
+    def record_change(self, views: list[PrefixView]) -> None:
+        """Record which audiences a change concerns; `push_or_merge` sends it to them."""
         for view in views:
             self._changed[view.prefixes] = self.source.registry.audiences[view.prefixes]
 
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -23,6 +23,7 @@
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.validation import find_change_error
 from lichenquay.lease.group import LeaseGroup
+from lichenquay.lease.phases import LeaseEvent
 from lichenquay.lease.settings import LeaseSettings
 
 GROUP = "distribution"
@@ -32,6 +33,9 @@
 FETCH_WINDOW = 32  # Pieces of a state that a voter requests at once: it has to come within a lease.
 MAX_REASON_CHARACTERS = 200
 DEFAULT_LEASE_MS = 3000.0
+HEARTBEATS_PER_LEASE = 6
+RETRIES_PER_LEASE = 20
+BACKOFFS_PER_LEASE = 10
 
 OnOutcome = Callable[[float, pb.Proposed], None]
 CheckChange = Callable[[Sequence[pb.Entry], KeyStore, Settings], str | None]
@@ -151,9 +155,9 @@
 
     # The lease.
 
-    def on_lease_event(self, now_ms: float, event: str) -> None:
-        """Begin to publish when the lease is held ('holds'), or stop when it is lost ('lost')."""
-        if event == "holds":
+    def on_lease_event(self, now_ms: float, event: LeaseEvent) -> None:
+        """Begin to publish when the lease is held, or stop when it is lost."""
+        if event == LeaseEvent.HOLDS:
             self._begin(now_ms)
         else:
             # What was about to be sent belongs to a lease that has ended.
@@ -281,9 +285,9 @@
     """Return settings of the group of voters that fit those of distribution."""
     return LeaseSettings(
         lease_ms=lease_ms,
-        heartbeat_ms=lease_ms / 6,
-        retry_ms=lease_ms / 20,
-        backoff_ms=lease_ms / 10,
+        heartbeat_ms=lease_ms / HEARTBEATS_PER_LEASE,
+        retry_ms=lease_ms / RETRIES_PER_LEASE,
+        backoff_ms=lease_ms / BACKOFFS_PER_LEASE,
         max_records=MAX_UNFOLDED_RECORDS,
         max_state_bytes=2 * settings.most_state_bytes,
         max_pending_records=MAX_PENDING_PROPOSALS,
@@ -291,7 +295,7 @@
     )
 
 
-def make(
+def make_voter(
     name: str,
     incarnation: int,
     voters: Sequence[str],
@@ -299,13 +303,13 @@
     lease_settings: LeaseSettings,
     settings: Settings,
     now_ms: float,
-    kept: dict[str, bytes],
-    fresh: bool = False,
+    sections: dict[str, bytes],
+    is_new_disk: bool = False,
     check: CheckChange = find_change_error,
 ) -> tuple[LeaseGroup, Publisher]:
     """Return the lease group and the publisher of one voter, connected to each other.
 
-    `kept` is the stored state of the group. The host calls `group.set_candidate` to have it acquire the
+    `sections` is the stored state of the group. The host calls `group.set_candidate` to have it acquire the
     lease.
     """
     publisher = Publisher(name, None, rng, settings, now_ms, check)
@@ -317,8 +321,8 @@
         rng,
         lease_settings,
         now_ms,
-        kept,
-        is_new_disk=fresh,
+        sections,
+        is_new_disk=is_new_disk,
         fold=fold,
         on_lease_event=publisher.on_lease_event,
     )
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -86,7 +86,7 @@
         if version <= self.version:
             self.counts["old_version"] += 1
             return False
-        self.deltas.on_change(now_ms, self.history.add(version, entries))
+        self.deltas.record_change(self.history.add(version, entries))
         self.confirm(now_ms, generation, version, now_ms - confirmed_ms)
         self.deltas.push_or_merge(now_ms)
         return True
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -32,6 +32,7 @@
 from lichenquay.lease.settings import MAX_GENERATION_STEP, LeaseSettings
 from lichenquay.lease.snapshot_transfer import is_valid_offer
 
+EXPIRED_WAIT_HEARTBEATS = 2  # from the expiry of the own lease to the next acquisition
 MAX_BACKOFF_DOUBLINGS = 4
 
 
@@ -111,7 +112,7 @@
         if self.phase is Phase.HOLDING and now_ms >= self.expires_ms:
             self.counts["expired"] += 1
             # After a pause of this process another may hold: acquiring at once would only disturb that one.
-            self._drop_lease(now_ms, 2 * self.settings.heartbeat_ms)
+            self._drop_lease(now_ms, EXPIRED_WAIT_HEARTBEATS * self.settings.heartbeat_ms)
         elif self.is_acquiring and now_ms >= self.acquisition.ends_ms:
             self._abandon_acquisition(now_ms)
 
--- a/lichenquay/lease/leadership_term.py
+++ b/lichenquay/lease/leadership_term.py
@@ -31,7 +31,7 @@
         """The state that the holder found, and the records after it."""
 
 
-class Leader(ABC, Generic[Machine]):
+class StateMachineLeader(ABC, Generic[Machine]):
     """Leads while its process holds the group. Subclasses decide changes and write them."""
 
     load_errors: tuple[type[Exception], ...] = ()  # by which `load` rejects what is stored
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -36,6 +36,7 @@
 FIRST_PROBES_PER_PERIOD = 5  # The first probe comes within a fifth of a period.
 MIN_REACHABLE_PERIODS = 10
 REACHABLE_ROUNDS = 3  # Rounds of probes without a direct ack after which a member is not reachable.
+FAULTY_PROBES_PER_INTERVAL = 4  # Of each absent member, by all members together.
 MAX_MISSED_PROBES = 3
 
 
@@ -261,8 +262,8 @@
                 self.messenger.send(name, pb.Message(join=pb.Join()))
             else:
                 self.prober.probe(name, self.settings.probe_period_ms, single_ping=True)
-        # All members together probe each absent one about four times an interval.
-        factor = max(1, len(self.table.live_names()) / (4 * max(1, len(absent))))
+        probes_per_interval = FAULTY_PROBES_PER_INTERVAL * max(1, len(absent))
+        factor = max(1, len(self.table.live_names()) / probes_per_interval)
         interval_ms = self.messenger.jitter(self.settings.faulty_probe_interval_ms) * factor
         self._next_faulty_probe_ms = self.now_ms + interval_ms
 
--- a/lichenquay/membership/messenger.py
+++ b/lichenquay/membership/messenger.py
@@ -13,6 +13,8 @@
 
 MIN_JITTER = 0.9
 MAX_JITTER = 1.1
+SMALL_LIST_FACTOR = 4  # A list of up to so many times the sample is copied to draw from it.
+DRAWS_PER_NAME = 8
 
 
 class Messenger:
@@ -33,12 +35,12 @@
         """Return up to `count` live members at random, never this one."""
         own_name = self.detector.name
         live = self.table.live_names()
-        if len(live) <= 4 * (count + len(exclude) + 1):
+        if len(live) <= SMALL_LIST_FACTOR * (count + len(exclude) + 1):
             names = [name for name in live if name != own_name and name not in exclude]
             return self.rng.sample(names, min(count, len(names)))
         # Drawing single names costs less than a copy of a long list.
         found = {}
-        for _ in range(8 * count):
+        for _ in range(DRAWS_PER_NAME * count):
             name = live[int(self.rng.random() * len(live))]
             if name != own_name and name not in exclude:
                 found[name] = None
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -6,7 +6,7 @@
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.lease.leadership_term import Leader, ReplicatedGroup
+from lichenquay.lease.leadership_term import ReplicatedGroup, StateMachineLeader
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.errors import StateMachineError
 from lichenquay.migration.state_machine import StateMachine
@@ -31,7 +31,7 @@
     callbacks: list[ChangeCallback]
 
 
-class ReplicatedLog(Leader[StateMachine]):
+class SessionLogLeader(StateMachineLeader[StateMachine]):
     """The log of a replica group at a process that may lead it. Subclasses act on it."""
 
     state_machine_type = StateMachine
--- a/lichenquay/migration/session_service.py
+++ b/lichenquay/migration/session_service.py
@@ -13,7 +13,7 @@
 from lichenquay.lease.leadership_term import ReplicatedGroup
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.messages import NOT_LEADER, Answer, AnswerKind
-from lichenquay.migration.replicated_log import ReplicatedLog
+from lichenquay.migration.replicated_log import SessionLogLeader
 from lichenquay.migration.session import Query, Session, SessionState, are_valid_names, name_in
 from lichenquay.migration.session_log import MAX_SESSIONS
 
@@ -23,7 +23,7 @@
 AnswerCallback = Callable[[float, Answer], None]
 
 
-class SessionService(ReplicatedLog):
+class SessionService(SessionLogLeader):
     """The sessions of a replica group, for its clients, while this process leads it."""
 
     def __init__(self, replica_group: str, group: ReplicatedGroup):
--- a/lichenquay/quota/account_settings.py
+++ b/lichenquay/quota/account_settings.py
@@ -14,14 +14,14 @@
     limit_ms: float = 0.0,
     term_ms: float = 60_000.0,
     repay_share: float = 0.5,
-    lend_share: float = 0.25,
+    retained_share: float = 0.25,
 ) -> pb.Open:
     """Checks the settings of an account and converts them to whole microseconds.
 
     `rate_ms`: engine work that accrues in a second, up to `bucket_ms`.
     `limit_ms`: the most that the tenant may owe; a loan is due after `term_ms`.
     `repay_share`: the part of its accrual that repays its debts.
-    `lend_share`: the part of its bucket that it never lends.
+    `retained_share`: the part of its bucket that it never lends.
 
     Raises AccountTermsError.
     """
@@ -36,7 +36,7 @@
         require(0 <= value < MAX_AMOUNT_MS, f"{name} {value:g} is not from 0 to 1e12 ms")
     require(0 < term_ms < MAX_AMOUNT_MS, f"term {term_ms:g} is not over 0 ms")
     require(0 < repay_share <= 1, f"repay share {repay_share:g} is not over 0, up to 1")
-    require(0 <= lend_share <= 1, f"lend share {lend_share:g} is not from 0 to 1")
+    require(0 <= retained_share <= 1, f"lend share {retained_share:g} is not from 0 to 1")
     repayable_ms = repay_share * rate_ms * term_ms / 1000
     require(
         limit_ms <= repayable_ms,
@@ -49,5 +49,5 @@
         limit_us=round(limit_ms * 1000),
         term_ms=round(term_ms),
         repay_permille=round(repay_share * 1000),
-        lend_permille=round(lend_share * 1000),
+        lend_permille=round(retained_share * 1000),
     )
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -31,6 +31,8 @@
 HINT_PERIODS = 10  # how long scarcity and debt count after the leader's last answer
 REQUESTS_PER_TERM = 4  # while there is nothing to request
 URGENT_REQUESTS_PER_PERIOD = 4
+MIN_PERIOD_JITTER = 0.9
+PERIOD_JITTER_RANGE = 0.2
 
 
 class TenantStatus(NamedTuple):
@@ -304,7 +306,7 @@
     def _jittered_period_ms(self) -> float:
         if self.random is None:
             return self.period_ms
-        return self.period_ms * (0.9 + 0.2 * self.random.random())
+        return self.period_ms * (MIN_PERIOD_JITTER + PERIOD_JITTER_RANGE * self.random.random())
 
     def _request_soon(self, now_ms: float) -> None:
         """A request at once, but at most `URGENT_REQUESTS_PER_PERIOD`."""
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -10,7 +10,7 @@
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.lease.leadership_term import Leader, ReplicatedGroup
+from lichenquay.lease.leadership_term import ReplicatedGroup, StateMachineLeader
 from lichenquay.lease.settings import CLOCK_DRIFT_BOUND
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import ImplausibleReportError, LedgerError
@@ -21,6 +21,7 @@
 from lichenquay.quota.token_allocation import ChangeBatch, TokenAllocation, demands_of
 
 IDLE_PERIODS = 5  # between records while no gateway requests anything
+EXPIRIES_REMEMBERED = 2  # how many expiry times a report is kept
 SCARCE_PERIODS = 10  # a tenant counts as scarce for so long after it was last short
 
 
@@ -41,7 +42,7 @@
     limit_ms: float
 
 
-class LedgerLeader(Leader[Ledger]):
+class LedgerLeader(StateMachineLeader[Ledger]):
     """Leads the ledger while its gateway holds the group."""
 
     load_errors = (LedgerError, DecodeError)
@@ -124,7 +125,7 @@
         self._add_usage(batch, self.pending.take_reports())
         self._add_expiries(now_ms, batch)
         self._allocate(now_ms, batch, requests, elapsed_ms)
-        self.pending.forget_before(now_ms - 2 * self.expiry_ms, self.speculative.epochs)
+        self.pending.forget_before(now_ms - EXPIRIES_REMEMBERED * self.expiry_ms, self.speculative.epochs)
         self.unanswered = requests
         if batch.changes:
             self._write(now_ms, batch.changes)
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from lichenquay.control_plane.lease_candidate import Candidate
-from lichenquay.distribution.publisher import group_settings, make
+from lichenquay.distribution.publisher import group_settings, make_voter
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
@@ -36,7 +36,7 @@
     def __init__(self, host, shape: Shape, settings: Settings, disk: "Disk"):
         """Claims the lease while nobody holds it."""
         self.disk = disk
-        self.group, self.publisher = make(
+        self.group, self.publisher = make_voter(
             host.name,
             host.incarnation,
             shape.publisher_names(),
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -6,7 +6,7 @@
 from distribution_audit import Audit, require
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.publisher import PUBLISHING_KINDS, group_settings, make
+from lichenquay.distribution.publisher import PUBLISHING_KINDS, group_settings, make_voter
 from lichenquay.distribution.relay import Relay
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
@@ -33,8 +33,8 @@
         lease_settings = group_settings(world.settings, world.lease_ms)
         lease_settings = replace(lease_settings, max_records=world.most_records)
         disk = world.disks.setdefault(host.name, {})
-        fresh = not disk and host.name not in world.lost
-        self.group, self.publisher = make(
+        is_new_disk = not disk and host.name not in world.lost
+        self.group, self.publisher = make_voter(
             host.name,
             host.incarnation,
             world.voters,
@@ -43,7 +43,7 @@
             world.settings,
             host.now_ms(),
             dict(disk),
-            fresh=fresh,
+            is_new_disk=is_new_disk,
         )
         self.group.leadership.on_event = self._on_lease_event
         self.group.set_candidate(host.now_ms(), True)
--- a/tests/test_leadership_term.py
+++ b/tests/test_leadership_term.py
@@ -1,6 +1,6 @@
 """Leadership of a replicated state machine: terms, uncertain writes, and logs that cannot be read."""
 
-from lichenquay.lease.leadership_term import Leader
+from lichenquay.lease.leadership_term import StateMachineLeader
 
 
 class StubGroup:
@@ -21,7 +21,7 @@
         return self.state, []
 
 
-class StubLeader(Leader):
+class StubLeader(StateMachineLeader):
     """Its state machine is the bytes that it read."""
 
     load_errors = (ValueError,)
--- a/tests/test_quota_escrow.py
+++ b/tests/test_quota_escrow.py
@@ -23,7 +23,7 @@
         ({"rate_ms": -1}, "rate -1"),
         ({"term_ms": 0}, "term 0"),
         ({"repay_share": 0}, "repay share 0"),
-        ({"lend_share": 2}, "lend share 2"),
+        ({"retained_share": 2}, "lend share 2"),
         ({"tenant": ""}, "name"),
         ({"tenant": "x" * 65}, "name"),
         ({"limit_ms": 101}, "cannot be repaid in its term: 100 ms"),
