--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -51,7 +51,7 @@
             self._follow_discovery(now_ms)
 
     def _make_group(self, now_ms):
-        return publisher.make(
+        return publisher.make_voter(
             self.settings.name,
             self.incarnation,
             sorted(voter.name for voter in self.settings.voters),
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -32,6 +32,7 @@
 from lichenquay.lease.settings import MAX_GENERATION_STEP, LeaseSettings
 from lichenquay.lease.snapshot_transfer import is_valid_offer
 
+EXPIRED_WAIT_HEARTBEATS = 2  # from the expiry of the own lease to the next acquisition
 MAX_BACKOFF_DOUBLINGS = 4
 
 
@@ -107,11 +108,11 @@
         return None if self.replicator is None else self.replicator.log
 
     def expire(self, now_ms: float) -> None:
-        """Ends a lease or an acquisition that is over by now. To be called before anything else is done."""
+        """Ends a lease or an acquisition that has ended by now. To be called before anything else is done."""
         if self.phase is Phase.HOLDING and now_ms >= self.expires_ms:
             self.counts["expired"] += 1
             # After a pause of this process another may hold: acquiring at once would only disturb that one.
-            self._drop_lease(now_ms, 2 * self.settings.heartbeat_ms)
+            self._drop_lease(now_ms, EXPIRED_WAIT_HEARTBEATS * self.settings.heartbeat_ms)
         elif self.is_acquiring and now_ms >= self.acquisition.ends_ms:
             self._abandon_acquisition(now_ms)
 
@@ -130,7 +131,7 @@
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is wanted."""
+        """When `tick` is due."""
         due_ms = self.release_notifier.due_ms
         if self.phase is Phase.IDLE:
             return min(due_ms, self.next_acquire_ms if self.is_candidate else INF)
@@ -194,7 +195,7 @@
         self.acquisition.send_requests(now_ms)
 
     def handle(self, now_ms: float, sender: ProcessId, kind: MessageKind, body) -> None:
-        """Takes a message of a kind in `FOR_LEADER`."""
+        """Handles a message of a kind in `FOR_LEADER`."""
         handlers = {
             MessageKind.ACQUIRE_GRANT: self.on_acquire_grant,
             MessageKind.REJECTION: self.on_rejection,
@@ -211,7 +212,7 @@
         return is_active and name in self.voters and message.generation == self.generation
 
     def on_acquire_grant(self, now_ms: float, sender: ProcessId, grant: AcquireGrant) -> None:
-        """Counts a grant; with those of a majority the newest log is taken."""
+        """Counts a grant; with those of a majority the newest log is adopted."""
         name = sender.name
         position = grant.position
         if not self._is_current(name, grant) or grant.token != self.acquisition.token or position is None:
@@ -240,7 +241,7 @@
             self.acquisition.start_fetch(now_ms, name)
 
     def on_snapshot_chunk(self, now_ms: float, sender: ProcessId, chunk: SnapshotChunk) -> None:
-        """Takes a chunk of the log that is being fetched."""
+        """Records a chunk of the log that is being fetched."""
         if self.phase is Phase.FETCHING:
             log = self.acquisition.add_chunk(now_ms, sender.name, chunk)
             if log is not None:
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,6 +1,6 @@
 """The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
-`heard` and `tick` bring time in, `outbox` takes answers out. Requests are gathered for a period, decided as
+`heard` and `tick` bring time in, `outbox` holds the answers. Requests are gathered for a period, decided as
 one record, committed by the group, and only then answered. See `lease.leadership_term` for the two ledgers,
 committed and speculative.
 """
@@ -10,7 +10,7 @@
 
 from google.protobuf.message import DecodeError
 
-from lichenquay.lease.leadership_term import Leader, ReplicatedGroup
+from lichenquay.lease.leadership_term import ReplicatedGroup, StateMachineLeader
 from lichenquay.lease.settings import CLOCK_DRIFT_BOUND
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import ImplausibleReportError, LedgerError
@@ -21,6 +21,7 @@
 from lichenquay.quota.token_allocation import ChangeBatch, TokenAllocation, demands_of
 
 IDLE_PERIODS = 5  # between records while no gateway requests anything
+EXPIRIES_REMEMBERED = 2  # how many expiry times a report is kept
 SCARCE_PERIODS = 10  # a tenant counts as scarce for so long after it was last short
 
 
@@ -41,7 +42,7 @@
     limit_ms: float
 
 
-class LedgerLeader(Leader[Ledger]):
+class LedgerLeader(StateMachineLeader[Ledger]):
     """Leads the ledger while its gateway holds the group."""
 
     load_errors = (LedgerError, DecodeError)
@@ -53,9 +54,8 @@
         super().__init__(group, "the quota's ledger")
         self.accounts = list(accounts)
         self.period_ms = period_ms
-        self.expiry_ms = term_ms * (
-            1 + CLOCK_DRIFT_BOUND
-        )  # after this silence a gateway's tokens have surely expired
+        # After this time without a message, a gateway's tokens have certainly expired.
+        self.expiry_ms = term_ms * (1 + CLOCK_DRIFT_BOUND)
         self.outbox: list[OutgoingMessage] = []
         self.due_ms = 0.0
         self.accrued_until_ms = 0.0
@@ -125,7 +125,7 @@
         self._add_usage(batch, self.pending.take_reports())
         self._add_expiries(now_ms, batch)
         self._allocate(now_ms, batch, requests, elapsed_ms)
-        self.pending.forget_before(now_ms - 2 * self.expiry_ms, self.speculative.epochs)
+        self.pending.forget_before(now_ms - EXPIRIES_REMEMBERED * self.expiry_ms, self.speculative.epochs)
         self.unanswered = requests
         if batch.changes:
             self._write(now_ms, batch.changes)
@@ -183,7 +183,7 @@
         )
 
     def on_write_ended(self, now_ms: float, record: pb.Record, committed: bool | None) -> None:
-        """The group's answer to a write; see `ReplicatedGroup.write`."""
+        """The group's answer to a write; see `ReplicatedGroup.append`."""
         if not self.pending_write or record is not self.pending_write.record:
             return
         generation = self.pending_write.generation
