--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -96,7 +96,7 @@
 
     # What the runtime calls.
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message) -> None:
         """Ignore a message: no process sends any to the importer."""
 
     def tick(self, now_ms: float) -> None:
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -198,7 +198,7 @@
             self.source.tick(now_ms)
         self._publish(now_ms)
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
         """Handle a message of a relay or a client."""
         kind = message.WhichOneof("kind")
         if kind not in HANDLED_KINDS:
@@ -228,7 +228,7 @@
             self.outbox.append((sender[0], pb.Message(status=status)))
         else:
             self._confirm(now_ms)
-            self.source.heard(now_ms, sender, message)
+            self.source.on_message(now_ms, sender, message)
 
     def _confirm(self, now_ms: float) -> None:
         """Confirm the version: while the lease is held nobody else accepts a change, so it is the newest."""
--- a/lichenquay/distribution/relay.py
+++ b/lichenquay/distribution/relay.py
@@ -48,13 +48,13 @@
         if now_ms >= self.source.due_ms:
             self.source.tick(now_ms)
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
         """Handle a message of a voter or of a subscriber."""
         self._now_ms = now_ms
         if message.WhichOneof("kind") in MESSAGES_TO_SOURCE:
-            self.source.heard(now_ms, sender, message)
+            self.source.on_message(now_ms, sender, message)
         else:
-            self.subscriber.heard(now_ms, sender, message)
+            self.subscriber.on_message(now_ms, sender, message)
             self._confirm(now_ms)
 
     def _apply(self, now_ms: float, changed: dict[str, bytes | None], is_whole: bool) -> None:
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -136,7 +136,7 @@
         self.coverage_tracker.tick(now_ms)
         self.snapshots.send_pages(now_ms)
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
         """Handle a Follow, a FetchPages or a Leave."""
         name, incarnation = sender
         kind = message.WhichOneof("kind")
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -154,7 +154,7 @@
         self._is_stopped = True
         self.outbox.clear()
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
         """Handle a source's message; what is not of the present session is dropped and counted."""
         kind = message.WhichOneof("kind")
         handler = self._handlers.get(kind)
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -156,7 +156,7 @@
             self.escrow.tick(now_ms)
         self._exchange_messages(now_ms)
 
-    def heard(self, now_ms: float, sender: Sender, message: quota_pb2.Message) -> None:
+    def on_message(self, now_ms: float, sender: Sender, message: quota_pb2.Message) -> None:
         """Handles a message of another gateway."""
         self._handle(now_ms, sender, message)
         self._exchange_messages(now_ms)
@@ -164,7 +164,7 @@
     def _handle(self, now_ms, sender, message):
         if message.HasField("ask"):
             if self.leader:
-                self.leader.heard(now_ms, sender, message.ask)
+                self.leader.on_message(now_ms, sender, message.ask)
         elif message.HasField("answer"):
             self._handle_answer(now_ms, sender, message.answer)
 
@@ -172,7 +172,7 @@
         self.unanswered_since_ms = None
         if answer.generation >= self.answering_leader.generation:
             self.answering_leader = LeaseHolder(sender.name, answer.generation)
-        self.escrow.heard(now_ms, sender, answer)
+        self.escrow.on_message(now_ms, sender, answer)
 
     def _exchange_messages(self, now_ms):
         """Delivers messages from escrow to leader and back within this process; others go to the outbox."""
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -1,6 +1,6 @@
 """Runs state machines without I/O ("parts") on one UDP socket, one store and one timer.
 
-A part has `heard(now_ms, sender, message)`, `tick(now_ms)`, `due_ms` (when it is to be ticked next) and
+A part has `on_message(now_ms, sender, message)`, `tick(now_ms)`, `due_ms` (when it is to be ticked next) and
 `outbox` (messages to send, as (receiver, message)). Times are milliseconds of CLOCK_BOOTTIME, which also
 counts while the machine is suspended.
 """
@@ -189,7 +189,7 @@
         """Passes a received message to the part of its layer, and sends what follows from it."""
         part = self.parts.get(layer)
         if part is not None and not self.is_closed:
-            part.heard(self.now_ms(), sender, message)
+            part.on_message(self.now_ms(), sender, message)
             self.flush()
 
     def run_due_parts(self) -> None:
--- a/lichenquay/lease/group.py
+++ b/lichenquay/lease/group.py
@@ -2,7 +2,7 @@
 
 No I/O. The host calls
 
-    heard(now_ms, sender, message)         sender: (name, incarnation) of the envelope
+    on_message(now_ms, sender, message)         sender: (name, incarnation) of the envelope
     tick(now_ms)                           to be called at `due_ms`
     on_stored(now_ms, number, is_stored)   the disk's answer to a store request, late or never.
                                            True: fsynced with its directory; False: it may be on disk or not
@@ -213,7 +213,7 @@
             self.voter.tick(now_ms)
         self._settle(now_ms)
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: Message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: Message) -> None:
         """Handles a message of another process."""
         self.leadership.expire(now_ms)
         self._handle(now_ms, ProcessId(*sender), message)
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -1,9 +1,9 @@
 """Membership of one process: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018).
 
-No I/O: the host calls `heard` for each message and `tick` at `due_ms` or later, and after each call sends
-and empties `outbox` and applies `changes`. Times are milliseconds of the host's monotonic clock. Safety never
-rests on a state here; it says only whom to try first. docs/design/membership.md has the protocol, the reasons
-and the measurements.
+No I/O: the host calls `on_message` for each message and `tick` at `due_ms` or later, and after each call
+sends and empties `outbox` and applies `changes`. Times are milliseconds of the host's monotonic clock.
+Safety never rests on a state here; it says only whom to try first. docs/design/membership.md has the
+protocol, the reasons and the measurements.
 """
 
 from collections import Counter
@@ -165,7 +165,7 @@
             self._do_due_work()
         self._update_due()
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
         """Handle a message; `sender` is the name and incarnation of its envelope.
 
         Never raises on what a message holds; what is dropped is counted.
--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -1,8 +1,8 @@
 """The coordinator of one replica group: its sessions, handovers and messages. No I/O.
 
-`heard(now_ms, sender, message)` brings messages of other replica groups, `tick(now_ms)` is to be called at
-`due_ms`, and `outbox` has messages for whoever leads another replica group. Requests of clients are handled
-in `session_service`.
+`on_message(now_ms, sender, message)` brings messages of other replica groups, `tick(now_ms)` is to be
+called at `due_ms`, and `outbox` has messages for whoever leads another replica group. Requests of
+clients are handled in `session_service`.
 """
 
 from typing import NamedTuple
@@ -70,7 +70,7 @@
 
     # Messages between replica groups.
 
-    def heard(self, now_ms: float, sender, message: pb.Message) -> None:
+    def on_message(self, now_ms: float, sender, message: pb.Message) -> None:
         """A message of another replica group.
 
         One that is damaged, or not for this one, is counted and ignored.
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -1,11 +1,12 @@
 """A gateway's escrow tokens: what it may spend of each tenant's quota without asking anybody. No I/O.
 
-`reserve` when a query comes, `settle` when its work is known. `heard`, `tick`, `due_ms` and `outbox` are the
-exchange with the ledger's leader, which the host names (`leader`; None: not known).
+`reserve` when a query comes, `settle` when its work is known. `on_message`, `tick`, `due_ms` and
+`outbox` are the exchange with the ledger's leader, which the host names (`leader`; None: not known).
 
-The tokens of an epoch expire together, `term_ms` after the sending of the last request that was answered, by
-this gateway's clock. An expired epoch is sealed: nothing is reserved from it any more, and its totals are
-reported until the ledger has them. Tokens are whole microseconds of engine work, times milliseconds.
+The tokens of an epoch expire together, `term_ms` after the sending of the last request that was
+answered, by this gateway's clock. An expired epoch is sealed: nothing is reserved from it any more, and
+its totals are reported until the ledger has them. Tokens are whole microseconds of engine work, times
+milliseconds.
 """
 
 from collections.abc import Hashable, Mapping
@@ -196,7 +197,7 @@
 
     # Exchange with the ledger's leader.
 
-    def heard(self, now_ms: float, sender, answer: pb.Answer) -> None:
+    def on_message(self, now_ms: float, sender, answer: pb.Answer) -> None:
         """The leader's answer. Totals only rise, so that a late or repeated answer changes nothing."""
         self.expire_if_due(now_ms)
         if not self._is_plausible(answer):
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,8 +1,8 @@
 """The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
-`heard` and `tick` bring time in, `outbox` holds the answers. Requests are gathered for a period, decided as
-one record, committed by the group, and only then answered. See `lease.leadership_term` for the two ledgers,
-committed and speculative.
+`on_message` and `tick` bring time in, `outbox` holds the answers. Requests are gathered for a period,
+decided as one record, committed by the group, and only then answered. See `lease.leadership_term` for
+the two ledgers, committed and speculative.
 """
 
 from collections.abc import Iterable
@@ -86,7 +86,7 @@
 
     # Requests of gateways.
 
-    def heard(self, now_ms: float, sender, request: pb.Ask) -> None:
+    def on_message(self, now_ms: float, sender, request: pb.Ask) -> None:
         """A token request of `sender`: (gateway, incarnation)."""
         if not self.is_leading(now_ms):
             self.misdirected_requests += 1
--- a/lichenquay/testbed/baseline_policies.py
+++ b/lichenquay/testbed/baseline_policies.py
@@ -41,7 +41,7 @@
         self.beat_ms = now_ms + rng.uniform(0, period_ms)
         self.due_ms = self.beat_ms
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         seen = self.watched.get(sender[0])
         if seen:
             seen[1].append(now_ms - seen[0])
@@ -142,7 +142,7 @@
         if self.voted is not None:
             self._all(pb.Message(state=pb.GONE, ping_ask=pb.PingAsk(no=self.round, name=self.voted)))
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         name, kind = sender[0], message.WhichOneof("kind")
         if kind == "ping":
             self.outbox.append((name, pb.Message(word=self.view, ack=pb.Ack(no=message.ping.no, ok=True))))
--- a/lichenquay/testbed/emulator.py
+++ b/lichenquay/testbed/emulator.py
@@ -50,7 +50,7 @@
     def known(self, after=0):
         return {"no": len(self.items), "items": self.items[after:]}
 
-    def heard(self, line, verb, path, headers, body):
+    def on_message(self, line, verb, path, headers, body):
         said = dict(x.partition("=")[::2] for x in path.partition("?")[2].split("&"))
         try:
             after, patience = int(said["after"]), min(5000.0, float(said.get("patience", 0)))
--- a/lichenquay/testbed/engine_host.py
+++ b/lichenquay/testbed/engine_host.py
@@ -37,7 +37,7 @@
 
     # calls
 
-    def heard(self, line, verb, path, headers, body):
+    def on_message(self, line, verb, path, headers, body):
         if verb == "POST":
             self.lab.write("post", self.uid, headers.get("x-hop-id", ""), group=headers.get("x-sort", ""))
         if self.still:
--- a/lichenquay/testbed/fleetnet.py
+++ b/lichenquay/testbed/fleetnet.py
@@ -1,4 +1,4 @@
-"""A small network in virtual time for decision modules without I/O: `heard`, `tick`, `due_ms`, `outbox`
+"""A small network in virtual time for decision modules without I/O: `on_message`, `tick`, `due_ms`, `outbox`
 (docs/design/fleet.md).
 
 A host has one part for each layer (members, owner, ...); what a part puts into its outbox goes to the same layer of the
@@ -168,7 +168,7 @@
 
     def _hear(self, h, layer, sender, message):
         if h.up and layer in h.parts:
-            h.parts[layer].heard(h.now_ms(), sender, message)
+            h.parts[layer].on_message(h.now_ms(), sender, message)
             self._flush(h, layer)
             self._plan(h)
 
--- a/lichenquay/testbed/host.py
+++ b/lichenquay/testbed/host.py
@@ -12,7 +12,7 @@
 
 
 class HttpLine(Protocol):
-    """One connection: whole calls go to `host.heard(line, verb, path, headers, body)`, one at a time."""
+    """One connection: whole calls go to `host.on_message(line, verb, path, headers, body)`, one at a time."""
 
     def __init__(self, host):
         self.host, self.http, self.request, self.body = host, h11.Connection(h11.SERVER), None, b""
@@ -40,7 +40,7 @@
                 self.body += event.data
             elif isinstance(event, h11.EndOfMessage):
                 headers = {n.decode(): v.decode("latin-1") for n, v in self.request.headers}
-                self.host.heard(
+                self.host.on_message(
                     self, self.request.method.decode(), self.request.target.decode(), headers, self.body
                 )
             else:
--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -159,9 +159,9 @@
 
     def deliver(self, part, to, message):
         if part is self.keeper:
-            self.rights[int(to[1:])].heard(self.later.now, ("f0", 1), message)
+            self.rights[int(to[1:])].on_message(self.later.now, ("f0", 1), message)
         else:
-            self.keeper.heard(self.later.now, (part.gateway, 1), message)
+            self.keeper.on_message(self.later.now, (part.gateway, 1), message)
 
     def judge(self, now, tenant, front, estimate, work):
         self.later.run(self.start + now)
--- a/lichenquay/testbed/scale/client.py
+++ b/lichenquay/testbed/scale/client.py
@@ -37,7 +37,7 @@
 
 
 class Client:
-    """`heard`, `tick`, `due_ms` and `outbox` as every part; `propose` and `set_rate` are the run's."""
+    """`on_message`, `tick`, `due_ms` and `outbox` as every part; `propose` and `set_rate` are the run's."""
 
     def __init__(self, publishers: list[str], rng: random.Random, make_entries: Callable):
         """`make_entries(number, rng)` makes the entries of the changes of a steady rate."""
@@ -100,7 +100,7 @@
             proposal.tries += 1
             self._send(proposal)
 
-    def heard(self, now_ms: float, sender, message):
+    def on_message(self, now_ms: float, sender, message):
         """A publisher's answer."""
         kind = message.WhichOneof("kind")
         if kind == "proposed":
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -99,4 +99,4 @@
         except (OSError, DroppedDatagramError, DecodeError):  # Nothing came, or nothing that makes sense.
             return
         with self.lock:
-            self.client.heard(boot_ms(), (name, incarnation), message)
+            self.client.on_message(boot_ms(), (name, incarnation), message)
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -58,10 +58,10 @@
         """`part` has heard, tick, due_ms and outbox."""
         self.part, self.stopwatch = part, stopwatch
 
-    def heard(self, now_ms: float, sender: tuple[str, int], message: Any) -> None:
+    def on_message(self, now_ms: float, sender: tuple[str, int], message: Any) -> None:
         """As the part's."""
         with self.stopwatch.running():
-            self.part.heard(now_ms, sender, message)
+            self.part.on_message(now_ms, sender, message)
 
     def tick(self, now_ms: float) -> None:
         """As the part's."""
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -65,10 +65,10 @@
         """As production's voter has them."""
         return self.group, self.publisher, self.candidate
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         """By the kind of message."""
         part = self.group if isinstance(message, lease_pb2.Message) else self.publisher
-        part.heard(now_ms, sender, message)
+        part.on_message(now_ms, sender, message)
         self._gather()
 
     def stored(self, now_ms, number, is_stored):
--- a/tests/distribution/recording_subscriber.py
+++ b/tests/distribution/recording_subscriber.py
@@ -91,7 +91,7 @@
                 name, incarnation, _, body = self.envelope.open(data)
             except DroppedDatagramError:  # of another test
                 continue
-            self.subscriber.heard(clock_ms(), (name, incarnation), pb.Message.FromString(body))
+            self.subscriber.on_message(clock_ms(), (name, incarnation), pb.Message.FromString(body))
         if now_ms >= self.deaf_until_ms and self.subscriber.due_ms <= now_ms:
             self.subscriber.tick(now_ms)
         self._send()
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -158,13 +158,13 @@
         def holds(self, now_ms):
             return self.group.generation > 0
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         group = self.group
         self.group = EndlessLease(group)
         old(self, now_ms, sender, message)
         self.group = group
 
-    return heard
+    return on_message
 
 
 def _from_arrival(old):
@@ -278,7 +278,7 @@
 rule("published before recorded", (Publisher, "_propose", _published_before_recorded))
 rule("deletions left out of deltas", (PrefixView, "_build", _no_deletions))
 rule("the first of each key in a merged delta", (PrefixView, "_build", _first_of_each_key))
-rule("the lease not asked before a message is served", (Publisher, "heard", _lease_not_asked))
+rule("the lease not asked before a message is served", (Publisher, "on_message", _lease_not_asked))
 rule("age counted from arrival", (Subscriber, "_record_freshness", _from_arrival))
 rule("age not added up over hops", (Source, "confirm", _age_not_added))
 rule("records after the base forgotten by the next publisher", (Publisher, "_load", _only_the_base))
--- a/tests/distribution_harness.py
+++ b/tests/distribution_harness.py
@@ -76,7 +76,7 @@
             message = intercept(message) if intercept else message
             target = self.source if receiver == SOURCE else self.subscribers.get(receiver)
             if message is not None and target is not None:
-                target.heard(self.now_ms, (name, 1), message)
+                target.on_message(self.now_ms, (name, 1), message)
         return len(sent)
 
     def run(self, duration_ms, intercept=None, step_ms=STEP_MS):
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -29,7 +29,7 @@
     old = pb.SnapshotOffer(
         session=gateway.session.session_id, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
     )
-    gateway.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
+    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
     assert (
         gateway.snapshot_fetch is None and gateway.applied_version == 2 and not messages_of(gateway, "fetch")
     )
@@ -48,14 +48,16 @@
         pages=1,
         bytes=40,
     )
-    gateway.heard(harness.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
+    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
     assert gateway.snapshot_fetch is not None
     held = gateway.version
     last = entry("engine/z0/e0", b"new", held + 1)
     digest = gateway.state.store.digest_after([last])
-    gateway.heard(harness.now_ms, ("s", 1), delta(gateway.session.session_id, held, held + 1, [last], digest))
+    gateway.on_message(
+        harness.now_ms, ("s", 1), delta(gateway.session.session_id, held, held + 1, [last], digest)
+    )
     page = pb.Page(session=gateway.session.session_id, generation=GENERATION, version=held, number=0)
-    gateway.heard(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
+    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
     assert (
         gateway.version == gateway.applied_version == held + 1
         and gateway.applied_values["engine/z0/e0"] == b"new"
@@ -159,11 +161,11 @@
             harness.source._remove_session(session)
         if expected == 2:
             right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **fields)
-            harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=right))
+            harness.source.on_message(harness.now_ms, ("r", 1), pb.Message(follow=right))
         reported = pb.Follow(
             version=version, in_force=version, digest=digest, number=2, below=below, **fields
         )
-        harness.source.heard(harness.now_ms, ("r", 1), pb.Message(follow=reported))
+        harness.source.on_message(harness.now_ms, ("r", 1), pb.Message(follow=reported))
         if version == 1 << 40:
             assert messages_of(harness.source, "wait")
             continue
@@ -179,7 +181,7 @@
     publisher, now_ms = world.part(leader).publisher, world.now(leader) + 2 * LEASE_MS
     known = publisher.source.sessions.get("r0a") or next(iter(publisher.source.sessions.values()))
     follow = pb.Follow(session=known.session_id, number=known.follow_number + 1)
-    publisher.heard(now_ms, (known.name, known.incarnation), pb.Message(follow=follow))
+    publisher.on_message(now_ms, (known.name, known.incarnation), pb.Message(follow=follow))
     publisher.tick(now_ms)
     assert [message.WhichOneof("kind") for _, message in publisher.outbox] == ["not_leader"]
 
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -68,10 +68,10 @@
             self.publisher.tick(now_ms)
         self._flush()
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         """Handles a message."""
         part = self.group if isinstance(message, LeaseMessage) else self.publisher
-        part.heard(now_ms, sender, message)
+        part.on_message(now_ms, sender, message)
         self._flush()
 
     def propose(self, now_ms, entries, request, on_outcome):
@@ -154,10 +154,10 @@
         """Does what is due."""
         self.subscriber.tick(now_ms)
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         """Handles a message."""
         with self.world.audit.around_message(self.host.name, self.subscriber, message):
-            self.subscriber.heard(now_ms, sender, message)
+            self.subscriber.on_message(now_ms, sender, message)
         self.world.audit.check_gateway(self.host, self.subscriber, now_ms)
 
 
@@ -180,10 +180,10 @@
         """Does what is due."""
         self.relay.tick(now_ms)
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         """Handles a message."""
         with self.world.audit.around_message(self.host.name, self.relay.subscriber, message):
-            self.relay.heard(now_ms, sender, message)
+            self.relay.on_message(now_ms, sender, message)
         self.world.audit.check_relay(self.host, self.relay, now_ms)
 
 
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -266,15 +266,15 @@
 
 @rule("quota: the term runs from the answer")
 def _():
-    real = TokenEscrow.heard
+    real = TokenEscrow.on_message
 
-    def heard(self, now_ms, sender, answer):
+    def on_message(self, now_ms, sender, answer):
         real(self, now_ms, sender, answer)
         known = answer.book == self.epoch and answer.no in self.request_sent_ms
         if known and self.holdings and not answer.closed:
             self.expires_at_ms = max(self.expires_at_ms, now_ms + self.term_ms)
 
-    return [(TokenEscrow, "heard", heard)]
+    return [(TokenEscrow, "on_message", on_message)]
 
 
 @rule("quota: spends after the term")
@@ -302,28 +302,28 @@
 
 @rule("quota: an answer to another incarnation counts")
 def _():
-    real = TokenEscrow.heard
+    real = TokenEscrow.on_message
 
-    def heard(self, now_ms, sender, answer):
+    def on_message(self, now_ms, sender, answer):
         mine = pb.Answer()
         mine.CopyFrom(answer)
         mine.incarnation = self.incarnation
         real(self, now_ms, sender, mine)
 
-    return [(TokenEscrow, "heard", heard)]
+    return [(TokenEscrow, "on_message", on_message)]
 
 
 @rule("quota: a closed book is granted to")
 def _():
-    real = LedgerLeader.heard
+    real = LedgerLeader.on_message
 
-    def heard(self, now_ms, sender, ask):
+    def on_message(self, now_ms, sender, ask):
         self.pending.newest.pop(sender[0], None)
         real(self, now_ms, sender, ask)
 
     return [
         (Ledger, "may_grant", lambda self, gateway, incarnation, epoch: True),
-        (LedgerLeader, "heard", heard),
+        (LedgerLeader, "on_message", on_message),
     ]
 
 
--- a/tests/golden_migration_exchange.py
+++ b/tests/golden_migration_exchange.py
@@ -102,7 +102,7 @@
         for to, message in outbox:
             self.messages.append(message.SerializeToString())
             if to not in self.deaf:
-                self.coordinators[to].heard(now_ms, (sender, 1), message)
+                self.coordinators[to].on_message(now_ms, (sender, 1), message)
 
     def answered(self, name=None):
         """A callback that records an answer; the id of a session that was opened is kept under `name`."""
--- a/tests/golden_quota_exchange.py
+++ b/tests/golden_quota_exchange.py
@@ -138,9 +138,9 @@
             if "gateway-2" in (sender, to) and CUT_FROM_MS <= now_ms < CUT_UNTIL_MS:
                 continue
             if message.HasField("ask"):
-                self.leader.heard(now_ms, (sender, 1), message.ask)
+                self.leader.on_message(now_ms, (sender, 1), message.ask)
             else:
-                self.escrows[to].heard(now_ms, (sender, self.group.generation), message.answer)
+                self.escrows[to].on_message(now_ms, (sender, self.group.generation), message.answer)
 
     def transcript(self):
         """What is compared with the golden file: bytes as hexadecimal digits, amounts in microseconds."""
--- a/tests/lease_explore.py
+++ b/tests/lease_explore.py
@@ -151,7 +151,7 @@
         """A message arrives."""
 
         def take(node, now_ms):
-            node.group.heard(now_ms, packet.sender, Message.FromString(packet.data))
+            node.group.on_message(now_ms, packet.sender, Message.FromString(packet.data))
 
         return self.act(state, packet.to, packet, take)
 
--- a/tests/lease_transcript.py
+++ b/tests/lease_transcript.py
@@ -22,7 +22,7 @@
 FOLDER_BYTES = 256 << 10
 # Methods of a group, and the names that revision 0018238 had for them.
 METHODS = {
-    "heard": "heard",
+    "on_message": "heard",
     "tick": "tick",
     "on_stored": "stored",
     "set_candidate": "want",
@@ -98,7 +98,7 @@
             )
 
     arguments_of = {
-        "heard": lambda sender, message: [list(sender), transcript.place_of(message)],
+        "on_message": lambda sender, message: [list(sender), transcript.place_of(message)],
         "tick": lambda: [],
         "on_stored": lambda number, is_stored: [number, is_stored],
         "set_candidate": lambda is_candidate: [is_candidate],
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -175,7 +175,7 @@
             self._in_life(
                 receiver,
                 receiver.life,
-                lambda group, local_ms: group.heard(local_ms, sender, message_class.FromString(data)),
+                lambda group, local_ms: group.on_message(local_ms, sender, message_class.FromString(data)),
             )
 
         if self.on_send and self.on_send(sender, name, message, deliver):
--- a/tests/migration_mutation.py
+++ b/tests/migration_mutation.py
@@ -146,5 +146,5 @@
     if message == pb.Message.FromString(raw):
         return True
     before = coordinator.rejected_messages
-    coordinator.heard(0.0, ("x", 1), message)
+    coordinator.on_message(0.0, ("x", 1), message)
     return coordinator.rejected_messages == before + 1
--- a/tests/migration_small_world.py
+++ b/tests/migration_small_world.py
@@ -191,7 +191,7 @@
     def _deliver(self, to, raw):
         for (_, replica_group), coordinator in list(self.coordinators.items()):
             if replica_group == to:
-                coordinator.heard(self.now, ("x", 1), pb.Message.FromString(raw))
+                coordinator.on_message(self.now, ("x", 1), pb.Message.FromString(raw))
 
     def lose(self, i):
         """A message is lost."""
--- a/tests/migration_world.py
+++ b/tests/migration_world.py
@@ -181,7 +181,7 @@
             if process.up and to in process.coordinators:
                 coordinator = process.coordinators[to]
                 process.call(
-                    lambda now_ms, coordinator=coordinator: coordinator.heard(
+                    lambda now_ms, coordinator=coordinator: coordinator.on_message(
                         now_ms, (sender, 1), pb.Message.FromString(raw)
                     )
                 )
--- a/tests/quota_broken.py
+++ b/tests/quota_broken.py
@@ -55,10 +55,10 @@
 class IgnoresIncarnation(LedgerLeader):
     """Takes what older incarnations report for the newest one's."""
 
-    def heard(self, now_ms, sender, request):
+    def on_message(self, now_ms, sender, request):
         """From the newest."""
         newest = self.pending.newest.get(sender[0], (0,))[0]
-        super().heard(now_ms, (sender[0], max(newest, sender[1])), request)
+        super().on_message(now_ms, (sender[0], max(newest, sender[1])), request)
 
 
 class AddsGrants(TokenEscrow):
@@ -81,11 +81,11 @@
 class TakesAnyAnswer(TokenEscrow):
     """Counts answers to older incarnations, and to other gateways."""
 
-    def heard(self, now_ms, sender, answer):
+    def on_message(self, now_ms, sender, answer):
         """As if it were for this one."""
         answer.front = self.gateway
         answer.incarnation = self.incarnation
-        super().heard(now_ms, sender, answer)
+        super().on_message(now_ms, sender, answer)
 
 
 class ReusesEpoch(TokenEscrow):
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -193,7 +193,9 @@
         if gateway is None:
             return
         part = gateway.leader if message_type is pb.Ask else gateway.escrow
-        gateway.call(lambda now_ms: part.heard(now_ms, (name, incarnation), message_type.FromString(raw)))
+        gateway.call(
+            lambda now_ms: part.on_message(now_ms, (name, incarnation), message_type.FromString(raw))
+        )
 
     # Queries.
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -125,7 +125,7 @@
     other = next(name for name in VOTERS if name != leader)
     part = world.part(other)
     propose = pb.Propose(request=5, entries=[entry_of("config/a", b"1")])
-    part.publisher.heard(world.now(other), ("client", 1), pb.Message(propose=propose))
+    part.publisher.on_message(world.now(other), ("client", 1), pb.Message(propose=propose))
     ((to, message),) = part.publisher.outbox
     assert (to, message.not_leader.leader, message.not_leader.session) == ("client", leader, 5)
 
@@ -140,9 +140,9 @@
     for request, key in ((1, "config/a"), (2, "nonsense")):
         propose = pb.Propose(request=request, entries=[entry_of(key, b"1")])
         world.audit.requests[request] = 1
-        publisher.heard(world.now(leader), ("client", 1), pb.Message(propose=propose))
+        publisher.on_message(world.now(leader), ("client", 1), pb.Message(propose=propose))
     status = pb.StatusRequest(request=3)
-    publisher.heard(world.now(leader), ("client", 1), pb.Message(status_request=status))
+    publisher.on_message(world.now(leader), ("client", 1), pb.Message(status_request=status))
     world.net.call(leader, Layer.DISTRIBUTION, "tick")
     world.audit.record_change(1, 1, {"config/a": b"1"})
     world.run(1000)
@@ -158,11 +158,11 @@
     due_ms = float("inf")
 
     def __init__(self, heard):
-        """`heard`: a list that messages come into."""
+        """`on_message`: a list that messages come into."""
         self.heard_messages = heard
         self.outbox = []
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         """A message."""
         self.heard_messages.append(message)
 
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -42,7 +42,7 @@
         self.outbox = []
         self.answers = {}
 
-    def heard(self, now_ms, sender, message):
+    def on_message(self, now_ms, sender, message):
         """An answer, by its request."""
         self.answers.setdefault(message.proposed.request, []).append(message.proposed)
 
@@ -72,7 +72,7 @@
     requests = []
     for message in changed_proposals(world, leader):
         requests.append(message.propose.request)
-        publisher.heard(world.now(leader), ("client", 1), message)
+        publisher.on_message(world.now(leader), ("client", 1), message)
         world.run(50)
     assert len(requests) > 20
     assert {request: len(answers) for request, answers in client.answers.items()} == Counter(requests)
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -86,7 +86,7 @@
     harness.change({"config/a": b"1"})
     harness.run(2000)
     wrong = entry("config/a", b"9", 2)
-    gateway.heard(harness.now_ms, ("s", 1), delta(gateway.session.session_id, 1, 2, [wrong], 99))
+    gateway.on_message(harness.now_ms, ("s", 1), delta(gateway.session.session_id, 1, 2, [wrong], 99))
     assert gateway.applied_values == {"config/a": b"1"} and gateway.counts["digest_wrong"] == 1
     harness.run(3000)
     assert (
@@ -164,12 +164,12 @@
     harness.change({"config/a": b"1"})
     harness.run(2000)
     for session, incarnation in ((gateway.session.session_id + 1, 1), (gateway.session.session_id, 2)):
-        harness.source.heard(
+        harness.source.on_message(
             harness.now_ms, (gateway.name, incarnation), pb.Message(leave=pb.Leave(session=session))
         )
     assert harness.source.coverage(harness.now_ms).subscribers == 1
     leave = pb.Message(leave=pb.Leave(session=gateway.session.session_id))
-    harness.source.heard(harness.now_ms, (gateway.name, 1), leave)
+    harness.source.on_message(harness.now_ms, (gateway.name, 1), leave)
     assert harness.source.coverage(harness.now_ms) == pb.Coverage(oldest=harness.source.version)
 
 
@@ -181,7 +181,7 @@
     with pytest.raises(ValueError):
         harness.subscriber(prefixes=["config/" + f"{number}" * 57 for number in range(16)])
     follow = pb.Follow(session=1, prefixes=[f"config/{number}" for number in range(17)])
-    harness.source.heard(harness.now_ms, ("f", 1), pb.Message(follow=follow))
+    harness.source.on_message(harness.now_ms, ("f", 1), pb.Message(follow=follow))
     assert harness.source.counts["malformed"] == 1 and not harness.source.sessions
 
 
@@ -190,11 +190,11 @@
     harness = Harness(Settings(most_sessions=5, most_views=3))
     for number in range(7):
         follow = pb.Follow(session=number + 1, number=1, prefixes=[f"config/{number}"])
-        harness.source.heard(harness.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
+        harness.source.on_message(harness.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
     assert len(harness.source.sessions) == 3 and len(messages_of(harness.source, "wait")) == 4
     for number in range(7):
         follow = pb.Follow(session=number + 9, number=1, prefixes=["config/0"])
-        harness.source.heard(harness.now_ms, (f"g{number}", 1), pb.Message(follow=follow))
+        harness.source.on_message(harness.now_ms, (f"g{number}", 1), pb.Message(follow=follow))
     assert len(harness.source.sessions) == 5 and len(harness.source.history.views) == 3
     harness.run(harness.settings.expire_ms + 100)
     assert not harness.source.sessions and not harness.source.history.views
@@ -221,7 +221,7 @@
     last = entry("config/a", b"1", 1)
     digest = gateway.state.store.digest_after([last])
     old = delta(gateway.session.session_id, 0, 1, [last], digest, generation=GENERATION - 1)
-    gateway.heard(harness.now_ms, ("s", 1), old)
+    gateway.on_message(harness.now_ms, ("s", 1), old)
     assert gateway.version == 0 and gateway.counts["old_generation"] == 1
     assert not harness.source.advance(harness.now_ms, GENERATION - 1, 1, [last], harness.now_ms)
     assert harness.source.version == 0
@@ -255,7 +255,7 @@
             setattr(message.delta, name, value)
     if "mark" not in fields:
         marked(message.delta, ["config/"])
-    gateway.heard(harness.now_ms, ("s", 1), message)
+    gateway.on_message(harness.now_ms, ("s", 1), message)
     assert (
         gateway.counts["malformed"] == 1
         and gateway.applied_values == {"config/a": b"1"}
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -119,7 +119,7 @@
         follow = pb.Follow(session=number + 1, number=1, prefixes=[f"engine/z{zone}/"], version=1000)
         store = harness.source.history.store
         follow.digest = digest_of_all(store, (f"engine/z{zone}/",))
-        harness.source.heard(harness.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
+        harness.source.on_message(harness.now_ms, (f"f{number}", 1), pb.Message(follow=follow))
     harness.source.outbox.clear()
     harness.now_ms += 1000
     calls = []
@@ -249,9 +249,9 @@
         follow.version = held
         follow.whole = wants_snapshot
         follow.number += 1
-        harness.source.heard(harness.now_ms, ("f", 1), pb.Message(follow=follow))
+        harness.source.on_message(harness.now_ms, ("f", 1), pb.Message(follow=follow))
     fetch = pb.FetchPages(session=1 << 63, version=harness.source.version, first=0, count=1 << 31)
-    harness.source.heard(harness.now_ms, ("f", 1), pb.Message(fetch=fetch))
+    harness.source.on_message(harness.now_ms, ("f", 1), pb.Message(fetch=fetch))
     sizes = {message.WhichOneof("kind"): message.ByteSize() for _, message in harness.source.outbox}
     assert max(sizes.values()) <= MAX_BODY_BYTES
     assert {"delta", "offer", "page"} <= set(sizes)
--- a/tests/test_fleet_applied_configuration.py
+++ b/tests/test_fleet_applied_configuration.py
@@ -96,9 +96,9 @@
             subscriber.outbox.clear()
             self.source.outbox.clear()
             for _, message in requests:
-                self.source.heard(self.now_ms, ("a", 1), message)
+                self.source.on_message(self.now_ms, ("a", 1), message)
             for _, message in answers:
-                subscriber.heard(self.now_ms, ("r1", 1), message)
+                subscriber.on_message(self.now_ms, ("r1", 1), message)
                 self.configuration.apply_first_list()
 
 
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -56,7 +56,7 @@
 
 def ask(world, name, **kind):
     """A client's message to a voter."""
-    world.net.call(name, Layer.DISTRIBUTION, "heard", CLIENT, pb.Message(**kind))
+    world.net.call(name, Layer.DISTRIBUTION, "on_message", CLIENT, pb.Message(**kind))
 
 
 def play():
@@ -133,7 +133,7 @@
     change = read_record(make_record(ENTRIES, 1), 1)
     source.advance(1_000.0, 1, 1, change.entries, 1_000.0)
     message = pb.Message.FromString(bytes.fromhex(example["bytes"]))
-    source.heard(1_100.0, (example["sender"], 1), message)
+    source.on_message(1_100.0, (example["sender"], 1), message)
     return outcome(source)
 
 
@@ -161,7 +161,7 @@
     )
     subscriber.tick(subscriber.due_ms)
     subscriber.outbox.clear()
-    subscriber.heard(2_000.0, (example["sender"], 1), message)
+    subscriber.on_message(2_000.0, (example["sender"], 1), message)
     result = outcome(subscriber)
     result |= {
         "version": subscriber.version,
@@ -178,7 +178,7 @@
     """What a client's message does to a new voter alone, which is no leader."""
     world = World(SEED, zones=0, gateways=0)
     part = world.part("v1")
-    part.heard(world.now("v1"), CLIENT, pb.Message.FromString(bytes.fromhex(example["bytes"])))
+    part.on_message(world.now("v1"), CLIENT, pb.Message.FromString(bytes.fromhex(example["bytes"])))
     sent = [[name, m.SerializeToString().hex()] for name, m in part.outbox if isinstance(m, pb.Message)]
     return {"sent": sent}
 
--- a/tests/test_golden_membership.py
+++ b/tests/test_golden_membership.py
@@ -97,7 +97,7 @@
     def deliver(self, receiver, sender, data):
         """A message arrives."""
         if receiver in self.members:
-            self.call(receiver, "heard", sender, pb.Message.FromString(data))
+            self.call(receiver, "on_message", sender, pb.Message.FromString(data))
 
     def tick(self, name, starts):
         """A tick that is still wanted."""
@@ -171,9 +171,11 @@
     receiver = make_member(example["receiver"], 1, 0.0)
     for name in NAMES:
         if name != receiver.name:
-            receiver.heard(1.0, (name, 1), pb.Message(join=pb.Join()))
+            receiver.on_message(1.0, (name, 1), pb.Message(join=pb.Join()))
     receiver.outbox.clear()
-    receiver.heard(100.0, tuple(example["sender"]), pb.Message.FromString(bytes.fromhex(example["bytes"])))
+    receiver.on_message(
+        100.0, tuple(example["sender"]), pb.Message.FromString(bytes.fromhex(example["bytes"]))
+    )
     return {
         "entries": entries_of(receiver),
         "sent": [[name, message.SerializeToString().hex()] for name, message in receiver.outbox],
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -224,8 +224,8 @@
 def test_foreign_and_empty_messages_are_counted_and_dropped():
     """Of another group, and without a body."""
     group = LeaseGroup("g", "a", 1, "abc", Random(1), FAST_SETTINGS, 0.0, {}, is_new_disk=True)
-    group.heard(1.0, ("b", 1), Message(group="h", claim={"generation": 1}))
-    group.heard(1.0, ("b", 1), Message(group="g"))
+    group.on_message(1.0, ("b", 1), Message(group="h", claim={"generation": 1}))
+    group.on_message(1.0, ("b", 1), Message(group="g"))
     assert group.foreign_messages == 2
     assert not group.outbox
     assert not group.store_requests
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -110,7 +110,7 @@
     assert fleet.until(fleet.agree, 5_000) is not None
     detector = fleet.watch("f0")
     before = detector.members()
-    detector.heard(detector.now_ms, ("f1", 1), late)
+    detector.on_message(detector.now_ms, ("f1", 1), late)
     assert detector.members() == before
     assert detector.counts["old_incarnation"] >= 1
 
@@ -208,7 +208,7 @@
     detector = FailureDetector("me", 1, ["a", "b", "c"], random.Random(4), Settings(), 0.0)
     now_ms = 1.0
     for name in "abc":
-        detector.heard(now_ms, (name, 1), pb.Message(join=pb.Join()))
+        detector.on_message(now_ms, (name, 1), pb.Message(join=pb.Join()))
     while not detector.prober.probes:
         now_ms = detector.due_ms
         detector.tick(now_ms)
@@ -222,7 +222,7 @@
         for name, message in sent:
             if message.WhichOneof("kind") == "ping" and name != silent:
                 ack = pb.Ack(no=message.ping.no, name=name, incarnation=1, ok=True)
-                detector.heard(now_ms + 0.5, (name, 1), pb.Message(ack=ack))
+                detector.on_message(now_ms + 0.5, (name, 1), pb.Message(ack=ack))
         detector.outbox.clear()
         now_ms = detector.due_ms
     assert detector.suspicion.may_accuse()
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -26,10 +26,10 @@
 def test_the_table_takes_no_more_than_its_limit_and_is_exchanged_whole():
     """1,100 names of the longest kind; another member gets all that fit by anti-entropy."""
     full = FailureDetector("me", 1, ["a"], random.Random(1), Settings(), 0.0)
-    full.heard(1.0, ("b", 1), pb.Message(join=pb.Join()))
+    full.on_message(1.0, ("b", 1), pb.Message(join=pb.Join()))
     for number in range(TOO_MANY_MEMBERS):
         row = pb.Row(name=f"{number:064}", incarnation=1)
-        full.heard(1.0, ("a", 1), pb.Message(gossip=pb.Gossip(), rows=[row]))
+        full.on_message(1.0, ("a", 1), pb.Message(gossip=pb.Gossip(), rows=[row]))
     assert len(full.members()) == MAX_MEMBERS
     assert full.counts["table_full"] == TOO_MANY_MEMBERS - MAX_MEMBERS + 3
     other = FailureDetector("b", 1, ["me"], random.Random(2), Settings(), 0.0)
@@ -46,7 +46,7 @@
     for sender, receiver, message in pending:
         assert message.ByteSize() <= MAX_BODY_BYTES
         receiver.outbox.clear()
-        receiver.heard(1.0, (sender.name, 1), message)
+        receiver.on_message(1.0, (sender.name, 1), message)
         answers = [m for _, m in receiver.outbox if m.WhichOneof("kind") in ("piece", "sync")]
         pending.extend((receiver, sender, answer) for answer in answers)
 
@@ -127,7 +127,7 @@
         now_ms += wait_ms
         before = precedences_of(detector)
         message = pb.Message(word=refutation, state=state, rows=claims, **kind)
-        detector.heard(now_ms, (name, incarnation), message)
+        detector.on_message(now_ms, (name, incarnation), message)
         if detector.due_ms <= now_ms:
             detector.tick(now_ms)
         after = precedences_of(detector)
--- a/tests/test_migration_coordinator.py
+++ b/tests/test_migration_coordinator.py
@@ -251,7 +251,7 @@
     for offer in offers:
         room = pb.Room(id=offer.id, generation=1, yes=True, free=9999)
         answer = pb.Message(replica_group=target, to="f0", term=1, room=room)
-        coordinator.heard(0.0, ("g", 1), with_checksum(answer))
+        coordinator.on_message(0.0, ("g", 1), with_checksum(answer))
     sent = [message for _, message in coordinator.outbox if message.HasField("handed")]
     largest_bytes = max(message.ByteSize() for message in sent)
     assert largest_bytes < MAX_DATAGRAM_BYTES
--- a/tests/test_quota_escrow.py
+++ b/tests/test_quota_escrow.py
@@ -69,7 +69,7 @@
 
 def grant(escrow, now_ms, **granted_ms):
     """A request, answered at once with these totals."""
-    escrow.heard(now_ms, LEADER, answer_to(request_of(escrow, now_ms), **granted_ms))
+    escrow.on_message(now_ms, LEADER, answer_to(request_of(escrow, now_ms), **granted_ms))
 
 
 def test_tokens_are_spent_only_until_the_term_of_the_last_answered_request_is_over():
@@ -78,7 +78,7 @@
     assert not escrow.reserve(0.0, "a", 10.0, 0)
     request = request_of(escrow, 100.0)
     assert request.rows[0].need_us == 10 * MS
-    escrow.heard(900.0, LEADER, answer_to(request, a=25))
+    escrow.on_message(900.0, LEADER, answer_to(request, a=25))
     assert escrow.reserve(900.0, "a", 10.0, 1)
     assert escrow.reserve(900.0, "a", 15.0, 2)
     assert not escrow.reserve(900.0, "a", 1.0, 3)
@@ -99,17 +99,17 @@
     first = request_of(escrow, 0.0)
     second = request_of(escrow, 200.0)
     for answer in (answer_to(second, a=30), answer_to(first, a=20), answer_to(second, a=30)):
-        escrow.heard(300.0, LEADER, answer)
+        escrow.on_message(300.0, LEADER, answer)
     assert escrow.holdings["a"].granted_us == 30 * MS
     assert escrow.expires_at_ms == 2200.0
     for field, value in (("front", "f9"), ("incarnation", 2), ("incarnation", 4), ("book", 2)):
         foreign = answer_to(second, a=99)
         setattr(foreign, field, value)
-        escrow.heard(300.0, LEADER, foreign)
-    escrow.heard(300.0, LEADER, answer_to(second, nobody=1))
+        escrow.on_message(300.0, LEADER, foreign)
+    escrow.on_message(300.0, LEADER, answer_to(second, nobody=1))
     damaged = answer_to(second, a=30)
     damaged.rows[0].book = 0  # stored as a sealed epoch, it would make every later request implausible
-    escrow.heard(300.0, LEADER, damaged)
+    escrow.on_message(300.0, LEADER, damaged)
     assert escrow.implausible_answers == 6
     assert escrow.holdings["a"].granted_us == 30 * MS
     assert not escrow.sealed_holdings
@@ -152,7 +152,7 @@
     escrow = escrow_of(a=10 * MS)
     answer = answer_to(request_of(escrow, 0.0), a=0)
     answer.rows[0].scarce = True
-    escrow.heard(0.0, LEADER, answer)
+    escrow.on_message(0.0, LEADER, answer)
     assert not request_of(escrow, 500.0).rows
     assert request_of(escrow, 2000.0).rows[0].upto_us == 10 * MS
 
--- a/tests/test_quota_leader.py
+++ b/tests/test_quota_leader.py
@@ -83,7 +83,7 @@
     """They change nothing in the ledger."""
     world = World(1, 1, [tenant_terms("a")])
     leader = world.gateways["f0"].leader
-    leader.heard(0.0, SENDER, pb.Ask(book=1, no=1))
+    leader.on_message(0.0, SENDER, pb.Ask(book=1, no=1))
     assert leader.misdirected_requests == 1
     assert leader.status() == {}
     world.group.elect("f0")
@@ -95,8 +95,8 @@
         pb.Ask(book=2, no=1, rows=[reported_row("a", 1, 1)]),
         pb.Ask(book=1, no=1, rows=[reported_row("a", 0, 0), reported_row("a", 0, 0)]),
     ):
-        leader.heard(0.0, SENDER, implausible)
-    leader.heard(
+        leader.on_message(0.0, SENDER, implausible)
+    leader.on_message(
         0.0, SENDER, pb.Ask(book=1, no=1, rows=[reported_row("a", 5, 5), reported_row("nobody", 5, 5)])
     )
     world.run(500)
