--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -213,7 +213,7 @@
         session.version = follow.version
         session.awaits_follow = False
         session.unanswered_deltas = 0
-        self.registry.record_heard(now_ms, session)
+        self.registry.record_message(now_ms, session)
         return True
 
     def _record_coverage(self, session: SubscriberSession, follow: pb.Follow) -> None:
@@ -266,7 +266,7 @@
         if session is None or not session.is_of(incarnation, fetch.session):
             self.send(name, unknown=pb.UnknownSession(session=fetch.session))
             return
-        self.registry.record_heard(now_ms, session)
+        self.registry.record_message(now_ms, session)
         self.snapshots.on_fetch(now_ms, session, fetch)
 
     def _on_leave(self, name: str, incarnation: int, leave: pb.Leave) -> None:
--- a/lichenquay/distribution/subscriber_sessions.py
+++ b/lichenquay/distribution/subscriber_sessions.py
@@ -96,7 +96,7 @@
         del self.audiences[audience.view.prefixes]
         return True
 
-    def record_heard(self, now_ms: float, session: SubscriberSession) -> None:
+    def record_message(self, now_ms: float, session: SubscriberSession) -> None:
         """Record a message of a session's subscriber."""
         session.heard_ms = now_ms
         self.sessions.move_to_end(session.name)
--- a/lichenquay/migration/session_log.py
+++ b/lichenquay/migration/session_log.py
@@ -149,14 +149,14 @@
         session.load_number = pinned.order
         self._mark_used(session)
 
-    def _apply_submitted(self, took: pb.Took) -> None:
+    def _apply_submitted(self, submitted: pb.Took) -> None:
         """A query is submitted, a read-only one perhaps again."""
-        session = self._session_in(took.id, SessionState.HELD)
-        query_id = took.ref.ref
+        session = self._session_in(submitted.id, SessionState.HELD)
+        query_id = submitted.ref.ref
         known = session.queries.pop(query_id, None)
-        repeatable = known is None or not (known.mutating or took.ref.mutating)
-        require(repeatable, f"{took.id}: {query_id} is submitted twice")
-        session.queries[query_id] = Query(took.ref)
+        repeatable = known is None or not (known.mutating or submitted.ref.mutating)
+        require(repeatable, f"{submitted.id}: {query_id} is submitted twice")
+        session.queries[query_id] = Query(submitted.ref)
         session.update_size()
         self._forget_ended_queries(session)
         self._mark_used(session)
@@ -183,19 +183,23 @@
         session.state = SessionState.OFFERED
         session.target = offered.to
 
-    def _apply_handed_over(self, gone: pb.Gone) -> None:
+    def _apply_handed_over(self, handed_over: pb.Gone) -> None:
         """The point of no return."""
-        session = self._session_in(gone.id, SessionState.OFFERED)
-        is_next = gone.no == self.sent_handovers.get(gone.to, 0) + 1
-        require(session.target == gone.to and is_next, f"{gone.id}: handed over to {gone.to} by {gone.no}")
+        session = self._session_in(handed_over.id, SessionState.OFFERED)
+        target = handed_over.to
+        is_next = handed_over.no == self.sent_handovers.get(handed_over.to, 0) + 1
+        require(
+            session.target == target and is_next,
+            f"{handed_over.id}: handed over to {target} by {handed_over.no}",
+        )
         session.state = SessionState.HANDED_OVER
-        session.handover_number = gone.no
+        session.handover_number = handed_over.no
         session.acknowledged = False
-        self.sent_handovers[gone.to] = gone.no
+        self.sent_handovers[handed_over.to] = handed_over.no
 
-    def _apply_acknowledged(self, told: pb.Told) -> None:
+    def _apply_acknowledged(self, acknowledged: pb.Told) -> None:
         """The target has the session on record."""
-        session = self._session_in(told.id, SessionState.HANDED_OVER)
+        session = self._session_in(acknowledged.id, SessionState.HANDED_OVER)
         session.acknowledged = True
         session.queries.clear()
         self._mark_used(session)
@@ -230,16 +234,16 @@
         above = tuple(sorted(number for number in numbers if number >= floor))
         self.received_handovers[accepted.giver] = ReceivedHandovers(floor, above)
 
-    def _apply_resumed(self, given_back: pb.GivenBack) -> None:
+    def _apply_resumed(self, resumed: pb.GivenBack) -> None:
         """The session is held again."""
-        session = self._session_in(given_back.id, SessionState.FROZEN, SessionState.OFFERED)
+        session = self._session_in(resumed.id, SessionState.FROZEN, SessionState.OFFERED)
         session.state = SessionState.HELD
         session.target = ""
 
-    def _apply_evicted(self, dropped: pb.Dropped) -> None:
-        session = self._session_in(dropped.id, SessionState.HELD)
-        require(not session.open_queries, f"{dropped.id} is evicted with an open query")
-        del self.sessions[dropped.id]
+    def _apply_evicted(self, evicted: pb.Dropped) -> None:
+        session = self._session_in(evicted.id, SessionState.HELD)
+        require(not session.open_queries, f"{evicted.id} is evicted with an open query")
+        del self.sessions[evicted.id]
 
 
 # The kinds of migration.proto's Change, by the names of their fields.
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -148,8 +148,8 @@
     def _add_expiries(self, now_ms: float, batch: ChangeBatch) -> None:
         for key in [key for key in self.speculative.epochs if key not in self.speculative.expired]:
             # A gateway without a request in this term may have sent one to the leader before.
-            last_heard_ms = self.pending.last_heard_ms.get(key, self.term_started_ms)
-            if now_ms >= last_heard_ms + self.expiry_ms:
+            last_message_ms = self.pending.last_message_ms.get(key, self.term_started_ms)
+            if now_ms >= last_message_ms + self.expiry_ms:
                 batch.add(self.speculative.decide_expiry(*key))
 
     def _allocate(
--- a/lichenquay/quota/ledger_state.py
+++ b/lichenquay/quota/ledger_state.py
@@ -60,13 +60,13 @@
         present_us = account.pool_us + account.held_us + account.receivable_us - account.debt_us
         account.capacity_ceiling_us = max(stored.bucket_us, present_us)
 
-    def apply_accrual(self, beat: pb.Beat) -> None:
+    def apply_accrual(self, accrual: pb.Beat) -> None:
         """Time passes: accounts accrue, debtors repay their share, loans age."""
         for loan in self.loans.values():
-            loan.age_ms += beat.elapsed_ms
+            loan.age_ms += accrual.elapsed_ms
         for tenant, account in self.accounts.items():
             accrued_us, account.accrual_remainder = divmod(
-                account.terms.rate_us * beat.elapsed_ms + account.accrual_remainder, 1000
+                account.terms.rate_us * accrual.elapsed_ms + account.accrual_remainder, 1000
             )
             repayment_us = self._repayment_share(account, accrued_us)
             issued_us = max(0, min(accrued_us, account.headroom_us + repayment_us))
--- a/lichenquay/quota/pending_requests.py
+++ b/lichenquay/quota/pending_requests.py
@@ -65,7 +65,7 @@
 
     def __init__(self):
         """Nothing was received yet."""
-        self.last_heard_ms: dict[EpochKey, float] = {}
+        self.last_message_ms: dict[EpochKey, float] = {}
         self.newest: dict[str, RequestOrder] = {}
         self.pressure: dict[str, PressureReport] = {}
         self.requests: dict[str, list[GatewayRequest]] = {}
@@ -85,7 +85,7 @@
 
         Its totals count in any case; only requests of a gateway's newest epoch are granted and answered.
         """
-        self.last_heard_ms[EpochKey(gateway, incarnation, request.book)] = now_ms
+        self.last_message_ms[EpochKey(gateway, incarnation, request.book)] = now_ms
         self.reports += [UsageReport(gateway, incarnation, row) for row in request.rows]
         order = RequestOrder(incarnation, request.book, request.no)
         newest = self.newest.get(gateway, order)
@@ -118,10 +118,10 @@
 
         Otherwise those that come and go would fill the memory.
         """
-        self.last_heard_ms = {
-            key: heard_ms
-            for key, heard_ms in self.last_heard_ms.items()
-            if heard_ms > oldest_ms or key in open_epochs
+        self.last_message_ms = {
+            key: message_ms
+            for key, message_ms in self.last_message_ms.items()
+            if message_ms > oldest_ms or key in open_epochs
         }
         self.pressure = {
             gateway: report for gateway, report in self.pressure.items() if report.reported_ms > oldest_ms
