--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -2,22 +2,14 @@
 
 from contextlib import contextmanager
 
+from invariants import require
+
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.record_log import read_record
 
 DRIFT = 0.06  # Between a process's clock and true time, and a rest.
 
 
-class InvariantError(AssertionError):
-    """An invariant does not hold."""
-
-
-def require(condition, message):
-    """Raises InvariantError unless the condition holds."""
-    if not condition:
-        raise InvariantError(message)
-
-
 class Audit:
     """Compares what is in force with the log up to its version; knows the log of all leaders and all answers.
 
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -3,7 +3,8 @@
 from dataclasses import replace
 from random import Random
 
-from distribution_audit import Audit, require
+from distribution_audit import Audit
+from invariants import require
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.publisher import PUBLISHING_KINDS, group_settings, make_voter
--- a/tests/golden_migration_exchange.py
+++ b/tests/golden_migration_exchange.py
@@ -4,6 +4,8 @@
 transcript. `golden/migration/transcript.json` is the one of revision 0018238.
 """
 
+from replicated_group import StableGroup
+
 from lichenquay.migration import replica_group_state
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.session import SessionState
@@ -12,6 +14,7 @@
 from lichenquay.quota import ledger_records
 
 STEP_MS = 50
+GENERATION = 2  # of each group
 END_MS = 14_000
 GROUPS = ("gateway-0", "gateway-1", "gateway-2")
 SETTINGS = MigrationSettings(announce_ms=300.0, max_leaving_share=0.5)
@@ -24,42 +27,12 @@
 }
 
 
-class ReplicatedGroup:
-    """A group with one holder that stays; a record is made in the next step."""
-
-    generation = 2
-
-    def __init__(self):
-        """Nothing is written yet."""
-        self.records = []
-        self.writes = []
-
-    def holds(self, now_ms):
-        """The holder never changes."""
-        return True
-
-    def snapshot(self):
-        """A log without sessions."""
-        return b"", []
-
-    def append(self, now_ms, record, done):
-        """Made by `complete_writes`."""
-        self.writes.append((record, done))
-
-    def complete_writes(self, now_ms):
-        """Makes what was written in the step before."""
-        writes, self.writes = self.writes, []
-        for record, done in writes:
-            self.records.append(record)
-            done(now_ms, True)
-
-
 class Exchange:
     """The coordinators, their messages in order, and the records of each replica group."""
 
     def __init__(self):
         """At 0 ms, before the first session."""
-        self.groups = {name: ReplicatedGroup() for name in GROUPS}
+        self.groups = {name: StableGroup(GENERATION) for name in GROUPS}
         self.coordinators = {name: Coordinator(name, self.groups[name], SETTINGS) for name in GROUPS}
         self.messages = []
         self.answers = []
--- a/tests/golden_quota_exchange.py
+++ b/tests/golden_quota_exchange.py
@@ -6,6 +6,8 @@
 
 from random import Random
 
+from replicated_group import StableGroup
+
 from lichenquay.quota import ledger_records
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.escrow import TokenEscrow
@@ -14,27 +16,20 @@
 TERM_MS = 2_000.0
 PERIOD_MS = 200.0
 STEP_MS = 50
+GENERATION = 3  # of the ledger's group
 LEADER = "gateway-0"
 GATEWAYS = (LEADER, "gateway-1", "gateway-2")
-ACCOUNTS = (
+ACCOUNTS = tuple(
     pb.Open(
-        tenant="north",
+        tenant=tenant,
         rate_us=100_000,
         bucket_us=200_000,
         limit_us=100_000,
         term_ms=5_000,
         repay_permille=500,
         lend_permille=250,
-    ),
-    pb.Open(
-        tenant="south",
-        rate_us=100_000,
-        bucket_us=200_000,
-        limit_us=100_000,
-        term_ms=5_000,
-        repay_permille=500,
-        lend_permille=250,
-    ),
+    )
+    for tenant in ("north", "south")
 )
 # From when (ms), until when, gateway, tenant, queries a second.
 TRAFFIC = (
@@ -50,43 +45,13 @@
 RUN_STEPS = 4
 
 
-class ReplicatedGroup:
-    """A group with one holder that stays; a record is made in the next step."""
-
-    generation = 3
-
-    def __init__(self):
-        """Nothing is written yet."""
-        self.records = []
-        self.writes = []
-
-    def holds(self, now_ms):
-        """The holder never changes."""
-        return True
-
-    def snapshot(self):
-        """An empty ledger."""
-        return b"", []
-
-    def append(self, now_ms, record, done):
-        """Made by `complete_writes`."""
-        self.writes.append((record, done))
-
-    def complete_writes(self, now_ms):
-        """Makes what was written in the step before."""
-        writes, self.writes = self.writes, []
-        for record, done in writes:
-            self.records.append(record)
-            done(now_ms, True)
-
-
 class Exchange:
     """The gateways, their messages in order, and the records of the ledger."""
 
     def __init__(self):
         """At 0 ms, before the first message."""
         self.random = Random(11)
-        self.group = ReplicatedGroup()
+        self.group = StableGroup(GENERATION)
         self.leader = LedgerLeader(self.group, ACCOUNTS, TERM_MS, PERIOD_MS)
         stocks = {account.tenant: account.bucket_us // 12 for account in ACCOUNTS}
         self.escrows = {
--- a/tests/lease_audit.py
+++ b/tests/lease_audit.py
@@ -2,6 +2,7 @@
 
 from random import Random
 
+from invariants import require
 from lease_world import World
 
 from lichenquay.lease.durable_state import PROMISE_SECTION, STATE_SECTION
@@ -15,16 +16,6 @@
 NUMBER_BYTES = 8  # of a record: its number; padding follows
 
 
-class InvariantError(AssertionError):
-    """An invariant does not hold."""
-
-
-def require(condition, description):
-    """Raises InvariantError unless the condition holds."""
-    if not condition:
-        raise InvariantError(description)
-
-
 class Audit:
     """Knows all records that were appended, all results, and every state that a holder began with."""
 
--- a/tests/lease_explore.py
+++ b/tests/lease_explore.py
@@ -12,14 +12,8 @@
 from collections import deque
 from dataclasses import replace
 
-from lease_audit import (
-    InvariantError,
-    check_append_reply,
-    check_grant,
-    numbers_of,
-    promised_generation,
-    require,
-)
+from invariants import InvariantError, require
+from lease_audit import check_append_reply, check_grant, numbers_of, promised_generation
 from lease_explore_state import (
     NAMES,
     RECORD,
--- a/tests/lease_faults.py
+++ b/tests/lease_faults.py
@@ -3,7 +3,8 @@
 from dataclasses import replace
 from random import Random
 
-from lease_audit import FAST_SETTINGS, NUMBER_BYTES, append_record, holder_of, make_world, require
+from invariants import require
+from lease_audit import FAST_SETTINGS, NUMBER_BYTES, append_record, holder_of, make_world
 from lease_world import DiskMode
 
 # The order of the faults decides what each seed plays.
--- a/tests/lease_mutation.py
+++ b/tests/lease_mutation.py
@@ -23,7 +23,8 @@
 from typing import NamedTuple
 
 from google.protobuf.message import DecodeError
-from lease_audit import FAST_SETTINGS, InvariantError, append_record, holder_of, make_world, require
+from invariants import InvariantError, require
+from lease_audit import FAST_SETTINGS, append_record, holder_of, make_world
 
 from lichenquay.lease.lease_pb2 import Message
 
--- a/tests/migration_audit.py
+++ b/tests/migration_audit.py
@@ -1,6 +1,6 @@
 """What must hold in a `migration_world` after every step, and at rest. It knows more than any process."""
 
-from migration_group import require
+from invariants import require
 
 from lichenquay.migration.session import SessionState
 
--- a/tests/migration_client.py
+++ b/tests/migration_client.py
@@ -1,6 +1,6 @@
 """A client of `migration_world`: it knows its session's id, where it was told to ask, and its query."""
 
-from migration_group import require
+from invariants import require
 
 from lichenquay.migration.messages import AnswerKind
 
--- a/tests/migration_group.py
+++ b/tests/migration_group.py
@@ -1,7 +1,7 @@
-"""A replica group in memory, with the promises of `lease`, for `migration_world`.
+"""A replica group in memory, with the promises of `lease`, for `migration_world`."""
 
-And what an audit raises.
-"""
+from invariants import require
+from replicated_group import PendingWrite, UncertainGroup
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.state_machine import StateMachine
@@ -10,41 +10,16 @@
 OVERLAP_RECORDS = 2  # a snapshot comes with some records that are in it already
 
 
-class AuditError(AssertionError):
-    """A rule was seen broken."""
-
-
-def require(condition, message):
-    """Raises AuditError with this message where the condition does not hold."""
-    if not condition:
-        raise AuditError(message)
-
-
-class PendingWrite:
-    """A write whose result is not known yet."""
-
-    def __init__(self, handle, record, done):
-        """`handle`: the GroupHandle of the writer."""
-        self.handle = handle
-        self.record = record
-        self.done = done
-
-
-class SimulatedGroup:
-    """One replica group: one holder at most, records in order, results that are sometimes uncertain."""
+class SimulatedGroup(UncertainGroup):
+    """One replica group; its holder is a process name with its life."""
 
     def __init__(self, world, replica_group):
         """`replica_group`: its name."""
-        self.world = world
+        super().__init__(world)
         self.replica_group = replica_group
-        self.generation = 0
-        self.holder = None  # (process name, its life)
-        self.pending = []
         self.state_machine = StateMachine(replica_group)  # all committed records, replayed
-        self.log = []
         self.states = {0: self.state_machine.state()}
         self.without_holder_since = None
-        self.uncertain_share = 0.0
 
     def elect(self, process):
         """A new generation.
@@ -66,18 +41,7 @@
         self.pending.append(write)
         self.world.at(self.world.random.uniform(1, 30), lambda: self._end_in_time(write))
 
-    def _end_in_time(self, write):
-        if write not in self.pending:
-            return
-        uncertain = self.world.random.random() < self.uncertain_share
-        self.pending.remove(write)
-        result = None if uncertain else True
-        self._end(write, result, not uncertain or self.world.random.random() < 0.5)
-        if uncertain:
-            self.holder = None
-
     def _end(self, write, result, committed):
-        """`result` is what the writer is told, `committed` is what is true."""
         if committed:
             self._commit(pb.Record.FromString(write.record))
         process = self.world.processes[write.handle.name]
--- a/tests/migration_small_world.py
+++ b/tests/migration_small_world.py
@@ -8,7 +8,7 @@
 import copyreg
 from functools import partial
 
-from migration_group import AuditError, require
+from invariants import InvariantError, require
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
@@ -345,7 +345,7 @@
             acknowledged = all(session.acknowledged for session in self.copies() if not session.is_owned)
             if owned == [SessionState.HELD] and acknowledged:
                 return
-        raise AuditError("no owner")
+        raise InvariantError("no owner")
 
     def fingerprint(self):
         """Two states with one fingerprint continue alike.
--- a/tests/migration_world.py
+++ b/tests/migration_world.py
@@ -7,8 +7,9 @@
 from heapq import heappop, heappush
 from random import Random
 
+from invariants import InvariantError
 from migration_audit import Audit
-from migration_group import AuditError, GroupHandle, SimulatedGroup
+from migration_group import GroupHandle, SimulatedGroup
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
@@ -337,6 +338,6 @@
             self.run(500)
             try:
                 return self.audit.check_rest()
-            except AuditError:
+            except InvariantError:
                 if self.now >= until_ms:
                     raise
--- a/tests/quota_audit.py
+++ b/tests/quota_audit.py
@@ -1,6 +1,6 @@
 """What must hold in a `quota_world` after every step, and at rest. It knows more than any gateway."""
 
-from quota_group import require
+from invariants import require
 
 FASTEST_CLOCK = 1.03
 SETTLING_MS = 500
--- a/tests/quota_group.py
+++ b/tests/quota_group.py
@@ -1,4 +1,7 @@
-"""The ledger's replicated group in memory, with the promises of `lease`; and what an audit raises."""
+"""The ledger's replicated group in memory, with the promises of `lease`."""
+
+from invariants import require
+from replicated_group import PendingWrite, UncertainGroup
 
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.ledger import Ledger
@@ -9,41 +12,16 @@
 USUAL_WRITE_MS = 5.0
 
 
-class AuditError(AssertionError):
-    """An invariant was seen broken."""
-
-
-def require(condition, message):
-    """Raises AuditError with this message where the condition does not hold."""
-    if not condition:
-        raise AuditError(message)
-
-
-class PendingWrite:
-    """A write whose result is not known yet."""
-
-    def __init__(self, handle, record, done):
-        """`handle`: the GroupHandle of the writer."""
-        self.handle = handle
-        self.record = record
-        self.done = done
-
-
-class SimulatedGroup:
-    """One holder, records in order, results that are sometimes uncertain."""
+class SimulatedGroup(UncertainGroup):
+    """The ledger's group; its holder is the name of a gateway."""
 
     def __init__(self, world):
         """`world`: a quota_world.World."""
-        self.world = world
-        self.generation = 0
-        self.holder = None
-        self.pending = []
-        self.log = []
+        super().__init__(world)
         self.compacted = 0  # records in the latest snapshot
         self.ledger = Ledger()  # all committed records, replayed
         self.entries = {}  # its escrow entries, with those that it forgot since
         self.states = {0: self.ledger.state()}
-        self.uncertain_share = 0.0
         self.write_delay_ms = lambda: USUAL_WRITE_MS
 
     def elect(self, gateway_name):
@@ -63,16 +41,6 @@
         self.pending.append(write)
         self.world.at(self.write_delay_ms(), lambda: self._end_in_time(write))
 
-    def _end_in_time(self, write):
-        if write not in self.pending:
-            return
-        self.pending.remove(write)
-        uncertain = self.world.random.random() < self.uncertain_share
-        result = None if uncertain else True
-        self._end(write, result, not uncertain or self.world.random.random() < 0.5)
-        if uncertain:
-            self.holder = None
-
     def _end(self, write, result, committed):
         if committed:
             self._commit(write.record)
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -3,8 +3,9 @@
 from heapq import heappop, heappush
 from random import Random
 
+from invariants import InvariantError, require
 from quota_audit import Audit, ForgettingDict
-from quota_group import AuditError, GroupHandle, SimulatedGroup, require
+from quota_group import GroupHandle, SimulatedGroup
 
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.escrow import TokenEscrow
@@ -247,6 +248,6 @@
             self.run(self.now + 500)
             try:
                 return self.audit.check_rest()
-            except AuditError:
+            except InvariantError:
                 if self.now >= until_ms:
                     raise
--- a/tests/test_lease_faults.py
+++ b/tests/test_lease_faults.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from lease_audit import InvariantError
+from invariants import InvariantError
 from lease_broken import BROKEN
 from lease_explore import Explorer
 from lease_explore_state import Budget
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -5,8 +5,8 @@
 from random import Random
 
 import pytest
+from invariants import InvariantError
 from quota_broken import BROKEN_RULES, AddsGrants, TakesAnyAnswer, broken
-from quota_group import AuditError
 from quota_mutations import ACCOUNTS, mutants, mutations, record, scenario
 from quota_world import STEP_MS, World
 
@@ -205,7 +205,7 @@
 
 def test_a_message_that_breaks_something_is_named():
     """One rule that the scenario breaks by itself, one that it takes a changed message to break."""
-    with broken(escrow=AddsGrants), pytest.raises((AuditError, LedgerError)):
+    with broken(escrow=AddsGrants), pytest.raises((InvariantError, LedgerError)):
         scenario()
     mutation_run = MutationRun(20)
     with broken(escrow=TakesAnyAnswer):
@@ -231,7 +231,7 @@
     for name, run in runs:
         try:
             run()
-        except (AuditError, LedgerError) as error:
+        except (InvariantError, LedgerError) as error:
             return f"{name}: {error}"
     return None
 
