--- a/lichenquay/load/run.py
+++ b/lichenquay/load/run.py
@@ -6,7 +6,6 @@
 import contextlib
 import json
 import subprocess
-import sys
 import time
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -17,7 +16,7 @@
 from pyarrow import parquet
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import environment, read_line
+from lichenquay.load.child import read_line, start_module
 from lichenquay.load.errors import RunError
 from lichenquay.load.plan import draw_plan
 from lichenquay.load.trace import read_trace, write_trace
@@ -106,16 +105,7 @@
     def start(self) -> None:
         """Starts the processes; raises RunError if one cannot connect to its target."""
         for job in self.jobs:
-            command = [sys.executable, "-m", "lichenquay.load.worker", str(self._job_path(job))]
-            process = subprocess.Popen(
-                command,
-                env=environment(),
-                text=True,
-                stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE,
-                start_new_session=True,
-            )
-            self.processes.append(process)
+            self.processes.append(start_module("lichenquay.load.worker", str(self._job_path(job))))
         for process in self.processes:
             if read_line(process, READY_TIMEOUT_S) != READY:
                 self.close()
--- a/lichenquay/load/self_test.py
+++ b/lichenquay/load/self_test.py
@@ -2,13 +2,12 @@
 
 import signal
 import subprocess
-import sys
 import time
 from contextlib import contextmanager
 from pathlib import Path
 
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.child import environment, read_line
+from lichenquay.load.child import read_line, start_module
 from lichenquay.load.errors import RunError
 from lichenquay.load.report import LAG_BOUND_MS, report_of
 from lichenquay.load.run import Workers
@@ -47,14 +46,7 @@
 @contextmanager
 def null_server():
     """Runs a null server; gives its address and its process. Raises RunError if it does not start."""
-    process = subprocess.Popen(
-        [sys.executable, "-m", "lichenquay.load.null_server"],
-        env=environment(),
-        text=True,
-        stdin=subprocess.DEVNULL,
-        stdout=subprocess.PIPE,
-        start_new_session=True,
-    )
+    process = start_module("lichenquay.load.null_server", stdin=subprocess.DEVNULL)
     try:
         address = read_line(process, NULL_SERVER_TIMEOUT_S)
         if not address:
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -13,7 +13,7 @@
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import ROOT, environment, read_line
+from lichenquay.load.child import ROOT, environment, read_line, start_module
 
 READY_S = 15.0
 EFFECTS = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
@@ -79,6 +79,13 @@
     }
 
 
+def start_emulator(lab, folder, ledger):
+    """Starts the emulator of engines and bulletin on settings that it writes into the folder; returns its process."""
+    conf = folder / "world.textproto"
+    conf.write_text(text_format.MessageToString(lab))
+    return start_module("lichenquay.testbed.emulator", "--conf", str(conf), "--ledger", str(ledger))
+
+
 class World:
     """Starts it all and ends it all; a context. `front`: the module that plays the front."""
 
@@ -90,24 +97,7 @@
     def __enter__(self):
         self.out.mkdir(parents=True, exist_ok=True)
         try:
-            conf = self.out / "world.textproto"
-            conf.write_text(text_format.MessageToString(self.lab))
-            self.emulator = subprocess.Popen(
-                [
-                    sys.executable,
-                    "-m",
-                    "lichenquay.testbed.emulator",
-                    "--conf",
-                    str(conf),
-                    "--ledger",
-                    str(self.ledger),
-                ],
-                env=environment(),
-                text=True,
-                stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE,
-                start_new_session=True,
-            )
+            self.emulator = start_emulator(self.lab, self.out, self.ledger)
             self.processes.append(self.emulator)
             line = read_line(self.emulator, READY_S)
             if not line:
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -3,17 +3,15 @@
 import json
 import random
 import socket
-import subprocess
-import sys
 import threading
 import time
 from pathlib import Path
 
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
-from lichenquay.load.child import environment, read_line
+from lichenquay.load.child import read_line
 from lichenquay.load.task import Task, statement_of
-from lichenquay.testbed.world import settings_of
+from lichenquay.testbed.world import settings_of, start_emulator
 
 
 class Engines:
@@ -24,27 +22,8 @@
         self.settings = settings_of(self.lab)
 
     def __enter__(self):
-        conf = self.path / "world.textproto"
-        from google.protobuf import text_format
-
-        conf.write_text(text_format.MessageToString(self.lab))
         self.ledger = self.path / "engines.jsonl"
-        self.process = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "lichenquay.testbed.emulator",
-                "--conf",
-                str(conf),
-                "--ledger",
-                str(self.ledger),
-            ],
-            env=environment(),
-            text=True,
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            start_new_session=True,
-        )
+        self.process = start_emulator(self.lab, self.path, self.ledger)
         self.told = json.loads(read_line(self.process, 15.0))
         return self
 
