--- a/lichenquay/load/run.py
+++ b/lichenquay/load/run.py
@@ -93,9 +93,7 @@
         self.plan = self._default_plan() if plan is None else plan
         write_trace(self.out / "plan.parquet", self.plan)
         self.end_s = self._end_ms() / 1000
-        self.jobs = [
-            self._make_job(index, target, checks_rows=rows, run=run) for index in range(testbed.load.workers)
-        ]
+        self.jobs = self._make_jobs(target, checks_rows=rows, run=run)
         self.processes = []
         self.started_ms = 0.0
         for job in self.jobs:
@@ -163,10 +161,11 @@
             return float(at_ms[-1])
         return self.testbed.load.seconds * 1000
 
-    def _make_job(self, index, target, checks_rows, run):
+    def _make_jobs(self, target, checks_rows, run):
         testbed = self.testbed
         load = testbed.load
         addresses = client_addresses(load)
+        all_addresses = sorted(set(addresses))
         groups = [
             JobGroup(
                 name=group.name,
@@ -177,23 +176,26 @@
             )
             for group in testbed.groups
         ]
-        return WorkerJob(
-            index=index,
-            run=run,
-            plan_path=str(self.out / f"plan-{index}.npz"),
-            output_path=str(self.out / f"worker-{index}"),
-            target=target,
-            addresses=addresses[index :: load.workers],
-            all_addresses=sorted(set(addresses)),
-            groups=groups,
-            seed=[testbed.seed, WORKER_STREAM, index],
-            max_retries=load.repeats,
-            is_closed_loop=load.closed,
-            checks_rows=checks_rows,
-            end_ms=self._end_ms(),
-            longest_timeout_ms=max(group.timeout_ms for group in testbed.groups),
-            send_interval_ms=1000.0 * load.connections / load.rate,
-        )
+        return [
+            WorkerJob(
+                index=index,
+                run=run,
+                plan_path=str(self.out / f"plan-{index}.npz"),
+                output_path=str(self.out / f"worker-{index}"),
+                target=target,
+                addresses=addresses[index :: load.workers],
+                all_addresses=all_addresses,
+                groups=groups,
+                seed=[testbed.seed, WORKER_STREAM, index],
+                max_retries=load.repeats,
+                is_closed_loop=load.closed,
+                checks_rows=checks_rows,
+                end_ms=self._end_ms(),
+                longest_timeout_ms=max(group.timeout_ms for group in testbed.groups),
+                send_interval_ms=1000.0 * load.connections / load.rate,
+            )
+            for index in range(load.workers)
+        ]
 
     def _write_plan_part(self, job):
         part = {}
--- a/lichenquay/load/worker_job.py
+++ b/lichenquay/load/worker_job.py
@@ -64,8 +64,8 @@
 
 def write_job(path: str | Path, job: WorkerJob) -> None:
     """Writes a job as JSON."""
-    values = asdict(job)
-    Path(path).write_text(json.dumps({key: values[name] for name, key in JOB_KEYS.items()}))
+    values = {key: getattr(job, name) for name, key in JOB_KEYS.items()}
+    Path(path).write_text(json.dumps(values, default=asdict))
 
 
 def read_job(path: str | Path) -> WorkerJob:
