--- a/lichenquay/load/worker.py
+++ b/lichenquay/load/worker.py
@@ -22,7 +22,7 @@
 from lichenquay.load.client_query import ClientQuery
 from lichenquay.load.task import Task
 from lichenquay.load.worker_job import DONE, READY, START, STOP, read_job
-from lichenquay.load.worker_results import LatencyRecorder, WorkerCounters, write_results
+from lichenquay.load.worker_results import LatencyRecorder, WorkerCounters, write_facts, write_table
 
 ANSWER_GRACE_MS = 400.0  # after its timeout a query without an answer counts as silent
 STOP_GRACE_MS = 1000.0  # for answers after STOP
@@ -296,15 +296,18 @@
     def _finish(self):
         """Writes the results and ends the process."""
         self.is_stopped = True
+        cpu_s = time.process_time() - self.cpu_at_start_s
+        write_table(self.job.output_path, self.queries)
+        # The writing of the table counts as time of the run, its processor time does not.
         counters = WorkerCounters(
             unknown_answers=self.unknown_answers,
             notices=self.notices,
             failed_connects=self.failed_connects,
             lost_connections=self.lost_connections,
-            cpu_s=time.process_time() - self.cpu_at_start_s,
+            cpu_s=cpu_s,
             run_seconds=self.now_ms() / 1000,
         )
-        write_results(self.job.output_path, self.queries, self.recorder, counters)
+        write_facts(self.job.output_path, self.recorder, counters)
         self._tell_parent(DONE)
         reactor.stop()
 
--- a/lichenquay/load/worker_results.py
+++ b/lichenquay/load/worker_results.py
@@ -52,13 +52,15 @@
     run_seconds: float
 
 
-def write_results(
-    output_path: str, queries: list[ClientQuery], recorder: LatencyRecorder, counters: WorkerCounters
-) -> None:
-    """Writes the table of queries, then the counters and histograms, each file whole or not at all."""
+def write_table(output_path: str, queries: list[ClientQuery]) -> None:
+    """Writes the table of queries, whole or not at all."""
     table_path = output_path + ".parquet"
     parquet.write_table(table_of_queries(queries), table_path + ".part")
     os.replace(table_path + ".part", table_path)
+
+
+def write_facts(output_path: str, recorder: LatencyRecorder, counters: WorkerCounters) -> None:
+    """Writes the counters and histograms, whole or not at all."""
     stored = {
         "strange": counters.unknown_answers,
         "told": counters.notices,
