--- a/tests/fleet/fleet_marks.py
+++ b/tests/fleet/fleet_marks.py
@@ -19,7 +19,6 @@
     "uncertain_writes",
     "expiries",
     "now_ms",
-    "figures",
     "settings",
     "rng",
     "random",
