--- a/lichenquay/load/run.py
+++ b/lichenquay/load/run.py
@@ -6,7 +6,6 @@
 import contextlib
 import json
 import subprocess
-import sys
 import time
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -17,7 +16,7 @@
 from pyarrow import parquet
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import environment, read_line
+from lichenquay.load.child import read_line, start_module
 from lichenquay.load.errors import RunError
 from lichenquay.load.plan import draw_plan
 from lichenquay.load.trace import read_trace, write_trace
@@ -94,9 +93,7 @@
         self.plan = self._default_plan() if plan is None else plan
         write_trace(self.out / "plan.parquet", self.plan)
         self.end_s = self._end_ms() / 1000
-        self.jobs = [
-            self._make_job(index, target, checks_rows=rows, run=run) for index in range(testbed.load.workers)
-        ]
+        self.jobs = self._make_jobs(target, checks_rows=rows, run=run)
         self.processes = []
         self.started_ms = 0.0
         for job in self.jobs:
@@ -106,16 +103,7 @@
     def start(self) -> None:
         """Starts the processes; raises RunError if one cannot connect to its target."""
         for job in self.jobs:
-            command = [sys.executable, "-m", "lichenquay.load.worker", str(self._job_path(job))]
-            process = subprocess.Popen(
-                command,
-                env=environment(),
-                text=True,
-                stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE,
-                start_new_session=True,
-            )
-            self.processes.append(process)
+            self.processes.append(start_module("lichenquay.load.worker", str(self._job_path(job))))
         for process in self.processes:
             if read_line(process, READY_TIMEOUT_S) != READY:
                 self.close()
@@ -173,10 +161,11 @@
             return float(at_ms[-1])
         return self.testbed.load.seconds * 1000
 
-    def _make_job(self, index, target, checks_rows, run):
+    def _make_jobs(self, target, checks_rows, run):
         testbed = self.testbed
         load = testbed.load
         addresses = client_addresses(load)
+        all_addresses = sorted(set(addresses))
         groups = [
             JobGroup(
                 name=group.name,
@@ -187,23 +176,26 @@
             )
             for group in testbed.groups
         ]
-        return WorkerJob(
-            index=index,
-            run=run,
-            plan_path=str(self.out / f"plan-{index}.npz"),
-            output_path=str(self.out / f"worker-{index}"),
-            target=target,
-            addresses=addresses[index :: load.workers],
-            all_addresses=sorted(set(addresses)),
-            groups=groups,
-            seed=[testbed.seed, WORKER_STREAM, index],
-            max_retries=load.repeats,
-            is_closed_loop=load.closed,
-            checks_rows=checks_rows,
-            end_ms=self._end_ms(),
-            longest_timeout_ms=max(group.timeout_ms for group in testbed.groups),
-            send_interval_ms=1000.0 * load.connections / load.rate,
-        )
+        return [
+            WorkerJob(
+                index=index,
+                run=run,
+                plan_path=str(self.out / f"plan-{index}.npz"),
+                output_path=str(self.out / f"worker-{index}"),
+                target=target,
+                addresses=addresses[index :: load.workers],
+                all_addresses=all_addresses,
+                groups=groups,
+                seed=[testbed.seed, WORKER_STREAM, index],
+                max_retries=load.repeats,
+                is_closed_loop=load.closed,
+                checks_rows=checks_rows,
+                end_ms=self._end_ms(),
+                longest_timeout_ms=max(group.timeout_ms for group in testbed.groups),
+                send_interval_ms=1000.0 * load.connections / load.rate,
+            )
+            for index in range(load.workers)
+        ]
 
     def _write_plan_part(self, job):
         part = {}
