--- a/lichenquay/testbed/scale/probes/door.py
+++ b/lichenquay/testbed/scale/probes/door.py
@@ -41,7 +41,7 @@
 
 
 class VirtualDoor:
-    """An `GatewayPort`; `beats` and `queries` sum the controller's processor time by what called it."""
+    """A `GatewayPort`; `beats` and `queries` sum the controller's processor time by what called it."""
 
     def __init__(self, engines: list[domain.Engine], seed: int, rate_per_s: float):
         """Queries come at `rate_per_s` by a Poisson process once `play` is called."""
@@ -98,11 +98,11 @@
 
     # What the controller asks of its front.
 
-    def start_attempt(self, q: domain.Query, engine: domain.Engine, patience_ms: float) -> domain.Attempt:
+    def start_attempt(self, query: domain.Query, engine: domain.Engine, timeout_ms: float) -> domain.Attempt:
         """The engine answers after the query's work."""
-        attempt = domain.Attempt(q, len(q.attempts), engine, self.now_ms)
-        q.attempts.append(attempt)
-        took_ms = q.estimated_work_ms / q.group.threads * self.rng.uniform(0.9, 1.1)
+        attempt = domain.Attempt(query, len(query.attempts), engine, self.now_ms)
+        query.attempts.append(attempt)
+        took_ms = query.estimated_work_ms / query.group.threads * self.rng.uniform(0.9, 1.1)
         self.at(self.now_ms + took_ms, lambda: self._finish(attempt))
         return attempt
 
