--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -182,14 +182,16 @@
 
     def schedule_turn(self, at_ms: float) -> None:
         """The next turn is at `at_ms` at the latest."""
-        delay_s = max(0.0, at_ms - self.clock_ms()) / 1000
         if self.next_turn is None:
-            self.next_turn = self.reactor.callLater(delay_s, self.run_turn)
+            self.next_turn = self.reactor.callLater(self._seconds_until(at_ms), self.run_turn)
             self.next_turn_ms = at_ms
         elif at_ms < self.next_turn_ms - TURN_TOLERANCE_MS:
-            self.next_turn.reset(delay_s)
+            self.next_turn.reset(self._seconds_until(at_ms))
             self.next_turn_ms = at_ms
 
+    def _seconds_until(self, at_ms):
+        return max(0.0, at_ms - self.clock_ms()) / 1000
+
     def _enqueue(self, call, *arguments):
         self.events.append(QueuedEvent(call, arguments))
         self.schedule_turn(self.last_turn_ms + self.min_turn_ms)
