--- a/lichenquay/gateway/attempt_in_flight.py
+++ b/lichenquay/gateway/attempt_in_flight.py
@@ -111,7 +111,7 @@
         in_flight.late_reply = None
         in_flight.abandon_first_call()
         self.in_flight_count -= 1
-        self.metrics.count(f"attempts {outcome.name.lower().replace('_', ' ')}")
+        self.metrics.count(f"attempts {outcome}")
         is_completed = outcome == domain.Outcome.COMPLETED
         cost = engine_protocol.read_cost(reply) if is_completed else None
         # None: nothing came from the engine. Empty: it replied, and reported nothing.
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -79,11 +79,10 @@
             self.tracker.end(in_flight, domain.Outcome.NOT_CONNECTED)
             return
         reply = outcome
-        if isinstance(outcome, Exception):
+        if isinstance(outcome, EngineCallError):
             # It may have run, and may still run. Polls on another connection show: the engine continues it,
             # reports its end again, or does not know it, which proves little (see `attempt_lifecycle`).
-            label = outcome.label if isinstance(outcome, EngineCallError) else type(outcome).__name__
-            self.metrics.count(f"first calls {label}")
+            self.metrics.count(f"first calls {outcome.label}")
             reply = None
             in_flight.missed_reply = True
         yield self.relay.follow(in_flight, reply)
