--- a/lichenquay/cli/config.py
+++ b/lichenquay/cli/config.py
@@ -5,7 +5,7 @@
 import click
 
 from lichenquay.cli import console
-from lichenquay.config.fleet_settings import NAME_PATTERN, parse_address
+from lichenquay.config.process_entries import NAME_PATTERN, parse_address
 from lichenquay.control_plane.client import Client
 from lichenquay.control_plane.errors import NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -5,7 +5,7 @@
 from lichenquay.admission.domain import EndpointState
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.errors import InvalidEndpointError
-from lichenquay.config.fleet_settings import parse_address
+from lichenquay.config.process_entries import parse_address
 from lichenquay.endpoint_record import EndpointRecord
 
 ENGINE_PREFIX = "engine/"
--- a/lichenquay/config/fleet_settings.py
+++ b/lichenquay/config/fleet_settings.py
@@ -1,14 +1,12 @@
 """Settings of a gateway among others (`fleet`): checks, defaults, and the fingerprint that all share."""
 
 import hashlib
-import re
 from typing import NamedTuple
 
+from lichenquay.config.process_entries import parse_address, problem_with_name, problem_with_process_names
 from lichenquay.quota.account_settings import account_terms
 
 MAX_GATEWAYS = 1024
-NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # short, as every datagram carries some
-NOT_A_NAME = "is no name of 1 to 24 letters, digits, dots and dashes"
 VOTER_COUNTS = (2, 3, 5)
 DEFAULT_LEASE_MS = 1500.0
 DEFAULT_TERM_MS = 4000.0
@@ -39,21 +37,13 @@
     lend_share: float  # of the bucket that others may borrow
 
 
-def parse_address(text: str) -> tuple[str, int]:
-    """(address, port). Errors: ValueError for a text that is none."""
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65_536:
-        raise ValueError(f"{text!r} is no address:port")
-    return host, int(port)
-
-
 def problem_with_fleet(fleet) -> str | None:
     """The first thing that cannot be used, or None.
 
     The section is checked whole, since a gateway that starts on a part of it would act as nobody meant.
     """
     return (
-        _problem_with_identity(fleet)
+        problem_with_process_names(fleet, "fleet")
         or _problem_with_peers(fleet)
         or _problem_with_addresses(fleet)
         or _problem_with_voters(fleet)
@@ -113,17 +103,6 @@
     return int.from_bytes(hashlib.blake2b(repr(values).encode(), digest_size=8).digest(), "big")
 
 
-def _problem_with_identity(fleet):
-    for field in ("fleet", "name", "listen"):
-        if not getattr(fleet, field):
-            return f"fleet.{field}: missing"
-    for field in ("fleet", "name"):
-        value = getattr(fleet, field)
-        if not NAME_PATTERN.match(value):
-            return f"fleet.{field}: {value[:40]!r} {NOT_A_NAME}"
-    return None
-
-
 def _problem_with_peers(fleet):
     if not fleet.peers:
         return "fleet.peers: missing; a fleet is two fronts at least"
@@ -133,8 +112,8 @@
     addresses = {fleet.listen}
     for index, peer in enumerate(fleet.peers):
         here = f"fleet.peers[{index}]"
-        if not NAME_PATTERN.match(peer.name):
-            return f"{here}.name: {peer.name[:40]!r} {NOT_A_NAME}"
+        if problem := problem_with_name(peer.name, f"{here}.name"):
+            return problem
         if peer.name == fleet.name:
             return f"{here}.name: {peer.name!r} is this front itself"
         if peer.name in names:
@@ -162,8 +141,9 @@
     is_unique = len(set(fleet.voters)) == count
     if count and (not is_unique or count not in VOTER_COUNTS):
         return f"fleet.voters: {count} of them; 3 or 5 names are wanted, 2 where there are no more"
+    names = gateway_names(fleet)
     for name in fleet.voters:
-        if name not in gateway_names(fleet):
+        if name not in names:
             return f"fleet.voters: {name!r} is no front of this fleet"
     return None
 
--- a/lichenquay/config/process_entries.py
+++ b/lichenquay/config/process_entries.py
@@ -1,21 +1,35 @@
 """Checks of names and addresses that sections of control processes and of gateways share."""
 
+import re
 from ipaddress import ip_address
 
-from lichenquay.config.fleet_settings import NAME_PATTERN, NOT_A_NAME, parse_address
-
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,23}\Z")  # short, as every datagram carries some
+NOT_A_NAME = "is no name of 1 to 24 letters, digits, dots and dashes"
 MAX_RELAYS = 1024
 
 
+def parse_address(text: str) -> tuple[str, int]:
+    """(address, port). Errors: ValueError for a text that is none."""
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65_536:
+        raise ValueError(f"{text!r} is no address:port")
+    return host, int(port)
+
+
 def problem_with_identity(message, path: str) -> str | None:
     """The first problem with `fleet`, `name` and `listen` of a section, or None."""
+    return problem_with_process_names(message, path) or problem_with_address(message.listen, f"{path}.listen")
+
+
+def problem_with_process_names(message, path: str) -> str | None:
+    """The first of `fleet`, `name` and `listen` that is missing, or of the first two that is no name."""
     for field in ("fleet", "name", "listen"):
         if not getattr(message, field):
             return f"{path}.{field}: missing"
     for field in ("fleet", "name"):
         if problem := problem_with_name(getattr(message, field), f"{path}.{field}"):
             return problem
-    return problem_with_address(message.listen, f"{path}.listen")
+    return None
 
 
 def problem_with_name(name: str, path: str) -> str | None:
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -6,7 +6,7 @@
 
 from lichenquay.config.control_settings import group_fingerprint, region_of, warnings_of
 from lichenquay.config.distribution_settings import distribution_fingerprint, distribution_settings
-from lichenquay.config.fleet_settings import parse_address
+from lichenquay.config.process_entries import parse_address
 from lichenquay.distribution import distribution_pb2
 from lichenquay.fleet.addresses import EXPIRE_MS, Addresses
 from lichenquay.fleet.datagram_transport import DatagramTransport
--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -4,7 +4,7 @@
 
 from lichenquay.config.control_settings import lease_duration_ms
 from lichenquay.config.distributed_values import CHECKS_BY_PREFIX
-from lichenquay.config.fleet_settings import parse_address
+from lichenquay.config.process_entries import parse_address
 from lichenquay.control_plane.endpoint_importer import EndpointImporter
 from lichenquay.control_plane.lease_candidate import LeaseCandidate
 from lichenquay.control_plane.report import voter_lines
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -13,7 +13,7 @@
 )
 from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, record_of
 from lichenquay.config.errors import ConfigurationError, InvalidEndpointError
-from lichenquay.config.fleet_settings import parse_address
+from lichenquay.config.process_entries import parse_address
 from lichenquay.distribution import distribution_pb2
 from lichenquay.distribution.subscriber import Subscriber
 from lichenquay.endpoint_record import EndpointRecord
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -7,7 +7,8 @@
 import random
 from collections.abc import Callable
 
-from lichenquay.config.fleet_settings import fingerprint, gateway_names, parse_address
+from lichenquay.config.fleet_settings import fingerprint, gateway_names
+from lichenquay.config.process_entries import parse_address
 from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 from lichenquay.fleet.quota_part import SECTION_PREFIX, QuotaPart
--- a/lichenquay/fleet/message_envelope.py
+++ b/lichenquay/fleet/message_envelope.py
@@ -16,7 +16,7 @@
 import google_crc32c
 from google.protobuf.message import DecodeError
 
-from lichenquay.config.fleet_settings import NAME_PATTERN
+from lichenquay.config.process_entries import NAME_PATTERN
 from lichenquay.fleet import fleet_pb2
 from lichenquay.fleet.errors import DroppedDatagramError, DropReason, MessageTooLargeError
 
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -16,7 +16,7 @@
 import structlog
 from twisted.internet.error import CannotListenError
 
-from lichenquay.config.fleet_settings import parse_address
+from lichenquay.config.process_entries import parse_address
 from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.fleet.message_envelope import Layer, Sender
 from lichenquay.storage.errors import UnusableStoreError
