--- a/lichenquay/gateway/statement.py
+++ b/lichenquay/gateway/statement.py
@@ -32,14 +32,6 @@
 )
 
 
-class Token(NamedTuple):
-    """A token that counts: a name, or a mark."""
-
-    text: str
-    is_name: bool
-    is_quoted: bool
-
-
 class DottedName(NamedTuple):
     """A name of several parts, and whether it is where a table is named."""
 
@@ -47,11 +39,14 @@
     is_table: bool
 
 
-END = Token("", is_name=False, is_quoted=False)
+END = ("", False, False)
+
 
+def tokens(text: str) -> Iterator[tuple[str, bool, bool]]:
+    """(text, is_name, is_quoted) of each token that counts: a name, or a mark.
 
-def tokens(text: str) -> Iterator[Token]:
-    """The tokens of a statement that count."""
+    Plain tuples: a long statement has thousands of tokens, and each query's is read.
+    """
     position = 0
     while position < len(text):
         match = TOKEN.match(text, position)
@@ -62,13 +57,13 @@
             if position is None:
                 return
         elif kind == "quoted":
-            yield Token(match.group(kind).replace('""', '"'), is_name=True, is_quoted=True)
+            yield match.group(kind).replace('""', '"'), True, True
         elif kind == "ticked":
-            yield Token(match.group(kind), is_name=True, is_quoted=True)
+            yield match.group(kind), True, True
         elif kind == "word":
-            yield Token(match.group(kind), is_name=True, is_quoted=False)
+            yield match.group(kind), True, False
         elif kind == "other":
-            yield Token(match.group(kind), is_name=False, is_quoted=False)
+            yield match.group(kind), False, False
 
 
 def _comment_end(text, position):
@@ -91,12 +86,12 @@
     after_dot = False
     parts = []
     outer = []  # (expects_table, in_call) around each open parenthesis
-    for token in chain(tokens(text), [END]):
-        if token.is_name and after_dot:
-            parts.append(token.text)
+    for token, is_name, is_quoted in chain(tokens(text), [END]):
+        if is_name and after_dot:
+            parts.append(token)
             after_dot = False
             continue
-        if token.text == "." and not token.is_name and parts:
+        if token == "." and not is_name and parts:
             after_dot = True
             continue
         if len(parts) > 1:
@@ -105,21 +100,21 @@
         after_dot = False
         follows_name = after_name
         after_name = False
-        if token.is_name:
-            keyword = "" if token.is_quoted else token.text.lower()
+        if is_name:
+            keyword = "" if is_quoted else token.lower()
             if keyword in TABLE_FOLLOWS:
                 expects_table = not in_call  # as in extract(day from o_1.at)
             elif keyword in TABLE_ENDS:
                 expects_table = False
                 in_call = False
             else:
-                parts = [token.text]
+                parts = [token]
                 after_name = True
-        elif token.text == "(":
+        elif token == "(":
             outer.append((expects_table, in_call))
             expects_table = False
             in_call = follows_name
-        elif token.text == ")" and outer:
+        elif token == ")" and outer:
             expects_table, in_call = outer.pop()
 
 
