--- a/lichenquay/cli/console.py
+++ b/lichenquay/cli/console.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from contextlib import contextmanager
 from functools import wraps
+from pathlib import Path
 
 import click
 import structlog
@@ -21,7 +22,8 @@
 def configure_logging(path: str | None = None) -> None:
     """Structured logging: key=value on standard error, or JSON lines appended to a file."""
     if path:
-        output = click.open_file(path, "a", encoding="utf-8")
+        # Absolute, as click takes "-" for standard output, which is the commands' own.
+        output = click.open_file(Path(path).absolute(), "a", encoding="utf-8")
         renderer = structlog.processors.JSONRenderer()
     else:
         output = sys.stderr
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -291,3 +291,10 @@
     )
     assert CliRunner().invoke(cli, ["--help"]).exit_code == 0
     assert json.loads(json.dumps(invoke("load", "--help")))[0] == 0
+
+
+def test_a_log_file_may_have_any_name(tmp_path, monkeypatch):
+    """Also one that click takes for standard output, on which a command's result is printed."""
+    monkeypatch.chdir(tmp_path)
+    assert invoke("--log-file", "-", "check", tmp_path / "x")[0] == 1
+    assert (tmp_path / "-").exists()
