--- a/lichenquay/settings_section.py
+++ b/lichenquay/settings_section.py
@@ -1,6 +1,7 @@
 """Reads typed values from named text fields: a section of the settings, or one line of a wire format."""
 
-from collections.abc import Mapping
+from collections import defaultdict
+from collections.abc import Iterator, Mapping
 from math import isfinite
 
 TRUE_WORDS = ("1", "true")
@@ -110,7 +111,7 @@
         """As in `FieldReader`, with the section's label."""
         return SettingsError(f"{self.label}: '{name}' {problem}" if self.label else f"'{name}' {problem}")
 
-    def subsection(self, name: str, label: str | None = None) -> "SettingsSection":
+    def subsection(self, name: str) -> "SettingsSection":
         """The fields whose names begin with the name and a dot; empty where there are none."""
         prefix = f"{name}."
         fields = {
@@ -118,17 +119,22 @@
             for field, value in self.fields.items()
             if field.startswith(prefix)
         }
-        return SettingsSection(fields, name if label is None else label)
+        return SettingsSection(fields, name)
 
-    def listed(self, name: str, label: str) -> list["SettingsSection"]:
-        """The numbered sections of a list, each labelled by its own name, such as "class 'stocktake'"."""
-        sections = []
+    def listed(self, name: str, label: str) -> Iterator["SettingsSection"]:
+        """The numbered sections of a list, each labelled by its own name, such as "class 'stocktake'".
+
+        One pass sorts the fields by section; with a pass for each section, a thousand would take seconds.
+        """
+        fields_by_number: dict[str, dict[str, str]] = defaultdict(dict)
+        for field, value in self.subsection(name).fields.items():
+            number, _, inner_name = field.partition(".")
+            fields_by_number[number][inner_name] = value
         for index in range(self.integer(f"{name}.count", 0)):
-            section = self.subsection(f"{name}.{index}", f"{label} {index}")
+            section = SettingsSection(fields_by_number[str(index)], f"{label} {index}")
             if section.has("name"):
                 section.label = f"{label} {section.text('name')!r}"
-            sections.append(section)
-        return sections
+            yield section
 
 
 def _plain_text(value: object) -> str:
--- a/tests/test_settings_section.py
+++ b/tests/test_settings_section.py
@@ -59,6 +59,35 @@
     assert str(raised.value) == text
 
 
+class CountedFields(dict):
+    """Fields that count how often all of them are passed over."""
+
+    passes = 0
+
+    def items(self):
+        """Counted."""
+        self.passes += 1
+        return super().items()
+
+
+def passes_over_fields(section_count):
+    """How often reading settings with so many groups and tenants passes over all fields."""
+    sections = {
+        "classes": [{**GROUP, "name": f"g{number}"} for number in range(section_count)],
+        "tenants": [{"name": f"t{number}"} for number in range(section_count)],
+    }
+    fields = CountedFields(flatten(sections))
+    read = DeploymentSettings(SettingsSection(fields), 5)
+    assert list(read.groups) == [f"g{number}" for number in range(section_count)]
+    assert list(read.tenants) == [f"t{number}" for number in range(section_count)]
+    return fields.passes
+
+
+def test_the_time_to_read_settings_is_linear_in_their_sections():
+    """A pass over all fields for each section would take seconds at a start with a thousand tenants."""
+    assert passes_over_fields(2) == passes_over_fields(200)
+
+
 def test_the_operators_words_become_enumerations():
     """Words that are not known do not keep a gateway from starting."""
     known = settings(family_info={"out_of_memory": "swap"}, report={"how": "probe"})
