--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -180,8 +180,9 @@
     @property
     def latency_objective_ms(self):
         """The group's objective, stretched by the estimated work."""
-        work_per_thread_ms = self.estimated_work_ms / self.group.threads
-        return self.group.latency_objective_ms + self.group.latency_objective_stretch * work_per_thread_ms
+        group = self.group
+        stretched_work_ms = group.latency_objective_stretch * self.estimated_work_ms
+        return group.latency_objective_ms + stretched_work_ms / group.threads
 
 
 @dataclass(eq=False)
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -294,6 +294,22 @@
     assert state.last_response_ms == 600.0
 
 
+@pytest.mark.parametrize(
+    ("stretch", "work_ms", "threads", "expected_ms"),
+    [
+        (0.7, 1000.0, 3, 733.3333333333334),
+        (2.3, 200.0, 3, 653.3333333333333),
+        (3.0, 150.0, 7, 564.2857142857143),
+    ],
+)
+def test_an_objective_is_stretched_with_the_rounding_of_revision_0018238(
+    stretch, work_ms, threads, expected_ms
+):
+    """To the last bit, as decisions compare times; in each case the order of the operations tells."""
+    stretched = group(latency_objective_ms=500.0, latency_objective_stretch=stretch, threads=threads)
+    assert query_of(stretched, estimated_work_ms=work_ms).latency_objective_ms == expected_ms
+
+
 def test_time_scales_follow_the_shortest_objective():
     """And never fall below a turn of the event loop."""
     gateway = GatewayIdentity("a", 1, 1, 80.0)
