--- a/lichenquay/admission/engine_fleet.py
+++ b/lichenquay/admission/engine_fleet.py
@@ -27,11 +27,10 @@
         self.cores = 0.0
         self.memory_mb = 0.0
         self.constrained_cores = 0.0  # of engines that groups with placement constraints may use
-        # Both are used as ordered sets:
-        self.not_fully_usable: dict[
-            EngineState, bool
-        ] = {}  # warming up, draining, or removed and still in use
-        self.active: dict[EngineState, bool] = {}  # that this gateway used, or has a report of
+        # Both are used as ordered sets. Engines that warm up, drain, or are removed and still in use:
+        self.not_fully_usable: dict[EngineState, bool] = {}
+        # Engines that this gateway used, or has a report of:
+        self.active: dict[EngineState, bool] = {}
 
     def add(self, state: EngineState) -> None:
         """An engine joined the endpoint list."""
--- a/lichenquay/admission/table_affinity.py
+++ b/lichenquay/admission/table_affinity.py
@@ -13,9 +13,8 @@
 
 ENGINES_PER_ROLE = 2  # preferred engines for readers, and as many for bulk loads
 MAX_TABLE_GROUPS = 4096  # whose preferred engines are remembered
-PREFERRED_SHARE_DIVISOR = (
-    5  # weights are multiplied by fleet size / 5: about a third of the draws, in any fleet
-)
+# Weights are multiplied by the number of engines over this: about a third of the draws, in any fleet.
+PREFERRED_SHARE_DIVISOR = 5
 
 
 def affinity_key(table_group: str) -> Callable[[EngineState], int]:
--- a/lichenquay/admission/timing.py
+++ b/lichenquay/admission/timing.py
@@ -16,7 +16,6 @@
     """Intervals in milliseconds."""
 
     shortest_objective_ms: float
-    min_turn_ms: float  # least time between two turns of the gateway's event loop
     tick_interval_ms: float
     evaluation_interval_ms: float  # of engines among their peers
     report_lifetime_ms: float  # for how long a load report counts
@@ -29,7 +28,6 @@
         evaluation_interval_ms = shortest_ms / EVALUATIONS_PER_OBJECTIVE
         return cls(
             shortest_objective_ms=shortest_ms,
-            min_turn_ms=gateway.min_turn_ms,
             tick_interval_ms=max(gateway.min_turn_ms, shortest_ms / TICKS_PER_OBJECTIVE),
             evaluation_interval_ms=evaluation_interval_ms,
             report_lifetime_ms=REPORT_LIFETIME_EVALUATIONS * evaluation_interval_ms,
--- a/lichenquay/settings_section.py
+++ b/lichenquay/settings_section.py
@@ -28,7 +28,7 @@
 
     def error(self, name: str, problem: str) -> Exception:
         """The error to raise for a field; `problem` follows its name in the text."""
-        return SettingsError(f"'{name}' {problem}")
+        raise NotImplementedError
 
     def has(self, name: str) -> bool:
         """Whether the field is there."""
