--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -60,9 +60,9 @@
             self.quota_part.escrow.settle_at_estimate(self.now_ms(), query)
 
     def lines(self) -> list[str]:
-        """Status lines, one for each tenant."""
+        """Status lines, one for each tenant, by name."""
         return [
             f"taken {tenant} within {totals.within_count} of {totals.within_ms:.1f} ms, "
             f"beyond {totals.beyond_count}"
-            for tenant, totals in self.totals.items()
+            for tenant, totals in sorted(self.totals.items())
         ]
--- a/tests/test_fleet_tenant_usage.py
+++ b/tests/test_fleet_tenant_usage.py
@@ -14,10 +14,10 @@
 class RecordingQuotaPart:
     """Quota part and escrow in one; `calls` are all calls in order."""
 
-    def __init__(self, is_within):
-        """is_within: the answer to each reservation."""
+    def __init__(self, is_within, tenants=("north",)):
+        """is_within: the answer to each reservation. tenants: that have an account, in this order."""
         self.is_within = is_within
-        self.account_terms = [SimpleNamespace(tenant="north")]
+        self.account_terms = [SimpleNamespace(tenant=tenant) for tenant in tenants]
         self.escrow = self
         self.calls = []
 
@@ -85,3 +85,13 @@
     usage.settle_completed(query, (33.0, 1.0))
     usage.settle_completed(query, None)
     assert quota_part.calls == [("settle", 33.0), ("settle at estimate",)]
+
+
+def test_status_lines_are_in_the_order_of_the_names_of_the_tenants():
+    """Whatever the order of the accounts in the settings."""
+    usage = usage_of(RecordingQuotaPart(True, ("south", "north")))
+    usage.is_over_quota(query_of("south"))
+    assert usage.lines() == [
+        "taken north within 0 of 0.0 ms, beyond 0",
+        "taken south within 1 of 40.0 ms, beyond 0",
+    ]
