--- a/lichenquay/migration/session_log.py
+++ b/lichenquay/migration/session_log.py
@@ -125,14 +125,14 @@
 
     def _session_in(self, session_id: str, *states: SessionState) -> Session:
         session = self.sessions.get(session_id)
-        actual = SessionState(session.state).name if session else None
-        expected = [state.name for state in states]
-        require(session is not None and session.state in states, f"{session_id} is {actual}, not {expected}")
+        if session is None or session.state not in states:
+            actual = SessionState(session.state).name if session else None
+            expected = [state.name for state in states]
+            raise StateMachineError(f"{session_id} is {actual}, not {expected}")
         return session
 
     def _mark_used(self, session: Session) -> None:
         self.sessions[session.session_id] = self.sessions.pop(session.session_id)
-        session.update_size()
 
     def _apply_opened(self, opened: pb.Opened) -> None:
         is_next = opened.birth == self.last_session_number + 1
@@ -147,6 +147,7 @@
         require(pinned.order >= session.load_number, f"{pinned.id}: load number falls")
         session.engine = pinned.engine
         session.load_number = pinned.order
+        session.update_size()
         self._mark_used(session)
 
     def _apply_submitted(self, submitted: pb.Took) -> None:
@@ -173,6 +174,7 @@
         session = self._session_in(ended.id, SessionState.HELD, SessionState.FROZEN, SessionState.OFFERED)
         require(ended.ref in session.queries, f"{ended.id}: {ended.ref} was not submitted")
         session.queries[ended.ref].outcome = ended.outcome
+        session.update_size()
         self._mark_used(session)
 
     def _apply_frozen(self, frozen: pb.Frozen) -> None:
@@ -202,6 +204,7 @@
         session = self._session_in(acknowledged.id, SessionState.HANDED_OVER)
         session.acknowledged = True
         session.queries.clear()
+        session.update_size()
         self._mark_used(session)
         tombstones = [session.session_id for session in self.sessions.values() if session.is_tombstone]
         for session_id in tombstones[:-MAX_TOMBSTONES]:
