--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -18,7 +18,6 @@
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
-from functools import partial
 from typing import NamedTuple
 
 from lichenquay.migration import migration_pb2 as pb
@@ -137,10 +136,12 @@
     def tick(self, now_ms: float) -> None:
         """Advances all handovers, and sets `due_ms`."""
         self.advance(now_ms)
-        sessions = self.coordinator.speculative.sessions.values()
-        is_moving = any(session.state in (SessionState.FROZEN, SessionState.OFFERED) for session in sessions)
-        is_busy = self.attempts or self.repetitions or is_moving or self.phase is not LeavingPhase.STAYING
-        self.due_ms = now_ms + self.settings.tick_period_ms * (1 if is_busy else IDLE_TICKS)
+        self.due_ms = now_ms + self.settings.tick_period_ms * (1 if self._is_busy() else IDLE_TICKS)
+
+    def _is_busy(self) -> bool:
+        if self.phase is not LeavingPhase.STAYING or self.attempts or self.repetitions:
+            return True
+        return any(session.is_moving for session in self.coordinator.speculative.sessions.values())
 
     def advance(self, now_ms: float) -> None:
         """Does all that is due by now."""
@@ -172,8 +173,7 @@
         if self.phase is not LeavingPhase.LEAVING:
             self.attempts = {}
         for session in list(self.coordinator.speculative.sessions.values()):
-            is_moving = session.state in (SessionState.FROZEN, SessionState.OFFERED)
-            if not is_moving or session.session_id in self.attempts:
+            if not session.is_moving or session.session_id in self.attempts:
                 continue
             target = self._select_target(now_ms, session) if self.phase is LeavingPhase.LEAVING else None
             if target is None or not self._offer(now_ms, session.session_id, target):
@@ -289,11 +289,11 @@
             return
         self.backoffs.clear(attempt.target)
         change = self.coordinator.speculative.decide_hand_over(room.id, attempt.target)
-        if self.coordinator.propose(change, partial(self._handed_over, room.id)):
+        if self.coordinator.propose(change, self._handed_over):
             del self.attempts[room.id]
             self.counters.handed_over += 1
 
-    def _handed_over(self, session_id: str, now_ms: float, committed: bool) -> None:
+    def _handed_over(self, now_ms: float, committed: bool) -> None:
         if committed and self.coordinator.is_leading(now_ms):
             self.send_handovers(now_ms)
 
--- a/lichenquay/migration/session.py
+++ b/lichenquay/migration/session.py
@@ -140,6 +140,11 @@
         """Whether a mutating query is open."""
         return any(query.mutating for query in self.open_queries)
 
+    @property
+    def is_moving(self) -> bool:
+        """Whether it is frozen or offered: on its way, and still to be resumed if it does not go."""
+        return self.state in (SessionState.FROZEN, SessionState.OFFERED)
+
     @property
     def is_owned(self) -> bool:
         """Whether its replica group still acts for it."""
--- a/lichenquay/migration/state_machine.py
+++ b/lichenquay/migration/state_machine.py
@@ -26,7 +26,6 @@
 
 QUERY_FIELD_BYTES = 6  # that a query adds to its session besides its own size and outcome
 UNKNOWN_OUTCOME = "ended"
-MOVABLE = (SessionState.FROZEN, SessionState.OFFERED)
 
 
 class StateMachine(SessionLog):
@@ -95,7 +94,7 @@
     def decide_offer(self, session_id: str, target: str) -> pb.Change | None:
         """A frozen session is offered, or one that was offered before to another target."""
         session = self.sessions.get(session_id)
-        if session is None or session.state not in MOVABLE or target == self.replica_group:
+        if session is None or not session.is_moving or target == self.replica_group:
             return None
         return pb.Change(offered=pb.Offered(id=session_id, to=target))
 
@@ -145,7 +144,7 @@
     def decide_resume(self, session_id: str) -> pb.Change | None:
         """A session that is frozen or offered is held again."""
         session = self.sessions.get(session_id)
-        if session is None or session.state not in MOVABLE:
+        if session is None or not session.is_moving:
             return None
         return pb.Change(given_back=pb.GivenBack(id=session_id))
 
