--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -66,7 +66,7 @@
         now_ms: float,
         check: CheckChange = find_change_error,
     ):
-        """Start without a state; `group` may be set later (see `make`)."""
+        """Start without a state; `group` may be set later (see `make_voter`)."""
         self.name = name
         self.group = group
         self.settings = settings
