--- a/lichenquay/membership/gossip.py
+++ b/lichenquay/membership/gossip.py
@@ -4,6 +4,7 @@
 of a probe period while there are updates, and no round is sent without one.
 """
 
+from collections.abc import Sequence
 from heapq import nsmallest
 from math import ceil, log2
 from typing import TYPE_CHECKING
@@ -38,7 +39,7 @@
         delay_ms = 0 if immediately else self._round_interval_ms()
         self.next_round_ms = min(self.next_round_ms, self.detector.now_ms + delay_ms)
 
-    def piggyback(self, message: pb.Message, required: list[Member], with_updates: bool) -> None:
+    def piggyback(self, message: pb.Message, required: Sequence[Member], with_updates: bool) -> None:
         """Add the sender's own state, the rows of `required` and as many updates as fit.
 
         Raises MessageTooLargeError.
@@ -53,17 +54,15 @@
             least_sent = nsmallest(MAX_ROWS, self.times_sent, key=self.times_sent.get)
             names = [name for name in least_sent if name not in included]
             appended = append_rows(message, [messenger.row(self.table.get(name)) for name in names])
-            for name in names[:appended]:
-                self._count_sent(name, 1)
+            self._count_sent(names[:appended], 1)
         check_size(message)
 
-    def _count_sent(self, name: str, times: int) -> None:
-        self.times_sent[name] += times
-        if self.times_sent[name] >= self._transmission_limit():
-            del self.times_sent[name]
-
-    def _transmission_limit(self) -> int:
-        return RETRANSMISSION_FACTOR * ceil(log2(len(self.table.live_names()) + 2))
+    def _count_sent(self, names: Sequence[str], times: int) -> None:
+        limit = RETRANSMISSION_FACTOR * ceil(log2(len(self.table.live_names()) + 2))
+        for name in names:
+            self.times_sent[name] += times
+            if self.times_sent[name] >= limit:
+                del self.times_sent[name]
 
     def _round_interval_ms(self) -> float:
         return self.detector.settings.probe_period_ms / ROUNDS_PER_PERIOD
@@ -75,7 +74,7 @@
             messenger.send(name, pb.Message(gossip=pb.Gossip()))
         # The own state is on every message, so it is counted by round and not by message.
         if own_name in self.times_sent:
-            self._count_sent(own_name, FANOUT)
+            self._count_sent([own_name], FANOUT)
         if self.times_sent:
             self.next_round_ms = now_ms + messenger.jitter(self._round_interval_ms())
         else:
--- a/lichenquay/membership/messenger.py
+++ b/lichenquay/membership/messenger.py
@@ -1,6 +1,6 @@
 """Outgoing messages: the outbox, the choice of receivers, and the rows that a message must carry."""
 
-from collections.abc import Collection, Iterable
+from collections.abc import Collection, Sequence
 from typing import TYPE_CHECKING
 
 from lichenquay.membership import members_pb2 as pb
@@ -60,11 +60,11 @@
         self,
         receiver: str,
         message: pb.Message,
-        required: Iterable[Member] = (),
+        required: Sequence[Member] = (),
         with_gossip: bool = True,
     ) -> None:
         """Send a message with the rows of `required` members and, by default, gossip."""
-        self.detector.gossip.piggyback(message, list(required), with_gossip)
+        self.detector.gossip.piggyback(message, required, with_gossip)
         self.outbox.append((receiver, message))
 
     def send_with_status(self, receiver: str, message: pb.Message, subject: str | None = None) -> None:
