--- a/lichenquay/membership/member_state.py
+++ b/lichenquay/membership/member_state.py
@@ -3,6 +3,9 @@
 from enum import StrEnum
 from typing import NamedTuple
 
+LAST_LIVE_NUMBER = 1
+FIRST_FINAL_NUMBER = 3
+
 
 class MemberState(StrEnum):
     """A member's state; the value is what logs show, `number` what messages hold (members.proto)."""
@@ -16,8 +19,8 @@
         state = str.__new__(cls, label)
         state._value_ = label
         state.number = number
-        state.is_live = number <= 1
-        state.is_final = number >= 3
+        state.is_live = number <= LAST_LIVE_NUMBER
+        state.is_final = number >= FIRST_FINAL_NUMBER
         return state
 
     ALIVE = "alive", 0
@@ -45,7 +48,7 @@
 
     Left and removed are final for their incarnation whatever the refutation counter; removed wins over left.
     """
-    if state_number >= MemberState.LEFT.number:
+    if state_number >= FIRST_FINAL_NUMBER:
         return Precedence(incarnation, True, 0, state_number)
     return Precedence(incarnation, False, refutation, state_number)
 
