--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -74,7 +74,8 @@
             if watch.incarnation not in p.incarnations:
                 p.incarnations.append(watch.incarnation)
         for name, m in watch.table.members.items():
-            now = m.precedence
+            is_over = m.state in (MemberState.LEFT, MemberState.REMOVED)
+            now = (m.incarnation, is_over, 0 if is_over else m.refutation, m.state.number)
             old = seen[2].get(name)
             if now == old:
                 continue
