--- a/lichenquay/lease/group.py
+++ b/lichenquay/lease/group.py
@@ -37,8 +37,8 @@
 from lichenquay.lease.lease_pb2 import Message
 from lichenquay.lease.log import FoldFunction
 from lichenquay.lease.messages import (
-    FOR_LEADER,
-    FOR_VOTER,
+    LEADER_METHODS,
+    VOTER_METHODS,
     MessageKind,
     OutgoingMessage,
     ProcessId,
@@ -239,9 +239,9 @@
             self._known_holder = LeaseHolder(None, body.generation)
             start_ms = now_ms + self.leadership.rng.uniform(0, self.settings.backoff_ms)
             self.leadership.next_acquire_ms = start_ms
-        if kind in FOR_VOTER and self.voter:
+        if kind in VOTER_METHODS and self.voter:
             self.voter.handle(now_ms, sender, kind, body)
-        if kind in FOR_LEADER:
+        if kind in LEADER_METHODS:
             self.leadership.handle(now_ms, sender, kind, body)
 
     def _record_heartbeat(self, now_ms, sender, generation):
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -16,6 +16,7 @@
 from lichenquay.lease.errors import RecordSizeError
 from lichenquay.lease.log import FoldFunction, ReplicatedLog
 from lichenquay.lease.messages import (
+    LEADER_METHODS,
     AcquireGrant,
     AppendReply,
     MessageKind,
@@ -195,16 +196,8 @@
         self.acquisition.send_requests(now_ms)
 
     def handle(self, now_ms: float, sender: ProcessId, kind: MessageKind, body) -> None:
-        """Handles a message of a kind in `FOR_LEADER`."""
-        handlers = {
-            MessageKind.ACQUIRE_GRANT: self.on_acquire_grant,
-            MessageKind.REJECTION: self.on_rejection,
-            MessageKind.RECOVERY_NOTICE: self.on_recovery_notice,
-            MessageKind.APPEND_REPLY: self.on_append_reply,
-            MessageKind.SNAPSHOT_CHUNK: self.on_snapshot_chunk,
-            MessageKind.SNAPSHOT_REQUEST: self.on_snapshot_request,
-        }
-        handlers[kind](now_ms, sender, body)
+        """Handles a message of a kind in `LEADER_METHODS`."""
+        getattr(self, LEADER_METHODS[kind])(now_ms, sender, body)
 
     def _is_current(self, name, message):
         """Whether a message is of a voter and of the generation that this process acquires or holds."""
--- a/lichenquay/lease/messages.py
+++ b/lichenquay/lease/messages.py
@@ -6,7 +6,7 @@
 """
 
 from collections.abc import Sequence
-from enum import Enum
+from enum import StrEnum
 from typing import NamedTuple
 
 from lichenquay.lease import lease_pb2 as wire
@@ -250,7 +250,7 @@
         return cls(message.generation, message.index)
 
 
-class MessageKind(Enum):
+class MessageKind(StrEnum):
     """The kinds of messages; the values are the names of the protobuf union's members."""
 
     ACQUIRE_REQUEST = "claim"
@@ -275,26 +275,25 @@
     MessageKind.SNAPSHOT_CHUNK: SnapshotChunk,
     MessageKind.RELEASE_NOTICE: ReleaseNotice,
 }
-_KIND_OF_RECORD = {record: kind for kind, record in _RECORD_OF_KIND.items()}
-FOR_VOTER = frozenset(
-    {
-        MessageKind.ACQUIRE_REQUEST,
-        MessageKind.APPEND_REQUEST,
-        MessageKind.RELEASE_NOTICE,
-        MessageKind.SNAPSHOT_CHUNK,
-        MessageKind.SNAPSHOT_REQUEST,
-    }
-)
-FOR_LEADER = frozenset(
-    {
-        MessageKind.ACQUIRE_GRANT,
-        MessageKind.REJECTION,
-        MessageKind.RECOVERY_NOTICE,
-        MessageKind.APPEND_REPLY,
-        MessageKind.SNAPSHOT_CHUNK,
-        MessageKind.SNAPSHOT_REQUEST,
-    }
-)
+_KIND_OF_MEMBER = {kind.value: kind for kind in MessageKind}
+_MEMBER_OF_RECORD = {record: kind.value for kind, record in _RECORD_OF_KIND.items()}
+
+# By kind, the method that handles the messages for a voter, and those for a leader.
+VOTER_METHODS = {
+    MessageKind.ACQUIRE_REQUEST: "on_acquire_request",
+    MessageKind.APPEND_REQUEST: "on_append_request",
+    MessageKind.RELEASE_NOTICE: "on_release_notice",
+    MessageKind.SNAPSHOT_CHUNK: "on_snapshot_chunk",
+    MessageKind.SNAPSHOT_REQUEST: "on_snapshot_request",
+}
+LEADER_METHODS = {
+    MessageKind.ACQUIRE_GRANT: "on_acquire_grant",
+    MessageKind.REJECTION: "on_rejection",
+    MessageKind.RECOVERY_NOTICE: "on_recovery_notice",
+    MessageKind.APPEND_REPLY: "on_append_reply",
+    MessageKind.SNAPSHOT_CHUNK: "on_snapshot_chunk",
+    MessageKind.SNAPSHOT_REQUEST: "on_snapshot_request",
+}
 
 
 class ReceivedMessage(NamedTuple):
@@ -306,7 +305,7 @@
 
 def wrap(group_id: str, body: NamedTuple) -> wire.Message:
     """The protobuf message of a group that carries a record."""
-    return wire.Message(group=group_id, **{_KIND_OF_RECORD[type(body)].value: body.to_wire()})
+    return wire.Message(group=group_id, **{_MEMBER_OF_RECORD[type(body)]: body.to_wire()})
 
 
 def unwrap(group_id: str, message: wire.Message) -> ReceivedMessage | None:
@@ -314,5 +313,5 @@
     member = message.WhichOneof("body")
     if message.group != group_id or member is None:
         return None
-    kind = MessageKind(member)
+    kind = _KIND_OF_MEMBER[member]
     return ReceivedMessage(kind, _RECORD_OF_KIND[kind].from_wire(getattr(message, member)))
--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -25,6 +25,7 @@
 from lichenquay.lease.lease_pb2 import Promise
 from lichenquay.lease.log import FoldFunction, ReplicatedLog
 from lichenquay.lease.messages import (
+    VOTER_METHODS,
     AcquireGrant,
     AcquireRequest,
     AppendReply,
@@ -128,15 +129,8 @@
             self.send(self.fetch.source, self.fetch.request(now_ms))
 
     def handle(self, now_ms: float, sender: ProcessId, kind: MessageKind, body) -> None:
-        """Handles a message of a kind in `FOR_VOTER`."""
-        handlers = {
-            MessageKind.ACQUIRE_REQUEST: self.on_acquire_request,
-            MessageKind.APPEND_REQUEST: self.on_append_request,
-            MessageKind.RELEASE_NOTICE: self.on_release_notice,
-            MessageKind.SNAPSHOT_CHUNK: self.on_snapshot_chunk,
-            MessageKind.SNAPSHOT_REQUEST: self.on_snapshot_request,
-        }
-        handlers[kind](now_ms, sender, body)
+        """Handles a message of a kind in `VOTER_METHODS`."""
+        getattr(self, VOTER_METHODS[kind])(now_ms, sender, body)
 
     # Acquire requests.
 
