--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -208,16 +208,19 @@
                 book=request.book,
                 no=request.no,
                 closed=not self.committed.may_grant(gateway, incarnation, request.book),
-                rows=[self._granted(gateway, incarnation, row) for row in request.rows],
             )
+            for row in request.rows:
+                granted = answer.rows.add(tenant=row.tenant, book=row.book)
+                self._fill_granted(granted, EpochKey(gateway, incarnation, row.book))
             self.outbox.append(OutgoingMessage(gateway, answer))
 
-    def _granted(self, gateway: str, incarnation: int, row: pb.Row) -> pb.Granted:
-        granted = pb.Granted(tenant=row.tenant, book=row.book)
-        entry = self.committed.epochs.get(EpochKey(gateway, incarnation, row.book), {}).get(row.tenant)
-        account = self.committed.accounts.get(row.tenant)
+    def _fill_granted(self, granted: pb.Granted, key: EpochKey) -> None:
+        """Fills in the committed totals of an epoch for the tenant that `granted` names."""
+        tenant = granted.tenant
+        entry = self.committed.epochs.get(key, {}).get(tenant)
+        account = self.committed.accounts.get(tenant)
         granted.gone = entry is None
-        granted.scarce = row.tenant in self.scarce_since_ms
+        granted.scarce = tenant in self.scarce_since_ms
         if account is not None:
             granted.owes_us = account.debt_us
             granted.limit_us = account.terms.limit_us
@@ -225,7 +228,6 @@
             granted.granted_us = entry.granted_us
             granted.spent_us = entry.spent_us
             granted.returned_us = entry.returned_us
-        return granted
 
     # For operators.
 
--- a/lichenquay/quota/token_allocation.py
+++ b/lichenquay/quota/token_allocation.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from enum import Enum
+from enum import StrEnum
 
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.ledger import Ledger
@@ -30,8 +30,8 @@
         return True
 
 
-class DemandKind(Enum):
-    """Which part of a demand is served."""
+class DemandKind(StrEnum):
+    """Which part of a demand is served; the values are the names of its attributes."""
 
     REQUESTED = "requested_us"  # all, stock included
     NEEDED = "needed_us"  # for the queries that come
@@ -50,7 +50,7 @@
 
     def amount_us(self, kind: DemandKind) -> int:
         """The amount of this kind."""
-        return getattr(self, kind.value)
+        return getattr(self, kind)
 
     def raise_to(self, borrowable_us: int, needed_us: int, requested_us: int) -> None:
         """Another request of the same gateway: amounts are totals, so the larger ones count."""
@@ -145,9 +145,9 @@
     def _divide_pool(self, tenant: str, demands: list[TokenDemand], kind: DemandKind) -> None:
         """All that is demanded, or of the pool as much as each demands of the whole."""
         pool_us = self.ledger.accounts[tenant].pool_us
-        total_us = sum(demand.amount_us(kind) for demand in demands)
-        for demand in demands:
-            amount_us = demand.amount_us(kind)
+        amounts_us = [demand.amount_us(kind) for demand in demands]
+        total_us = sum(amounts_us)
+        for demand, amount_us in zip(demands, amounts_us, strict=True):
             granted_us = amount_us if total_us <= pool_us else amount_us * pool_us // total_us
             pool_us -= granted_us
             total_us -= amount_us
