--- a/lichenquay/deployment_settings.py
+++ b/lichenquay/deployment_settings.py
@@ -52,7 +52,7 @@
 
 
 class EngineSize(NamedTuple):
-    """The size of a kind of engine."""
+    """The size of one kind of engine."""
 
     cores: float
     memory_mb: float
@@ -61,8 +61,8 @@
 UNKNOWN_SIZE = EngineSize(0.0, 0.0)
 
 
-def _item_or(values: Sequence[_Item], index: int, default: _Item) -> _Item:
-    """The item at the index; the default where the list is shorter."""
+def _item_at(values: Sequence[_Item], index: int, default: _Item) -> _Item:
+    """Returns the item at the index, or the default where the list is shorter."""
     return values[index] if index < len(values) else default
 
 
@@ -70,20 +70,21 @@
     """All settings of a deployment, and the controller that they configure."""
 
     def __init__(self, section: SettingsSection, seed: int):
-        """Reads the settings; `seed`: of this gateway. Raises `SettingsError`."""
+        """Reads the settings. `seed`: this gateway's. Raises `SettingsError`."""
         engine_family = section.subsection("family_info")
         limits = section.subsection("limits")
         self.groups = {group.name: group for group in _read_groups(section, engine_family)}
         self.tenants = {tenant.name: tenant for tenant in _read_tenants(section)}
         self.sizes_by_kind = _read_sizes(section, engine_family)
-        self.idle_ms = limits.milliseconds("keepalive_us", 0)  # engines close idle connections after this
+        # Engines close connections that are idle for longer:
+        self.idle_ms = limits.milliseconds("keepalive_us", 0)
         self.gateway = _read_gateway(section, seed)
         self.permissions = _read_permissions(limits)
         self.safety_limits = _read_safety_limits(section.subsection("rules"))
         self.capabilities = _read_capabilities(engine_family, section.subsection("report"), limits)
 
     def controller(self, port: GatewayPort) -> Controller:
-        """A new controller for a gateway."""
+        """Creates a new controller for a gateway."""
         return Controller(
             port,
             self.gateway,
@@ -104,7 +105,10 @@
         advertised_weight: float,
         started_ms: float | None,
     ) -> Engine:
-        """Sets what an entry of the endpoint list says of an engine. `started_ms`: 0 or None: long ago."""
+        """Sets the attributes of an engine from its entry on the endpoint list, and returns the engine.
+
+        `started_ms`: 0 or None: long ago.
+        """
         size = self.sizes_by_kind.get(kind, UNKNOWN_SIZE)
         engine.zone = zone
         engine.kind = kind
@@ -124,9 +128,9 @@
     return [
         _read_group(
             group,
-            threads=max(1, int(_item_or(threads, index, 1))),
-            is_bulk_load=_item_or(bulk_loads, index, False),
-            waits_for_bulk_load=_item_or(waits, index, False),
+            threads=max(1, int(_item_at(threads, index, 1))),
+            is_bulk_load=_item_at(bulk_loads, index, False),
+            waits_for_bulk_load=_item_at(waits, index, False),
         )
         for index, group in enumerate(section.listed("classes", "class"))
     ]
@@ -175,7 +179,7 @@
     cores = engine_family.numbers("size_cores")
     memory_mb = engine_family.numbers("memory_by_kind_mb")
     return {
-        kind: EngineSize(_item_or(cores, index, 0.0), _item_or(memory_mb, index, 0.0))
+        kind: EngineSize(_item_at(cores, index, 0.0), _item_at(memory_mb, index, 0.0))
         for index, kind in enumerate(section.words("kinds"))
     }
 
--- a/lichenquay/settings_section.py
+++ b/lichenquay/settings_section.py
@@ -10,32 +10,32 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or is not valid; the text names the section, the setting and its value."""
+    """A setting is missing or invalid; the message names the section, the setting and its value."""
 
 
 class FieldReader:
-    """Named text fields and what they mean. Fields that nobody asks for are left alone.
+    """Named text fields, read by type. Fields that are never read are ignored.
 
-    Each method takes a field's name and the default for a missing one; without a default, a missing field is
-    an error, as is one that cannot be read.
+    Each method takes a field's name and the default for a missing field. A missing field without a default,
+    or a field that cannot be read, raises the exception that `error` returns.
     """
 
     __slots__ = ("fields",)
 
     def __init__(self, fields: Mapping[str, str]):
-        """`fields`: text by name."""
+        """Takes `fields`: text by name."""
         self.fields = fields
 
     def error(self, name: str, problem: str) -> Exception:
-        """The error to raise for a field; `problem` follows its name in the text."""
+        """Returns the exception to raise for a field; `problem` follows the field's name in the message."""
         raise NotImplementedError
 
     def has(self, name: str) -> bool:
-        """Whether the field is there."""
+        """Returns whether the field is present."""
         return name in self.fields
 
     def text(self, name: str, default: str | None = None) -> str:
-        """The field as it is."""
+        """Returns the field's text unchanged."""
         value = self.fields.get(name)
         if value is not None:
             return value
@@ -44,7 +44,7 @@
         return default
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Returns a finite number."""
         value = self.text(name, default)
         try:
             number = float(value)
@@ -55,7 +55,7 @@
         return number
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """A whole number."""
+        """Returns a whole number."""
         value = self.text(name, default)
         try:
             return int(value)
@@ -63,11 +63,11 @@
             raise self.error(name, f"is {value!r}, expected a whole number") from None
 
     def milliseconds(self, name: str, default: int | None = None) -> float:
-        """A time in milliseconds; the field and the default are in whole microseconds."""
+        """Returns a time in milliseconds; the field and the default are in whole microseconds."""
         return self.integer(name, default) / MICROSECONDS_PER_MS
 
     def flag(self, name: str, default: str | None = None) -> bool:
-        """A yes or no; the default is a word too."""
+        """Returns a boolean; the default is given as text too."""
         value = self.text(name, default)
         if value in TRUE_WORDS:
             return True
@@ -76,16 +76,16 @@
         raise self.error(name, f"is {value!r}, expected true or false")
 
     def words(self, name: str) -> list[str]:
-        """Words separated by commas; none where the field is missing."""
+        """Returns words separated by commas; an empty list if the field is missing."""
         value = self.fields.get(name, "")
         return value.split(",") if value else []
 
     def flags(self, name: str) -> list[bool]:
-        """Flags separated by commas; a word that is no flag counts as no."""
+        """Returns booleans separated by commas; any word that is not true counts as false."""
         return [word in TRUE_WORDS for word in self.words(name)]
 
     def numbers(self, name: str) -> list[float]:
-        """Numbers separated by commas."""
+        """Returns numbers separated by commas."""
         try:
             return [float(word) for word in self.words(name)]
         except ValueError:
@@ -98,21 +98,21 @@
     __slots__ = ("label",)
 
     def __init__(self, fields: Mapping[str, str], label: str = ""):
-        """`label`: such as "class 'stocktake'"; empty for the settings as a whole."""
+        """Takes `label`, such as "class 'stocktake'"; empty for the settings as a whole."""
         super().__init__(fields)
         self.label = label
 
     @classmethod
     def from_json(cls, value: object) -> "SettingsSection":
-        """The settings as a whole, from the JSON that holds them."""
+        """Creates the section of all settings from decoded JSON."""
         return cls(flatten(value))
 
     def error(self, name: str, problem: str) -> SettingsError:
-        """As in `FieldReader`, with the section's label."""
+        """Returns the exception as in `FieldReader`, with the section's label."""
         return SettingsError(f"{self.label}: '{name}' {problem}" if self.label else f"'{name}' {problem}")
 
     def subsection(self, name: str) -> "SettingsSection":
-        """The fields whose names begin with the name and a dot; empty where there are none."""
+        """Returns the fields whose names start with `name` and a dot; empty if there are none."""
         prefix = f"{name}."
         fields = {
             field.removeprefix(prefix): value
@@ -122,9 +122,10 @@
         return SettingsSection(fields, name)
 
     def listed(self, name: str, label: str) -> Iterator["SettingsSection"]:
-        """The numbered sections of a list, each labelled by its own name, such as "class 'stocktake'".
+        """Yields the numbered sections of a list, each labelled by its own name.
 
-        One pass sorts the fields by section; with a pass for each section, a thousand would take seconds.
+        An example of a label is "class 'stocktake'". One pass sorts the fields by section; with one pass per
+        section, a thousand sections would take seconds.
         """
         fields_by_number: dict[str, dict[str, str]] = defaultdict(dict)
         for field, value in self.subsection(name).fields.items():
@@ -142,10 +143,10 @@
 
 
 def flatten(value: object, path: str = "", fields: dict[str, str] | None = None) -> dict[str, str]:
-    """Nested JSON as named text fields.
+    """Returns nested JSON as named text fields.
 
     Names are joined by dots; plain lists are joined by commas; lists of objects are numbered from 0, with
-    their number as `count`. Null values are left out.
+    their length as `count`. Null values are omitted.
     """
     fields = {} if fields is None else fields
     if isinstance(value, dict):
--- a/lichenquay/simulator_adapter/__main__.py
+++ b/lichenquay/simulator_adapter/__main__.py
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """The exit code: 1 after malformed input, or when the simulator has gone."""
+    """Runs the adapter; returns the exit code: 1 after malformed input or a closed output, else 0."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     try:
--- a/lichenquay/simulator_adapter/adapter.py
+++ b/lichenquay/simulator_adapter/adapter.py
@@ -25,12 +25,12 @@
 
 
 class Adapter:
-    """All simulated gateways of this process; they share the endpoint lists, which come before their use."""
+    """All simulated gateways of this process; they share the endpoint lists, which precede their use."""
 
-    def __init__(self, read: TextIO, write: TextIO):
-        """`read`, `write`: the simulator's lines and ours."""
-        self.read = read
-        self.write = write
+    def __init__(self, reader: TextIO, writer: TextIO):
+        """Takes `reader` for the simulator's lines and `writer` for the replies."""
+        self.reader = reader
+        self.writer = writer
         self.gateways: dict[str, SimulatedGateway] = {}
         self.endpoint_lists: dict[int, list[WireLine]] = {}
         self.line_number = 0
@@ -41,18 +41,21 @@
             if line.tag != "clock":
                 raise line.error("clock", "missing at the start of a batch")
             reply = self._read_batch(line.integer("moment_us") / MICROSECONDS_PER_MS)
-            self.write.write(reply)
-            self.write.flush()
+            self.writer.write(reply)
+            self.writer.flush()
 
     def _next_line(self) -> WireLine | None:
-        text = self.read.readline()
+        text = self.reader.readline()
         if not text:
             return None
         self.line_number += 1
         return WireLine(self.line_number, text.rstrip("\r\n"))
 
     def _read_batch(self, now_ms: float) -> str:
-        """Handles the messages of one batch; the reply. An "about" line names the gateway of what follows."""
+        """Handles the messages of one batch and returns the reply.
+
+        An "about" line names the gateway of the messages that follow it.
+        """
         name = None
         gateway = None
         replies: list[str] = []
@@ -97,7 +100,7 @@
         return gateway
 
     def _read_rows(self, line: WireLine) -> list[WireLine]:
-        """The rows of an endpoint list, which follow its line."""
+        """Reads the rows of an endpoint list, which follow the line that announces it."""
         rows = []
         for _ in range(line.integer("rows_in")):
             row = self._next_line()
@@ -114,10 +117,10 @@
     def _handle(
         gateway: SimulatedGateway, handler: MessageHandler, line: WireLine, replies: list[str]
     ) -> bool:
-        """Handles one message and appends the gateway's lines to the replies; whether it did without a fault.
+        """Handles one message and adds the gateway's output to `replies`; returns whether it succeeded.
 
-        A fault of the controller is reported for its gateway, and its text goes to standard error; the other
-        gateways of the process go on.
+        An exception in the controller is reported for its gateway, and its traceback is written to standard
+        error; the other gateways of the process continue.
         """
         fault = None
         try:
--- a/lichenquay/simulator_adapter/simulated_gateway.py
+++ b/lichenquay/simulator_adapter/simulated_gateway.py
@@ -1,6 +1,7 @@
-"""One simulated gateway: passes the simulator's events to its controller, and writes what that asks for.
+"""One simulated gateway: passes the simulator's events to its controller, and writes the controller's calls.
 
-Nothing is decided here. The names and units of fields on the wire are mapped to the controller's and back.
+Nothing is decided here. The names and units of fields on the wire are converted to those of the controller
+and back.
 """
 
 import math
@@ -18,18 +19,18 @@
 )
 
 NO_TENANT = "0"
-LIST_UPDATE_MODES = ("update", "replace", "restored")  # all but "update" give the whole list
+LIST_UPDATE_MODES = ("update", "replace", "restored")  # all but "update" give the full list
 
 
 class SimulatedGateway:
-    """Implements `GatewayPort` for one controller; `on_...` take the simulator's messages of that name."""
+    """Implements `GatewayPort` for one controller; an `on_...` method handles the message of that name."""
 
     def __init__(self, name: str, now_ms: float, endpoint_lists: Mapping[int, list[WireLine]]):
-        """`endpoint_lists`: the rows of each list by its number, shared by all gateways of the process."""
+        """Takes `endpoint_lists`: the rows of each list by its number, shared by all gateways."""
         self.name = name
         self.now_ms = now_ms
         self.endpoint_lists = endpoint_lists
-        self.output: list[str] = []  # lines for the simulator
+        self.output: list[str] = []  # lines to send to the simulator
         self.queries: dict[int, Query] = {}
         self.engines: dict[str, Engine] = {}
         self.timers: dict[str, Callable[[], None]] = {}
@@ -38,7 +39,7 @@
     # Messages of the simulator
 
     def on_hello(self, line: WireLine) -> None:
-        """The gateway starts, with its deployment's settings."""
+        """Starts the gateway with the deployment's settings."""
         try:
             self.settings = DeploymentSettings(SettingsSection(line.fields), line.integer("seed"))
         except SettingsError as error:
@@ -46,7 +47,7 @@
         self.controller = self.settings.controller(self)
 
     def on_arrival(self, line: WireLine) -> None:
-        """A client's query arrived."""
+        """Admits a client's query."""
         group = self.settings.groups.get(line.text("lane"))
         if group is None:
             raise line.error("lane", f"never given: {line.text('lane')!r}")
@@ -69,7 +70,7 @@
         self.controller.admit(query)
 
     def on_response(self, line: WireLine) -> None:
-        """An attempt ended."""
+        """Handles the end of an attempt."""
         outcome = line.outcome("ending")
         attempt = self._attempt_of(line, must_exist=True)
         took_ms = line.milliseconds("wait_time_us")
@@ -84,7 +85,7 @@
         self._forget_if_over(query)
 
     def on_change(self, line: WireLine) -> None:
-        """An engine reported progress of an attempt."""
+        """Handles a progress event of an attempt."""
         kind = PROGRESS_KINDS.get(line.integer("sort"))
         amount = line.number("value")
         attempt = self._attempt_of(line, must_exist=False)
@@ -92,13 +93,16 @@
             self.controller.on_progress(attempt, kind, amount)
 
     def on_first(self, line: WireLine) -> None:
-        """A result began to stream: the client has its answer, and no deadline runs; the outcome follows."""
+        """Marks the query of a result that began to stream as done; the attempt's outcome follows.
+
+        The client has its answer from then on, and the deadline no longer applies.
+        """
         attempt = self._attempt_of(line, must_exist=True)
         if attempt is not None:
             attempt.query.is_done = True
 
     def on_abandoned(self, line: WireLine) -> None:
-        """The client has gone."""
+        """Handles a client that has gone."""
         query = self.queries.get(line.integer("req"))
         if query is not None and not query.is_done:
             query.is_done = True
@@ -106,20 +110,20 @@
             self._forget_if_over(query)
 
     def on_probe_done(self, line: WireLine) -> None:
-        """A health check ended."""
+        """Handles the result of a health check."""
         is_healthy = line.text("ending") == "S"
         took_ms = line.milliseconds("wait_time_us")
         report = line.load_report("telemetry")
         self.controller.on_health_check(self._engine_of(line), is_healthy, took_ms, report)
 
     def on_wakeup(self, line: WireLine) -> None:
-        """A timer is due."""
+        """Calls the callback of a timer that has expired."""
         call = self.timers.pop(line.text("cookie"), None)
         if call is not None:
             call()
 
     def on_targets(self, line: WireLine) -> None:
-        """The endpoint list changed, or discovery could not be reached."""
+        """Handles a change of the endpoint list, or a failure to reach discovery."""
         mode = line.text("mode")
         if mode == "unavailable":
             self.controller.endpoints_unavailable()
@@ -133,7 +137,7 @@
         self.controller.endpoints_updated(engines, mode != "update")
 
     def on_note_from(self, line: WireLine) -> None:
-        """Another gateway sent a message; simulated gateways share nothing, so it has no use."""
+        """Ignores a message of another gateway; simulated gateways share no state."""
 
     def _read_engine(self, row: WireLine) -> Engine:
         name = row.text("engine")
@@ -159,7 +163,7 @@
         return engine
 
     def _attempt_of(self, line: WireLine, must_exist: bool) -> Attempt | None:
-        """The attempt that the line names; None where its query is over and was forgotten."""
+        """Returns the attempt that the line names; None if its query has ended and was removed."""
         query = self.queries.get(line.integer("req"))
         number = line.integer("leg")
         self._engine_of(line)
@@ -207,7 +211,7 @@
         self._forget_if_over(query)
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """See `GatewayPort`; the time is rounded up, as a timer must not come early."""
+        """See `GatewayPort`; the time is rounded up, because a timer must not fire early."""
         self.last_timer_number += 1
         self.timers[str(self.last_timer_number)] = call
         when_us = math.ceil(at_ms * MICROSECONDS_PER_MS)
--- a/tests/test_settings_section.py
+++ b/tests/test_settings_section.py
@@ -1,4 +1,4 @@
-"""Settings are read by type, and an error names the section, the setting, its value and what was expected."""
+"""Settings are read by type; an error names the section, the setting, its value and what was expected."""
 
 import pytest
 
@@ -21,17 +21,17 @@
 
 
 def settings(**changes):
-    """The settings of a deployment with one group, changed."""
+    """Returns the settings of a deployment with one group, with the given changes."""
     return DeploymentSettings(SettingsSection.from_json({"classes": [GROUP], **changes}), 5)
 
 
 def group_with(**changes):
-    """The settings' list of groups, with one group that was changed."""
+    """Returns the settings' list of groups, with one changed group."""
     return [{name: value for name, value in {**GROUP, **changes}.items() if value is not None}]
 
 
 def test_nested_settings_become_named_text_fields():
-    """Lists of objects are numbered and counted, plain lists joined, null values left out."""
+    """Lists of objects are numbered and counted, plain lists joined, null values omitted."""
     nested = {"a": {"b": True, "c": [1, 2.5, False]}, "d": [{"e": None, "f": "x"}], "g": None}
     assert flatten(nested) == {"a.b": "true", "a.c": "1,2.5,false", "d.count": "1", "d.0.f": "x"}
 
@@ -53,25 +53,25 @@
     ],
 )
 def test_an_error_names_section_setting_value_and_expectation(changes, text):
-    """An operator finds the setting by the text alone."""
+    """An operator finds the setting by the message alone."""
     with pytest.raises(SettingsError) as raised:
         settings(**changes)
     assert str(raised.value) == text
 
 
 class CountedFields(dict):
-    """Fields that count how often all of them are passed over."""
+    """Fields that count how often all of them are iterated over."""
 
     passes = 0
 
     def items(self):
-        """Counted."""
+        """Counts the iteration."""
         self.passes += 1
         return super().items()
 
 
 def passes_over_fields(section_count):
-    """How often reading settings with so many groups and tenants passes over all fields."""
+    """Returns how often reading settings with so many groups and tenants iterates over all fields."""
     sections = {
         "classes": [{**GROUP, "name": f"g{number}"} for number in range(section_count)],
         "tenants": [{"name": f"t{number}"} for number in range(section_count)],
@@ -83,13 +83,13 @@
     return fields.passes
 
 
-def test_the_time_to_read_settings_is_linear_in_their_sections():
-    """A pass over all fields for each section would take seconds at a start with a thousand tenants."""
+def test_reading_settings_takes_time_linear_in_the_number_of_sections():
+    """One pass over all fields per section would take seconds at a start with a thousand tenants."""
     assert passes_over_fields(2) == passes_over_fields(200)
 
 
-def test_the_operators_words_become_enumerations():
-    """Words that are not known do not keep a gateway from starting."""
+def test_words_in_settings_become_enumeration_values():
+    """Unknown words do not keep a gateway from starting."""
     known = settings(family_info={"out_of_memory": "swap"}, report={"how": "probe"})
     group = known.groups["stocktake"]
     assert (group.effect, group.deduplication_scope) == (Effect.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter reads batches, and answers them or says what is wrong with them."""
+"""The simulator adapter answers batches, and reports malformed input by line and field."""
 
 from io import StringIO
 
@@ -14,8 +14,8 @@
 LIST = "sheet\ttable=3\trows_in=1\nengine\tengine=e1\tclass_of_host=k\tstatus=IN\n"
 
 
-def test_a_batch_is_read_and_answered():
-    """A query is sent, fails on its engine, and is sent again with the time that is left."""
+def test_a_batch_is_answered_and_malformed_input_names_its_line():
+    """A query that fails on its engine is retried with the time that is left."""
     text = (
         f"clock\tmoment_us=1000\n{LIST}about\twho=front_2\n{HELLO}targets\ttable=3\tstamp=1\t"
         "mode=restored\narrival\treq=7\tlane=lookup\tttl_us=90000\ngo\n"
@@ -30,8 +30,8 @@
         Adapter(StringIO("clock\tmoment_us=1\nabout\twho=front_1\narrival\treq=1\ngo\n"), out).run()
 
 
-def test_settings_that_make_no_sense_are_malformed_input():
-    """The text names the line, the section and the setting."""
+def test_invalid_settings_are_malformed_input():
+    """The message names the line, the section and the setting."""
     text = f"clock\tmoment_us=1000\nabout\twho=front_2\n{HELLO}go\n".replace("effect=safe", "effect=odd")
     with pytest.raises(MalformedInputError, match="line 3: hello: class 'lookup': 'effect' is 'odd'"):
         Adapter(StringIO(text), StringIO()).run()
