--- a/lichenquay/admission/admission_slot.py
+++ b/lichenquay/admission/admission_slot.py
@@ -1,4 +1,4 @@
-"""M&M's state for one engine (or for all engines, pooled) and one resource group (paper, 4.3)."""
+"""M&M's state for one resource group on one engine, or on all engines together (paper, 4.3)."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,8 +10,8 @@
 class SlotKind(Enum):
     """How much memory a slot grants."""
 
-    MAXIMUM = "maximum"  # all that the query can use
-    MINIMUM = "minimum"  # a share of it
+    MAXIMUM = "maximum"  # all the memory that the query can use
+    MINIMUM = "minimum"  # a share of that memory
 
 
 @dataclass(slots=True)
@@ -20,15 +20,15 @@
 
     started_ms: float
     results: int = 0
-    lateness_ms: float = 0.0  # against the latency objective; negative where it was beaten
+    lateness_ms: float = 0.0  # relative to the latency objective; negative if earlier
     lateness_squared: float = 0.0
     granted_mb: float = 0.0
-    waiting: float = 0.0  # queries that waited for the slot's engine
-    running: float = 0.0  # attempts that held the slot
+    waiting: float = 0.0  # queries waiting for the slot's engine, summed over the results
+    running: float = 0.0  # attempts holding the slot, summed over the results
 
 
 class AdmissionSlot:
-    """Slot limits of one engine and group, the memory pool of its maximum slots, and what holds them."""
+    """Slot limits of one engine and group, the memory pool of its maximum slots, and their usage."""
 
     __slots__ = (
         "admitted_ms",
@@ -49,34 +49,37 @@
     def __init__(
         self, maximum: int, siblings: dict[ResourceGroup, "AdmissionSlot"], is_pooled: bool, now_ms: float
     ):
-        """Begins with `maximum` full slots. `siblings`: the slots of all groups that share its memory."""
+        """Creates a slot with a limit of `maximum` maximum slots and no minimum slots.
+
+        `siblings`: the slots of all groups that share its memory.
+        """
         self.maximum = maximum
         self.minimum = 0
         self.siblings = siblings
-        self.is_pooled = is_pooled  # one slot for all engines together
-        self.pool_mb: float | None = None  # set by the first grant
+        self.is_pooled = is_pooled  # one limit for all engines together
+        self.pool_mb: float | None = None  # None until the first grant sets it
         self.pool_used_mb = 0.0
         self.running_maximum = 0
         self.running_minimum = 0
         self.meets_objective = False
-        self.delay_ms = 0.0  # least time between two admissions under pressure
+        self.delay_ms = 0.0  # shortest time between two admissions under pressure
         self.admitted_ms = -inf
         self.mean_runtime_ms = 0.0
         self.start_interval(now_ms)
 
     def start_interval(self, now_ms: float) -> None:
-        """Begins a new feedback interval."""
+        """Starts a new feedback interval."""
         self.interval = SlotInterval(now_ms)
 
     def has_free_maximum(self, grant_mb: float) -> bool:
-        """Whether a maximum slot is free, and its memory pool holds the grant too.
+        """Returns whether a maximum slot is free and the grant fits into the memory pool.
 
         The first holder may exceed the pool; otherwise a query larger than the pool would never run.
         """
         return self._fits_pool(grant_mb) and self.running_maximum < self.maximum
 
     def has_free_minimum(self) -> bool:
-        """Whether a minimum slot is free."""
+        """Returns whether a minimum slot is free."""
         return self.running_minimum < self.minimum
 
     def _fits_pool(self, grant_mb: float) -> bool:
--- a/lichenquay/admission/attempt_results.py
+++ b/lichenquay/admission/attempt_results.py
@@ -1,4 +1,4 @@
-"""The end of an attempt: its effect on the engine's state, the reservation and the slot's feedback."""
+"""Effects of an attempt's end on the engine's state, its reservation and the slot's feedback."""
 
 from lichenquay.admission.attempts_in_flight import AttemptsInFlight
 from lichenquay.admission.domain import NEVER_EXECUTED, Attempt, ExecutionCost, GatewayPermissions, Outcome
@@ -14,7 +14,7 @@
 
 ENGINE_ANSWERED = (Outcome.COMPLETED, Outcome.FAILED, Outcome.OVERLOADED)
 ENGINE_UNREACHABLE = (Outcome.NOT_CONNECTED, Outcome.CONNECTION_RESET)
-CHARGED_AFTER_END = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # unless engines heed a cancel
+CHARGED_AFTER_END = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # where attempts cannot be cancelled
 
 
 class AttemptResults:
@@ -31,7 +31,7 @@
         feedback: SlotFeedback,
         attempts_in_flight: AttemptsInFlight,
     ):
-        """Each argument but the permissions records a part of a result, or reports it on."""
+        """Creates the recorder; each argument but the permissions receives a part of a result."""
         self.port = port
         self.permissions = permissions
         self.engine_load = engine_load
@@ -50,7 +50,7 @@
         report: dict[str, float] | None,
         now_ms: float,
     ) -> None:
-        """An attempt ended; `cost` and `report` are as in `AdmissionPort.on_attempt_ended`."""
+        """Records an attempt's end; `cost` and `report` are as in `AdmissionPort.on_attempt_ended`."""
         if state is None:
             return
         reservation = state.reservations.get(attempt)
@@ -68,22 +68,24 @@
             self.attempts_in_flight.release(reservation)
 
     def _release_later(self, reservation: Reservation, took_ms: float, now_ms: float) -> None:
-        """The engine works on for an unknown time: to the expected end, or for as long again if that is past.
+        """Releases the reservation when the engine is expected to finish the attempt's work.
 
-        Without this, the engine would look free, and get more and more work that nobody waits for.
+        The engine continues for an unknown time: until the expected end or, if that has passed, for as long
+        again as the attempt has taken. If the reservation were released immediately, the engine would look
+        free and be sent ever more work while it runs queries whose results nobody waits for.
         """
         slowdown_ratio = reservation.engine_state.slowdown_ratio or 1.0
         left_ms = max(slowdown_ratio * expected_runtime_ms(reservation.query) - took_ms, took_ms)
-        self.attempts_in_flight.leave_total(reservation)
+        self.attempts_in_flight.exclude_from_total(reservation)
         self.port.call_at(now_ms + left_ms, lambda: self.attempts_in_flight.release(reservation))
 
     def _record_result(
         self, reservation: Reservation, took_ms: float, cost: ExecutionCost | None, now_ms: float
     ) -> None:
-        """Feedback: only completed attempts can meet the objective; errors and time-outs miss it.
+        """Updates the feedback: only completed attempts can meet the objective; errors and timeouts miss it.
 
-        Otherwise engines that fail fast would count as fast. Attempts that never ran, or that this gateway
-        moved elsewhere, say nothing about the slot.
+        Otherwise an engine that fails quickly would count as fast. Attempts that never ran, or that this
+        gateway relocated, say nothing about the slot.
         """
         state = reservation.engine_state
         query = reservation.query
@@ -106,7 +108,7 @@
             self.feedback.record_runtime(reservation.slot, took_ms)
             if cost and query.estimated_memory_mb:
                 _, used_mb = cost
-                self.grants.learn(reservation.group, used_mb > reservation.granted_mb, used_mb)
+                self.grants.record_memory_need(reservation.group, used_mb > reservation.granted_mb, used_mb)
         self.feedback.record_result(
             reservation.slot, reservation.group, state, lateness_ms, reservation.granted_mb, now_ms
         )
--- a/lichenquay/admission/attempts_in_flight.py
+++ b/lichenquay/admission/attempts_in_flight.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: starting one with its grant and reservation, and releasing what it holds."""
+"""Attempts in flight: starts an attempt with its grant and reservation, and releases what it holds."""
 
 from lichenquay.admission.domain import EngineCapabilities, Query
 from lichenquay.admission.engine_choice import Candidate
@@ -17,7 +17,7 @@
 
 
 class AttemptsInFlight:
-    """Starts attempts and counts what they hold, on their engines and in total."""
+    """Starts attempts and accounts for what they hold, on their engines and in total."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         retry_policy: RetryPolicy,
         slow_start: SlowStart,
     ):
-        """Nothing is in flight. `totals`: of this gateway, which are kept here."""
+        """Starts with nothing in flight. `totals`: this gateway's totals, updated by this object."""
         self.port = port
         self.sets_grants = capabilities.honours_memory_grants or capabilities.honours_priorities
         self.fleet = fleet
@@ -43,10 +43,10 @@
         self.pressure = pressure
         self.retry_policy = retry_policy
         self.slow_start = slow_start
-        self.busy: dict[EngineState, bool] = {}  # an ordered set: engines with reservations
+        self.busy: dict[EngineState, bool] = {}  # an ordered set of the engines that have reservations
 
     def start(self, query: Query, chosen: Candidate, now_ms: float) -> None:
-        """Starts an attempt on the chosen engine, and counts it in its slot and in every budget."""
+        """Starts an attempt on the chosen engine, and charges it to its slot and every budget."""
         state = chosen.state
         group = query.group
         state.next_try_ms = now_ms + group.latency_objective_ms
@@ -84,7 +84,7 @@
         )
 
     def release(self, reservation: Reservation) -> None:
-        """The attempt's work is over: it holds nothing any more."""
+        """Releases everything that the attempt holds; its work has ended."""
         state = reservation.engine_state
         if state.reservations.pop(reservation.attempt, None) is None:
             return
@@ -95,6 +95,6 @@
         if not state.reservations:
             self.busy.pop(state, None)
 
-    def leave_total(self, reservation: Reservation) -> None:
-        """The attempt's time is over and its engine works on: it counts there only."""
-        reservation.leave_total(self.totals)
+    def exclude_from_total(self, reservation: Reservation) -> None:
+        """Counts the attempt on its engine only: its time is up, but the engine still works on it."""
+        reservation.exclude_from_total(self.totals)
--- a/lichenquay/admission/bulk_loads.py
+++ b/lichenquay/admission/bulk_loads.py
@@ -1,4 +1,4 @@
-"""Bulk loads: they lock their tables on their engine, so that others wait there."""
+"""Bulk loads: they lock their tables on their engine, so other queries wait for them there."""
 
 from lichenquay.admission.domain import Query
 from lichenquay.admission.engine_state import EngineState
@@ -6,10 +6,11 @@
 
 
 def would_queue_too_long(query: Query, state: EngineState, gateway_share: float, now_ms: float) -> bool:
-    """Whether a bulk load would miss its objective behind those of the same tables on the engine.
+    """Returns whether a bulk load would miss its objective behind loads of the same tables on the engine.
 
-    They run there one by one. The runtimes of ours are divided by our share of the engine (0 to 1), as the
-    other gateways' loads queue there too. Without the rule, each load ends late and makes the next one late.
+    Loads of the same tables run one at a time. The expected runtimes of this gateway's loads are divided by
+    its share of the engine (0 to 1), because the loads of the other gateways wait there too. Without this
+    rule, each load ends late and delays the next one.
     """
     if not query.table_group:
         return False
@@ -25,7 +26,7 @@
 
 
 def waits_for_lock(query: Query, state: EngineState, now_ms: float) -> bool:
-    """Whether a bulk load that is known to us locks the query's tables on the engine, and the query minds."""
+    """Returns whether a known bulk load locks the query's tables on the engine and blocks the query."""
     if not query.table_group or state.table_locks.get(query.table_group, 0.0) <= now_ms:
         return False
     return query.group.is_bulk_load or query.group.waits_for_bulk_load
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -1,8 +1,9 @@
-"""M&M admission control (Brown, Mehta, Carey, Livny, VLDB 1994) at one gateway: the rules, wired together.
+"""M&M admission control (Brown, Mehta, Carey, Livny, VLDB 1994) at one gateway, composed of its rules.
 
-A gateway builds a `Controller` and calls it as things happen (`ports.AdmissionPort`); the controller answers
-by calls on its `ports.GatewayPort`. An admitted query passes `KeyOrdering`, then `QueryDispatcher`, which
-asks the other rules. Each rule is in a module of its own; docs/design.md gives their source.
+A gateway builds a `Controller` and calls it on each event (`ports.AdmissionPort`); the controller responds
+with calls on its `ports.GatewayPort`. An admitted query passes through `KeyOrdering` and then
+`QueryDispatcher`, which consults the other rules. Each rule is in a module of its own; docs/design.md gives
+their source.
 """
 
 from collections.abc import Sequence
@@ -73,7 +74,7 @@
         limits: SafetyLimits,
         capabilities: EngineCapabilities,
     ):
-        """Knows no engine yet. All settings are constant from here on."""
+        """Creates a controller that knows no engine. Its settings do not change afterwards."""
         self.port = port
         self.time_scales = TimeScales.of(gateway, groups)
         self._make_fleet(gateway, groups, limits, capabilities)
@@ -92,7 +93,7 @@
         limits: SafetyLimits,
         capabilities: EngineCapabilities,
     ) -> None:
-        """The engines, what is known of their load and capacity, and how one is selected."""
+        """Creates the engine states, their load and capacity, and engine selection."""
         scales = self.time_scales
         engines_swap = capabilities.memory_shortage == MemoryShortageBehaviour.SWAP
         self.random = HashRandom(gateway.seed)
@@ -136,7 +137,7 @@
         limits: SafetyLimits,
         capabilities: EngineCapabilities,
     ) -> None:
-        """Slots, memory grants, retries, and the dispatcher that uses them."""
+        """Creates the slots, memory grants, retry policy, and the dispatcher that uses them."""
         gateway_share = 1.0 / max(1, gateway.gateway_count)
         interactive = interactive_groups(groups)
         totals = InFlightTotals()
@@ -195,7 +196,7 @@
         )
 
     def _make_monitoring(self, permissions: GatewayPermissions, capabilities: EngineCapabilities) -> None:
-        """What watches engines and attempts in flight."""
+        """Creates the rules that monitor engines and attempts in flight."""
         scales = self.time_scales
         relocation = Relocation(self.port, permissions)
         self.silence = SilenceDetection(self.port, capabilities, scales.shortest_objective_ms, relocation)
@@ -231,34 +232,37 @@
 
     # The endpoint list
 
-    def endpoints_updated(self, engines: Sequence[Engine], whole: bool) -> None:
-        """The endpoint list changed: `engines` are all there are (`whole`), or those that changed."""
+    def endpoints_updated(self, engines: Sequence[Engine], is_full_list: bool) -> None:
+        """Applies a change of the endpoint list, then dispatches waiting queries.
+
+        `engines` are all listed engines (`is_full_list`), or only those that changed.
+        """
         now_ms = self.port.now_ms
-        self.endpoint_list.update(engines, whole, now_ms)
+        self.endpoint_list.update(engines, is_full_list, now_ms)
         self.evaluation.update_subset(now_ms)
         self.dispatcher.dispatch_waiting(now_ms)
 
     def endpoints_unavailable(self) -> None:
-        """Discovery could not be reached, or the watch broke."""
-        self.endpoint_list.poll_again()
+        """Schedules another poll after a failed poll or a broken watch of the endpoint list."""
+        self.endpoint_list.schedule_poll()
 
     def mark_endpoints_stale(self, max_ms: float) -> None:
-        """The endpoint list may be out of date until it is confirmed, for `max_ms` at most."""
+        """Treats the endpoint list as stale until it is confirmed, for `max_ms` at most."""
         self.staleness.mark_stale(self.port.now_ms + max_ms)
 
     def are_endpoints_stale(self, now_ms: float) -> bool:
-        """Whether nothing is dispatched because the endpoint list may be out of date."""
+        """Returns whether dispatch is suspended because the endpoint list may be stale."""
         return self.staleness.is_stale(now_ms)
 
     def endpoints_confirmed(self) -> None:
-        """The endpoint list is up to date."""
+        """Records that the endpoint list is up to date, and dispatches waiting queries."""
         self.staleness.confirm()
         self.dispatcher.dispatch_waiting(self.port.now_ms)
 
     # Queries
 
     def admit(self, query: Query) -> None:
-        """A query arrived; its final answer comes by its deadline."""
+        """Takes a query that has arrived, and ensures that it has a final answer by its deadline."""
         now_ms = self.port.now_ms
         query.counts_over_quota = self.tenant_quota.is_over_quota(query, now_ms)
         self.retry_policy.record_query(now_ms)
@@ -272,22 +276,25 @@
         self.ticker.schedule(now_ms)
 
     def give_final_answer(self, query: Query) -> None:
-        """Rejects or fails the query now, unless it has its final answer."""
+        """Rejects or fails the query immediately, unless it already has its final answer."""
         self.final_answers.give(query)
 
     def on_client_gone(self, query: Query) -> None:
-        """The query's client cancelled it or closed its connection."""
+        """Stops the work on a query whose client cancelled it or closed its connection."""
         self.final_answers.on_client_gone(query)
 
     # Attempts and engines
 
     def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
-        """Whether an attempt is still allowed; asked in the instant before its first byte."""
+        """Returns whether an attempt may still be sent, asked immediately before its first byte.
+
+        An allowed attempt is recorded as sent at that time.
+        """
         return self.checks.may_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
 
     def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
-        """An engine reported on an attempt in flight."""
-        now_ms = self.ticker.excuse_pause()
+        """Handles a progress event of an attempt in flight."""
+        now_ms = self.ticker.compensate_for_pause()
         state = self.fleet.states.get(attempt.engine)
         self.progress_events.on_progress(attempt, state, kind, amount, now_ms)
 
@@ -298,8 +305,8 @@
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
-        """An attempt ended: its query gets its next attempt or its final answer, unless it is done."""
-        now_ms = self.ticker.excuse_pause()
+        """Records the end of an attempt, then retries its query or gives its final answer if it is open."""
+        now_ms = self.ticker.compensate_for_pause()
         query = attempt.query
         state = self.fleet.states.get(attempt.engine)
         self.attempt_results.on_attempt_ended(attempt, state, took_ms, cost, report, now_ms)
@@ -314,7 +321,10 @@
     def on_health_check(
         self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
     ) -> None:
-        """A health check ended; a failed one changes nothing: silence alone makes an engine unresponsive."""
+        """Records a successful health check.
+
+        A failed one changes nothing: only silence makes an engine unresponsive.
+        """
         state = self.fleet.states.get(engine)
         if healthy and state is not None:
             self.engine_load.record_report(state, report, self.port.now_ms)
@@ -323,16 +333,16 @@
     # Time
 
     def tick(self) -> None:
-        """Runs at each tick interval while anything is in flight or waiting."""
-        now_ms = self.ticker.excuse_pause()
+        """Runs the periodic checks; repeats at the tick interval while work is in flight or waiting."""
+        now_ms = self.ticker.compensate_for_pause()
         for state in list(self.attempts_in_flight.busy):
             self.silence.check_engine(state, now_ms)
         self.evaluation.evaluate_if_due(now_ms)
         self.dispatcher.dispatch_waiting(now_ms)
-        self.ticker.tick_is_over()
+        self.ticker.end_tick()
         if self.attempts_in_flight.busy or not self.waiting.is_empty():
             self.ticker.schedule(now_ms)
 
     def is_under_pressure(self) -> bool:
-        """Whether the engines have no room for queries over quota."""
+        """Returns whether the engines have no capacity for queries over quota."""
         return self.pressure.are_engines_under_pressure(self.port.now_ms)
--- a/lichenquay/admission/dispatch_checks.py
+++ b/lichenquay/admission/dispatch_checks.py
@@ -1,18 +1,18 @@
-"""What every attempt must satisfy: when it is decided, and again in the instant before its first byte."""
+"""Checks for every attempt, when it is decided and again immediately before its first byte."""
 
 from lichenquay.admission.domain import Attempt, EndpointState, Query, SafetyLimits
 from lichenquay.admission.engine_state import EngineState
-from lichenquay.admission.idempotency import would_repeat_be_dropped
+from lichenquay.admission.idempotency import would_detect_duplicate
 from lichenquay.admission.placement import satisfies_placement
 from lichenquay.admission.retry_policy import RetryPolicy
 from lichenquay.admission.slow_start import SlowStart
 
 
 class DispatchChecks:
-    """Draining, placement, idempotency and slow start, in this order."""
+    """Checks draining, placement, idempotency and slow start, in this order."""
 
     def __init__(self, limits: SafetyLimits, retry_policy: RetryPolicy, slow_start: SlowStart):
-        """`retry_policy` and `slow_start` have the budgets that `may_dispatch` charges."""
+        """Takes the budgets (`retry_policy`, `slow_start`) that `may_dispatch` charges."""
         self.answer_slack_ms = limits.answer_slack_ms
         self.retry_policy = retry_policy
         self.slow_start = slow_start
@@ -20,25 +20,26 @@
     def satisfies_rules(
         self, query: Query, state: EngineState, now_ms: float, decided: Attempt | None = None
     ) -> bool:
-        """Whether the engine may get the query now. `decided`: the attempt, if it was started already.
+        """Returns whether the engine may get the query now.
 
-        Every attempt passes these checks, whatever else speaks for the engine: an attempt that fails one of
-        them breaks a rule of the service.
+        `decided`: the attempt, if it was already started. Every attempt must pass these checks, whatever else
+        favours the engine: an attempt that fails one of them breaks a rule of the service.
         """
         engine = state.engine
         if engine.state != EndpointState.SERVING or not satisfies_placement(query.group, engine):
             return False
-        if not would_repeat_be_dropped(query, engine, now_ms, self.answer_slack_ms, decided):
+        if not would_detect_duplicate(query, engine, now_ms, self.answer_slack_ms, decided):
             return False
         charged_ms = None if decided is None else decided.sent_ms
         return self.slow_start.has_budget(state, query, now_ms, charged_ms)
 
     def may_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
-        """Whether a started attempt is still allowed, asked before its first byte; if so, it is sent now.
+        """Returns whether a started attempt may be sent now, and records that it is sent if so.
 
-        The connection may have come up late, or the attempt waited for a file descriptor: by then the
-        idempotency window may have passed, the engine may drain, or the query may be over. Budgets are
-        charged in the window in which the attempt is sent.
+        Called immediately before the first byte. The connection may have been established late, or the
+        attempt may have waited for a file descriptor: meanwhile the idempotency window may have passed, the
+        engine may have started draining, or the query may have ended. Budgets are charged in the window in
+        which the attempt is sent.
         """
         query = attempt.query
         if state is None or query.is_done or attempt.outcome or now_ms >= query.deadline_ms:
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -1,9 +1,9 @@
 """Domain types that a gateway shares with the admission controller.
 
-Times are milliseconds with fractions, memory is in megabytes. Objects refer to each other directly;
-identifiers are for the gateway alone. Nothing here decides anything: a gateway fills these in and the
-controller reads them. The controller sets the last fields of `Query`, and `Attempt.sent_ms` once more as the
-attempt is dispatched.
+Times are milliseconds with fractions, memory is in megabytes. Objects refer to each other directly; only the
+gateway uses identifiers. Nothing here decides anything: a gateway fills these objects in and the controller
+reads them. The controller sets the last fields of `Query`, and updates `Attempt.sent_ms` when the attempt is
+dispatched.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 
 class Effect(StrEnum):
-    """What a query does to data, and so whether it may be retried."""
+    """What a query does to data, which determines whether it may be retried."""
 
     READ_ONLY = "read-only"
     IDEMPOTENT_WITH_KEY = "idempotent-with-key"
@@ -24,12 +24,12 @@
 
     COMPLETED = "completed"  # the engine reported its result
     FAILED = "failed"  # the engine reported an error; it may have run in part
-    OVERLOADED = "overloaded"  # the engine shed it and promises that it never ran
-    TIMED_OUT = "timed out"  # its time was up; it may have run, and may still run
-    NOT_CONNECTED = "not connected"  # no connection to the engine; it never ran
-    CONNECTION_RESET = "connection reset"  # its connection was lost; it may have run, and may still run
+    OVERLOADED = "overloaded"  # the engine shed it and guarantees that it never ran
+    TIMED_OUT = "timed out"  # its deadline passed; it may have run, and may still run
+    NOT_CONNECTED = "not connected"  # no connection to the engine was established; it never ran
+    CONNECTION_RESET = "connection reset"  # the connection was lost; it may have run, and may still run
     CANCELLED = "cancelled"  # the gateway cancelled it; it may have run, and may still run
-    NEVER_SENT = "never sent"  # the gateway wrote nothing of it; it never ran
+    NEVER_SENT = "never sent"  # the gateway wrote no byte of it; it never ran
 
 
 NEVER_EXECUTED = frozenset((Outcome.OVERLOADED, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT))
@@ -39,14 +39,14 @@
 class ProgressKind(StrEnum):
     """What a progress event of an attempt reports."""
 
-    PROGRESS = "progress"  # amount: the share done, 0 to 1
-    SPILLING = "spilling"  # amount: missing memory in MB
+    PROGRESS = "progress"  # amount: the completed share, 0 to 1
+    SPILLING = "spilling"  # amount: the missing memory in MB
     WAITING = "waiting"  # amount: a `WaitReason`
-    RESPONSIVE = "responsive"  # the engine answers; what it reported was lost
+    RESPONSIVE = "responsive"  # the engine responded, but the content of its report was lost
 
 
 class EndpointState(StrEnum):
-    """What the endpoint list says of an engine."""
+    """The state of an engine on the endpoint list."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -57,25 +57,25 @@
     """What an attempt waits for on its engine; the amount of a `ProgressKind.WAITING` event."""
 
     MEMORY = 1
-    BULK_LOAD = 2  # a bulk load, perhaps of another gateway, locks its tables
+    BULK_LOAD = 2  # a bulk load, possibly from another gateway, locks its tables
 
 
 class Priority(IntEnum):
     """Scheduling priority of an attempt on its engine."""
 
-    LATE = 0  # its latency objective is missed already
+    LATE = 0  # its latency objective has already been missed
     NORMAL = 1
-    TIGHT = 2  # meets its objective only if the engine favours it
+    TIGHT = 2  # meets its objective only if the engine prefers it to others
     INTERACTIVE = 3
 
 
 class DeduplicationScope(StrEnum):
-    """Which engines share their memory of idempotency keys."""
+    """Which engines share their record of idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
-    UNKNOWN = "unknown"  # the settings gave some other word
+    UNKNOWN = "unknown"  # the settings gave an unrecognized value
 
 
 class MemoryShortageBehaviour(StrEnum):
@@ -83,19 +83,19 @@
 
     QUEUE = "queue"
     TRIM = "trim"
-    SWAP = "swap"  # it slows down all its queries
+    SWAP = "swap"  # slows down all queries of the engine
 
 
 class LoadReportSource(StrEnum):
-    """How a gateway gets load reports of engines."""
+    """Which responses of an engine carry load reports."""
 
-    ANSWERS = "answers"  # with each answer
-    HEALTH_CHECKS = "probe"  # with the answer to a health check only
+    ANSWERS = "answers"  # the response to every query
+    HEALTH_CHECKS = "probe"  # only the response to a health check
     NONE = "none"
 
 
 class ExecutionCost(NamedTuple):
-    """What an engine says that a completed attempt used."""
+    """The resources that an engine reports for a completed attempt."""
 
     work_ms: float
     memory_mb: float
@@ -107,19 +107,19 @@
 
     name: str
     effect: Effect
-    latency_objective_ms: float  # the target runtime, without the stretch
-    latency_objective_stretch: float  # added to it: ms for each ms of estimated work per thread
-    max_timeout_ms: float  # longest deadline of a query
+    latency_objective_ms: float  # the target latency before the stretch is added
+    latency_objective_stretch: float  # added to the target: ms for each ms of estimated work per thread
+    max_timeout_ms: float  # longest time from a query's arrival to its deadline
     priority_weight: float
-    late_weight_share: float  # share of the weight that a result after the objective still has
+    late_weight_share: float  # share of the weight that a result later than the objective keeps
     threads: int = 1
-    is_bulk_load: bool = False  # locks its tables on its engine
+    is_bulk_load: bool = False  # locks its tables on the engine that runs it
     waits_for_bulk_load: bool = False  # cannot run while a bulk load locks its tables
     is_ordered_by_key: bool = False  # queries of one ordering key run one at a time
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     idempotency_window_ms: float = 0.0  # how long an idempotency key is remembered
     allowed_zones: frozenset[str] | None = None  # None: all
-    allowed_kinds: frozenset[str] | None = None  # kinds of engine; None: all
+    allowed_kinds: frozenset[str] | None = None  # engine kinds; None: all
 
 
 @dataclass(eq=False)
@@ -129,7 +129,7 @@
     name: str
     quota_share: float
     quota_per_s: float
-    over_quota_weight_share: float  # share of the weight that a query over quota has
+    over_quota_weight_share: float  # share of the weight that a query over quota keeps
 
 
 @dataclass(eq=False)
@@ -142,7 +142,7 @@
     cell: int = 0
     state: EndpointState = EndpointState.SERVING
     advertised_weight: float = 1.0
-    started_ms: float | None = None  # latest start; None: long ago
+    started_ms: float | None = None  # time of the latest start; None: long ago
     cores: float = 0.0
     memory_mb: float = 0.0
 
@@ -154,32 +154,32 @@
     id: int
     group: ResourceGroup
     arrived_ms: float
-    deadline_ms: float  # when its client stops waiting
+    deadline_ms: float  # when the client stops waiting
     tenant: Tenant | None = None
     ordering_key: str = ""
-    estimated_work_ms: float = 0.0  # of all its threads together; 0: no estimate
+    estimated_work_ms: float = 0.0  # total over all its threads; 0: no estimate
     estimated_memory_mb: float = 0.0  # 0: no estimate
     table_group: str | None = None
     attempts: list["Attempt"] = field(default_factory=list)
     has_idempotency_key: bool = True
-    is_done: bool = False  # completed, rejected, failed, or its client has gone
-    over_quota: bool | None = None  # as the fleet's quota ledger says; None: no ledger
+    is_done: bool = False  # completed, rejected, failed, or abandoned by its client
+    over_quota: bool | None = None  # the verdict of the fleet's quota ledger; None: no ledger
     # Set by the controller:
     counts_over_quota: bool = False
-    priority: Priority | None = None  # of its latest attempt; None: never set
-    is_first_for_key: bool = False  # its ordering key's earlier queries are over
+    priority: Priority | None = None  # priority of its latest attempt; None: never set
+    is_first_for_key: bool = False  # all earlier queries of its ordering key have ended
 
     @property
     def effect(self):
-        """The group's effect; a query that lacks its idempotency key is non-idempotent."""
-        # Without this, a retry of it could run twice.
+        """Returns the group's effect; a query that lacks its idempotency key is non-idempotent."""
+        # Without its key the engines could not detect a retry, and could run the query twice.
         if self.has_idempotency_key or self.group.effect != Effect.IDEMPOTENT_WITH_KEY:
             return self.group.effect
         return Effect.NON_IDEMPOTENT
 
     @property
     def latency_objective_ms(self):
-        """The group's objective, stretched by the estimated work."""
+        """Returns the group's objective plus the stretch for the estimated work."""
         group = self.group
         stretched_work_ms = group.latency_objective_stretch * self.estimated_work_ms
         return group.latency_objective_ms + stretched_work_ms / group.threads
@@ -198,37 +198,37 @@
 
 @dataclass(frozen=True)
 class GatewayIdentity:
-    """Which of the gateways this is."""
+    """Identity of this gateway among all gateways, and the properties of its environment."""
 
     zone: str
-    gateway_count: int  # gateways that share the traffic
+    gateway_count: int  # number of gateways that share the traffic
     seed: int
-    min_turn_ms: float  # least time between two turns of the event loop
-    polls_endpoint_list: bool = False  # discovery pushes nothing unless asked
-    index: int | None = None  # its own among the gateways, from 0; None: unknown
+    min_turn_ms: float  # shortest time between two event loop iterations
+    polls_endpoint_list: bool = False  # the endpoint list must be requested; otherwise changes are pushed
+    index: int | None = None  # this gateway's index, from 0; None: unknown
 
 
 @dataclass(frozen=True)
 class GatewayPermissions:
-    """What the operators allow a gateway to do."""
+    """The actions that the operators allow a gateway to take."""
 
     max_attempts: int
     may_cancel: bool
     may_health_check: bool
     may_hedge: bool
-    max_retry_after_ms: float  # longest Retry-After; 0: clients are given none
+    max_retry_after_ms: float  # longest Retry-After; 0: no Retry-After is sent
 
 
 @dataclass(frozen=True)
 class SafetyLimits:
-    """The figures of the service's rules."""
+    """The limits of the service's safety rules, from the settings."""
 
     answer_slack_ms: float
     drain_grace_ms: float
-    warm_up_initial_share: float  # share of its capacity that a starting engine has at once
-    warm_up_ms: float  # an engine is warm after this
-    slow_start_overload_factor: float  # a cold engine falls over when sent this multiple of its capacity ...
-    slow_start_window_ms: float  # ... for this time
+    warm_up_initial_share: float  # share of its capacity that a starting engine has immediately
+    warm_up_ms: float  # time from an engine's start until it has its full capacity
+    slow_start_overload_factor: float  # a cold engine fails when it is sent this multiple of its capacity ...
+    slow_start_window_ms: float  # ... over a window of this length
     ordering_pause_ms: float = 0.0
     retry_budget_free: float | None = None  # None: retries are not limited
     retry_budget_ratio: float = 0.0
@@ -242,7 +242,7 @@
 
     honours_memory_grants: bool
     honours_priorities: bool
-    max_grant_share: float  # share of an engine's memory that one query gets at most
+    max_grant_share: float  # largest share of an engine's memory that one query may be granted
     memory_shortage: MemoryShortageBehaviour
     progress_interval_ms: float  # 0: no progress events
     reports_cost: bool
--- a/lichenquay/admission/endpoint_list.py
+++ b/lichenquay/admission/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: engines that join, restart, drain and leave, and when the list may be stale."""
+"""The endpoint list: engines that join, restart, drain and leave, and whether the list may be stale."""
 
 from collections.abc import Sequence
 
@@ -11,42 +11,42 @@
 from lichenquay.admission.slow_start import SlowStart
 from lichenquay.admission.table_affinity import TableAffinity
 
-POLL_RETRY_DIVISOR = 8  # discovery is asked again after 1/8 of the time within which it must be asked
+POLL_RETRY_DIVISOR = 8  # discovery is polled again after 1/8 of the longest allowed interval
 SLOWDOWN_BUCKETS = 8
 ERROR_BUCKETS = 8
-ERROR_BUCKET_EVALUATIONS = 2  # width of a bucket of errors, in evaluation intervals
+ERROR_BUCKET_EVALUATIONS = 2  # width of an error bucket, in evaluation intervals
 
 
 class EndpointStaleness:
-    """Whether the endpoint list may be out of date, so that nothing is dispatched.
+    """Whether the endpoint list may be stale, which suspends dispatch.
 
-    Changes that were announced while this gateway started count as announced to it, though it never got them.
-    Until the list is confirmed, an attempt could go to an engine that drains. Where it cannot be confirmed
-    in time, the last list is in force.
+    Changes that were announced while this gateway started count as announced to it, although it never
+    received them. Until the list is confirmed, an attempt could be sent to an engine that is draining. If the
+    list cannot be confirmed in time, the last known list is used.
     """
 
     def __init__(self) -> None:
-        """In force."""
+        """Starts with a list that is not stale."""
         self.stale_until_ms = 0.0
 
     def mark_stale(self, until_ms: float) -> None:
-        """The list is stale until then, or until it is confirmed."""
+        """Marks the list as stale until the given time, or until it is confirmed."""
         self.stale_until_ms = until_ms
 
     def is_stale(self, now_ms: float) -> bool:
-        """Whether nothing may be dispatched."""
+        """Returns whether dispatch is suspended."""
         return now_ms < self.stale_until_ms
 
     def confirm(self) -> None:
-        """The list is up to date."""
+        """Marks the list as up to date."""
         self.stale_until_ms = 0.0
 
 
 class EndpointListUpdater:
     """Applies changes of the endpoint list to the fleet.
 
-    An engine that leaves the list is kept until our attempts there have ended; otherwise their reservations
-    would be lost, and the engine would look free if it comes back.
+    An engine that leaves the list is kept until this gateway's attempts there have ended; otherwise their
+    reservations would be lost, and the engine would look free if it rejoins.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         table_affinity: TableAffinity,
         evaluation_interval_ms: float,
     ):
-        """No engine yet. `evaluation_interval_ms`: the time scale of each engine's windows."""
+        """Starts with no engine. `evaluation_interval_ms`: the time scale of each engine's windows."""
         self.port = port
         self.poll_retry_ms = limits.discovery_poll_within_ms / POLL_RETRY_DIVISOR
         self.fleet = fleet
@@ -69,14 +69,15 @@
         self.constrained_groups = constrained_groups
         self.table_affinity = table_affinity
         self.evaluation_interval_ms = evaluation_interval_ms
-        # An ordered set: engines off the list on which attempts of ours still run.
+        # An ordered set: unlisted engines on which attempts of this gateway still run.
         self.removed_in_use: dict[Engine, bool] = {}
 
-    def update(self, engines: Sequence[Engine], whole: bool, now_ms: float) -> None:
-        """Engines joined or changed; `whole`: these are all there are.
+    def update(self, engines: Sequence[Engine], is_full_list: bool, now_ms: float) -> None:
+        """Adds new engines, applies changes, and removes engines that left the list.
 
-        A list that is the gateway's first, or comes while it is stale, may hold engines that the process
-        before this one has sent work to already.
+        `is_full_list`: `engines` are all engines. A list that is the gateway's first, or that arrives while
+        the list is stale, may hold engines to which the previous process of this gateway has already sent
+        work.
         """
         may_have_been_used = not self.fleet.states or self.staleness.is_stale(now_ms)
         for engine in engines:
@@ -89,7 +90,7 @@
                 state.reset_after_restart(now_ms)
             if self.slow_start.usable_share(engine, now_ms) < 1:
                 self.fleet.not_fully_usable[state] = True
-        self._remove_unlisted(engines, whole)
+        self._remove_unlisted(engines, is_full_list)
 
     def _add(self, engine: Engine, now_ms: float) -> EngineState:
         interval_ms = self.evaluation_interval_ms
@@ -100,19 +101,19 @@
             slow_start_work=self.slow_start.new_window(),
             errors=SlidingWindow(ERROR_BUCKET_EVALUATIONS * interval_ms, ERROR_BUCKETS),
         )
-        state.serves_constrained_group = self.constrained_groups.serves(engine)
+        state.serves_constrained_group = self.constrained_groups.may_use(engine)
         self.fleet.add(state)
         self.table_affinity.add_engine(state)
         return state
 
-    def _remove_unlisted(self, engines: Sequence[Engine], whole: bool) -> None:
-        """Forgets engines that left the list, once no attempt of ours runs there.
+    def _remove_unlisted(self, engines: Sequence[Engine], is_full_list: bool) -> None:
+        """Removes engines that left the list, once no attempt of this gateway runs there.
 
-        A partial update needs no pass over all engines.
+        A partial update does not iterate over all engines.
         """
         listed = set(engines)
-        for engine in list(self.fleet.states) if whole else [*engines, *self.removed_in_use]:
-            if whole and engine not in listed:
+        for engine in list(self.fleet.states) if is_full_list else [*engines, *self.removed_in_use]:
+            if is_full_list and engine not in listed:
                 engine.state = EndpointState.REMOVED
             self.removed_in_use.pop(engine, None)
             if engine.state != EndpointState.REMOVED:
@@ -126,6 +127,6 @@
                 self.fleet.remove(state)
                 self.table_affinity.remove_engine(state)
 
-    def poll_again(self) -> None:
-        """Discovery could not be reached: it is asked again after `poll_retry_ms`."""
+    def schedule_poll(self) -> None:
+        """Schedules another poll after `poll_retry_ms`; discovery could not be reached."""
         self.port.call_at(self.port.now_ms + self.poll_retry_ms, self.port.watch_endpoints)
--- a/lichenquay/admission/engine_choice.py
+++ b/lichenquay/admission/engine_choice.py
@@ -1,4 +1,4 @@
-"""Engine choice: which of the engines that are drawn gets a query, and with which kind of slot."""
+"""Engine choice: which of the drawn engines gets a query, and with which kind of slot."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -16,8 +16,8 @@
 from lichenquay.admission.slot_table import SlotTable
 
 
-class Objections(NamedTuple):
-    """What speaks against an engine, the most serious first; objections compare in this order."""
+class Penalties(NamedTuple):
+    """Reasons against an engine, the most serious first; instances compare in this order."""
 
     is_unresponsive: bool
     has_outlying_errors: bool
@@ -29,19 +29,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An engine that may get the query, and what speaks against it."""
+    """An engine that may get the query, and the reasons against it."""
 
     state: EngineState
-    objections: Objections
+    penalties: Penalties
 
     @property
     def slot_kind(self) -> SlotKind:
-        """The kind of slot that is free there."""
-        return SlotKind.MINIMUM if self.objections.has_minimum_slot_only else SlotKind.MAXIMUM
+        """Returns the kind of slot that is free on the engine."""
+        return SlotKind.MINIMUM if self.penalties.has_minimum_slot_only else SlotKind.MAXIMUM
 
 
 class EngineChoice:
-    """Tests the engines in the order of the weighted draw."""
+    """Tests engines in the order of the weighted draw."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         outliers: OutlierDetection,
         memory_share: MemoryShare,
     ):
-        """`selection` orders the engines; the other arguments decide whether one may get the query."""
+        """Takes `selection`, which orders the engines, and the rules that decide whether one may be used."""
         self.checks = checks
         self.selection = selection
         self.slot_table = slot_table
@@ -63,20 +63,20 @@
         self.memory_share = memory_share
 
     def choose(self, query: Query, now_ms: float, only: EngineState | None = None) -> Candidate | None:
-        """The engine (or the engine `only`) that gets the query now; None: the query must wait.
+        """Returns the engine that gets the query now, or None if the query must wait.
 
-        It is the first engine drawn that has room and no objection, else the one with the least objections.
-        The fleet must not be empty.
+        It is the first drawn engine that has capacity and no penalty, else the one with the lowest penalties.
+        With `only`, no other engine is considered. The fleet must not be empty.
         """
         pooled_kind = None
         if self.slot_table.is_pooled(query.group):
-            pooled_kind = self.pooled_slots.free_kind(query, now_ms)
+            pooled_kind = self.pooled_slots.free_slot_kind(query, now_ms)
             if pooled_kind is None:
                 return None
         is_bulk_load = query.group.is_bulk_load
         gateway_share = self.slot_table.gateway_share
         satisfies_rules = self.checks.satisfies_rules
-        free_kind = self.availability.free_kind
+        free_slot_kind = self.availability.free_slot_kind
         tried = {attempt.engine for attempt in query.attempts}
         is_any_responsive = only is not None
         best: Candidate | None = None
@@ -86,22 +86,22 @@
             if is_bulk_load and would_queue_too_long(query, state, gateway_share, now_ms):
                 continue
             is_any_responsive = is_any_responsive or not state.is_unresponsive
-            kind = free_kind(query, state, now_ms, pooled_kind)
+            kind = free_slot_kind(query, state, now_ms, pooled_kind)
             if kind is None or (state.is_unresponsive and not _may_try_unresponsive(query, state, now_ms)):
                 continue
-            objections = self._objections(query, state, kind, state.engine in tried, now_ms)
-            if best is None or objections < best.objections:
-                best = Candidate(state, objections)
-            if not any(objections):
+            penalties = self._penalties(query, state, kind, state.engine in tried, now_ms)
+            if best is None or penalties < best.penalties:
+                best = Candidate(state, penalties)
+            if not any(penalties):
                 break
         if best is not None and best.state.is_unresponsive and is_any_responsive:
             return None
         return best
 
-    def _objections(
+    def _penalties(
         self, query: Query, state: EngineState, kind: SlotKind, was_tried: bool, now_ms: float
-    ) -> Objections:
-        return Objections(
+    ) -> Penalties:
+        return Penalties(
             is_unresponsive=state.is_unresponsive,
             has_outlying_errors=self.outliers.has_outlying_errors(state, now_ms),
             waits_for_lock=waits_for_lock(query, state, now_ms),
@@ -112,9 +112,9 @@
 
 
 def _may_try_unresponsive(query: Query, state: EngineState, now_ms: float) -> bool:
-    """Whether an unresponsive engine may be tried with the query: read-only, one at a time, now and then.
+    """Returns whether the query may probe an unresponsive engine: read-only, one at a time, rate-limited.
 
     An unresponsive engine is chosen only if no engine that may get the query is responsive. Without such
-    trials, a fleet that recovers would not be noticed.
+    probes, the recovery of a whole fleet would go unnoticed.
     """
     return query.group.effect == Effect.READ_ONLY and now_ms >= state.next_try_ms and not state.reservations
--- a/lichenquay/admission/engine_evaluation.py
+++ b/lichenquay/admission/engine_evaluation.py
@@ -1,4 +1,4 @@
-"""The regular evaluation of engines among their peers: medians, means, usable capacity, and the subset."""
+"""Periodic comparison of engines with their peers: medians, means, usable capacity, and the subset."""
 
 from lichenquay.admission.constrained_groups import ConstrainedGroups
 from lichenquay.admission.engine_fleet import EngineFleet
@@ -28,7 +28,7 @@
         health_checks: HealthChecks,
         interval_ms: float,
     ):
-        """The first evaluation comes with the first tick."""
+        """Schedules the first evaluation for the first tick."""
         self.fleet = fleet
         self.engine_load = engine_load
         self.outliers = outliers
@@ -42,12 +42,12 @@
         self.next_ms = 0.0
 
     def evaluate_if_due(self, now_ms: float) -> None:
-        """Evaluates engines, ends stale slot intervals, and checks the health of unresponsive engines."""
+        """Compares engines, ends stale slot intervals, and checks the health of unresponsive engines."""
         if now_ms < self.next_ms:
             return
         self.next_ms = now_ms + self.interval_ms
         states = self.compare_with_peers(now_ms)
-        representative = self.fleet.representative()  # represents all engines where slots are pooled
+        representative = self.fleet.representative()  # stands for all engines where slots are pooled
         if representative is not None and representative not in self.fleet.active:
             states = [representative, *states]
         for state in states:
@@ -57,7 +57,7 @@
             self.health_checks.health_check_if_unresponsive(state, now_ms)
 
     def compare_with_peers(self, now_ms: float) -> list[EngineState]:
-        """Updates all that compares engines; the engines used or with a report, in the order of joining."""
+        """Updates all statistics across engines; returns the active engines in the order of joining."""
         active = self.fleet.active_in_join_order()
         self.outliers.update_medians(active, len(self.fleet.states), now_ms)
         self.engine_load.expire_reports(now_ms)
@@ -67,6 +67,6 @@
         return active
 
     def update_subset(self, now_ms: float) -> None:
-        """The endpoint list or its engines' usable capacity changed."""
+        """Recomputes usable capacity and the subset after a change of the endpoint list or of capacity."""
         usable_shares = self.capacity.update(now_ms)
         self.subset.update(now_ms, usable_shares)
--- a/lichenquay/admission/engine_fleet.py
+++ b/lichenquay/admission/engine_fleet.py
@@ -1,7 +1,7 @@
-"""The engines on the endpoint list, with orders and sums that are kept as engines come and go.
+"""The engines on the endpoint list, with orders and sums that are updated incrementally.
 
-Nothing here passes over all engines at a single change; with tens of thousands of engines such a pass at each
-event would take more than a core.
+No single change iterates over all engines: with tens of thousands of engines, such a pass at each event would
+take more than one core.
 """
 
 from bisect import bisect_left, insort
@@ -16,24 +16,24 @@
 
 
 class EngineFleet:
-    """Engine states by engine; the same in this gateway's own order; sums of cores and memory."""
+    """Engine states by engine and in this gateway's own order, and the sums of their cores and memory."""
 
     def __init__(self, seed: int):
-        """No engine yet. `seed`: this gateway's; it determines its order of engines."""
+        """Starts with no engine. `seed`: this gateway's, which determines its order of engines."""
         self.seed = seed
         self.states: dict[Engine, EngineState] = {}
         self.by_rank: list[EngineState] = []
-        self.joined_count = 0  # engines that ever joined
+        self.joined_count = 0  # number of engines that ever joined
         self.cores = 0.0
         self.memory_mb = 0.0
-        self.constrained_cores = 0.0  # of engines that groups with placement constraints may use
-        # Both are used as ordered sets. Engines that warm up, drain, or are removed and still in use:
+        self.constrained_cores = 0.0  # sum over engines that groups with placement constraints may use
+        # Both are used as ordered sets. Engines that are warming up, draining, or removed but still in use:
         self.not_fully_usable: dict[EngineState, bool] = {}
-        # Engines that this gateway used, or has a report of:
+        # Engines that this gateway has used or has a load report of:
         self.active: dict[EngineState, bool] = {}
 
     def add(self, state: EngineState) -> None:
-        """An engine joined the endpoint list."""
+        """Adds an engine that joined the endpoint list."""
         self.states[state.engine] = state
         state.rank = crc32(f"{self.seed}:{state.engine.id}".encode())
         self.joined_count += 1
@@ -42,7 +42,7 @@
         self._add_to_sums(state, 1)
 
     def remove(self, state: EngineState) -> None:
-        """An engine left the endpoint list, and no attempt of ours runs there any more."""
+        """Removes an engine that left the endpoint list and runs no attempt of this gateway."""
         del self.states[state.engine]
         del self.by_rank[self.by_rank.index(state, bisect_left(self.by_rank, state.rank, key=BY_RANK))]
         self._add_to_sums(state, -1)
@@ -50,11 +50,14 @@
         self.active.pop(state, None)
 
     def representative(self) -> EngineState | None:
-        """The engine that joined first; it represents all of them where slots are pooled."""
+        """Returns the engine that joined first, which stands for all engines where slots are pooled.
+
+        None if there is no engine.
+        """
         return next(iter(self.states.values()), None)
 
     def active_in_join_order(self) -> list[EngineState]:
-        """Engines that this gateway used or has a report of, oldest first."""
+        """Returns the engines that this gateway has used or has a report of, oldest first."""
         return sorted(self.active, key=BY_JOIN_NUMBER)
 
     def _add_to_sums(self, state: EngineState, sign: int) -> None:
--- a/lichenquay/admission/engine_load.py
+++ b/lichenquay/admission/engine_load.py
@@ -1,4 +1,4 @@
-"""Engine load: what engines report of it, and what this gateway's own attempts add."""
+"""Engine load: the load that engines report, and the load of this gateway's own attempts."""
 
 from collections.abc import Sequence
 
@@ -7,15 +7,15 @@
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.load_report import LoadReport
 
-THREADS_PER_CORE = 2.0  # the design's starting limit of threads on an engine
-FULL_UTILISATION = 0.95  # an engine that reports more is full
-THREADS_AVERAGE_QUERIES = 100  # queries over which the mean number of threads is averaged
+THREADS_PER_CORE = 2.0  # initial limit of the design on the threads of an engine
+FULL_UTILISATION = 0.95  # an engine that reports this or more is full
+THREADS_AVERAGE_QUERIES = 100  # number of queries over which the mean thread count is averaged
 
 
 def own_load(state: EngineState) -> float:
-    """Load of this gateway's attempts on an engine, in threads a core.
+    """Returns the load of this gateway's attempts on an engine, in threads per core.
 
-    Granted memory counts like the threads that it serves: a query may hold much memory with one thread.
+    Granted memory counts as the threads that it is meant for: a query may hold much memory with one thread.
     """
     in_flight = state.in_flight
     threads = in_flight.threads + in_flight.interactive_threads
@@ -23,23 +23,26 @@
 
 
 class EngineLoad:
-    """Utilisation and load of engines by their reports; an engine without a fresh one counts as average."""
+    """Reported utilisation and load of engines; an engine without a fresh report counts as average."""
 
     def __init__(self, fleet: EngineFleet, report_lifetime_ms: float):
-        """No report yet. `report_lifetime_ms`: for how long a report counts."""
+        """Starts with no report. `report_lifetime_ms`: how long a report is valid."""
         self.fleet = fleet
         self.report_lifetime_ms = report_lifetime_ms
-        self.oldest_fresh_ms = 0.0  # reports older than this do not count
+        self.oldest_fresh_ms = 0.0  # reports older than this are ignored
         self.mean_threads = 1.0  # of a query
-        self.mean_utilisation = 0.0  # of engines with a fresh report
+        self.mean_utilisation = 0.0  # over engines with a fresh report
         self.mean_load = 0.0
 
     def record_query(self, query: Query) -> None:
-        """A query was admitted: its threads enter the mean."""
+        """Adds the threads of an admitted query to the mean."""
         self.mean_threads += (query.group.threads - self.mean_threads) / THREADS_AVERAGE_QUERIES
 
     def record_report(self, state: EngineState, fields: dict[str, float] | None, now_ms: float) -> None:
-        """An engine's load report arrived, by the fields of its columns; None or empty: there was none."""
+        """Stores an engine's load report, given as numbers by column.
+
+        None or empty: the engine sent no report.
+        """
         if not fields:
             return
         state.report = LoadReport.from_fields(fields)
@@ -52,10 +55,10 @@
         return state.report if state.reported_ms >= self.oldest_fresh_ms else None
 
     def utilisation(self, state: EngineState) -> float | None:
-        """Reported use of the engine, 1 where it is full; None without a fresh report.
+        """Returns the reported utilisation of the engine, 1 where it is full; None without a fresh report.
 
-        Where cores in use are not reported: the threads of its active queries, its disks, or a query that
-        waits for memory, whichever gives the highest use.
+        Where the cores in use are not reported, it is the highest of the threads of the active queries, the
+        busy share of the disks, and whether a query waits for memory.
         """
         report = self._fresh_report(state)
         if report is None or report.utilisation is not None:
@@ -64,7 +67,7 @@
         return max(by_queries, report.busy_disk_share, min(1.0, report.waiting_queries))
 
     def load(self, state: EngineState) -> float:
-        """Reported load of the engine in threads a core, with its waiting queries and busy disks."""
+        """Returns the reported load in threads per core, including waiting queries and busy disks."""
         utilisation = self.utilisation(state)
         if utilisation is None:
             return self.mean_load
@@ -74,18 +77,18 @@
         return THREADS_PER_CORE * utilisation + busy_disks + waiting
 
     def is_full(self, state: EngineState) -> bool:
-        """Whether the engine is full by its report; without a fresh one, whether engines are on average."""
+        """Returns whether the engine is full by its report, or by the mean report if it has no fresh one."""
         utilisation = self.utilisation(state)
         if utilisation is None:
             utilisation = self.mean_utilisation
         return utilisation >= FULL_UTILISATION
 
     def expire_reports(self, now_ms: float) -> None:
-        """Reports that are too old count no more."""
+        """Invalidates reports that are older than the report lifetime."""
         self.oldest_fresh_ms = now_ms - self.report_lifetime_ms
 
     def update_means(self, active: Sequence[EngineState]) -> None:
-        """Averages over the engines with a fresh report; without any, the means stay."""
+        """Recomputes the means over the engines with a fresh report; without any, the means stay."""
         utilisations = []
         loads = []
         for state in active:
@@ -98,7 +101,7 @@
             self.mean_load = sum(loads) / len(loads)
 
     def full_share(self, states: Sequence[EngineState]) -> float:
-        """Share of the engines with a fresh report that are full; 0 without any."""
+        """Returns the share of the engines with a fresh report that are full; 0 without any."""
         utilisations = [self.utilisation(state) for state in states]
         is_full = [value >= FULL_UTILISATION for value in utilisations if value is not None]
         return sum(is_full) / len(is_full) if is_full else 0.0
--- a/lichenquay/admission/engine_selection.py
+++ b/lichenquay/admission/engine_selection.py
@@ -1,6 +1,6 @@
-"""Engine selection: a weighted draw over the engines, one after the other until one is taken.
+"""Engine selection: a weighted random draw of engines without replacement.
 
-A draw by weight keeps gateways that know the same reports from all choosing the same engine.
+Random choice by weight keeps gateways with the same reports from all choosing the same engine.
 """
 
 from collections.abc import Iterator
@@ -16,13 +16,16 @@
 from lichenquay.admission.slow_start import SlowStart
 from lichenquay.admission.table_affinity import TableAffinity
 
-OWN_ZONE_FACTOR = 2.0  # a query that crosses zones pays for the way, and stops with the link
-IDLE_LOAD = 0.3  # threads a core that count besides the load; bounds the weight of an idle engine
+OWN_ZONE_FACTOR = 2.0  # a query to another zone incurs the cost of the link, and fails if the link does
+IDLE_LOAD = 0.3  # threads per core added to the load; bounds the weight of an idle engine
 LOAD_EXPONENT = 3
 
 
 def _index_at(weights: list[float], position: float) -> int:
-    """The index of the weight in which a position from 0 to their sum falls; the last after rounding."""
+    """Returns the index of the weight in which a position from 0 to the sum of weights falls.
+
+    Returns the last index if rounding puts the position beyond the sum.
+    """
     for index, weight in enumerate(weights):
         position -= weight
         if position < 0:
@@ -46,7 +49,7 @@
         constrained_groups: ConstrainedGroups,
         table_affinity: TableAffinity,
     ):
-        """`zone`: this gateway's. `weight_lifetime_ms`: for how long a computed weight is used."""
+        """Takes this gateway's `zone`, and `weight_lifetime_ms`: how long a computed weight is used."""
         self.zone = zone
         self.random = random
         self.weight_lifetime_ms = weight_lifetime_ms
@@ -59,10 +62,10 @@
         self.table_affinity = table_affinity
 
     def update_weight(self, state: EngineState, now_ms: float) -> float:
-        """Computes and keeps the engine's weight in the draw.
+        """Computes, stores and returns the engine's weight in the draw.
 
-        Weights are kept until an engine is used or reports: ranking all anew for each query costs more than
-        it gains.
+        Weights are kept until the engine is used or reports, or until they expire: recomputing all weights
+        for each query costs more than it gains.
         """
         warm_share = self.slow_start.warm_share(state.engine, now_ms)
         load = (self.engine_load.load(state) + own_load(state)) / warm_share
@@ -75,13 +78,14 @@
         return weight
 
     def draw(self, query: Query, now_ms: float) -> Iterator[EngineState]:
-        """All engines one after the other, each drawn by weight among those left of its list.
+        """Yields all engines, each drawn by weight from the remaining engines of its list.
 
-        First the subset of this gateway, then the other engines. For a group without placement constraint,
-        engines that constrained groups use may come last of all (see `ConstrainedGroups.must_avoid`).
+        The lists are this gateway's subset and then the other engines. For a group without placement
+        constraint, the engines that constrained groups may use can come last (see
+        `ConstrainedGroups.draw_avoidance`).
         """
         first = self.subset.first_choice()
-        if self.constrained_groups.must_avoid(query):
+        if self.constrained_groups.draw_avoidance(query):
             yield from self._draw_from([s for s in first if not s.serves_constrained_group], query, now_ms)
             tried = set(first)
             states = self.fleet.states.values()
@@ -95,7 +99,7 @@
             yield from self._draw_from(others, query, now_ms)
 
     def _draw_from(self, states: list[EngineState], query: Query, now_ms: float) -> Iterator[EngineState]:
-        """The engines of a list, which is used up, each drawn by weight among those left."""
+        """Yields the engines of a list, each drawn by weight from the remaining ones; empties the list."""
         weights = [
             state.weight if state.weight_expires_ms > now_ms else self.update_weight(state, now_ms)
             for state in states
--- a/lichenquay/admission/engine_subset.py
+++ b/lichenquay/admission/engine_subset.py
@@ -1,7 +1,7 @@
-"""Engine subsetting: a gateway with little traffic uses few engines first, and so knows their load.
+"""Engine subsetting: a gateway with little traffic uses few engines first, so that it knows their load.
 
-Where traffic is too thin to get a report of every engine while reports count, each of many gateways would
-otherwise choose blindly, and open a connection for every query.
+Where traffic is too low to get a report from every engine within a report's lifetime, each of many gateways
+would otherwise choose without load information, and open a connection for every query.
 """
 
 from itertools import islice
@@ -13,16 +13,16 @@
 from lichenquay.admission.slow_start import SlowStart
 
 MIN_ENGINES = 4
-TRAFFIC_LIFETIMES = 4  # traffic is measured over this multiple of a report's lifetime
-MIN_LIFETIME_SHARE = 1 / 4  # a shorter time of measuring counts as this share of a report's lifetime
-FLEET_SHARE_FOR_SUBSET = 1 / 2  # a subset of more engines than this is not used
+TRAFFIC_LIFETIMES = 4  # traffic is measured over this multiple of the report lifetime
+MIN_LIFETIME_SHARE = 1 / 4  # shortest measuring time, as a share of the report lifetime
+MAX_SUBSET_FLEET_SHARE = 1 / 2  # a subset with at least this share of the fleet is not used
 
 
 class EngineSubset:
-    """The engines drawn from first: as many as our traffic reaches, and warming ones of our share."""
+    """The engines drawn first: as many as this gateway's traffic reaches, and warming ones of its share."""
 
     def __init__(self, fleet: EngineFleet, slow_start: SlowStart, report_lifetime_ms: float):
-        """No query yet."""
+        """Starts with no query seen."""
         self.fleet = fleet
         self.slow_start = slow_start
         self.report_lifetime_ms = report_lifetime_ms
@@ -31,12 +31,12 @@
         self.engines: list[EngineState] = []
 
     def record_query(self, now_ms: float) -> None:
-        """A query was admitted."""
+        """Counts an admitted query."""
         self.first_query_ms = self.first_query_ms or now_ms
         self.queries.add(now_ms, 1)
 
-    def _engines_kept_fresh(self, now_ms: float) -> int:
-        """How many engines get a query of ours, and so report, within the lifetime of a report."""
+    def _engine_count_with_fresh_reports(self, now_ms: float) -> int:
+        """Returns how many engines get a query, and so send a report, within one report lifetime."""
         lifetime_ms = self.report_lifetime_ms
         query_count = self.queries.count(now_ms)
         measured_ms = min(TRAFFIC_LIFETIMES * lifetime_ms, now_ms - (self.first_query_ms or now_ms))
@@ -44,7 +44,7 @@
         return max(MIN_ENGINES, round(queries_a_lifetime))
 
     def update(self, now_ms: float, usable_shares: dict[EngineState, float]) -> None:
-        """Chooses the subset: warm engines in this gateway's order, then warming ones that it may send to."""
+        """Selects the subset: warm engines in this gateway's order, then warming ones with a budget here."""
         fleet = self.fleet
         warm = (
             state
@@ -53,14 +53,14 @@
             and not state.is_unresponsive
             and state not in fleet.not_fully_usable
         )
-        self.engines = list(islice(warm, self._engines_kept_fresh(now_ms)))
+        self.engines = list(islice(warm, self._engine_count_with_fresh_reports(now_ms)))
         for state in sorted(fleet.not_fully_usable, key=BY_RANK):
             share = usable_shares[state]
             if share and not state.is_unresponsive and self.slow_start.budget_ms(state.engine, share):
                 self.engines.append(state)
 
     def first_choice(self) -> list[EngineState]:
-        """The subset, or all engines where it holds half of them or more."""
-        if len(self.engines) < len(self.fleet.states) * FLEET_SHARE_FOR_SUBSET:
+        """Returns the subset, or all engines where the subset holds half of them or more."""
+        if len(self.engines) < len(self.fleet.states) * MAX_SUBSET_FLEET_SHARE:
             return self.engines
         return list(self.fleet.states.values())
--- a/lichenquay/admission/final_answers.py
+++ b/lichenquay/admission/final_answers.py
@@ -1,6 +1,7 @@
-"""Deadlines and final answers: each query gets exactly one, in time, whatever happens to its attempts.
+"""Deadlines and final answers: each query gets exactly one answer, by its deadline.
 
-A client without an answer holds its resources and asks again; one with two answers may act on the wrong one.
+A client without an answer keeps its resources in use and retries; a client with two answers may act on the
+wrong one.
 """
 
 from lichenquay.admission.domain import GatewayPermissions, Query
@@ -9,7 +10,7 @@
 from lichenquay.admission.ports import GatewayPort
 from lichenquay.admission.waiting_queries import WaitingQueries
 
-RETRY_AFTER_DIVISOR = 10  # Retry-After is 1/10 of the time left at most
+RETRY_AFTER_DIVISOR = 10  # Retry-After is at most 1/10 of the time left
 
 
 class FinalAnswers:
@@ -22,16 +23,16 @@
         waiting: WaitingQueries,
         key_ordering: KeyOrdering,
     ):
-        """`waiting`, `key_ordering`: where a query that ends is taken out."""
+        """Takes `waiting` and `key_ordering`, from which a query that ends is removed."""
         self.port = port
         self.permissions = permissions
         self.waiting = waiting
         self.key_ordering = key_ordering
 
     def give(self, query: Query) -> None:
-        """Rejects the query with Retry-After if it may be sent again, and time is left; else fails it.
+        """Rejects the query with Retry-After if a retry is safe and time is left; else fails it.
 
-        Called at the latest when the client's time is up. A query that has its answer already is left alone.
+        Called at the query's deadline at the latest. A query that already has its answer is left unchanged.
         """
         if query.is_done:
             return
@@ -45,14 +46,15 @@
         self.key_ordering.on_query_over(query)
 
     def on_client_gone(self, query: Query) -> None:
-        """Nobody waits for the query any more: its work stops, and its ordering key is free."""
+        """Stops the work on a query whose client has gone, and releases its ordering key."""
         self.stop_work(query)
         self.key_ordering.on_query_over(query)
 
     def stop_work(self, query: Query) -> None:
-        """The query waits no more, and its attempt is cancelled where engines heed that.
+        """Removes the query from its queue, and cancels its attempt where engines honour that.
 
-        Otherwise the attempt would hold its engine's cores and memory to its end, for nobody.
+        Otherwise the attempt would hold its engine's cores and memory until it ends, although nobody waits
+        for it.
         """
         self.waiting.remove(query)
         if self.permissions.may_cancel and query.attempts and query.attempts[-1].outcome is None:
--- a/lichenquay/admission/health_checks.py
+++ b/lichenquay/admission/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: of unresponsive engines, and for load reports where engines report in no other way."""
+"""Health checks: of unresponsive engines, and for load reports that only health checks carry."""
 
 from lichenquay.admission.domain import (
     EndpointState,
@@ -10,12 +10,12 @@
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.ports import GatewayPort
 
-CHECKS_PER_QUERY = 1 / 3  # checks for load reports; more would cost engines more than the reports gain
-NOT_SERVING_PENALTY_MS = 1e9  # engines that do not serve are asked after all others
+CHECKS_PER_QUERY = 1 / 3  # health checks for load reports; more would cost the engines more than they gain
+NOT_SERVING_PENALTY_MS = 1e9  # added to the sort key of engines that do not serve: they come last
 
 
 class HealthChecks:
-    """Decides when an engine is checked."""
+    """Decides when an engine's health is checked."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         capabilities: EngineCapabilities,
         interval_ms: float,
     ):
-        """`interval_ms`: least time between two checks of one engine."""
+        """Takes `interval_ms`, the shortest time between two checks of one engine."""
         self.port = port
         self.fleet = fleet
         self.may_check = permissions.may_health_check
@@ -33,12 +33,12 @@
             capabilities.load_report_source == LoadReportSource.HEALTH_CHECKS and self.may_check
         )
         self.interval_ms = interval_ms
-        self.credit = 0.0  # of checks for load reports, 1 at most
+        self.credit = 0.0  # allowance of checks for load reports, at most 1
 
     def on_query_admitted(self, now_ms: float) -> None:
-        """Requests a load report for every third query, from the engine that was asked longest ago.
+        """Requests a load report on every third query, from the engine checked least recently.
 
-        Without it, engines that report in health checks alone would all count as average.
+        Otherwise engines that report only in health checks would all count as average.
         """
         self.credit = min(1.0, self.credit + CHECKS_PER_QUERY)
         if not self.are_reports_requested or self.credit < 1 or not self.fleet.states:
@@ -50,7 +50,7 @@
             self.port.send_health_check(state.engine)
 
     def health_check_if_unresponsive(self, state: EngineState, now_ms: float) -> None:
-        """Checks an unresponsive engine again from time to time.
+        """Checks an unresponsive engine again at intervals.
 
         Such an engine gets no queries while others are responsive; without checks its recovery would go
         unnoticed.
@@ -66,5 +66,5 @@
 
 
 def _asked_longest_ago(state: EngineState) -> float:
-    """The sort key: when the engine was last asked; never: minus infinity, whether it serves or not."""
+    """Returns the sort key: when a report was last requested; minus infinity if never, serving or not."""
     return state.report_requested_ms + NOT_SERVING_PENALTY_MS * (not _is_serving(state))
--- a/lichenquay/admission/idempotency.py
+++ b/lichenquay/admission/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency: when a further attempt of a query cannot apply its effect twice."""
+"""Idempotency: conditions under which another attempt of a query cannot apply its effect twice."""
 
 from operator import attrgetter
 
@@ -12,17 +12,17 @@
     Query,
 )
 
-# Engines with equal values drop each other's repeats. Scopes that are not listed span all engines.
+# Engines with equal values detect each other's duplicates. Scopes that are not listed span all engines.
 _SCOPE_OF_ENGINE = {DeduplicationScope.ZONE: attrgetter("zone"), DeduplicationScope.CELL: attrgetter("cell")}
 
 
 def may_have_executed(attempt: Attempt) -> bool:
-    """Whether the attempt may have run, or may still run, on its engine."""
+    """Returns whether the attempt may have run, or may still run, on its engine."""
     return attempt.outcome not in NEVER_EXECUTED
 
 
 def have_all_attempts_ended_harmlessly(query: Query) -> bool:
-    """Whether every earlier attempt has ended, and ended so that another one cannot repeat an effect.
+    """Returns whether all earlier attempts ended such that another one cannot repeat an effect.
 
     A non-idempotent query is sent again only if no attempt of it ever ran; otherwise its effect could be
     applied twice.
@@ -31,14 +31,15 @@
     return all(attempt.outcome in harmless for attempt in query.attempts)
 
 
-def would_repeat_be_dropped(
+def would_detect_duplicate(
     query: Query, engine: Engine, now_ms: float, slack_ms: float, ignored: Attempt | None = None
 ) -> bool:
-    """Whether the engine still drops the query as a repeat, if an earlier attempt of it ran.
+    """Returns whether the engine would still detect the query as a duplicate, if an earlier attempt ran.
 
-    Inputs: `slack_ms` shortens the idempotency window, as the engine's clock is not ours; `ignored` is the
-    attempt that is about to be sent. The result is always true for queries without an idempotency key.
-    Without this rule, a retry in another scope or after the window would apply the effect twice.
+    `slack_ms` shortens the idempotency window, because the engine's clock differs from the gateway's.
+    `ignored` is the attempt that is about to be sent. The result is always true for queries without an
+    idempotency key. Without this rule, a retry in another scope or after the window would apply the effect
+    twice.
     """
     if query.effect != Effect.IDEMPOTENT_WITH_KEY:
         return True
@@ -56,10 +57,10 @@
 
 
 def is_client_retry_harmless(query: Query) -> bool:
-    """Whether a client may send the query again: a rejection with Retry-After promises that.
+    """Returns whether a client may safely send the query again, as a rejection with Retry-After says.
 
-    The client's next attempt may reach any engine, so an idempotency key helps only if all engines share
-    their memory of it. Otherwise a rejection of a query that ran invites the client to run it twice.
+    The client's retry may reach any engine, so an idempotency key helps only if all engines share their
+    record of keys. Otherwise a rejection of a query that ran invites the client to run it twice.
     """
     if query.effect == Effect.READ_ONLY:
         return True
--- a/lichenquay/admission/interactive_groups.py
+++ b/lichenquay/admission/interactive_groups.py
@@ -6,12 +6,12 @@
 
 
 def interactive_groups(groups: Sequence[ResourceGroup]) -> frozenset[ResourceGroup]:
-    """Groups that have no slots, no grant of ours, and the highest priority.
+    """Returns the groups that have no slots, no memory grant of the gateway, and the highest priority.
 
-    They use one thread, are no bulk loads, and have a shorter longest objective than some other group. A
-    group's longest objective is that of a query whose work per thread fills the longest deadline.
-    Their work is small against its value; waiting for slots would cost more than it protects. A deployment
-    with one group has none.
+    Their queries use one thread, are no bulk loads, and have a shorter longest objective than some other
+    group. A group's longest objective is that of a query whose work per thread takes the longest timeout. The
+    work of these queries is small compared to their value; waiting for slots would cost more than it
+    protects. A deployment with one group has no interactive group.
     """
     longest_objective_ms = {
         group: group.latency_objective_ms + group.latency_objective_stretch * group.max_timeout_ms
--- a/lichenquay/admission/key_ordering.py
+++ b/lichenquay/admission/key_ordering.py
@@ -1,4 +1,4 @@
-"""Key ordering: where a group asks for it, queries of one ordering key run one at a time."""
+"""Key ordering: in groups that require it, queries with the same ordering key run one at a time."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,14 @@
 
 
 class KeyOrdering:
-    """Passes on the queries of one key in the order of their arrival, each when the one before it is over.
+    """Submits the queries of one key in order of arrival, each after the previous one has ended.
 
-    After an attempt that may still run, the key pauses for the settings' time. Without the pause, the next
-    query could overtake work that its engine has not finished.
+    After an attempt that may still run, the key is paused for the time in the settings. Without the pause,
+    the next query could overtake work that the engine has not finished.
     """
 
     def __init__(self, port: GatewayPort, pause_ms: float, submit: Callable[[Query], None]):
-        """`submit`: called with each query whose turn it is, at once where no order is asked for."""
+        """Takes `submit`, which is called with each query in its turn, or at once if it is unordered."""
         self.port = port
         self.pause_ms = pause_ms
         self.submit_in_turn = submit
@@ -25,7 +25,7 @@
         self.paused_until_ms: dict[str, float] = {}
 
     def submit(self, query: Query) -> None:
-        """A query was admitted."""
+        """Takes an admitted query, and submits it when its key allows."""
         if not query.group.is_ordered_by_key or not query.ordering_key:
             self.submit_in_turn(query)
             return
@@ -33,7 +33,7 @@
         self._advance(query.ordering_key)
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
-        """An attempt ended: its key pauses if it may still run, or advances if its query has ended."""
+        """Pauses the key if the attempt may still run, and advances the key if its query has ended."""
         query = attempt.query
         if query not in self.queues.get(query.ordering_key, ()):
             return
@@ -42,7 +42,7 @@
         self.on_query_over(query)
 
     def on_query_over(self, query: Query) -> None:
-        """The query may be over: then, and with no attempt in flight, its key's next one has its turn."""
+        """Submits the key's next query, if this one has ended and has no attempt in flight."""
         key = query.ordering_key
         if query not in self.queues.get(key, ()):
             return
@@ -51,7 +51,7 @@
             self._advance(key)
 
     def _advance(self, key: str) -> None:
-        """Submits the key's next query, now or after the pause; forgets a key that has none."""
+        """Submits the key's next query, now or after the pause; deletes the state of an unused key."""
         queue = self.queues.get(key)
         paused_until_ms = self.paused_until_ms.get(key, 0.0)
         if queue and not queue[0].is_first_for_key:
--- a/lichenquay/admission/load_report.py
+++ b/lichenquay/admission/load_report.py
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine reports of its load. Counts and shares that it does not report are 0."""
+    """The load that an engine reports. Counts and shares that it does not report are 0."""
 
-    utilisation: float | None  # share of its cores in use; None: not reported
+    utilisation: float | None  # share of the engine's cores in use; None: not reported
     active_queries: float
-    waiting_queries: float  # for memory
+    waiting_queries: float  # queries that wait for memory
     granted_memory_share: float
     busy_disk_share: float
 
     @classmethod
     def from_fields(cls, fields: dict[str, float]) -> "LoadReport":
-        """Reads a report by the names of its columns on the wire."""
+        """Creates a report from numbers by column name on the wire."""
         return cls(
             fields.get(UTILISATION),
             fields.get(ACTIVE_QUERIES, 0.0),
--- a/lichenquay/admission/placement.py
+++ b/lichenquay/admission/placement.py
@@ -4,9 +4,9 @@
 
 
 def satisfies_placement(group: ResourceGroup, engine: Engine) -> bool:
-    """Whether queries of the group may run on the engine, by its zone and kind.
+    """Returns whether queries of the group may run on the engine, by its zone and kind.
 
-    A query sent to another engine would break the operators' placement rule; there is no exception to it.
+    A query sent to any other engine would break the operators' placement rule, which has no exception.
     """
     if group.allowed_kinds and engine.kind not in group.allowed_kinds:
         return False
@@ -14,5 +14,5 @@
 
 
 def has_placement_constraint(group: ResourceGroup) -> bool:
-    """Whether the group is confined to some zones or kinds."""
+    """Returns whether the group is restricted to some zones or kinds."""
     return bool(group.allowed_zones or group.allowed_kinds)
--- a/lichenquay/admission/pooled_slots.py
+++ b/lichenquay/admission/pooled_slots.py
@@ -1,4 +1,4 @@
-"""Pooled slots: limits over the whole fleet, for groups whose queries exceed our share of one engine."""
+"""Pooled slots: limits over the whole fleet, for groups whose queries exceed the share of one engine."""
 
 from dataclasses import dataclass
 
@@ -18,13 +18,13 @@
     """The latest admission of a pooled group."""
 
     admitted_ms: float = 0.0
-    expected_ms: float = 0.0  # how long it may take
+    expected_ms: float = 0.0  # expected runtime of the query
     threads: int = 0
     memory_mb: float = 0.0
 
 
 class PooledSlots:
-    """Keeps pooled groups together within our share of the fleet's threads and memory."""
+    """Limits all pooled groups together to this gateway's share of the fleet's threads and memory."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         availability: SlotAvailability,
         in_flight: InFlightTotals,
     ):
-        """`in_flight`: the totals of this gateway, which are read here."""
+        """Takes `in_flight`: the totals of this gateway, which are only read here."""
         self.fleet = fleet
         self.capacity = capacity
         self.pressure = pressure
@@ -45,40 +45,41 @@
         self.latest = PooledAdmission()
 
     def record_admission(self, admission: PooledAdmission) -> None:
-        """A query of a pooled group was admitted."""
+        """Stores the admission of a query of a pooled group."""
         self.latest = admission
 
-    def free_kind(self, query: Query, now_ms: float) -> SlotKind | None:
-        """The kind of pooled slot that is free for the query; None: it must wait.
+    def free_slot_kind(self, query: Query, now_ms: float) -> SlotKind | None:
+        """Returns the kind of pooled slot that is free for the query; None: it must wait.
 
-        Threads and slots bind under pressure of the fleet, memory always where engines swap. The fleet must
-        not be empty.
+        Threads and slots limit admission while the fleet is under pressure; memory always does where engines
+        swap. The fleet must not be empty.
         """
-        is_pressed = self.pressure.are_engines_under_pressure(now_ms)
+        is_under_pressure = self.pressure.are_engines_under_pressure(now_ms)
         usable_threads = THREADS_PER_CORE * self.capacity.cores * self.memory_share.gateway_share
         representative = self.fleet.representative()
         in_flight = self.in_flight
         fits_memory = not in_flight.threads or self.memory_share.has_room(
             query, representative, in_flight.granted_mb, self.capacity.memory_mb
         )
-        if self._must_space_admissions(is_pressed, usable_threads, now_ms):
+        if self._must_space_admissions(is_under_pressure, usable_threads, now_ms):
             return None
         if self.availability.engines_swap and not fits_memory:
             return None
-        if not is_pressed:
+        if not is_under_pressure:
             return SlotKind.MAXIMUM
         if not fits_memory or in_flight.threads >= usable_threads:
             return None
-        return self.availability.kind_by_slot(query, representative, now_ms)
+        return self.availability.kind_of_free_slot(query, representative, now_ms)
 
-    def _must_space_admissions(self, is_pressed: bool, usable_threads: float, now_ms: float) -> bool:
-        """Whether it is too early for another admission, where one query exceeds our share of the fleet.
+    def _must_space_admissions(self, is_under_pressure: bool, usable_threads: float, now_ms: float) -> bool:
+        """Returns whether it is too early for another admission after a query larger than the share.
 
-        A query that needs k times our share is followed by the next one after k times its runtime. If all
-        gateways sent such queries one after the other, the fleet would be overloaded k times.
+        A query that needs k times this gateway's share of the fleet is followed by the next one after k times
+        its runtime. If all gateways sent such queries one after the other, the fleet would be overloaded k
+        times.
         """
         latest = self.latest
-        thread_excess = latest.threads / usable_threads if is_pressed else 0.0
+        thread_excess = latest.threads / usable_threads if is_under_pressure else 0.0
         memory_excess = 0.0
         if self.availability.engines_swap:
             memory_excess = latest.memory_mb / self.memory_share.usable_mb(self.capacity.memory_mb)
--- a/lichenquay/admission/ports.py
+++ b/lichenquay/admission/ports.py
@@ -1,7 +1,8 @@
 """The two ports between a gateway and the admission controller (ports and adapters).
 
-`GatewayPort` is what the controller asks of its gateway. `AdmissionPort` is what a gateway reports to the
-controller, in the order of events. Times are milliseconds of the gateway's clock.
+`GatewayPort` holds the calls that the controller makes on its gateway. `AdmissionPort` holds the events that
+a gateway reports to the controller, in the order in which they occur. Times are milliseconds of the gateway's
+clock.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,39 +12,39 @@
 
 
 class GatewayPort(Protocol):
-    """What the controller asks of its gateway."""
+    """The calls that the controller makes on its gateway."""
 
-    now_ms: float  # the time of the current turn
+    now_ms: float  # the time of the current event loop iteration
 
     def start_attempt(self, query: Query, engine: Engine, timeout_ms: float) -> Attempt:
-        """Sends the query to the engine."""
+        """Sends the query to the engine and returns the new attempt."""
 
     def set_grant(self, query: Query, memory_mb: float, priority: int) -> None:
-        """Sets the memory grant (0: the engine's choice) and priority (0 to 3) of the query's attempts."""
+        """Sets the memory grant (0: the engine chooses) and priority (0 to 3) of the query's attempts."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Stops waiting for the attempt; its outcome follows."""
+        """Cancels the attempt; its outcome is reported later."""
 
     def reject(self, query: Query, retry_after_ms: float) -> None:
-        """Answers that the query did not run and that a retry is harmless."""
+        """Answers that the query did not run and that a retry is safe."""
 
     def fail(self, query: Query) -> None:
         """Answers that the query failed."""
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """Calls back once, at that time or later."""
+        """Schedules one call at the given time or later."""
 
     def send_health_check(self, engine: Engine) -> None:
-        """Checks the engine; `AdmissionPort.on_health_check` follows."""
+        """Sends a health check; its result is reported by `AdmissionPort.on_health_check`."""
 
     def watch_endpoints(self, on: bool = True) -> None:
-        """Subscribes to changes of the endpoint list."""
+        """Subscribes to changes of the endpoint list, or unsubscribes if not `on`."""
 
     def fetch_endpoints(self) -> None:
-        """Polls the whole endpoint list once."""
+        """Polls the full endpoint list once."""
 
     def close_idle_connections(self, engine: Engine) -> None:
-        """Closes connections to the engine that carry no call."""
+        """Closes the connections to the engine that have no call in flight."""
 
     def send_to_peer(self, peer: str, content: bytes) -> None:
         """Sends a message to another gateway."""
@@ -53,28 +54,31 @@
 
 
 class AdmissionPort(Protocol):
-    """What a gateway reports to the admission controller."""
+    """The events that a gateway reports to the admission controller, and what it asks of it."""
 
-    def endpoints_updated(self, engines: Sequence[Engine], whole: bool) -> None:
-        """The endpoint list changed: `engines` are all there are (`whole`), or those that changed."""
+    def endpoints_updated(self, engines: Sequence[Engine], is_full_list: bool) -> None:
+        """Applies a change of the endpoint list.
+
+        `engines` are all listed engines (`is_full_list`), or only those that changed.
+        """
 
     def endpoints_unavailable(self) -> None:
-        """Discovery could not be reached, or the watch broke."""
+        """Handles a failed poll or a broken watch of the endpoint list."""
 
     def mark_endpoints_stale(self, max_ms: float) -> None:
-        """The endpoint list may be out of date until it is confirmed, for `max_ms` at most."""
+        """Treats the endpoint list as stale until it is confirmed, for `max_ms` at most."""
 
     def are_endpoints_stale(self, now_ms: float) -> bool:
-        """Whether nothing is dispatched because the endpoint list may be out of date."""
+        """Returns whether dispatch is suspended because the endpoint list may be stale."""
 
     def endpoints_confirmed(self) -> None:
-        """The endpoint list is up to date."""
+        """Records that the endpoint list is up to date."""
 
     def admit(self, query: Query) -> None:
-        """A query arrived."""
+        """Takes a query that has arrived."""
 
     def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
-        """An engine reported on an attempt in flight; `amount` is as the kind says."""
+        """Handles a progress event of an attempt in flight; `kind` determines what `amount` means."""
 
     def on_attempt_ended(
         self,
@@ -83,25 +87,29 @@
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
-        """An attempt ended, as its `outcome` says.
+        """Handles the end of an attempt, whose `outcome` is set.
 
-        `took_ms`: since it was sent. `cost`: what the engine says that it used. `report`: the engine's load
-        report as numbers by column; empty if it came without a known column, None if there was none.
+        `took_ms`: time since the attempt was sent. `cost`: the resources that the engine reports for it.
+        `report`: the engine's load report as numbers by column; empty if it held no known column, None if
+        there was none.
         """
 
     def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
-        """Whether an attempt is still allowed; asked in the instant before its first byte."""
+        """Returns whether an attempt may still be sent, asked immediately before its first byte.
+
+        An allowed attempt is recorded as sent at that time.
+        """
 
     def on_client_gone(self, query: Query) -> None:
-        """The query's client cancelled it or closed its connection."""
+        """Handles a client that cancelled its query or closed its connection."""
 
     def give_final_answer(self, query: Query) -> None:
-        """Rejects or fails the query now."""
+        """Rejects or fails the query immediately."""
 
     def is_under_pressure(self) -> bool:
-        """Whether the engines have no room for queries over quota."""
+        """Returns whether the engines have no capacity for queries over quota."""
 
     def on_health_check(
         self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
     ) -> None:
-        """A health check ended."""
+        """Handles the result of a health check."""
--- a/lichenquay/admission/progress_events.py
+++ b/lichenquay/admission/progress_events.py
@@ -1,4 +1,4 @@
-"""What progress events of attempts in flight change."""
+"""Effects of the progress events of attempts in flight."""
 
 from lichenquay.admission.domain import Attempt, EngineCapabilities, ProgressKind, Query, WaitReason
 from lichenquay.admission.engine_state import EngineState
@@ -10,13 +10,13 @@
 from lichenquay.admission.relocation import Relocation
 from lichenquay.admission.reservation import Reservation
 
-BAD_PLAN_FACTOR = 4  # runtime so far, over what the progress should have taken on this engine
-MIN_DONE_SHARE = 0.002  # less counts as this share: the first events are inexact
-LOCK_PROGRESS_INTERVALS = 2  # a lock that an attempt waits for is taken to last so many progress intervals
+BAD_PLAN_FACTOR = 4  # a plan is bad above this multiple of the engine's usual slowdown
+MIN_DONE_SHARE = 0.002  # lower bound of the completed share: the first events are inexact
+LOCK_PROGRESS_INTERVALS = 2  # assumed duration of a lock that an attempt waits for, in progress intervals
 
 
 class ProgressEvents:
-    """Records events; sets priorities anew; moves attempts that are far behind their estimate."""
+    """Records progress, updates priorities, and relocates attempts that are far behind their estimate."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         pressure: Pressure,
         relocation: Relocation,
     ):
-        """What the engines support and report decides which events are acted on."""
+        """Takes `capabilities`, which determine the events that have an effect."""
         self.port = port
         self.progress_interval_ms = capabilities.progress_interval_ms
         self.honours_priorities = capabilities.honours_priorities
@@ -37,7 +37,7 @@
     def on_progress(
         self, attempt: Attempt, state: EngineState | None, kind: ProgressKind, amount: float, now_ms: float
     ) -> None:
-        """An engine reported on an attempt; `amount` is as the kind says (see `ProgressKind`)."""
+        """Handles a progress event of an attempt; `kind` determines what `amount` means."""
         reservation = state.reservations.get(attempt) if state is not None else None
         if reservation is None:
             return
@@ -46,7 +46,7 @@
         reservation.last_response_ms = now_ms
         state.record_response(now_ms)
         if kind == ProgressKind.SPILLING:
-            self.grants.learn(reservation.group, True, reservation.granted_mb + amount)
+            self.grants.record_memory_need(reservation.group, True, reservation.granted_mb + amount)
         elif kind == ProgressKind.WAITING:
             self._on_waiting(reservation, state, amount, now_ms)
         elif kind == ProgressKind.PROGRESS and attempt.query.estimated_work_ms and amount > 0:
@@ -61,7 +61,10 @@
         reservation.has_progress = True
 
     def _on_waiting(self, reservation: Reservation, state: EngineState, reason: float, now_ms: float) -> None:
-        """The attempt waits on its engine, which says so once; behind another's bulk load, it moves away."""
+        """Records that the attempt waits, which its engine reports once.
+
+        An attempt that waits for another query's bulk load is relocated.
+        """
         reservation.waiting_since_ms = reservation.waiting_since_ms or now_ms
         if reason == WaitReason.MEMORY:
             state.last_memory_wait_ms = now_ms
@@ -73,7 +76,10 @@
     def _on_share_done(
         self, reservation: Reservation, state: EngineState, amount: float, now_ms: float
     ) -> None:
-        """The attempt runs. Far behind its estimate, it has a bad plan; a retry may get a better one."""
+        """Records progress; an attempt far behind its estimate has a bad plan and is relocated.
+
+        The retry may get a better plan.
+        """
         query = reservation.query
         if reservation.waiting_since_ms:
             reservation.waited_ms = reservation.waited_ms + now_ms - reservation.waiting_since_ms
--- a/lichenquay/admission/query_dispatcher.py
+++ b/lichenquay/admission/query_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch: a query runs now if an engine has room for it; else it waits for a slot, but not for long."""
+"""Dispatch: a query runs if an engine has capacity; otherwise it waits for a slot, for a limited time."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,11 @@
 from lichenquay.admission.retry_policy import RetryPolicy
 from lichenquay.admission.waiting_queries import WaitingQueries
 
-WAITING_TIME_DIVISOR = 10  # a query waits for a slot for 1/10 of its time, then gets its final answer
+WAITING_TIME_DIVISOR = 10  # a query waits for a slot for 1/10 of its timeout, then gets its final answer
 
 
 class QueryDispatcher:
-    """Starts attempts where engines have room, and keeps the other queries waiting."""
+    """Starts attempts where engines have capacity, and queues the other queries."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         waiting: WaitingQueries,
         give_final_answer: Callable[[Query], None],
     ):
-        """`give_final_answer`: called with a query that has waited for too long."""
+        """Takes `give_final_answer`, which is called with a query that has waited too long."""
         self.port = port
         self.fleet = fleet
         self.staleness = staleness
@@ -40,9 +40,10 @@
         self.give_final_answer = give_final_answer
 
     def submit(self, query: Query) -> None:
-        """Starts an attempt now, or lets the query wait for a tenth of its time (paper, 4.5).
+        """Starts an attempt now, or queues the query for a tenth of its timeout (paper, 4.5).
 
-        A query that waits longer has little time left for an attempt; its client can retry elsewhere instead.
+        A query that waited longer would have little time left for an attempt; its client can retry elsewhere
+        instead.
         """
         now_ms = self.port.now_ms
         if self._try_start(query, now_ms):
@@ -56,13 +57,13 @@
             self.give_final_answer(query)
 
     def dispatch_waiting(self, now_ms: float, only: EngineState | None = None) -> None:
-        """Something may have become free (on the engine `only`): a few waiting queries are tried."""
+        """Tries a few waiting queries, after capacity may have become free (on the engine `only`)."""
         for query in self.waiting.next_candidates():
             if self._try_start(query, now_ms, only):
                 self.waiting.remove(query)
 
     def _try_start(self, query: Query, now_ms: float, only: EngineState | None = None) -> bool:
-        """Starts an attempt of the query if an engine (or the engine `only`) has room; whether it did."""
+        """Starts an attempt if an engine (or the engine `only`) has capacity; returns whether it did."""
         if not self.fleet.states or self.staleness.is_stale(now_ms):
             return False
         if not self.retry_policy.may_attempt(query, now_ms):
--- a/lichenquay/admission/relocation.py
+++ b/lichenquay/admission/relocation.py
@@ -1,4 +1,4 @@
-"""Relocation: an attempt is cancelled on its engine, to run on another one."""
+"""Relocation: an attempt is cancelled on its engine, to be retried on another one."""
 
 from lichenquay.admission.domain import Effect, GatewayPermissions
 from lichenquay.admission.ports import GatewayPort
@@ -9,14 +9,14 @@
     """Cancels attempts whose engine is unresponsive, lost them or runs them badly; a retry follows."""
 
     def __init__(self, port: GatewayPort, permissions: GatewayPermissions):
-        """`port` cancels the attempts; `permissions`: whether it may, and how many attempts a query gets."""
+        """Takes `permissions`: whether attempts may be cancelled, and how many a query may have."""
         self.port = port
         self.permissions = permissions
 
     def cancel_and_retry(self, reservation: Reservation) -> None:
-        """Cancels the attempt if engines heed that, a retry is harmless, and the query may have one more.
+        """Cancels the attempt if engines honour that and the query may be retried harmlessly.
 
-        Without it, the query would wait for the rest of its time for an engine that is unlikely to answer.
+        Otherwise the query would spend its remaining time waiting for an engine that is unlikely to answer.
         """
         query = reservation.query
         if not self.permissions.may_cancel or reservation.group.effect != Effect.READ_ONLY:
--- a/lichenquay/admission/reservation.py
+++ b/lichenquay/admission/reservation.py
@@ -1,4 +1,4 @@
-"""Reservations: what an attempt holds on its engine, from its start until its work is over."""
+"""Reservations: what an attempt holds on its engine, from its start until its work has ended."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -14,14 +14,14 @@
 class InFlightTotals:
     """Threads and memory that attempts of this gateway hold."""
 
-    threads: int = 0  # of groups with slots
+    threads: int = 0  # threads of groups with slots
     interactive_threads: int = 0
     granted_mb: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class Reservation:
-    """One attempt's hold on its engine: its slot, memory and threads."""
+    """What one attempt holds on its engine: its slot, memory and threads."""
 
     attempt: Attempt
     engine_state: "EngineState"
@@ -32,33 +32,34 @@
     query: Query = field(init=False)
     group: ResourceGroup = field(init=False)
     last_response_ms: float = field(init=False)
-    has_progress: bool = False  # the engine reported on it
-    is_relocated: bool = False  # by this gateway, to run it elsewhere
-    waiting_since_ms: float | None = None  # for memory or a lock on the engine
-    waited_ms: float = 0.0  # before that, and while this process was paused
+    has_progress: bool = False  # the engine has sent a progress event
+    is_relocated: bool = False  # cancelled by this gateway, to run elsewhere
+    waiting_since_ms: float | None = None  # start of a wait for memory or a lock on the engine
+    waited_ms: float = 0.0  # total of earlier waits and of pauses of this process
     counts_in_total: bool = True
 
     def __post_init__(self) -> None:
-        """Copies what is used often from the attempt."""
+        """Copies frequently used values from the attempt."""
         self.query = self.attempt.query
         self.group = self.attempt.query.group
         self.last_response_ms = self.attempt.sent_ms
 
     def acquire(self, total: InFlightTotals, now_ms: float) -> None:
-        """Counts from now on in its slot, on its engine, and in this gateway's total."""
+        """Adds the attempt to its slot, its engine and this gateway's total."""
         self.slot.admitted_ms = now_ms
         self._count(total, 1)
 
-    def leave_total(self, total: InFlightTotals) -> None:
-        """Its time is over, but its engine works on: it counts there only.
+    def exclude_from_total(self, total: InFlightTotals) -> None:
+        """Removes the attempt from the total: its time is up, but its engine still works on it.
 
-        Otherwise one engine that works on at a few long queries would use up our share of all others.
+        Otherwise one engine that continues to run a few long queries would use up this gateway's share of all
+        engines.
         """
         self._add_to(total, -1)
         self.counts_in_total = False
 
     def release(self, total: InFlightTotals) -> None:
-        """Counts nowhere any more."""
+        """Removes the attempt from everything that still counts it."""
         self._count(total, -1)
 
     def _count(self, total: InFlightTotals, sign: int) -> None:
--- a/lichenquay/admission/silence_detection.py
+++ b/lichenquay/admission/silence_detection.py
@@ -1,7 +1,7 @@
-"""Silence detection: engines that do not respond, and attempts that were lost on a responsive engine.
+"""Silence detection: unresponsive engines, and attempts that were lost on a responsive engine.
 
-Missing progress events, time-outs and failed connections are one symptom. An unresponsive engine gets nothing
-new but single queries on trial, and attempts that may run twice move elsewhere.
+Missing progress events, timeouts and failed connections are one symptom. An unresponsive engine gets no new
+attempts but single probe queries, and its attempts that are safe to repeat are relocated.
 """
 
 from lichenquay.admission.domain import EngineCapabilities
@@ -11,14 +11,14 @@
 from lichenquay.admission.relocation import Relocation
 from lichenquay.admission.reservation import Reservation
 
-SILENCE_PROGRESS_INTERVALS = 1.5  # without a response for as many progress intervals: silent
-TRY_DELAY_DIVISOR = 2  # the first query is tried there after 1/2 of the silence limit
-LOST_RUNTIME_FACTOR = 4  # times the expected runtime on this engine
-LOST_OBJECTIVE_DIVISOR = 2  # no attempt counts as lost before 1/2 of its group's objective
+SILENCE_PROGRESS_INTERVALS = 1.5  # an engine is silent after this many progress intervals without a response
+TRY_DELAY_DIVISOR = 2  # the first probe query follows after 1/2 of the silence limit
+LOST_RUNTIME_FACTOR = 4  # an attempt is lost after this multiple of its expected runtime on the engine
+LOST_OBJECTIVE_DIVISOR = 2  # no attempt is lost before 1/2 of its group's objective
 
 
 class SilenceDetection:
-    """Judges engines and attempts by the time since their last response."""
+    """Detects unresponsive engines and lost attempts by the time since their last response."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         shortest_objective_ms: float,
         relocation: Relocation,
     ):
-        """The silence limit is the shortest objective where engines send no progress events."""
+        """Sets the silence limit; without progress events it is `shortest_objective_ms`."""
         self.port = port
         self.has_progress_events = bool(capabilities.progress_interval_ms)
         self.silence_limit_ms = (
@@ -36,7 +36,7 @@
         self.relocation = relocation
 
     def mark_unresponsive(self, state: EngineState, now_ms: float) -> None:
-        """The engine does not respond: what may be retried moves away from it."""
+        """Marks the engine as unresponsive and relocates its attempts that may be retried."""
         if not state.is_unresponsive:
             state.is_unresponsive = True
             state.next_try_ms = now_ms + self.silence_limit_ms / TRY_DELAY_DIVISOR
@@ -45,10 +45,10 @@
             self.relocation.cancel_and_retry(reservation)
 
     def is_lost(self, reservation: Reservation, now_ms: float) -> bool:
-        """Whether the attempt has been silent for too long, though its engine may be responsive.
+        """Returns whether the attempt has been silent too long, even if its engine is responsive.
 
-        A query or its answer can be lost on the way. An attempt that waits on its engine reports that once
-        only, so its silence means nothing.
+        A query or its answer can be lost in transit. An attempt that waits on its engine reports that only
+        once, so its silence is not a symptom.
         """
         if reservation.waiting_since_ms:
             return False
@@ -62,9 +62,9 @@
         return now_ms - reservation.last_response_ms > limit_ms
 
     def check_engine(self, state: EngineState, now_ms: float) -> None:
-        """Moves lost attempts away, and marks the engine unresponsive if it and an attempt there are silent.
+        """Relocates lost attempts, and marks the engine unresponsive if it and an attempt are silent.
 
-        Without progress events an engine sends nothing while it works on long queries; then it is
+        Without progress events an engine sends nothing while it works on long queries; in that case it is
         unresponsive only if all its attempts are overdue.
         """
         reservations = list(state.reservations.values())
--- a/lichenquay/admission/sliding_window.py
+++ b/lichenquay/admission/sliding_window.py
@@ -1,26 +1,26 @@
-"""Sums, counts and means of samples over a sliding window of time, kept in buckets."""
+"""Sums, counts and means of samples over a sliding time window, kept in buckets."""
 
 
 class SlidingWindow:
-    """Sum and count of samples over the last `buckets` x `width_ms`; the oldest bucket is used again."""
+    """Sum and count of samples over the last `buckets` x `width_ms`; the oldest bucket is reused."""
 
     __slots__ = ("counts", "latest_bucket", "sample_count", "sums", "width_ms")
 
     def __init__(self, width_ms: float, buckets: int):
-        """No sample yet."""
+        """Creates an empty window."""
         self.width_ms = width_ms
         self.sums = [0.0] * buckets
         self.counts = [0] * buckets
         self.sample_count = 0
-        self.latest_bucket: int | None = None  # counted from time 0
+        self.latest_bucket: int | None = None  # bucket number counted from time 0; None: no sample yet
 
     @property
-    def is_untouched(self) -> bool:
-        """Whether no sample was ever added."""
+    def is_unused(self) -> bool:
+        """Returns whether no sample was ever added."""
         return self.latest_bucket is None
 
     def _advance(self, now_ms: float) -> int:
-        """Empties the buckets that have left the window; the index of the present one."""
+        """Clears the buckets that have left the window; returns the index of the current one."""
         bucket = int(now_ms // self.width_ms)
         size = len(self.sums)
         if bucket == self.latest_bucket:
@@ -43,19 +43,19 @@
         self.sample_count += 1
 
     def total(self, now_ms: float) -> float:
-        """Sum of the samples in the window."""
+        """Returns the sum of the samples in the window."""
         if not self.sample_count:
             return 0.0
         self._advance(now_ms)
         return sum(self.sums)
 
     def count(self, now_ms: float) -> int:
-        """Number of samples in the window."""
+        """Returns the number of samples in the window."""
         if self.sample_count:
             self._advance(now_ms)
         return self.sample_count
 
     def mean(self, now_ms: float, default: float | None = None) -> float | None:
-        """Mean of the samples in the window; `default` where there is none."""
+        """Returns the mean of the samples in the window, or `default` if there is none."""
         count = self.count(now_ms)
         return sum(self.sums) / count if count else default
--- a/lichenquay/admission/slot_availability.py
+++ b/lichenquay/admission/slot_availability.py
@@ -16,13 +16,13 @@
 from lichenquay.admission.slot_table import SlotTable
 from lichenquay.admission.waiting_queries import WaitingQueries
 
-OVERLOAD_BACKOFF_DIVISOR = 4  # an engine that shed an attempt rests for 1/4 of the shortest objective
-MIN_THREAD_SHARE = 0.75  # of our share of threads, that all groups with slots together may use
-SCARCE_MEMORY_SHARE = 0.5  # more of its memory granted than this: the admission delay acts
+OVERLOAD_BACKOFF_DIVISOR = 4  # an engine that shed an attempt gets none for 1/4 of the shortest objective
+MIN_THREAD_SHARE = 0.75  # least share of this gateway's threads that its groups with slots may use together
+SCARCE_MEMORY_SHARE = 0.5  # the admission delay applies above this granted share of an engine's memory
 
 
 class SlotAvailability:
-    """Decides on an engine's free slots, in the order of `free_kind`."""
+    """Determines the free slots of an engine, in the order given at `free_slot_kind`."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         pressure: Pressure,
         waiting: WaitingQueries,
     ):
-        """Derives the pauses after overload and memory waits from the groups and the engines' settings."""
+        """Derives the backoffs after overload and memory waits from the groups and engine capabilities."""
         shortest_ms = min((group.latency_objective_ms for group in groups), default=0.0)
         self.overload_backoff_ms = shortest_ms / OVERLOAD_BACKOFF_DIVISOR
         self.memory_wait_ms = capabilities.progress_interval_ms
@@ -49,20 +49,22 @@
         self.pressure = pressure
         self.waiting = waiting
 
-    def free_kind(
+    def free_slot_kind(
         self, query: Query, state: EngineState, now_ms: float, pooled_kind: SlotKind | None
     ) -> SlotKind | None:
-        """The kind of slot that is free for the query on the engine; None: it must not be sent there now.
+        """Returns the kind of slot that is free for the query on the engine, or None if there is none.
 
-        `pooled_kind`: what the pooled slots gave, for a group that uses them. Tested in this order:
+        `pooled_kind`: the free kind of pooled slot, for a group that uses them. The checks are, in this
+        order:
 
         1. An engine that made an attempt wait for memory gets only interactive queries for one progress
-           interval, as others would queue for its memory too.
-        2. An engine that shed an attempt gets none for a quarter of the shortest objective: it is overloaded.
-        3. The query must fit into our share of the engine (`_has_room`).
-        4. Without pressure no slot is needed, and interactive and pooled queries need none of the engine: the
-           result is a maximum slot, or the pooled kind.
-        5. Under pressure, one of the engine's slots must be free (`kind_by_slot`).
+           interval, because others would wait for its memory too.
+        2. An engine that shed an attempt gets no query for a quarter of the shortest objective, because it is
+           overloaded.
+        3. The query must fit into this gateway's share of the engine (`_has_room`).
+        4. Without pressure no slot is needed, and interactive and pooled queries need no slot of the engine:
+           the result is a maximum slot, or the pooled kind.
+        5. Under pressure, one of the engine's slots must be free (`kind_of_free_slot`).
         """
         group = query.group
         is_interactive = group in self.interactive
@@ -70,18 +72,20 @@
             return None
         if now_ms - state.last_overloaded_ms < self.overload_backoff_ms:
             return None
-        is_pressed = pooled_kind is None and self.pressure.is_engine_under_pressure(state, group, now_ms)
-        if not self._has_room(query, state, is_pressed, pooled_kind is not None):
+        is_under_pressure = pooled_kind is None and self.pressure.is_engine_under_pressure(
+            state, group, now_ms
+        )
+        if not self._has_room(query, state, is_under_pressure, pooled_kind is not None):
             return None
-        if is_pressed and not is_interactive:
-            return self.kind_by_slot(query, state, now_ms)
+        if is_under_pressure and not is_interactive:
+            return self.kind_of_free_slot(query, state, now_ms)
         return pooled_kind or SlotKind.MAXIMUM
 
-    def kind_by_slot(self, query: Query, state: EngineState, now_ms: float) -> SlotKind | None:
-        """A free maximum slot, else a free minimum slot, else None; None too during the admission delay.
+    def kind_of_free_slot(self, query: Query, state: EngineState, now_ms: float) -> SlotKind | None:
+        """Returns a free maximum slot's kind, else a free minimum slot's, else None.
 
-        The delay (paper, 4.3.3) acts only on a full engine, and where queries wait or memory is scarce: with
-        free cores it would only waste them.
+        Also returns None during the admission delay (paper, 4.3.3). The delay applies only on a full engine,
+        and only while queries wait or memory is scarce: with free cores it would only waste them.
         """
         slot = self.slot_table.slot_for(state, query.group, now_ms)
         if slot.delay_ms > now_ms - slot.admitted_ms and self._is_contended(query.group, state):
@@ -97,16 +101,16 @@
             return False
         return self.engine_load.is_full(state)
 
-    def _has_room(self, query: Query, state: EngineState, is_pressed: bool, is_pooled: bool) -> bool:
-        """Whether our attempts and this query stay within our share of the engine.
+    def _has_room(self, query: Query, state: EngineState, is_under_pressure: bool, is_pooled: bool) -> bool:
+        """Returns whether this gateway's attempts and the query fit into its share of the engine.
 
-        Memory binds always where engines swap, threads under pressure only. The limits of single groups add
-        up to far more than an engine holds; without a limit for all of them, an engine can be overloaded so
-        that nothing ends in time. One attempt always fits.
+        Memory is always limited where engines swap; threads are limited only under pressure. The limits of
+        the single groups add up to far more than an engine holds; without a limit on their sum, an engine can
+        be so overloaded that no query ends in time. One attempt always fits.
         """
         if self.engines_swap and not is_pooled and self.memory_share.would_overcommit(query, state):
             return False
-        if not is_pressed:
+        if not is_under_pressure:
             return True
         limit = THREADS_PER_CORE * state.cores * self.slot_table.gateway_share
         if query.group in self.interactive:
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -1,4 +1,4 @@
-"""Slot feedback: M&M's steps of slots and memory pool, from the results of an interval (paper, 4.3)."""
+"""Slot feedback: M&M's adjustment of slots and memory pool by the results of an interval (paper, 4.3)."""
 
 from math import sqrt
 
@@ -11,27 +11,27 @@
 from lichenquay.admission.waiting_queries import WaitingQueries
 
 RESULTS_PER_INTERVAL = 20
-RUNTIME_AVERAGE_RESULTS = 10  # results over which a slot's mean runtime is averaged
-MIN_MEAN_WAITING = 0.5  # fewer waiting queries: slots are not what is missing
-MAXIMUM_SLOTS_FOR_MINIMUM = 2  # with as many maximum slots, more minimum slots only slow all down
-POOL_STEP_SHARE = 0.05  # of our share of the memory
+RUNTIME_AVERAGE_RESULTS = 10  # number of results over which a slot's mean runtime is averaged
+MIN_MEAN_WAITING = 0.5  # with fewer waiting queries, more slots would not help
+MAXIMUM_SLOTS_FOR_MINIMUM = 2  # with this many maximum slots, more minimum slots only slow queries down
+POOL_STEP_SHARE = 0.05  # of this gateway's share of the memory
 STALE_INTERVAL_OBJECTIVES = 4  # an interval with results ends after this multiple of the objective
 
 
 class SlotFeedback:
-    """Collects results and adjusts a slot at the end of each interval."""
+    """Collects results, and adjusts a slot at the end of each interval."""
 
     def __init__(
         self, fleet: EngineFleet, engine_load: EngineLoad, waiting: WaitingQueries, gateway_share: float
     ):
-        """`gateway_share`: our share of the fleet, 0 to 1."""
+        """Takes `gateway_share`: this gateway's share of the fleet, 0 to 1."""
         self.fleet = fleet
         self.engine_load = engine_load
         self.waiting = waiting
         self.gateway_share = gateway_share
 
     def record_runtime(self, slot: AdmissionSlot, took_ms: float) -> None:
-        """An attempt with an estimate completed."""
+        """Adds the runtime of a completed attempt with an estimate to the slot's mean."""
         if slot.mean_runtime_ms:
             slot.mean_runtime_ms += (took_ms - slot.mean_runtime_ms) / RUNTIME_AVERAGE_RESULTS
         else:
@@ -46,10 +46,10 @@
         granted_mb: float,
         now_ms: float,
     ) -> None:
-        """An attempt ended so much after its latency objective (negative: before it).
+        """Records how late an attempt ended, relative to its latency objective (negative: early).
 
-        While the objective is met, the next admission is delayed for as long as this one was early
-        (paper, 4.3.3).
+        While the objective is met, the next admission is delayed by as much as this attempt was early (paper,
+        4.3.3).
         """
         interval = slot.interval
         interval.results += 1
@@ -66,7 +66,10 @@
     def end_stale_intervals(
         self, state: EngineState, slots: dict[ResourceGroup, AdmissionSlot], now_ms: float
     ) -> None:
-        """Ends intervals that have lasted too long: an engine that hangs gives no results to end them."""
+        """Ends intervals that have lasted too long.
+
+        An engine that hangs gives no results that would end them.
+        """
         for group, slot in slots.items():
             age_ms = now_ms - slot.interval.started_ms
             is_overdue = (
@@ -76,11 +79,11 @@
                 self.end_interval(slot, state, now_ms)
 
     def end_interval(self, slot: AdmissionSlot, state: EngineState, now_ms: float) -> None:
-        """Adjusts the slot by the interval's means, and begins a new interval.
+        """Adjusts the slot by the interval's means, and starts a new interval.
 
-        A mean lateness over one standard deviation misses the objective; below 0, the objective is met. In
-        between nothing changes, so that chance alone moves no limit. `state`: the slot's engine, or one that
-        represents all where the slot is pooled.
+        A mean lateness above one standard deviation misses the objective; a negative one meets it. Values in
+        between change nothing, so that no limit changes by chance alone. `state`: the slot's engine, or the
+        representative of all engines where the slot is pooled.
         """
         interval = slot.interval
         results = max(1, interval.results)
@@ -93,7 +96,7 @@
         slot.start_interval(now_ms)
 
     def _on_objective_missed(self, slot: AdmissionSlot, state: EngineState, results: int) -> None:
-        """Figure 3 of the paper, in its order: a maximum slot that fits, else a minimum slot, else more pool.
+        """Adds a maximum slot that fits, else a minimum slot, else memory to the pool (paper, Figure 3).
 
         With few waiting queries, or on a full engine, no slot is added.
         """
@@ -117,7 +120,7 @@
             slot.pool_mb = pool_mb + max(0.0, min(POOL_STEP_SHARE * memory_mb, unreserved_mb))
 
     def _on_objective_met(self, slot: AdmissionSlot, results: int) -> None:
-        """The admission delay may act; a limit well above what runs is lowered by one (paper, 4.3.3)."""
+        """Allows the admission delay, and lowers a limit well above the running attempts (paper, 4.3.3)."""
         slot.meets_objective = True
         if slot.interval.running / results < slot.maximum - 1:
             mean_grant_mb = slot.interval.granted_mb / results
--- a/lichenquay/admission/slot_table.py
+++ b/lichenquay/admission/slot_table.py
@@ -1,4 +1,4 @@
-"""Slots of each engine and group, and pooled slots of groups whose queries exceed our share of an engine."""
+"""Slots by engine and group, and pooled slots of groups whose queries exceed the gateway's engine share."""
 
 from lichenquay.admission.admission_slot import AdmissionSlot
 from lichenquay.admission.domain import ResourceGroup
@@ -8,20 +8,20 @@
 
 
 class SlotTable:
-    """The admission slots by engine and group; a slot is made at its first use."""
+    """The admission slots by engine and group; a slot is created at its first use."""
 
     def __init__(self, fleet: EngineFleet, gateway_share: float, interactive: frozenset[ResourceGroup]):
-        """`gateway_share`: our share of each engine, 0 to 1."""
+        """Takes `gateway_share`: this gateway's share of each engine, 0 to 1."""
         self.fleet = fleet
         self.gateway_share = gateway_share
         self.interactive = interactive
         self.pooled: dict[ResourceGroup, AdmissionSlot] = {}
 
     def is_pooled(self, group: ResourceGroup) -> bool:
-        """Whether the group's slots are of all engines together.
+        """Returns whether the group's slots are shared by all engines.
 
-        Where our share of an engine is below one query, each of many gateways would otherwise send every
-        engine one query of every group.
+        Where a gateway's share of an engine is below one query, each of many gateways would otherwise send
+        every engine one query of every group.
         """
         if group in self.interactive:
             return False
@@ -29,7 +29,10 @@
         return THREADS_PER_CORE * mean_cores * self.gateway_share < group.threads
 
     def slot_for(self, state: EngineState, group: ResourceGroup, now_ms: float) -> AdmissionSlot:
-        """The group's slot on the engine, or its pooled one; made with the design's starting limit."""
+        """Returns the group's slot on the engine, or its pooled slot.
+
+        A new slot gets the design's initial limit.
+        """
         is_pooled = self.is_pooled(group)
         slots = self.pooled if is_pooled else state.slots
         slot = slots.get(group)
--- a/lichenquay/admission/slow_start.py
+++ b/lichenquay/admission/slow_start.py
@@ -1,8 +1,7 @@
 """Slow start: how much work a gateway sends to an engine that is warming up.
 
-An engine that has just started falls over when all gateways together send it more than a multiple of its
-present capacity within a window. No gateway knows what the others send, so each keeps to its part of the
-budget.
+An engine that has just started fails when all gateways together send it more than a multiple of its present
+capacity within a window. No gateway knows what the others send, so each keeps to its part of the budget.
 """
 
 from collections.abc import Sequence
@@ -13,12 +12,12 @@
 from lichenquay.admission.query_size import expected_work_ms
 from lichenquay.admission.sliding_window import SlidingWindow
 
-USED_BUDGET_SHARE = 0.8  # of the multiple at which an engine falls over; the rest covers uneven arrival
-SUSTAINED_CORE_SHARE = 0.85  # of its cores' time that an engine can spend on queries
-SPENT_AT_START_SHARE = 0.75  # of our budget that counts as spent when this gateway starts
-BUCKETS_PER_WINDOW = 8  # of the settings' slow-start window
-NO_WINDOW_BUCKET_MS = 1.0  # in place of a window that the settings do not give
-WORK_AVERAGE_QUERIES = 50  # queries over which a group's mean work is averaged
+USED_BUDGET_SHARE = 0.8  # of the multiple at which an engine fails; the rest covers uneven arrivals
+SUSTAINED_CORE_SHARE = 0.85  # share of its cores' time that an engine can spend on queries
+SPENT_AT_START_SHARE = 0.75  # share of the budget that counts as spent when this gateway starts
+BUCKETS_PER_WINDOW = 8  # of the slow-start window in the settings
+DEFAULT_BUCKET_MS = 1.0  # bucket width where the settings give no window
+WORK_AVERAGE_QUERIES = 50  # number of queries over which a group's mean work is averaged
 
 
 class SlowStart:
@@ -31,7 +30,7 @@
         gateway_index: int | None,
         groups: Sequence[ResourceGroup],
     ):
-        """`gateway_index`: which of the gateways this is, from 0; None if it is not known."""
+        """Takes `gateway_index`: this gateway's index among all gateways, from 0; None: unknown."""
         self.limits = limits
         self.gateway_count = max(1, gateway_count)
         self.gateway_index = gateway_index
@@ -40,12 +39,12 @@
         self.mean_work_ms: dict[ResourceGroup, float] = {}
 
     def new_window(self) -> SlidingWindow:
-        """The window of work sent to one engine, a bucket longer than the settings' slow-start window."""
-        bucket_ms = self.limits.slow_start_window_ms / BUCKETS_PER_WINDOW or NO_WINDOW_BUCKET_MS
+        """Creates a window of work sent to one engine, one bucket longer than the slow-start window."""
+        bucket_ms = self.limits.slow_start_window_ms / BUCKETS_PER_WINDOW or DEFAULT_BUCKET_MS
         return SlidingWindow(bucket_ms, BUCKETS_PER_WINDOW + 1)
 
     def record_query(self, query: Query) -> None:
-        """A query was admitted: its work enters its group's mean."""
+        """Adds the work of an admitted query to its group's mean."""
         work_ms = expected_work_ms(query)
         mean_ms = self.mean_work_ms.get(query.group, work_ms)
         self.mean_work_ms[query.group] = (
@@ -53,16 +52,16 @@
         ) / WORK_AVERAGE_QUERIES
 
     def charged_work_ms(self, query: Query) -> float:
-        """Work that the query is charged with: its own, or its group's mean where that is more.
+        """Returns the work charged for the query: its own, or its group's mean if that is more.
 
-        Engines count queries by their mean work; many small ones would otherwise overrun the budget.
+        Engines count queries by their mean work; many small queries would otherwise exceed the budget.
         """
         return max(self.mean_work_ms.get(query.group, 0.0), expected_work_ms(query))
 
     def warm_share(self, engine: Engine, now_ms: float) -> float:
-        """Share of its capacity (0 to 1) that the engine certainly has, by the time since its start.
+        """Returns the share of its capacity (0 to 1) that the engine certainly has, by its age.
 
-        How capacity rises is not announced, so it is taken to rise late: with the square of the age.
+        How capacity rises is not announced, so it is assumed to rise late: with the square of the age.
         """
         limits = self.limits
         if engine.started_ms is None or not limits.warm_up_ms:
@@ -74,18 +73,19 @@
         return initial_share + (1 - initial_share) * age_share * age_share
 
     def usable_share(self, engine: Engine, now_ms: float) -> float:
-        """Share of its capacity (0 to 1) that new work can count on: none while the engine drains."""
+        """Returns the share of its capacity (0 to 1) available to new work; 0 while the engine drains."""
         if engine.state == EndpointState.SERVING:
             return self.warm_share(engine, now_ms)
         return 0.0
 
     def budget_ms(self, engine: Engine, warm_share: float) -> float:
-        """Work in milliseconds that this gateway may send to the engine within one slow-start window.
+        """Returns the work in milliseconds that may be sent to the engine within one slow-start window.
 
         The budget is divided among the gateways. Where one part stays below a typical query until the engine
-        is warm, and gateways are numbered, as many gateways as there is room for a query each share it, and
-        the others get none; otherwise nobody could use the engine before it is warm. One more part is left
-        over for the gateway that joins the sharers while the others' work still counts.
+        is warm, and gateways are numbered, it is shared by as many gateways as there is room for one query
+        each, and the others get none; otherwise no gateway could use the engine before it is warm. One
+        further part is reserved for a gateway that joins the sharers while the work of the others still
+        counts.
         """
         limits = self.limits
         warm_budget_ms = (
@@ -102,23 +102,23 @@
         return warm_budget_ms * warm_share / (sharers + 1) if position < sharers else 0.0
 
     def charge_budget_at_start(self, state: EngineState, now_ms: float) -> None:
-        """Counts most of our budget for the engine as spent already.
+        """Charges most of the budget for the engine as spent already.
 
-        The process before this one may have spent the budget within the same window; a restart of all
-        gateways would otherwise send a cold engine twice what it can take.
+        The previous process of this gateway may have spent the budget within the same window; a restart of
+        all gateways would otherwise send a cold engine twice what it can take.
         """
         budget_ms = self.budget_ms(state.engine, self.warm_share(state.engine, now_ms))
         state.slow_start_work.add(now_ms, SPENT_AT_START_SHARE * budget_ms)
 
     def record_attempt(self, state: EngineState, query: Query, now_ms: float) -> None:
-        """The query is sent to the engine: its work is charged to the engine's window."""
+        """Charges the work of an attempt to the engine's window."""
         state.slow_start_work.add(now_ms, self.charged_work_ms(query))
 
     def has_budget(self, state: EngineState, query: Query, now_ms: float, charged_ms: float | None) -> bool:
-        """Whether the engine may be sent the query now.
+        """Returns whether the engine may be sent the query now.
 
         `charged_ms`: when the attempt was charged already, or None. A charge that has left the window since
-        is needed anew.
+        is charged again.
         """
         warm_share = self.warm_share(state.engine, now_ms)
         if warm_share >= 1:
--- a/lichenquay/admission/table_affinity.py
+++ b/lichenquay/admission/table_affinity.py
@@ -1,7 +1,7 @@
 """Table affinity: the engines that every gateway prefers for a set of tables, by hash.
 
-Readers of the same tables meet on the same engines, whose caches stay warm for them; bulk loads of these
-tables go to other engines, where they hold up no reader.
+Readers of the same tables are sent to the same engines, whose caches stay warm for them; bulk loads of these
+tables go to other engines, where they delay no reader.
 """
 
 from collections.abc import Callable
@@ -11,14 +11,15 @@
 from lichenquay.admission.engine_fleet import EngineFleet
 from lichenquay.admission.engine_state import EngineState
 
-ENGINES_PER_ROLE = 2  # preferred engines for readers, and as many for bulk loads
-MAX_TABLE_GROUPS = 4096  # whose preferred engines are remembered
-# Weights are multiplied by the number of engines over this: about a third of the draws, in any fleet.
+ENGINES_PER_ROLE = 2  # number of preferred engines for readers, and for bulk loads
+MAX_TABLE_GROUPS = 4096  # limit on table groups whose preferred engines are cached
+# Weights are multiplied by the number of engines over this divisor. In a fleet of any size, the preferred
+# engines then get about a third of the draws.
 PREFERRED_SHARE_DIVISOR = 5
 
 
 def affinity_key(table_group: str) -> Callable[[EngineState], int]:
-    """The key by which engines are ranked for a table group, the same at every gateway."""
+    """Returns the key by which all gateways rank engines for a table group."""
     return lambda state: crc32(f"{table_group}:{state.engine.id}".encode())
 
 
@@ -30,20 +31,20 @@
     bulk_loads: list[EngineState]
 
     def contains(self, state: EngineState) -> bool:
-        """Whether the engine is one of them."""
+        """Returns whether the engine is preferred for readers or for bulk loads."""
         return state in self.readers or state in self.bulk_loads
 
 
 class TableAffinity:
-    """Preferred engines of each table group, kept as engines come and go."""
+    """The preferred engines of each table group, updated as engines join and leave."""
 
     def __init__(self, fleet: EngineFleet):
-        """No table group yet."""
+        """Starts with no table group."""
         self.fleet = fleet
         self.preferred: dict[str, PreferredEngines] = {}
 
     def preferred_engines(self, table_group: str) -> PreferredEngines:
-        """The first engines of the group's ranking for readers, the last ones for bulk loads."""
+        """Returns the first engines of the group's ranking for readers, and the last for bulk loads."""
         if table_group not in self.preferred:
             if len(self.preferred) >= MAX_TABLE_GROUPS:
                 self.preferred.clear()
@@ -63,7 +64,7 @@
                 weights[states.index(state)] *= max(1.0, len(states) / PREFERRED_SHARE_DIVISOR)
 
     def add_engine(self, state: EngineState) -> None:
-        """An engine joined: it takes its place in each ranking, without ranking all engines anew."""
+        """Adds a joined engine to each cached ranking, without ranking all engines again."""
         for table_group, preferred in self.preferred.items():
             key = affinity_key(table_group)
             self.preferred[table_group] = PreferredEngines(
@@ -72,7 +73,7 @@
             )
 
     def remove_engine(self, state: EngineState) -> None:
-        """An engine left: the table groups that preferred it are ranked anew when needed."""
+        """Discards the cached rankings that hold an engine that left."""
         affected = [group for group, preferred in self.preferred.items() if preferred.contains(state)]
         for table_group in affected:
             del self.preferred[table_group]
--- a/lichenquay/admission/tenant_quota.py
+++ b/lichenquay/admission/tenant_quota.py
@@ -6,22 +6,23 @@
 from lichenquay.admission.sliding_window import SlidingWindow
 
 WINDOW_BUCKETS = 8
-MIN_QUERIES_TO_JUDGE = 10  # fewer in the window say nothing about a tenant's share
+MIN_QUERIES_TO_JUDGE = 10  # a tenant with at most this many in the window is never over quota
 
 
 class TenantQuota:
-    """Marks queries over quota: by the fleet's ledger where there is one, else by our own traffic."""
+    """Marks queries over quota: by the fleet's ledger if there is one, else by this gateway's traffic."""
 
     def __init__(self, tenants: Sequence[Tenant], bucket_ms: float, draw: Callable[[], float]):
-        """`draw`: gives numbers between 0 and 1."""
+        """Takes `draw`, which returns random numbers between 0 and 1."""
         self.traffic = {tenant: SlidingWindow(bucket_ms, WINDOW_BUCKETS) for tenant in tenants}
         self.draw = draw
 
     def is_over_quota(self, query: Query, now_ms: float) -> bool:
-        """Whether the query counts as over quota; such queries wait behind all others of their group.
+        """Returns whether the query counts as over quota; such queries wait behind all others of their group.
 
-        Without a ledger, as many of a tenant's queries count as exceed its share of our traffic, by chance.
-        Without the rule, one tenant's burst takes the slots of all others.
+        Without a ledger, the query is added to its tenant's traffic, and as many of the tenant's queries as
+        exceed its share of this gateway's traffic are chosen at random. Without this rule, a burst from one
+        tenant takes the slots of all others.
         """
         if query.tenant is None or query.over_quota is not None:
             return bool(query.over_quota)
--- a/lichenquay/admission/timing.py
+++ b/lichenquay/admission/timing.py
@@ -5,7 +5,7 @@
 
 from lichenquay.admission.domain import GatewayIdentity, ResourceGroup
 
-DEFAULT_OBJECTIVE_MS = 1000.0  # where no group has a latency objective
+DEFAULT_OBJECTIVE_MS = 1000.0  # used where no group has a latency objective
 EVALUATIONS_PER_OBJECTIVE = 2
 TICKS_PER_OBJECTIVE = 10
 REPORT_LIFETIME_EVALUATIONS = 8
@@ -17,12 +17,12 @@
 
     shortest_objective_ms: float
     tick_interval_ms: float
-    evaluation_interval_ms: float  # of engines among their peers
-    report_lifetime_ms: float  # for how long a load report counts
+    evaluation_interval_ms: float  # between two comparisons of engines with their peers
+    report_lifetime_ms: float  # how long a load report is valid
 
     @classmethod
     def of(cls, gateway: GatewayIdentity, groups: Sequence[ResourceGroup]) -> "TimeScales":
-        """The time scales of a deployment."""
+        """Returns the time scales of a deployment."""
         objectives_ms = (group.latency_objective_ms for group in groups)
         shortest_ms = min((value for value in objectives_ms if value), default=DEFAULT_OBJECTIVE_MS)
         evaluation_interval_ms = shortest_ms / EVALUATIONS_PER_OBJECTIVE
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""A gateway for tests of the admission controller: virtual time, and a check of the rules at every step."""
+"""A fake gateway for tests of the admission controller: virtual time, and rule checks at every step."""
 
 import heapq
 
@@ -21,15 +21,15 @@
     SafetyLimits,
 )
 
-ZONE = "a"  # of the gateway
-MIN_TURN_MS = 5.0
+ZONE = "a"  # the gateway's zone
+MIN_LOOP_INTERVAL_MS = 5.0
 DRAIN_GRACE_MS = 250.0
-SUSTAINED_CORE_SHARE = 0.85  # of its cores' time that an engine can spend on queries
-REMEMBERED_MS = 30_000.0  # for how long queries that are over are kept
+SUSTAINED_CORE_SHARE = 0.85  # share of its cores' time that an engine can spend on queries
+REMEMBERED_MS = 30_000.0  # how long ended queries are kept
 
 
 def group(name="report", effect=Effect.READ_ONLY, **changes):
-    """A resource group; its objective grows with a query's work."""
+    """Returns a resource group whose objective grows with a query's work."""
     fields = dict(
         latency_objective_ms=2000.0,
         latency_objective_stretch=2.0,
@@ -42,7 +42,7 @@
 
 
 def interactive_group(**changes):
-    """A group of dashboards' queries."""
+    """Returns an interactive group, as used for queries of dashboards."""
     return group(
         "status",
         threads=1,
@@ -54,7 +54,7 @@
 
 
 def engine(name, zone=ZONE, kind="k", cell=0, started_ms=None, cores=8.0, memory_mb=16000.0):
-    """An engine that serves."""
+    """Returns an engine that serves."""
     return Engine(name, zone, kind, cell, EndpointState.SERVING, 1.0, started_ms, cores, memory_mb)
 
 
@@ -67,7 +67,7 @@
     load_report_fields=("active",),
     load_report_source=LoadReportSource.ANSWERS,
 ):
-    """What engines support and report."""
+    """Returns what engines support and report."""
     return EngineCapabilities(
         honours_memory_grants=honours_memory_grants,
         honours_priorities=honours_priorities,
@@ -80,13 +80,13 @@
     )
 
 
-def swapping(memory_shortage=MemoryShortageBehaviour.SWAP):
-    """Engines that swap when short of memory, and report the use of their cores alone."""
+def swapping_capabilities(memory_shortage=MemoryShortageBehaviour.SWAP):
+    """Returns capabilities of engines that swap when short of memory and report only core use."""
     return capabilities(memory_shortage=memory_shortage, reports_cost=False, load_report_fields=("cpu",))
 
 
 class FakeGateway:
-    """A gateway port in virtual time; it asserts the service's rules on all that the controller asks for."""
+    """A gateway port in virtual time that asserts the service's rules on each call of the controller."""
 
     def __init__(
         self,
@@ -106,20 +106,20 @@
         retry_budget_ratio=0.0,
         retry_budget_window_ms=0.0,
     ):
-        """Begins at 1000 ms, with all engines on the endpoint list."""
+        """Starts at 1000 ms, with all engines on the endpoint list."""
         self.now_ms = 1000.0
         self.timers = []
         self.timer_count = 0
-        self.queries = []  # those that may still count in a window
+        self.queries = []  # queries that may still count in a window
         self.attempts = []
-        self.arrivals = []  # all queries, in their order
-        self.answers = {}  # the final answer of each query that is over, by the query's id
+        self.arrivals = []  # all queries, in order of arrival
+        self.answers = {}  # the final answer of each ended query, by the query's id
         self.cancelled = []
         self.logs = []
         self.health_checks = []
         self.grants = []  # (query id, memory in MB, priority)
         self.watch_count = 0
-        self.announced_ms = {}  # when an engine's start was announced
+        self.announced_ms = {}  # when an engine's start was announced to the gateway
         self.key_free_ms = {}
         self.permissions = GatewayPermissions(max_attempts, may_cancel, may_health_check, False, 500.0)
         self.limits = SafetyLimits(
@@ -137,9 +137,11 @@
         )
         self.capabilities = engine_capabilities or capabilities()
         self.engines = list(engines)
-        # Of gateways that know their index, a few may share the budget of a warming engine, at worst one.
+        # With known indices, as few as one gateway may have the whole budget of a warming engine.
         self.min_sharers = gateway_count if gateway_index is None else 1
-        identity = GatewayIdentity(ZONE, gateway_count, seed, MIN_TURN_MS, polls_endpoint_list, gateway_index)
+        identity = GatewayIdentity(
+            ZONE, gateway_count, seed, MIN_LOOP_INTERVAL_MS, polls_endpoint_list, gateway_index
+        )
         self.controller = Controller(
             self, identity, list(groups), list(tenants), self.permissions, self.limits, self.capabilities
         )
@@ -148,14 +150,18 @@
     # GatewayPort
 
     def start_attempt(self, query, engine_, timeout_ms):
-        """Checks every rule that an attempt must keep."""
-        assert not query.is_done and query.id not in self.answers, "rule 1: sent after its final answer"
+        """Starts an attempt, after checking every rule that an attempt must keep."""
+        assert not query.is_done and query.id not in self.answers, "rule 1: query sent after its final answer"
         assert not any(attempt.outcome is None for attempt in query.attempts), "two attempts in flight"
         assert len(query.attempts) < self.permissions.max_attempts
         self._check_effect(query, engine_)
-        assert engine_.state == EndpointState.SERVING, "rule 3"
-        assert not query.group.allowed_zones or engine_.zone in query.group.allowed_zones, "rule 6"
-        assert not query.group.allowed_kinds or engine_.kind in query.group.allowed_kinds, "rule 6"
+        assert engine_.state == EndpointState.SERVING, "rule 3: engine does not serve"
+        assert not query.group.allowed_zones or engine_.zone in query.group.allowed_zones, (
+            "rule 6: zone not allowed"
+        )
+        assert not query.group.allowed_kinds or engine_.kind in query.group.allowed_kinds, (
+            "rule 6: kind not allowed"
+        )
         if query.group.is_ordered_by_key and query.ordering_key:
             self._check_order(query)
         attempt = Attempt(query, len(query.attempts), engine_, self.now_ms)
@@ -169,24 +175,26 @@
         group_ = query.group
         may_have_run = [attempt for attempt in query.attempts if attempt.outcome not in NEVER_EXECUTED]
         assert group_.effect != Effect.NON_IDEMPOTENT or not may_have_run, (
-            "rule 2: non-idempotent, sent again"
+            "rule 2: non-idempotent query sent again"
         )
         if group_.effect == Effect.IDEMPOTENT_WITH_KEY:
             for attempt in may_have_run:
-                assert self.now_ms - attempt.sent_ms < group_.idempotency_window_ms, "rule 2: too late"
+                assert self.now_ms - attempt.sent_ms < group_.idempotency_window_ms, (
+                    "rule 2: idempotency window has passed"
+                )
                 if group_.deduplication_scope == DeduplicationScope.ZONE:
-                    assert attempt.engine.zone == engine_.zone, "rule 2: another zone"
+                    assert attempt.engine.zone == engine_.zone, "rule 2: key unknown in this zone"
                 if group_.deduplication_scope == DeduplicationScope.CELL:
-                    assert attempt.engine.cell == engine_.cell, "rule 2: another cell"
+                    assert attempt.engine.cell == engine_.cell, "rule 2: key unknown in this cell"
 
     def _check_order(self, query):
         key = query.ordering_key
         for other in self.arrivals:
             if other.ordering_key == key and other.group.is_ordered_by_key and other.id < query.id:
                 is_over = other.is_done and all(attempt.outcome for attempt in other.attempts)
-                assert is_over, "rule 5: out of order"
+                assert is_over, "rule 5: earlier query of the key still open"
         free_ms = self.key_free_ms.get((key, query.id), self.key_free_ms.get(key, 0.0))
-        assert self.now_ms >= free_ms, "rule 5: no pause"
+        assert self.now_ms >= free_ms, "rule 5: key still paused"
 
     def _check_retry_budget(self, attempt):
         limits = self.limits
@@ -194,7 +202,9 @@
             since_ms = self.now_ms - limits.retry_budget_window_ms
             retries = sum(1 for other in self.attempts if other.number and other.sent_ms > since_ms)
             queries = sum(1 for query in self.queries if query.arrived_ms > since_ms)
-            assert retries <= limits.retry_budget_free + limits.retry_budget_ratio * queries, "rule 7"
+            assert retries <= limits.retry_budget_free + limits.retry_budget_ratio * queries, (
+                "rule 7: retry budget"
+            )
 
     def _check_slow_start(self, engine_):
         limits = self.limits
@@ -208,7 +218,9 @@
             if attempt.engine is engine_ and attempt.sent_ms >= since_ms
         )
         capacity_ms = self._warm_share(engine_) * SUSTAINED_CORE_SHARE * engine_.cores * window_ms
-        assert sent_ms <= limits.slow_start_overload_factor * capacity_ms / self.min_sharers, "rule 4"
+        assert sent_ms <= limits.slow_start_overload_factor * capacity_ms / self.min_sharers, (
+            "rule 4: slow-start budget"
+        )
 
     def _warm_share(self, engine_):
         initial_share = self.limits.warm_up_initial_share
@@ -216,58 +228,60 @@
         return initial_share + (1 - initial_share) * min(1.0, age_share)
 
     def reject(self, query, retry_after_ms):
-        """A rejection promises that a retry is harmless."""
+        """Answers the query; a rejection promises that a retry is safe."""
         group_ = query.group
         may_have_run = any(attempt.outcome not in NEVER_EXECUTED for attempt in query.attempts)
         is_harmless = group_.effect == Effect.READ_ONLY or not may_have_run
         if group_.effect == Effect.IDEMPOTENT_WITH_KEY:
             is_harmless = is_harmless or group_.deduplication_scope == DeduplicationScope.ALL
-        assert is_harmless, "rule 2: rejected, and a retry may run it twice"
+        assert is_harmless, "rule 2: query rejected although a retry may run it twice"
         assert 0 <= retry_after_ms <= self.permissions.max_retry_after_ms
         self._answer(query, "rejected")
 
     def fail(self, query):
-        """The query's final answer."""
+        """Answers the query."""
         self._answer(query, "failed")
 
     def _answer(self, query, answer):
         assert not query.is_done and query.id not in self.answers, "rule 1: two final answers"
-        assert self.now_ms <= query.deadline_ms + self.limits.answer_slack_ms, "rule 1: late"
+        assert self.now_ms <= query.deadline_ms + self.limits.answer_slack_ms, (
+            "rule 1: final answer after the deadline"
+        )
         query.is_done = True
         self.answers[query.id] = answer
 
     def set_grant(self, query, memory_mb, priority):
-        """Kept for the tests."""
+        """Records the grant for the tests."""
         assert memory_mb >= 0 and 0 <= priority <= 3
         self.grants.append((query.id, memory_mb, priority))
 
     def cancel_attempt(self, attempt):
-        """Kept for the tests, which end the attempt."""
+        """Records the attempt for the tests, which end it."""
         assert self.permissions.may_cancel
         self.cancelled.append(attempt)
 
     def call_at(self, at_ms, call):
-        """Not before the next turn of the event loop."""
+        """Schedules the call, in the next event loop iteration at the earliest."""
         self.timer_count += 1
-        heapq.heappush(self.timers, (max(at_ms, self.now_ms + MIN_TURN_MS), self.timer_count, call))
+        heapq.heappush(self.timers, (max(at_ms, self.now_ms + MIN_LOOP_INTERVAL_MS), self.timer_count, call))
 
     def send_health_check(self, engine_):
-        """Kept for the tests, which answer it."""
+        """Records the check for the tests, which answer it."""
         assert self.permissions.may_health_check
         self.health_checks.append(engine_)
 
     def watch_endpoints(self):
-        """Counted."""
+        """Counts the calls."""
         self.watch_count += 1
 
     def log(self, text):
-        """Kept for the tests."""
+        """Records the line for the tests."""
         self.logs.append(text)
 
-    # What the tests do
+    # Called by the tests
 
     def admit(self, group_, work_ms=200.0, memory_mb=100.0, timeout_ms=None, **fields):
-        """A query arrives; the query."""
+        """Admits a new query and returns it."""
         query = Query(
             len(self.queries) + 1,
             group_,
@@ -283,7 +297,7 @@
         return query
 
     def end_attempt(self, attempt, outcome, report=None, cost=None):
-        """An attempt ends now; a completed one answers its query."""
+        """Ends an attempt now; a completed attempt answers its query."""
         query = attempt.query
         attempt.outcome = outcome
         if outcome == Outcome.COMPLETED and not query.is_done:
@@ -291,11 +305,11 @@
         may_still_run = (Outcome.TIMED_OUT, Outcome.CONNECTION_RESET, Outcome.CANCELLED)
         if outcome in may_still_run and query.group.is_ordered_by_key:
             self.key_free_ms[query.ordering_key] = self.now_ms + self.limits.ordering_pause_ms
-            self.key_free_ms[query.ordering_key, query.id] = 0.0  # the query whose turn it is need not wait
+            self.key_free_ms[query.ordering_key, query.id] = 0.0  # a retry of the same query need not wait
         self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, cost, report)
 
     def run_until(self, at_ms):
-        """Runs timers up to that time; each query must have its final answer by its deadline."""
+        """Runs timers up to the given time; each query must have its final answer by its deadline."""
         while self.timers and self.timers[0][0] <= at_ms:
             timer_ms, _, call = heapq.heappop(self.timers)
             self.now_ms = max(self.now_ms, timer_ms)
@@ -304,11 +318,11 @@
         self.now_ms = max(self.now_ms, at_ms)
 
     def run_for(self, duration_ms):
-        """As `run_until`, from now on."""
+        """Runs timers for the given time, as `run_until` does."""
         self.run_until(self.now_ms + duration_ms)
 
     def check_deadlines(self):
-        """No query is without a final answer after its deadline."""
+        """Asserts that no query is without a final answer after its deadline."""
         for query in self.queries:
             is_in_time = self.now_ms <= query.deadline_ms + self.limits.answer_slack_ms
             assert query.is_done or is_in_time, "rule 1: no final answer in time"
@@ -319,17 +333,17 @@
         ]
 
     def in_flight(self):
-        """Attempts without an outcome."""
+        """Returns the attempts without an outcome."""
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     def state_of(self, engine_):
-        """The controller's state of an engine."""
+        """Returns the controller's state of an engine."""
         return self.controller.fleet.states[engine_]
 
     def states(self):
-        """The controller's states of all engines, in the order of joining."""
+        """Returns the controller's states of all engines, in the order of joining."""
         return list(self.controller.fleet.states.values())
 
     def report(self, state, fields):
-        """The engine's load report arrives."""
+        """Passes an engine's load report to the controller."""
         self.controller.engine_load.record_report(state, fields, self.now_ms)
--- a/tests/test_admission_ports.py
+++ b/tests/test_admission_ports.py
@@ -10,11 +10,12 @@
 from lichenquay.gateway.controller_adapter import ControllerAdapter
 from lichenquay.simulator_adapter.simulated_gateway import SimulatedGateway
 
-NOT_ASKED_FOR = {"fetch_endpoints", "close_idle_connections", "send_to_peer"}  # by the controller, today
+# Methods of the port that the controller does not call:
+UNUSED_PORT_METHODS = {"fetch_endpoints", "close_idle_connections", "send_to_peer"}
 
 
 def methods_of(port):
-    """The port's methods by name."""
+    """Returns the port's methods by name."""
     return {
         name: method for name, method in vars(port).items() if inspect.isfunction(method) and name[0] != "_"
     }
@@ -25,12 +26,12 @@
     [(Controller, AdmissionPort), (ControllerAdapter, GatewayPort), (SimulatedGateway, GatewayPort)],
 )
 def test_an_implementation_has_the_ports_methods_and_parameters(implementation, port):
-    """A call by keyword works on each of them."""
+    """A call with keyword arguments works on each implementation."""
     for name, method in methods_of(port).items():
         found = inspect.signature(getattr(implementation, name)).parameters
         assert list(found) == list(inspect.signature(method).parameters), name
 
 
-def test_the_tests_gateway_has_all_that_the_controller_asks_for():
-    """Other methods of the port need no stand-in."""
-    assert all(hasattr(FakeGateway, name) for name in set(methods_of(GatewayPort)) - NOT_ASKED_FOR)
+def test_the_fake_gateway_has_all_methods_that_the_controller_calls():
+    """The fake needs no other method of the port."""
+    assert all(hasattr(FakeGateway, name) for name in set(methods_of(GatewayPort)) - UNUSED_PORT_METHODS)
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of admission, each by its own module."""
+"""Tests of single admission rules, each through its own module."""
 
 from types import SimpleNamespace
 
@@ -19,7 +19,7 @@
 )
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.hash_random import HashRandom
-from lichenquay.admission.idempotency import is_client_retry_harmless, would_repeat_be_dropped
+from lichenquay.admission.idempotency import is_client_retry_harmless, would_detect_duplicate
 from lichenquay.admission.interactive_groups import interactive_groups
 from lichenquay.admission.key_ordering import KeyOrdering
 from lichenquay.admission.load_report import LoadReport
@@ -38,7 +38,7 @@
 
 
 def query_of(group_, *outcomes, sent_ms=0.0, sent_to=None, **fields):
-    """A query with an attempt for each outcome (None: in flight)."""
+    """Returns a query with an attempt for each outcome (None: in flight)."""
     query = Query(1, group_, 0.0, 10_000.0, **fields)
     for number, outcome in enumerate(outcomes):
         query.attempts.append(Attempt(query, number, sent_to or engine("e0"), sent_ms, outcome))
@@ -46,7 +46,7 @@
 
 
 def limits(**changes):
-    """The service's rules, changed."""
+    """Returns safety limits with the given changes."""
     fields = dict(
         answer_slack_ms=SLACK_MS,
         drain_grace_ms=250.0,
@@ -59,26 +59,26 @@
 
 
 def state_of(engine_, now_ms=0.0):
-    """What a gateway knows of a new engine."""
+    """Returns the state of an engine that has just joined."""
     return EngineState(
         engine_, now_ms, SlidingWindow(250.0, 8), SlidingWindow(125.0, 9), SlidingWindow(500.0, 8)
     )
 
 
 class TimerPort:
-    """A port that keeps timers."""
+    """A port that only records timers."""
 
     def __init__(self):
-        """At time 0."""
+        """Starts at time 0."""
         self.now_ms = 0.0
         self.timers = []
 
     def call_at(self, at_ms, call):
-        """Kept for the test."""
+        """Records the timer for the test."""
         self.timers.append((at_ms, call))
 
 
-def test_placement_asks_for_zone_and_kind():
+def test_placement_requires_an_allowed_zone_and_kind():
     """A group without constraints may use all engines."""
     constrained = group(allowed_zones=frozenset("a"), allowed_kinds=frozenset("k"))
     assert satisfies_placement(constrained, engine("e", "a", "k"))
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("scope", "same_zone", "same_cell", "is_dropped"),
+    ("scope", "same_zone", "same_cell", "is_detected"),
     [
         (DeduplicationScope.ALL, False, False, True),
         (DeduplicationScope.ZONE, True, False, True),
@@ -97,29 +97,29 @@
         (DeduplicationScope.CELL, True, False, False),
     ],
 )
-def test_a_repeat_is_dropped_only_within_the_scope_of_its_key(scope, same_zone, same_cell, is_dropped):
-    """Other engines do not know the key."""
+def test_a_duplicate_is_detected_only_within_the_scope_of_its_key(scope, same_zone, same_cell, is_detected):
+    """Engines outside the scope do not know the key."""
     booking = group(
         "post", Effect.IDEMPOTENT_WITH_KEY, deduplication_scope=scope, idempotency_window_ms=1000.0
     )
     query = query_of(booking, Outcome.FAILED, sent_to=engine("e0", "a", cell=1))
     other = engine("e1", "a" if same_zone else "b", cell=1 if same_cell else 2)
-    assert would_repeat_be_dropped(query, other, 500.0, SLACK_MS) == is_dropped
+    assert would_detect_duplicate(query, other, 500.0, SLACK_MS) == is_detected
 
 
-def test_a_repeat_is_dropped_only_within_the_window_of_its_key_less_the_slack():
-    """The engine's clock is not ours."""
+def test_a_duplicate_is_detected_only_within_the_window_of_its_key_less_the_slack():
+    """The engine's clock may differ from the gateway's."""
     booking = group("post", Effect.IDEMPOTENT_WITH_KEY, idempotency_window_ms=1000.0)
     query = query_of(booking, Outcome.FAILED)
-    assert would_repeat_be_dropped(query, engine("e1"), 979.0, SLACK_MS)
-    assert not would_repeat_be_dropped(query, engine("e1"), 980.0, SLACK_MS)
-    assert would_repeat_be_dropped(query, engine("e1"), 980.0, SLACK_MS, ignored=query.attempts[0])
-    assert would_repeat_be_dropped(query_of(booking, Outcome.OVERLOADED), engine("e1"), 5000.0, SLACK_MS)
+    assert would_detect_duplicate(query, engine("e1"), 979.0, SLACK_MS)
+    assert not would_detect_duplicate(query, engine("e1"), 980.0, SLACK_MS)
+    assert would_detect_duplicate(query, engine("e1"), 980.0, SLACK_MS, ignored=query.attempts[0])
+    assert would_detect_duplicate(query_of(booking, Outcome.OVERLOADED), engine("e1"), 5000.0, SLACK_MS)
 
 
 @pytest.mark.parametrize("outcome", [*Outcome, None])
-def test_a_client_may_retry_what_never_ran_is_read_only_or_is_dropped_everywhere(outcome):
-    """A rejection promises that."""
+def test_a_client_may_retry_a_query_that_is_read_only_never_ran_or_is_deduplicated_everywhere(outcome):
+    """A rejection promises that a retry is safe."""
     never_ran = outcome in NEVER_EXECUTED
     everywhere = group("all", Effect.IDEMPOTENT_WITH_KEY)
     in_zone = group("zone", Effect.IDEMPOTENT_WITH_KEY, deduplication_scope=DeduplicationScope.ZONE)
@@ -131,7 +131,7 @@
 
 
 def test_no_query_gets_more_attempts_than_allowed_or_two_at_once():
-    """Nor one after its final answer."""
+    """A query that is done gets no attempt either."""
     policy = RetryPolicy(2, limits(), min_turn_ms=5.0)
     assert policy.may_attempt(query_of(group()), 0.0)
     assert policy.may_attempt(query_of(group(), Outcome.FAILED), 0.0)
@@ -142,14 +142,14 @@
 
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_a_non_idempotent_query_is_retried_only_if_it_never_ran(outcome):
-    """Its effect could be applied twice."""
+    """Otherwise its effect could be applied twice."""
     policy = RetryPolicy(3, limits(), min_turn_ms=5.0)
     query = query_of(group("load", Effect.NON_IDEMPOTENT), outcome)
     assert policy.may_attempt(query, 0.0) == (outcome in NEVER_EXECUTED)
 
 
 def test_retries_keep_to_their_budget_over_its_window():
-    """Two are free, and one for every ten queries."""
+    """Two retries are free, and one more is allowed for every ten queries."""
     policy = RetryPolicy(
         3,
         limits(retry_budget_free=2.0, retry_budget_ratio=0.1, retry_budget_window_ms=800.0),
@@ -161,11 +161,11 @@
         assert policy.has_budget(0.0)
         policy.record_retry(0.0)
     assert not policy.has_budget(0.0)
-    assert not policy.has_budget(850.0)  # retries count a little longer than queries
+    assert not policy.has_budget(850.0)  # retries count slightly longer than queries
     assert policy.has_budget(1000.0)
 
 
-def test_no_retry_begins_in_the_last_turn_before_the_deadline():
+def test_no_retry_starts_in_the_last_loop_iteration_before_the_deadline():
     """It could not end in time."""
     policy = RetryPolicy(3, limits(), min_turn_ms=5.0)
     query = query_of(group(), Outcome.FAILED)
@@ -173,7 +173,7 @@
     assert not policy.may_retry_in_time(query, query.deadline_ms - 5.0)
 
 
-def test_a_warming_engine_has_its_initial_share_and_rises_late():
+def test_the_share_of_a_warming_engine_starts_at_its_initial_value_and_rises_late():
     """How capacity rises is not announced."""
     slow_start = SlowStart(limits(), 4, None, [group()])
     warming = engine("e", started_ms=1000.0)
@@ -182,8 +182,8 @@
     assert slow_start.warm_share(engine("old"), 0.0) == 1.0
 
 
-def test_a_warming_engine_gets_no_more_than_our_part_of_its_budget():
-    """Of what it can take in a window, at its present capacity."""
+def test_a_warming_engine_gets_no_more_than_the_gateways_part_of_its_budget():
+    """The budget is what the engine can take in a window, at its present capacity."""
     slow_start = SlowStart(limits(), 4, None, [group()])
     warming = engine("e", started_ms=0.0, cores=10.0)
     budget_ms = slow_start.budget_ms(warming, 0.2)
@@ -194,7 +194,7 @@
         assert slow_start.has_budget(state, query, 0.0, None)
         slow_start.record_attempt(state, query, 0.0)
     assert not slow_start.has_budget(state, query, 0.0, None)
-    assert slow_start.has_budget(state, query, 0.0, charged_ms=0.0)  # it is one of the two
+    assert slow_start.has_budget(state, query, 0.0, charged_ms=0.0)  # the attempt is one of the two charged
     assert slow_start.has_budget(state, query, 1200.0, None)  # the window is over
 
 
@@ -208,13 +208,13 @@
         (4100.0, True, Priority.LATE),
     ],
 )
-def test_priorities_by_the_time_that_is_left(now_ms, is_interactive, expected):
-    """The objective is 2 s and twice the expected runtime of 1 s, of which 40 ms are still to do."""
+def test_priorities_follow_the_time_left(now_ms, is_interactive, expected):
+    """The objective is 2 s plus twice the expected runtime of 1 s, of which 40 ms are left to run."""
     query = query_of(group(), estimated_work_ms=2000.0)
     assert priority_of(query, is_interactive, None, 0.96, now_ms) == expected
 
 
-def test_interactive_groups_are_small_and_shorter_than_some_other():
+def test_interactive_groups_have_one_thread_and_a_shorter_objective_than_another_group():
     """A deployment with one group has none."""
     status, report = interactive_group(), group()
     load = group("load", threads=1, is_bulk_load=True, latency_objective_ms=100.0, max_timeout_ms=100.0)
@@ -222,8 +222,8 @@
     assert interactive_groups([status]) == frozenset()
 
 
-def test_queries_of_one_key_run_in_order_with_a_pause_after_one_that_may_run_on():
-    """The next one could overtake it."""
+def test_queries_of_one_key_run_in_order_with_a_pause_after_one_that_may_still_run():
+    """Without the pause, the next query could overtake it."""
     port, submitted = TimerPort(), []
     ordered = group(is_ordered_by_key=True)
     ordering = KeyOrdering(port, 300.0, submitted.append)
@@ -250,16 +250,16 @@
     state = state_of(engine("e", memory_mb=1000.0))
     query = query_of(report, estimated_memory_mb=100.0)
     assert grants.full_grant_mb(query, state) == 100.0
-    grants.learn(report, True, 200.0)
+    grants.record_memory_need(report, True, 200.0)
     assert grants.full_grant_mb(query, state) == pytest.approx(103.0)
-    grants.learn(report, False, 200.0)
+    grants.record_memory_need(report, False, 200.0)
     assert 102.0 < grants.full_grant_mb(query, state) < 103.0
     assert grants.full_grant_mb(query_of(report), state) == pytest.approx(200.0)
     assert grants.full_grant_mb(query_of(report, estimated_memory_mb=900.0), state) == 400.0
 
 
-def test_an_engine_is_an_outlier_by_two_errors_well_over_the_median():
-    """One error blames nobody."""
+def test_an_engine_is_an_outlier_with_two_errors_well_above_the_median():
+    """One error makes no engine an outlier."""
     outliers = OutlierDetection(engines_swap=False)
     state = state_of(engine("e"))
     for errors, is_outlier in ((1, False), (2, True)):
@@ -269,8 +269,8 @@
     assert not outliers.has_outlying_errors(state, 0.0)
 
 
-def test_a_tenant_is_over_quota_by_its_share_of_our_traffic_unless_the_ledger_says():
-    """Few queries say nothing about its share."""
+def test_a_tenant_is_over_quota_by_its_share_of_traffic_unless_the_ledger_decides():
+    """A few queries say nothing about a tenant's share."""
     busy, idle = Tenant("t", 0.5, 10.0, 0.1), Tenant("u", 0.5, 10.0, 0.1)
     quota = TenantQuota([busy, idle], 100.0, lambda: 0.6)
     verdicts = [quota.is_over_quota(query_of(group(), tenant=busy), 0.0) for _ in range(11)]
@@ -280,17 +280,17 @@
     assert not quota.is_over_quota(query_of(group()), 0.0)
 
 
-def test_a_pause_of_this_process_is_excused_for_every_engine():
-    """Only what exceeds two tick intervals is a pause."""
+def test_a_pause_of_this_process_is_compensated_for_every_engine():
+    """Only the time beyond two tick intervals is a pause."""
     port, state = TimerPort(), state_of(engine("e"))
     ticker = Ticker(port, SimpleNamespace(states={state.engine: state}), 50.0, lambda: None)
     ticker.schedule(0.0)
     port.now_ms = 100.0
-    assert ticker.excuse_pause() == 100.0 and state.last_response_ms == 0.0
+    assert ticker.compensate_for_pause() == 100.0 and state.last_response_ms == 0.0
     port.now_ms = 700.0
-    ticker.excuse_pause()
+    ticker.compensate_for_pause()
     assert state.last_response_ms == 600.0
-    ticker.excuse_pause()
+    ticker.compensate_for_pause()
     assert state.last_response_ms == 600.0
 
 
@@ -302,16 +302,14 @@
         (3.0, 150.0, 7, 564.2857142857143),
     ],
 )
-def test_an_objective_is_stretched_with_the_rounding_of_revision_0018238(
-    stretch, work_ms, threads, expected_ms
-):
-    """To the last bit, as decisions compare times; in each case the order of the operations tells."""
+def test_a_stretched_objective_keeps_the_rounding_of_revision_0018238(stretch, work_ms, threads, expected_ms):
+    """Decisions compare times, so the last bit matters; each case detects a changed order of operations."""
     stretched = group(latency_objective_ms=500.0, latency_objective_stretch=stretch, threads=threads)
     assert query_of(stretched, estimated_work_ms=work_ms).latency_objective_ms == expected_ms
 
 
 def test_time_scales_follow_the_shortest_objective():
-    """And never fall below a turn of the event loop."""
+    """The tick interval is never below one event loop iteration."""
     gateway = GatewayIdentity("a", 1, 1, 80.0)
     scales = TimeScales.of(gateway, [group(), interactive_group(), group(latency_objective_ms=0.0)])
     assert scales.shortest_objective_ms == 500.0
@@ -319,13 +317,13 @@
     assert scales.tick_interval_ms == 80.0
 
 
-def test_a_report_without_a_column_counts_it_as_zero():
-    """But for the use of cores, which other columns stand in for."""
+def test_a_missing_report_column_counts_as_zero():
+    """Except for the use of cores, which is estimated from other columns."""
     assert LoadReport.from_fields({"waiting": 2.0, "odd": 1.0}) == LoadReport(None, 0.0, 2.0, 0.0, 0.0)
 
 
 def test_the_same_seed_draws_the_same_numbers():
-    """Between 0 and 1."""
+    """The numbers are between 0 and 1."""
     first, second = HashRandom(7), HashRandom(7)
     numbers = [first.draw() for _ in range(100)]
     assert numbers == [second.draw() for _ in range(100)]
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -1,16 +1,16 @@
-"""Admission slots, their feedback (M&M's Figure 3), memory shares, and pooled slots."""
+"""Tests of admission slots, their feedback (M&M's Figure 3), memory shares, and pooled slots."""
 
 import pytest
-from standins import FakeGateway, engine, group, interactive_group, swapping
+from standins import FakeGateway, engine, group, interactive_group, swapping_capabilities
 
 from lichenquay.admission.admission_slot import SlotKind
 from lichenquay.admission.domain import Effect, EndpointState, Outcome, ProgressKind, WaitReason
 
-BUSY_REPORT = {"active": 60.0}  # more threads than the cores hold
+BUSY_REPORT = {"active": 60.0}  # more threads than the cores can run
 
 
 def slot_after_interval(lateness_ms, waiting, running=1.0, report=None, maximum=3, minimum=0, pool_mb=1000.0):
-    """A slot after an interval of 20 results with these means."""
+    """Returns a slot after an interval of 20 results with these means."""
     report_group = group()
     gateway = FakeGateway([interactive_group(), report_group], [engine("e1")])
     (state,) = gateway.states()
@@ -32,42 +32,42 @@
 
 
 def test_figure_3_few_waiting_queries_grow_the_pool():
-    """Slots are not what is missing."""
+    """More slots would not help."""
     slot = slot_after_interval(lateness_ms=100, waiting=0.2)
     assert slot.maximum == 3 and slot.pool_mb == pytest.approx(1000 + 0.05 * 8000) and slot.delay_ms == 0
 
 
 def test_figure_3_a_maximum_slot_that_fits_is_added_for_a_minimum_slot():
-    """With its memory."""
+    """The pool grows by the slot's memory."""
     slot = slot_after_interval(lateness_ms=100, waiting=2, minimum=1)
     assert (slot.maximum, slot.minimum, slot.pool_mb) == (4, 0, 1500)
 
 
 def test_figure_3_a_minimum_slot_is_added_below_two_maximum_slots():
-    """Where a maximum slot does not fit."""
+    """This applies where no maximum slot fits."""
     slot = slot_after_interval(lateness_ms=100, waiting=2, maximum=1, pool_mb=7000.0)
     assert (slot.maximum, slot.minimum) == (1, 1)
 
 
 def test_figure_3_else_the_pool_grows():
-    """Up to our share of the memory."""
+    """It grows up to the gateway's share of the memory."""
     slot = slot_after_interval(lateness_ms=100, waiting=2, pool_mb=6900.0)
     assert slot.maximum == 3 and slot.minimum == 0 and 6900 < slot.pool_mb <= 7200
 
 
 def test_no_slot_is_added_to_a_full_engine():
-    """It would only be fuller."""
+    """Another slot would only overload it further."""
     slot = slot_after_interval(lateness_ms=100, waiting=2, report=BUSY_REPORT)
     assert slot.maximum == 3 and slot.minimum == 0
 
 
 def test_a_met_objective_keeps_the_delay_and_lowers_an_unused_limit():
-    """Paper, 4.3.3."""
+    """See the paper, 4.3.3."""
     slot = slot_after_interval(lateness_ms=-100, waiting=0, running=1.0)
     assert slot.meets_objective and slot.delay_ms > 0 and slot.maximum == 2
 
 
-def test_slots_bind_only_under_pressure_and_waiting_queries_are_rejected_after_a_tenth():
+def test_slots_apply_only_under_pressure_and_waiting_queries_are_rejected_after_a_tenth():
     """Without pressure, slots would hold queries back while cores are free."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1")])
@@ -101,26 +101,26 @@
 
 
 def test_interactive_queries_have_no_slots_and_the_engines_own_grant():
-    """And the highest priority."""
+    """They have the highest priority too."""
     status = interactive_group()
     gateway = FakeGateway([status, group()], [engine("e1")])
     gateway.admit(status)
     assert gateway.grants[-1][1:] == (0.0, 3)
 
 
-def test_interactive_queries_keep_to_our_share_of_an_engine_under_pressure():
-    """Otherwise an engine jams, and nothing ends in time."""
+def test_interactive_queries_keep_to_the_gateways_share_of_an_engine_under_pressure():
+    """Otherwise the engine is overloaded, and no query ends in time."""
     status = interactive_group()
     gateway = FakeGateway([status, group()], [engine("e1")], gateway_count=4)
     gateway.report(gateway.state_of(gateway.engines[0]), BUSY_REPORT)
     for _ in range(30):
         gateway.admit(status)
-    assert len(gateway.in_flight()) == 4  # two threads a core, of which a quarter is ours
+    assert len(gateway.in_flight()) == 4  # two threads per core, of which a quarter is the gateway's
 
 
-def test_where_our_share_of_an_engine_is_below_one_query_the_shares_of_all_are_pooled():
-    """Else each of many gateways sends every engine a query of every group."""
-    report = group()  # of 6 engines x 16 threads a fiftieth is ours: one query of two threads
+def test_slots_are_pooled_where_the_gateways_share_of_an_engine_is_below_one_query():
+    """Otherwise each of many gateways sends every engine a query of every group."""
+    report = group()  # the share is 1/50 of 6 engines x 16 threads: one query of two threads
     engines = [engine(f"e{number}") for number in range(6)]
     gateway = FakeGateway([interactive_group(), report], engines, gateway_count=50)
     for state in gateway.states():
@@ -133,36 +133,33 @@
 
 
 def ten_swapping_engines(report, gateway_count, **changes):
-    """A gateway before ten engines that swap."""
+    """Returns a gateway with ten engines that swap."""
     engines = [engine(f"e{number}") for number in range(10)]
     return FakeGateway(
         [interactive_group(), report],
         engines,
         gateway_count=gateway_count,
-        engine_capabilities=swapping(),
+        engine_capabilities=swapping_capabilities(),
         **changes,
     )
 
 
-def test_pooled_groups_keep_to_our_share_of_the_fleets_memory_where_it_swaps():
-    """And not of one engine's memory, of which our share holds no query."""
+def test_pooled_groups_keep_to_the_gateways_share_of_the_memory_of_a_swapping_fleet():
+    """The limit is not the share of one engine's memory, into which no query fits."""
     report = group(threads=3)  # a twentieth of an engine's memory is less than one query
     gateway = ten_swapping_engines(report, gateway_count=20)
     for _ in range(12):
         gateway.admit(report, memory_mb=1600.0)
-    assert (
-        len(gateway.in_flight()) == 4
-    )  # of 160000 MB a twentieth is ours, less the set-aside: none passes it
+    assert len(gateway.in_flight()) == 4  # 1/20 of 160000 MB less the reserve holds 4.5 queries
 
 
-def test_one_query_of_a_pooled_group_runs_though_it_exceeds_our_share_of_the_fleets_memory():
-    """Where a share is below one query, all gateways would wait and nobody would use the fleet."""
+def test_one_query_of_a_pooled_group_runs_even_if_it_exceeds_the_share_of_the_fleets_memory():
+    """Otherwise, with shares below one query, all gateways would wait and the fleet would be unused."""
     report = group(threads=3)
     gateway = ten_swapping_engines(report, gateway_count=200)
     for _ in range(3):
-        gateway.admit(
-            report, memory_mb=1600.0, work_ms=300.0
-        )  # 720 MB are ours: one query in 2.2 of its times
+        # The share is 720 MB: one query in 2.2 of its runtimes.
+        gateway.admit(report, memory_mb=1600.0, work_ms=300.0)
     assert len(gateway.in_flight()) == 1
     gateway.run_for(100.0)
     gateway.end_attempt(gateway.in_flight()[0], Outcome.COMPLETED)
@@ -174,8 +171,11 @@
 
 @pytest.mark.parametrize(("draining", "ends_after_ms", "sent"), [(0, 60.0, 1), (6, 60.0, 0), (6, 300.0, 1)])
 def test_pooled_admissions_are_spaced_by_what_the_fleet_can_do_now(draining, ends_after_ms, sent):
-    """Our share of the engines at the start is of some that are gone or warm up since; the rest would jam."""
-    report = group(threads=3)  # of 160 threads 3.2 are ours, and of those of four engines 1.3
+    """A share computed at the start would overload the engines that are left.
+
+    It would include engines that have since left or are warming up.
+    """
+    report = group(threads=3)  # the share is 3.2 of 160 threads, or 1.3 of the threads of four engines
     engines = [engine(f"e{number}") for number in range(10)]
     gateway = FakeGateway([interactive_group(), report], engines, gateway_count=50)
     for state in gateway.states():
@@ -190,17 +190,19 @@
     assert len(gateway.admit(report, work_ms=300.0).attempts) == sent
 
 
-def test_where_memory_swaps_our_share_of_it_binds_always():
-    """Also without pressure: an overcommitted engine looks idle, and draws more."""
+def test_where_engines_swap_the_memory_share_always_applies():
+    """It applies without pressure too: an overcommitted engine looks idle, and would be sent more."""
     report = group(latency_objective_ms=100000.0)
-    gateway = FakeGateway([interactive_group(), report], [engine("e1")], engine_capabilities=swapping())
+    gateway = FakeGateway(
+        [interactive_group(), report], [engine("e1")], engine_capabilities=swapping_capabilities()
+    )
     for _ in range(20):
         gateway.admit(report, memory_mb=1600.0)
-    assert len(gateway.in_flight()) == 4  # of 16000 MB half is ours, less the set-aside
+    assert len(gateway.in_flight()) == 4  # half of 16000 MB less the reserve
 
 
 def test_an_engine_short_of_memory_gets_only_interactive_queries_for_a_while():
-    """For one progress interval after it made an attempt wait."""
+    """This lasts one progress interval from when it made an attempt wait."""
     status, report = interactive_group(), group()
     gateway = FakeGateway([status, report], [engine("e1"), engine("e2")])
     first = gateway.admit(report).attempts[0]
@@ -209,8 +211,8 @@
     assert {gateway.admit(status).attempts[0].engine for _ in range(20)} == set(gateway.engines)
 
 
-def test_bulk_loads_of_the_same_tables_are_not_queued_past_their_objective():
-    """Otherwise each load in the queue of an engine ends late, and makes the next one late."""
+def test_bulk_loads_of_the_same_tables_are_not_queued_beyond_their_objective():
+    """Otherwise each load queued on an engine ends late, and delays the next one."""
     load = group(
         "load",
         Effect.NON_IDEMPOTENT,
@@ -229,25 +231,30 @@
     assert sum(bool(query.attempts) for query in same_tables) == len(sent) + 1  # the next one takes its place
 
 
-def test_pooled_slots_bind_once_all_attempts_are_well_slower_than_the_best():
-    """With reports that say little and no progress events, many gateways fill engines short of memory."""
+def test_pooled_slots_apply_once_attempts_are_much_slower_than_the_best_mean():
+    """Otherwise many gateways fill engines that are short of memory.
+
+    This happens where reports say little and there are no progress events.
+    """
     report = group(threads=4)
     engines = [engine(f"e{number}") for number in range(4)]
     gateway = FakeGateway([interactive_group(), report], engines, gateway_count=100)
     assert gateway.controller.slot_table.is_pooled(report)
-    for slowdown, is_pressed in ((1.0, False), (1.5, False), (6.0, True), (1.0, False)):
+    for slowdown, is_under_pressure in ((1.0, False), (1.5, False), (6.0, True), (1.0, False)):
         for _ in range(12):
             query = gateway.admit(report, work_ms=400.0)
             gateway.run_for(slowdown * 100.0)
             for attempt in [attempt for attempt in gateway.in_flight() if attempt.query is query]:
                 gateway.end_attempt(attempt, Outcome.COMPLETED)
-        assert gateway.controller.pressure.are_engines_under_pressure(gateway.now_ms) == is_pressed, slowdown
+        assert gateway.controller.pressure.are_engines_under_pressure(gateway.now_ms) == is_under_pressure, (
+            slowdown
+        )
         gateway.run_for(4000)
 
 
-def test_work_that_runs_on_after_its_time_counts_at_its_engine_alone():
-    """One engine that works on at a few long queries would take this gateway's share of all others."""
-    report = group(effect=Effect.NON_IDEMPOTENT, threads=3)  # not sent again
+def test_work_that_continues_after_its_deadline_counts_only_on_its_engine():
+    """Otherwise one engine that continues a few long queries takes the gateway's share of all engines."""
+    report = group(effect=Effect.NON_IDEMPOTENT, threads=3)  # is not retried
     gateway = ten_swapping_engines(report, gateway_count=20, may_cancel=False)
     for _ in range(4):
         gateway.admit(report, memory_mb=1600.0, work_ms=4000.0)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Queries' final answers, retries elsewhere, unresponsive engines, pauses, and a stale endpoint list."""
+"""Tests of final answers, retries, unresponsive engines, pauses, and a stale endpoint list."""
 
 import pytest
 from standins import FakeGateway, capabilities, engine, group, interactive_group
@@ -13,7 +13,7 @@
 )
 
 
-def test_a_bad_plan_is_cancelled_and_submitted_again():
+def test_an_attempt_with_a_bad_plan_is_cancelled_and_retried():
     """A retry may get a better plan."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1"), engine("e2")])
@@ -26,7 +26,7 @@
 
 
 def test_a_non_idempotent_query_that_may_have_run_fails_and_is_never_sent_again():
-    """Its effect could be applied twice."""
+    """Otherwise its effect could be applied twice."""
     load = group("load", Effect.NON_IDEMPOTENT, is_bulk_load=True)
     gateway = FakeGateway([interactive_group(), load], [engine("e1"), engine("e2")])
     query = gateway.admit(load)
@@ -36,7 +36,7 @@
     assert gateway.answers[query.id] == "failed" and len(query.attempts) == 1
 
 
-def test_a_non_idempotent_query_that_never_ran_is_sent_elsewhere():
+def test_a_non_idempotent_query_that_never_ran_is_retried_on_another_engine():
     """A failed connection proves that nothing ran."""
     load = group("load", Effect.NON_IDEMPOTENT)
     gateway = FakeGateway([interactive_group(), load], [engine("e1"), engine("e2")])
@@ -49,7 +49,7 @@
     ("scope", "expected"),
     [(DeduplicationScope.ALL, "e2"), (DeduplicationScope.ZONE, "e3"), (DeduplicationScope.CELL, "e4")],
 )
-def test_a_query_with_a_key_that_may_have_run_goes_only_where_its_repeat_is_dropped(scope, expected):
+def test_a_query_with_a_key_that_may_have_run_is_retried_only_within_the_scope_of_its_key(scope, expected):
     """Engines outside the scope do not know its key."""
     booking = group(
         "post", Effect.IDEMPOTENT_WITH_KEY, deduplication_scope=scope, idempotency_window_ms=5000.0
@@ -67,8 +67,8 @@
     assert len(query.attempts) == 2 and (is_all or query.attempts[1].engine.id == expected)
 
 
-def test_an_unresponsive_engine_gets_nothing_new_and_its_read_only_queries_move():
-    """They would wait there for the rest of their time."""
+def test_an_unresponsive_engine_gets_no_attempts_and_its_read_only_queries_are_relocated():
+    """Otherwise they would wait there until their deadline."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1"), engine("e2")])
     query = gateway.admit(report)
@@ -84,7 +84,7 @@
     ("report_fields", "is_unresponsive"), [(None, True), ({}, False), ({"active": 2.0}, False)]
 )
 def test_an_engine_that_reports_the_end_of_a_cancelled_query_is_responsive(report_fields, is_unresponsive):
-    """Otherwise an engine that was paused for a moment stays out of use: nothing more is sent there."""
+    """Otherwise an engine that was paused briefly stays unused, because nothing is sent to it any more."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1"), engine("e2")])
     query = gateway.admit(report)
@@ -95,8 +95,8 @@
     assert state.is_unresponsive == is_unresponsive
 
 
-def test_where_a_time_out_stops_nothing_the_slot_stays_in_use():
-    """The engine works on; it would look free."""
+def test_a_slot_stays_in_use_after_a_timeout_where_attempts_cannot_be_cancelled():
+    """The engine continues to work on the query, and would look free."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1")], may_cancel=False)
     query = gateway.admit(report, work_ms=8000.0, timeout_ms=1000.0)
@@ -123,7 +123,7 @@
 
 
 def test_after_a_pause_of_the_gateway_itself_no_engine_is_unresponsive():
-    """What would have arrived meanwhile may lie unread."""
+    """Responses that arrived during the pause may be unread."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1"), engine("e2")])
     gateway.admit(report)
@@ -133,8 +133,8 @@
     assert not any(state.is_unresponsive for state in gateway.states()) and not gateway.cancelled
 
 
-def test_a_lost_attempt_moves_though_its_engine_responds():
-    """A query or its answer can be lost on the way."""
+def test_a_lost_attempt_is_relocated_even_if_its_engine_responds():
+    """A query or its answer can be lost in transit."""
     report = group()
     gateway = FakeGateway([interactive_group(), report], [engine("e1")])
     lost = gateway.admit(report, work_ms=900.0)
@@ -146,7 +146,7 @@
 
 
 def test_an_engine_that_answers_without_progress_is_responsive():
-    """Otherwise one progress event lost with its connection moves all that runs on the engine."""
+    """Otherwise one progress event lost with its connection relocates every attempt on the engine."""
     report = group("report", latency_objective_ms=3000.0)
     gateway = FakeGateway([report], [engine("a")])
     query = gateway.admit(report, work_ms=5000.0)
@@ -159,7 +159,7 @@
 
 
 def test_nothing_is_dispatched_on_a_stale_endpoint_list_until_it_is_confirmed_or_cannot_be():
-    """Queries that waited for longer than a tenth of their time meanwhile were rejected."""
+    """Queries that waited longer than a tenth of their timeout meanwhile were rejected."""
     for is_confirmed in (True, False):
         status = interactive_group()
         gateway = FakeGateway([status], [engine("e")])
@@ -175,19 +175,19 @@
         assert len(gateway.attempts) == 1 + is_confirmed
 
 
-def test_discovery_that_could_not_be_reached_is_asked_again():
-    """Without it, the gateway goes by an old list for good."""
+def test_discovery_that_could_not_be_reached_is_polled_again():
+    """Otherwise the gateway uses an old endpoint list from then on."""
     gateway = FakeGateway([interactive_group()], [], polls_endpoint_list=True)
     gateway.controller.endpoints_unavailable()
     gateway.run_for(5000)
     assert gateway.watch_count >= 2
 
 
-def test_without_progress_events_an_engine_is_unresponsive_once_all_that_runs_there_is_overdue():
-    """Half a second without an answer is usual with work of seconds.
+def test_without_progress_events_an_engine_is_unresponsive_once_all_its_attempts_are_overdue():
+    """Half a second without an answer is usual for queries that take seconds.
 
-    Otherwise engine after engine counts as unresponsive, and all that runs there moves (site stall-data, calm
-    day: 0.33 served).
+    Otherwise one engine after the other counts as unresponsive, and all its attempts are relocated (seen on
+    the site stall-data on a calm day: 0.33 of the queries served).
     """
     silent_engines = capabilities(
         honours_priorities=False, progress_interval_ms=0.0, reports_cost=False, load_report_fields=("cpu",)
@@ -197,12 +197,12 @@
         [report, status], [engine("a")], engine_capabilities=silent_engines, may_health_check=False
     )
     (state,) = gateway.states()
-    first = gateway.admit(report, work_ms=1000.0)  # 500 ms of two threads: overdue after four times that
+    first = gateway.admit(report, work_ms=1000.0)  # 500 ms on two threads: overdue after four times that
     gateway.run_for(1900)
     assert first.attempts and not state.is_unresponsive and not gateway.cancelled
     second = gateway.admit(report, work_ms=4000.0)
     gateway.run_for(300)
-    assert first.attempts[0] in gateway.cancelled  # it alone is lost, and moves
+    assert first.attempts[0] in gateway.cancelled  # only this attempt is lost and relocated
     assert second.attempts and not state.is_unresponsive
     gateway.end_attempt(first.attempts[0], Outcome.CANCELLED)
     if first.attempts[-1].outcome is None:
