--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random deployments and faults: the rules hold at every step (see `standins.FakeGateway`)."""
+"""Random deployments and faults from a seed: the rules hold at every step (see `standins.FakeGateway`)."""
 
 import random
 
@@ -18,7 +18,7 @@
 )
 
 STEPS = 500
-LAST_MS = 15_000.0  # after the steps, in which every query gets its final answer
+LAST_MS = 15_000.0  # time after the steps, in which every query gets its final answer
 FAULTS = [
     Outcome.FAILED,
     Outcome.OVERLOADED,
@@ -42,7 +42,7 @@
 
 
 def random_group(rng, number):
-    """A legal group, extremes among them."""
+    """Returns a valid random group, with extreme values among the choices."""
     effect = rng.choice((Effect.READ_ONLY, Effect.IDEMPOTENT_WITH_KEY, Effect.NON_IDEMPOTENT))
     return group(
         f"g{number}",
@@ -64,7 +64,7 @@
 
 
 def random_capabilities(rng):
-    """What engines may support and report."""
+    """Returns random capabilities of the engines."""
     grants = rng.random() < 0.7
     priorities = rng.random() < 0.7
     shortage = rng.choice(
@@ -77,17 +77,17 @@
 
 
 def random_engine(rng, number, has_size):
-    """An engine in one of two zones, of one of two kinds."""
+    """Returns an engine in one of two zones, of one of two kinds."""
     zone, kind, cell = rng.choice("ab"), rng.choice(("k", "m")), rng.randint(0, 2)
     cores, memory_mb = (8.0, 16000.0) if has_size else (0.0, 0.0)
     return engine(f"e{number}", zone, kind, cell, cores=cores, memory_mb=memory_mb)
 
 
-class World:
-    """A random but legal deployment, and what happens to it."""
+class RandomDeployment:
+    """A random but valid deployment, and the events that happen to it."""
 
     def __init__(self, seed):
-        """All follows from the seed."""
+        """Derives every choice from the seed."""
         self.rng = rng = random.Random(seed)
         self.groups = [interactive_group()]
         self.groups += [random_group(rng, number) for number in range(rng.randint(0, 4))]
@@ -110,7 +110,7 @@
         )
 
     def step(self):
-        """Time passes; queries arrive; attempts end, move on or stand still; clients go; the list changes."""
+        """Advances time, admits queries, continues attempts, lets clients go, changes the endpoint list."""
         rng, gateway = self.rng, self.gateway
         gateway.run_for(rng.choice((1, 5, 20, 90)))
         for _ in range(rng.choice((0, 1, 1, 6))):
@@ -130,7 +130,7 @@
         self.change_endpoints()
 
     def admit_query(self):
-        """A query of any group."""
+        """Admits a query of a random group."""
         rng = self.rng
         self.gateway.admit(
             rng.choice(self.groups),
@@ -143,7 +143,7 @@
         )
 
     def continue_attempt(self, attempt, report):
-        """It times out, obeys a cancel, ends, makes progress, or none of these."""
+        """Lets an attempt time out, honour a cancellation, end, make progress, or none of these."""
         rng, gateway = self.rng, self.gateway
         is_late = gateway.now_ms >= attempt.query.deadline_ms
         if is_late and not attempt.query.is_done:
@@ -157,7 +157,7 @@
             gateway.controller.on_progress(attempt, *event)
 
     def change_endpoints(self):
-        """An engine drains, leaves or starts anew; the whole list comes; discovery fails."""
+        """Lets an engine drain, leave or restart, sends the full list, or makes discovery fail."""
         rng, gateway = self.rng, self.gateway
         if rng.random() < 0.05 and gateway.engines:
             changed = rng.choice(gateway.engines)
@@ -180,7 +180,7 @@
             gateway.controller.endpoints_unavailable()
 
     def finish(self):
-        """No query arrives any more; what is left times out or obeys its cancel."""
+        """Runs until every query has ended; no query arrives, and open attempts end."""
         gateway = self.gateway
         end_ms = gateway.now_ms + LAST_MS
         while gateway.now_ms < end_ms:
@@ -193,9 +193,9 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_the_rules_hold_at_every_step(seed):
-    """Each query has one final answer in time; effects, drains, slow start, order and budgets are kept."""
-    world = World(seed)
+    """Each query has one answer in time; effects, drains, slow start, order and budgets are respected."""
+    deployment = RandomDeployment(seed)
     for _ in range(STEPS):
-        world.step()
-    world.finish()
-    assert all(query.is_done for query in world.gateway.queries)
+        deployment.step()
+    deployment.finish()
+    assert all(query.is_done for query in deployment.gateway.queries)
--- a/tests/test_engine_selection.py
+++ b/tests/test_engine_selection.py
@@ -1,4 +1,4 @@
-"""Engine selection: weighted draw, table affinity, subsets, warming engines, outliers, constrained groups."""
+"""Tests of engine selection: weights, affinity, subsets, warming engines, outliers, constrained groups."""
 
 from zlib import crc32
 
@@ -9,7 +9,7 @@
 
 
 def drawn_first(gateway, group_, count=300):
-    """How often each engine is the first one drawn for a query of the group."""
+    """Returns how often each engine is the first one drawn for a query of the group."""
     times = dict.fromkeys((known.id for known in gateway.engines), 0)
     for _ in range(count):
         query = Query(1, group_, gateway.now_ms, gateway.now_ms + 1000, estimated_work_ms=100)
@@ -19,12 +19,12 @@
 
 
 def draw_from_all(gateway):
-    """As with so much traffic that this gateway hears of all engines."""
+    """Puts all engines into the subset, as with traffic that keeps the reports of all engines fresh."""
     gateway.controller.subset.engines = gateway.states()
 
 
 def test_an_old_report_counts_as_the_average_of_the_fresh():
-    """It says nothing about the present load."""
+    """An old report says nothing about the present load."""
     gateway = FakeGateway([interactive_group(), group()], [engine("e1"), engine("e2")])
     old, fresh = gateway.states()
     gateway.report(old, {"active": 60.0})
@@ -35,8 +35,8 @@
     assert engine_load.utilisation(old) is None and engine_load.load(old) == engine_load.load(fresh)
 
 
-def test_an_engine_whose_errors_stand_out_gets_little_and_errors_of_all_blame_nobody():
-    """What fails at once is free at once, and draws ever more: non-idempotent queries failed by the dozen."""
+def test_an_engine_with_outlying_errors_gets_few_queries_unless_all_engines_fail():
+    """An engine that fails immediately is free immediately, is drawn more often, and fails many queries."""
     status = group("status", latency_objective_ms=500.0, threads=1, max_timeout_ms=2500.0)
     report = group("report", latency_objective_ms=3000.0)
     for all_fail in (False, True):
@@ -55,7 +55,7 @@
 
 
 def test_the_attempt_of_a_client_that_has_gone_is_cancelled():
-    """It would hold its engine's cores and memory for nobody."""
+    """It would hold its engine's cores and memory although nobody waits for it."""
     report = group("report", latency_objective_ms=3000.0)
     gateway = FakeGateway([interactive_group(), report], [engine("a")])
     query = gateway.admit(report, work_ms=5000.0)
@@ -63,8 +63,8 @@
     assert gateway.cancelled == [query.attempts[0]]
 
 
-def test_preferred_engines_of_tables_draw_about_a_third_in_any_fleet():
-    """Enough to keep them warm for these tables."""
+def test_preferred_engines_of_tables_get_about_a_third_of_the_draws_in_any_fleet():
+    """This is enough to keep them warm for these tables."""
     for size in (6, 40):
         engines = [engine(f"e{number}") for number in range(size)]
         gateway = FakeGateway([interactive_group(), group()], engines)
@@ -77,10 +77,10 @@
         assert 60 < sum(state in preferred for state in picks) < 150
 
 
-def test_thin_traffic_draws_first_from_the_few_engines_that_it_hears_of():
+def test_low_traffic_draws_first_from_the_few_engines_with_fresh_reports():
     """All gateways together still use all engines."""
     status, drawn = interactive_group(), []
-    for seed in range(40):  # of many gateways, each with 4 queries in the time that a report counts (2 s)
+    for seed in range(40):  # many gateways, each with 4 queries within the report lifetime (2 s)
         engines = [engine(f"e{number}") for number in range(40)]
         gateway = FakeGateway([status], engines, gateway_count=200, seed=seed)
         for _ in range(60):
@@ -95,8 +95,8 @@
     assert len({known.id for known in drawn}) >= 38
 
 
-def test_dense_traffic_draws_from_all_engines():
-    """It keeps the reports of all fresh."""
+def test_high_traffic_draws_from_all_engines():
+    """It keeps the reports of all engines fresh."""
     status = interactive_group()
     gateway = FakeGateway([status], [engine(f"e{number}") for number in range(40)], gateway_count=2)
     for _ in range(600):
@@ -108,7 +108,7 @@
 
 
 def test_many_gateways_use_a_warming_engine_and_keep_its_budget_together():
-    """Also while another one joins them in the same window."""
+    """This holds also while another gateway joins them in the same window."""
     count, report = 200, group(latency_objective_ms=1000.0)
     gateways = [FakeGateway([report], [], gateway_count=count, gateway_index=index) for index in range(count)]
     rules = [gateway.controller.slow_start for gateway in gateways]
@@ -135,7 +135,7 @@
 
 
 def test_a_warming_engine_is_drawn_first_by_gateways_that_share_it_and_left_alone_by_others():
-    """Each of the sharers has room for a query there."""
+    """Each of the sharers has budget for a query there."""
     report = group(latency_objective_ms=1000.0)
     for is_ours in (True, False):
         engines = [engine("cold", started_ms=1000.0), *(engine(f"e{number}") for number in range(40))]
@@ -143,7 +143,7 @@
         gateway = FakeGateway([report], engines, gateway_count=200, gateway_index=index)
         subset = [state.engine for state in gateway.controller.subset.engines]
         assert (engines[0] in subset) == is_ours
-        # What the process before it may have sent counts no more:
+        # Work that the previous process may have sent no longer counts:
         gateway.run_until(1000.0 + 1.2 * gateway.limits.slow_start_window_ms)
         for _ in range(30):
             gateway.admit(report, work_ms=300.0)
@@ -151,7 +151,7 @@
 
 
 def constrained_and_free():
-    """A group bound to four of eight engines, one that may use all, and a gateway that draws from all."""
+    """Returns a group bound to four of eight engines, a free group, and a gateway drawing from all."""
     constrained, free = group("bound", allowed_kinds=frozenset("b")), group("free")
     engines = [engine(f"e{number}", kind="b" if number < 4 else "k") for number in range(8)]
     gateway = FakeGateway([interactive_group(), constrained, free], engines)
@@ -163,10 +163,10 @@
     ("works_ms", "least", "most"),
     [((300.0, 100.0), 0, 0), ((100.0, 300.0), 15, 65), ((0.0, 100.0), 120, 180)],
 )
-def test_engines_that_a_constrained_group_needs_are_left_to_it(works_ms, least, most):
-    """They would be full of what could run elsewhere, while the others idle."""
+def test_engines_that_a_constrained_group_needs_are_reserved_for_it(works_ms, least, most):
+    """Otherwise they fill with queries that could run elsewhere, while the other engines are idle."""
     constrained, free, gateway = constrained_and_free()
-    for _ in range(600):  # half of the cores are the constrained group's
+    for _ in range(600):  # the constrained group may use half of the cores
         for group_, work_ms in zip((constrained, free), works_ms, strict=True):
             if work_ms:
                 query = gateway.admit(group_, work_ms=work_ms)
@@ -180,8 +180,8 @@
     assert sum(drawn_first(gateway, constrained).values()) == 300
 
 
-def test_engines_of_a_constrained_group_are_used_by_others_once_those_report_full():
-    """While the others jam, engines that the constrained group leaves idle would not be used.
+def test_engines_of_a_constrained_group_are_used_by_others_once_all_others_are_full():
+    """Otherwise engines that the constrained group leaves idle are unused while the others are overloaded.
 
     Nor are they filled at a gateway's start, before it has seen a query of that group.
     """
@@ -189,7 +189,7 @@
     assert not sum(drawn_first(gateway, free)[f"e{number}"] for number in range(4))
     constrained_groups = gateway.controller.constrained_groups
     constrained_groups.mean_work_ms = 100.0
-    constrained_groups.mean_constrained_work_ms = 25.0  # of half of the cores: half of those are left
+    constrained_groups.mean_constrained_work_ms = 25.0  # the group needs half of its engines' cores
     for state in gateway.states():
         gateway.report(state, {"cpu": 0.3 if state.serves_constrained_group else 1.0})
     gateway.controller.evaluation.compare_with_peers(gateway.now_ms)
@@ -197,8 +197,8 @@
     assert 120 < sum(drawn_first(gateway, free)[f"e{number}"] for number in range(4)) < 180
 
 
-def test_engines_of_the_gateways_own_zone_come_first_all_else_alike():
-    """A query that crosses zones pays for the way, and stops with the link."""
+def test_engines_of_the_gateways_own_zone_are_preferred_if_otherwise_equal():
+    """A query to another zone incurs the cost of the link, and fails if the link does."""
     engines = [engine(f"e{number}", zone="ab"[number % 2]) for number in range(8)]
     gateway = FakeGateway([interactive_group(), group()], engines)
     draw_from_all(gateway)
@@ -211,7 +211,7 @@
     [(MemoryShortageBehaviour.QUEUE, 230, 370), (MemoryShortageBehaviour.SWAP, 60, 150)],
 )
 def test_a_slow_engine_is_drawn_less_and_still_less_where_engines_swap(memory_shortage, least, most):
-    """One that swaps reports idle cores, draws ever more, and jams."""
+    """An engine that swaps reports idle cores, is drawn more and more, and becomes overloaded."""
     gateway = FakeGateway(
         [interactive_group(), group()],
         [engine(f"e{number}") for number in range(4)],
@@ -221,4 +221,4 @@
         state.slowdown_ratio = 3.0 if state.engine.id == "e0" else 1.0
     gateway.controller.outliers.median_slowdown = 1.0
     draw_from_all(gateway)
-    assert least <= drawn_first(gateway, group(), 3000)["e0"] <= most  # a tenth, and a twenty-eighth
+    assert least <= drawn_first(gateway, group(), 3000)["e0"] <= most  # 1/10 and 1/28 of the draws
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""Many controllers in virtual time before engines that warm up.
+"""Many controllers in virtual time, with engines that warm up.
 
-What all gateways together send an engine in any window stays within its budget, also as part of the gateways
-restart; every query has one final answer; warming engines get work at all. Planted faults are found.
+What all gateways together send an engine in any window stays within its budget, even while some gateways
+restart; every query has one final answer; warming engines get some work. Injected faults are detected.
 """
 
 import heapq
@@ -35,11 +35,11 @@
 
 
 class SlowStartGateway:
-    """One controller and its port: connections come up late, and the last check precedes the first byte."""
+    """One controller and its port; connections may be established late, before the last check."""
 
     is_gone = False
 
-    def __init__(self, fleet, index, planted_fault):
+    def __init__(self, fleet, index, injected_fault):
         """Starts with all engines on its endpoint list."""
         self.fleet = fleet
         self.open_queries = set()
@@ -47,7 +47,7 @@
             Engine(name, "a", "k", 0, EndpointState.SERVING, 1.0, started_ms, CORES, 16000.0)
             for name, started_ms in fleet.started_ms.items()
         ]
-        count = fleet.gateway_count if planted_fault != "share" else fleet.gateway_count // 3
+        count = fleet.gateway_count if injected_fault != "share" else fleet.gateway_count // 3
         identity = GatewayIdentity("a", count, fleet.rng.getrandbits(60), 5.0, index=index)
         silent_engines = capabilities(
             honours_memory_grants=False,
@@ -61,20 +61,20 @@
         self.controller = Controller(
             self, identity, [fleet.group], [], permissions, fleet.limits, silent_engines
         )
-        if planted_fault == "weight":
+        if injected_fault == "weight":
             self.controller.slow_start.charged_work_ms = lambda query: query.estimated_work_ms * 0.4
         self.controller.endpoints_updated(engines, True)
-        if planted_fault == "forgets":
+        if injected_fault == "forgets":
             for state in self.controller.fleet.states.values():
                 state.slow_start_work = SlidingWindow(fleet.limits.slow_start_window_ms / 8, 9)
 
     @property
     def now_ms(self):
-        """The fleet's time."""
+        """Returns the fleet's time."""
         return self.fleet.now_ms
 
     def admit(self, work_ms):
-        """A query arrives."""
+        """Admits a new query."""
         query = Query(
             self.fleet.next_number(),
             self.fleet.group,
@@ -86,7 +86,7 @@
         self.controller.admit(query)
 
     def start_attempt(self, query, engine, timeout_ms):
-        """Its connection comes up now or much later."""
+        """Starts an attempt whose connection is established immediately or much later."""
         attempt = Attempt(query, len(query.attempts), engine, self.now_ms)
         query.attempts.append(attempt)
         delay_ms = self.fleet.rng.choice((1.0, 1.0, 5.0, 120.0, 700.0))
@@ -114,7 +114,7 @@
         self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, None)
 
     def cancel_attempt(self, attempt):
-        """The engine obeys at once."""
+        """Ends the attempt as cancelled after 1 ms."""
         self.fleet.call_at(self.now_ms + 1, lambda: self._end_if_open(attempt, Outcome.CANCELLED))
 
     def _answer(self, query):
@@ -124,32 +124,32 @@
         self.open_queries.discard(query)
 
     def reject(self, query, retry_after_ms):
-        """The query's final answer."""
+        """Answers the query."""
         self._answer(query)
 
     def fail(self, query):
-        """The query's final answer."""
+        """Answers the query."""
         self._answer(query)
 
     def call_at(self, at_ms, call):
-        """Not before the next turn, and not after this gateway has gone."""
+        """Schedules the call after at least one loop iteration, unless this gateway has gone by then."""
         self.fleet.call_at(max(at_ms, self.now_ms + 5.0), lambda: self.is_gone or call())
 
     def set_grant(self, query, memory_mb, priority):
-        """Engines have no use for it."""
+        """Does nothing; the engines use no grants."""
 
     def send_health_check(self, engine):
-        """Nothing answers."""
+        """Does nothing; no engine responds."""
 
     def watch_endpoints(self):
-        """The list is given at the start."""
+        """Does nothing; the list is complete at the start."""
 
     def log(self, text):
-        """Nobody reads it."""
+        """Does nothing."""
 
 
 class Fleet:
-    """Gateways with uneven traffic, more than engines can take; engines that start one after the other."""
+    """Gateways with uneven traffic above the engines' capacity; engines that start one after the other."""
 
     def __init__(
         self,
@@ -160,9 +160,9 @@
         restarting_share=0.7,
         engine_count=4,
         work_spread=0.5,
-        planted_fault=None,
+        injected_fault=None,
     ):
-        """Part of the gateways restart twice within a window, with much traffic just before and after."""
+        """Schedules two restarts of some gateways within a window, with bursts just before and after."""
         self.rng = Random(seed)
         self.now_ms = 1000.0
         self.timers = []
@@ -170,15 +170,15 @@
         self.gateway_count = gateway_count
         self.work_ms = work_ms
         self.work_spread = work_spread
-        self.planted_fault = planted_fault
+        self.injected_fault = injected_fault
         self.group = ResourceGroup(
             "report", Effect.READ_ONLY, 6 * work_ms + 500, 2.0, 12 * work_ms + 2000, 1.0, 0.0
         )
         self.limits = SafetyLimits(20.0, 250.0, WARM_UP_INITIAL_SHARE, WARM_UP_MS, OVERLOAD_FACTOR, window_ms)
         self.started_ms = {f"e{number}": 1000.0 + 400.0 * number for number in range(engine_count)}
-        self.sent = {name: [] for name in self.started_ms}  # (time, work) of each engine
-        self.gateways = [SlowStartGateway(self, index, planted_fault) for index in range(gateway_count)]
-        # Queries a millisecond of all; gateways with little traffic use their share of the budget up, too.
+        self.sent = {name: [] for name in self.started_ms}  # (time, work) by engine
+        self.gateways = [SlowStartGateway(self, index, injected_fault) for index in range(gateway_count)]
+        # Queries per millisecond in total; gateways with little traffic use up their share of the budget too.
         rate = 6 * engine_count * CORES * SUSTAINED_CORE_SHARE / work_ms
         shares = [self.rng.choice((0.2, 0.5, 1.0, 4.0)) for _ in range(gateway_count)]
         for index, share in enumerate(shares):
@@ -189,12 +189,12 @@
                 self.call_at(burst_ms, self._burst)
 
     def next_number(self):
-        """A number that was not given before."""
+        """Returns a number that was not returned before."""
         self.last_number += 1
         return self.last_number
 
     def call_at(self, at_ms, call):
-        """Calls in virtual time."""
+        """Schedules the call in virtual time."""
         heapq.heappush(self.timers, (at_ms, self.next_number(), call))
 
     def _add_traffic(self, index, rate_per_ms):
@@ -217,14 +217,14 @@
     def _restart_gateways(self, share):
         for index in self.rng.sample(range(self.gateway_count), int(share * self.gateway_count)):
             self.gateways[index].is_gone = True
-            self.gateways[index].open_queries = set()  # its clients ask again
+            self.gateways[index].open_queries = set()  # its clients retry
             self.call_at(self.now_ms + 20.0, lambda index=index: self._start_gateway(index))
 
     def _start_gateway(self, index):
-        self.gateways[index] = SlowStartGateway(self, index, self.planted_fault)
+        self.gateways[index] = SlowStartGateway(self, index, self.injected_fault)
 
     def run(self, until_ms):
-        """Runs up to that time; looks at one gateway's open queries after each event."""
+        """Runs up to the given time; checks one gateway's open queries after each event."""
         while self.timers[0][0] <= until_ms:
             self.now_ms, _, call = heapq.heappop(self.timers)
             call()
@@ -234,7 +234,10 @@
         return self
 
     def worst_window(self):
-        """The most sent in a window, over the budget of N mean queries and 2 root N + 2 for chance."""
+        """Returns the largest work in a window over its budget plus an allowance for chance.
+
+        For a budget of N mean queries the allowance is 2 sqrt(N) + 2 queries.
+        """
         worst = 0.0
         window_ms = self.limits.slow_start_window_ms
         for name, sent in self.sent.items():
@@ -262,7 +265,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(("gateway_count", "work_ms"), FLEETS)
 def test_all_gateways_together_stay_within_a_warming_engines_budget(seed, gateway_count, work_ms):
-    """And the engine gets work, through two restarts in one window too."""
+    """The engine also gets work, even through two restarts in one window."""
     fleet = Fleet(seed, gateway_count, work_ms).run(9000.0)
     assert fleet.worst_window() < 1.0
     for name, started_ms in fleet.started_ms.items():
@@ -273,9 +276,9 @@
         assert sent_ms > 0.05 * capacity_ms, (name, sent_ms)
 
 
-@pytest.mark.parametrize("planted_fault", [None, "forgets", "weight", "share"])
-def test_a_planted_fault_is_found(planted_fault):
-    """Budgets forgotten at a start, work counted too low, a share of too small a fleet.
+@pytest.mark.parametrize("injected_fault", [None, "forgets", "weight", "share"])
+def test_an_injected_fault_is_detected(injected_fault):
+    """The faults: a budget forgotten at a start, work counted too low, too large a share.
 
     All gateways restart, twice in a window.
     """
@@ -286,6 +289,6 @@
         restarting_share=1.0,
         engine_count=1,
         work_spread=0.0,
-        planted_fault=planted_fault,
+        injected_fault=injected_fault,
     )
-    assert (fleet.run(4600.0).worst_window() > 1.0) == (planted_fault is not None)
+    assert (fleet.run(4600.0).worst_window() > 1.0) == (injected_fault is not None)
