--- a/lichenquay/admission/retry_policy.py
+++ b/lichenquay/admission/retry_policy.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, max_attempts: int, limits: SafetyLimits, min_turn_ms: float):
-        """Starts with no query and no retry. `min_turn_ms`: shortest time between event loop iterations."""
+        """Starts empty. `min_turn_ms`: shortest time between event loop iterations."""
         self.max_attempts = max_attempts
         self.min_turn_ms = min_turn_ms
         self.free_retries = limits.retry_budget_free
