--- a/lichenquay/storage/__init__.py
+++ b/lichenquay/storage/__init__.py
@@ -1,4 +1,4 @@
 """Durable storage of named sections for one process: checksummed, fsynced, two generations, one lock.
 
-Options weighed, states and what is lost when: docs/design/storage.md.
+Alternatives, states and the data lost in each fault: docs/design/storage.md.
 """
--- a/lichenquay/storage/directory.py
+++ b/lichenquay/storage/directory.py
@@ -1,4 +1,4 @@
-"""The directory of a store: it exists, it is this process's alone, it is the one that was locked."""
+"""The directory of a store: created if missing, locked by one process, checked for replacement."""
 
 import errno
 from collections.abc import Callable
@@ -12,31 +12,31 @@
     FileIdentity,
     FileSystem,
     close_quietly,
-    is_identical,
+    is_same_file,
     sync_directory,
 )
 
 
 class StoreDirectory:
-    """Makes, locks and checks the directory."""
+    """The directory of one store, and the lock that this process has on it."""
 
     def __init__(self, file_system: FileSystem, path: str):
-        """Touches nothing yet. `path`: absolute."""
+        """Accesses nothing yet. `path`: absolute."""
         self.file_system = file_system
         self.path = path
         self.lock_path = join(path, LOCK_NAME)
-        self._lock = None  # descriptor
-        self._was_made_here = False
+        self._lock = None  # descriptor of the locked file
+        self._was_created_here = False
         self._is_parent_synced = False
 
-    def enter(self, on_locked: Callable[[], None]) -> None:
-        """Makes sure that the directory is there and locked by this process.
+    def ensure_locked(self, on_locked: Callable[[], None]) -> None:
+        """Creates the directory if it is missing, and locks it if this process does not hold the lock.
 
-        `on_locked()` is called when the lock was taken anew, before it counts; what it raises releases the
-        lock. Raises UnusableStoreError, or OSError where that may pass.
+        `on_locked()` is called after the lock was newly taken; if it raises, the lock is released. Raises
+        UnusableStoreError, or OSError for an error that may be temporary.
         """
-        self._check_directory()
-        if self._lock is not None and is_identical(
+        self._ensure_directory()
+        if self._lock is not None and is_same_file(
             self.file_system, self.lock_path, self.file_system.fstat(self._lock)
         ):
             return
@@ -45,28 +45,30 @@
         self._lock = self._take_lock(on_locked)
         self._is_parent_synced = False
 
-    def _check_directory(self):
+    def _ensure_directory(self):
         file_system = self.file_system
         try:
             try:
                 identity = file_system.stat(self.path)
             except FileNotFoundError:
                 file_system.mkdir(self.path)
-                self._was_made_here = True
+                self._was_created_here = True
                 identity = file_system.stat(self.path)
         except NotADirectoryError:
-            raise UnusableStoreError(f"folder {self.path}: a part of its path is no folder") from None
+            raise UnusableStoreError(
+                f"folder {self.path}: a component of its path is not a directory"
+            ) from None
         except PermissionError as error:
             raise UnusableStoreError(f"folder {self.path}: {error.strerror}") from None
         if not identity.is_directory:
-            raise UnusableStoreError(f"folder {self.path} is no folder")
+            raise UnusableStoreError(f"folder {self.path} is not a directory")
 
     def _take_lock(self, on_locked):
         descriptor = self._open_lock()
         try:
             self.file_system.flock(descriptor)
-            if not is_identical(self.file_system, self.lock_path, self.file_system.fstat(descriptor)):
-                raise OSError(errno.ESTALE, "its lock was replaced")
+            if not is_same_file(self.file_system, self.lock_path, self.file_system.fstat(descriptor)):
+                raise OSError(errno.ESTALE, "its lock file was replaced")
             on_locked()
         except BlockingIOError:
             close_quietly(self.file_system, descriptor)
@@ -87,20 +89,20 @@
         return self.file_system.open(self.lock_path, READ_FLAGS)
 
     def lock_identity(self) -> FileIdentity:
-        """The FileIdentity of the lock that this process has."""
+        """Returns the FileIdentity of the locked file."""
         return self.file_system.fstat(self._lock)
 
     def sync_parent(self) -> None:
-        """Waits until the directory's own name is on disk, once after each lock.
+        """Waits until the directory's own name is on disk, once after each locking.
 
-        A parent that may not be read matters only for a directory that was made here.
+        A parent without read permission is an error only for a directory that was created here.
         """
         if self._is_parent_synced:
             return
         try:
             sync_directory(self.file_system, dirname(self.path))
         except PermissionError:
-            if self._was_made_here:
+            if self._was_created_here:
                 raise
         self._is_parent_synced = True
 
--- a/lichenquay/storage/errors.py
+++ b/lichenquay/storage/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in a store."""
+"""Errors of the storage package."""
 
 
 class StorageError(Exception):
@@ -6,27 +6,27 @@
 
 
 class UnusableStoreError(StorageError):
-    """A folder that this process must not use. The message is one line."""
+    """This process must not use the folder. The message is one line."""
 
 
 class NotStoredError(StorageError):
-    """What was appended since the last flush is not in the state.
+    """The records appended since the last flush are not in the state.
 
-    Until the next success a restart may still find it.
+    Until the next successful flush a restart may still find them.
     """
 
 
 class CapacityExceededError(StorageError, ValueError):
-    """A change that would pass the store's bound. Nothing of it was accepted."""
+    """A change would exceed the store's capacity. No part of it was accepted."""
 
 
 class InvalidChangeError(StorageError, ValueError):
-    """A key or a name that the format cannot hold, or a bound that is not valid."""
+    """A key or a name does not fit the format, or a capacity is out of range."""
 
 
 class CorruptRecordError(StorageError, ValueError):
-    """Bytes that are cut off, damaged or of another format. The message says which."""
+    """Bytes are truncated, corrupt or of another format. The message says which."""
 
 
 class NewerFormatError(StorageError, ValueError):
-    """An intact header of a version that this program does not know."""
+    """An intact header has a version that this program does not support."""
--- a/lichenquay/storage/file_system.py
+++ b/lichenquay/storage/file_system.py
@@ -1,11 +1,11 @@
-"""The system calls that a store makes, so that a test can replace each. Errors: OSError."""
+"""The system calls of a store, which tests can replace. Errors: OSError."""
 
 import fcntl
 import os
 import stat
 from dataclasses import dataclass
 
-# Without O_NONBLOCK a pipe of a store file's name would block the reader for ever.
+# Without O_NONBLOCK, opening a named pipe that has the name of a store file would block forever.
 READ_FLAGS = os.O_RDONLY | os.O_NONBLOCK
 LOCK_FLAGS = os.O_RDWR | os.O_CREAT
 NEW_FILE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
@@ -30,15 +30,15 @@
     """The calls of the operating system."""
 
     def open(self, path, flags):
-        """Opens a file; its descriptor."""
+        """Opens a file and returns its descriptor."""
         return os.open(path, flags | os.O_CLOEXEC, FILE_MODE)
 
     def read(self, descriptor, size):
-        """Up to `size` bytes."""
+        """Returns up to `size` bytes."""
         return os.read(descriptor, size)
 
     def write(self, descriptor, data):
-        """Writes some of the data; how many bytes."""
+        """Writes some of the data and returns the number of bytes written."""
         return os.write(descriptor, data)
 
     def fsync(self, descriptor):
@@ -50,7 +50,7 @@
         os.close(descriptor)
 
     def rename(self, old, new):
-        """Renames a file, over another if there is one."""
+        """Renames a file, replacing an existing one."""
         os.rename(old, new)
 
     def unlink(self, path):
@@ -58,23 +58,23 @@
         os.unlink(path)
 
     def mkdir(self, path):
-        """Makes a directory."""
+        """Creates a directory."""
         os.mkdir(path, DIRECTORY_MODE)
 
     def listdir(self, path):
-        """The names in a directory."""
+        """Returns the names in a directory."""
         return os.listdir(path)
 
     def stat(self, path):
-        """The FileIdentity of a name."""
+        """Returns the FileIdentity of a name."""
         return _identity(os.stat(path))
 
     def fstat(self, descriptor):
-        """The FileIdentity of a descriptor."""
+        """Returns the FileIdentity of a descriptor."""
         return _identity(os.fstat(descriptor))
 
     def flock(self, descriptor):
-        """Locks a file for this process alone; BlockingIOError where another one has it.
+        """Locks a file exclusively; raises BlockingIOError if another process holds the lock.
 
         The system releases the lock when the process ends.
         """
@@ -82,21 +82,21 @@
 
 
 def close_quietly(file_system, descriptor):
-    """Closes a descriptor, if there is one; what was written or read is not affected by an error here."""
+    """Closes a descriptor unless it is None; ignores errors, which do not affect the data read or written."""
     if descriptor is not None:
-        attempt(file_system.close, descriptor)
+        call_ignoring_os_error(file_system.close, descriptor)
 
 
-def attempt(call, *arguments):
-    """Makes a call whose failure does no harm."""
+def call_ignoring_os_error(call, *arguments):
+    """Makes a call whose failure is harmless."""
     try:
         call(*arguments)
     except OSError:
         return
 
 
-def is_identical(file_system, path, identity):
-    """Whether a name refers to this file."""
+def is_same_file(file_system, path, identity):
+    """Returns whether a name refers to the file with this identity."""
     try:
         return file_system.stat(path) == identity
     except (FileNotFoundError, NotADirectoryError):
--- a/lichenquay/storage/incarnation.py
+++ b/lichenquay/storage/incarnation.py
@@ -1,4 +1,4 @@
-"""A number that only rises from one start of a process to the next."""
+"""The incarnation of a process: a number that increases with every start."""
 
 from struct import Struct, error
 from typing import NamedTuple
@@ -12,32 +12,33 @@
 
 
 class Incarnation(NamedTuple):
-    """The number of a start, and whether the store has it."""
+    """The incarnation of one start, and whether it is stored durably."""
 
     number: int
     is_stored: bool
 
 
 def incarnation_change(number: int) -> dict[str, bytes]:
-    """The change of a store that keeps an incarnation."""
+    """Returns the change that stores an incarnation."""
     return {INCARNATION_SECTION: _NUMBER.pack(number)}
 
 
 def next_incarnation(store: DurableStore, unix_ms: float, now_ms: float = 0.0) -> Incarnation:
-    """Higher than any that was stored or given before, never lower than `unix_ms`; stored before it is
-    returned.
+    """Returns a new incarnation: higher than all earlier ones, at least `unix_ms`, and already stored.
 
-    Where the disk fails, is_stored is False and the number is from the clock, and from what was read: a
-    clock set back before the next start may give one as low again. UnusableStoreError: there is no higher
-    number.
+    If the disk fails, is_stored is False and the number comes from the clock and from what was read: a clock
+    that is set back before the next start may give the same or a lower number again. Raises
+    UnusableStoreError if there is no higher number.
     """
     try:
-        (before,) = _NUMBER.unpack(store.state.get(INCARNATION_SECTION, bytes(_NUMBER.size)))
+        (previous,) = _NUMBER.unpack(store.state.get(INCARNATION_SECTION, bytes(_NUMBER.size)))
     except error:
-        before = 0
-    number = max(before + 1, store.incarnation + 1, int(unix_ms))
+        previous = 0
+    number = max(previous + 1, store.incarnation + 1, int(unix_ms))
     if number > MAX_INCARNATION:
-        raise UnusableStoreError(f"folder {store.path}: its incarnation {before} leaves no higher one")
+        raise UnusableStoreError(
+            f"folder {store.path}: incarnation {number} exceeds the maximum {MAX_INCARNATION}"
+        )
     store.incarnation = number
     try:
         store.append(incarnation_change(number))
--- a/lichenquay/storage/pending_changes.py
+++ b/lichenquay/storage/pending_changes.py
@@ -1,4 +1,4 @@
-"""Changes that were accepted and are not on disk yet, and the space that they leave. No I/O."""
+"""Accepted changes that are not on disk yet, and the capacity that they use. No I/O."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -17,10 +17,14 @@
 
 
 class PendingChanges:
-    """Counts sizes in bytes: of the pending records, and of the state as it will be after them."""
+    """The pending records, and the sizes in bytes of these records and of the state after them."""
 
     def __init__(self, path: str, state: Mapping[str, bytes], capacity_bytes: int):
-        """`path`: for messages. `state`: as stored, changed by its owner. `capacity_bytes`: of each size."""
+        """Starts empty.
+
+        `path`: for error messages. `state`: the stored state, which its owner updates. `capacity_bytes`:
+        limit of each of the two sizes.
+        """
         self._path = path
         self._state = state
         self._capacity_bytes = capacity_bytes
@@ -30,29 +34,33 @@
         self._state_bytes = 0
 
     def __bool__(self):
-        """Whether anything is pending."""
+        """Returns whether anything is pending."""
         return bool(self._records)
 
     def __len__(self):
-        """How many records are pending."""
+        """Returns the number of pending records."""
         return len(self._records)
 
     def __iter__(self):
-        """The pending records, in order."""
+        """Iterates over the pending records, in order."""
         return iter(self._records)
 
     def payloads(self) -> list[tuple[int, bytes]]:
-        """(number, payload) of each record."""
+        """Returns (number, payload) of each record."""
         return [(record.number, record.payload) for record in self._records]
 
     def add(self, number: int, changes: Changes) -> None:
-        """Accepts a change as the record `number`. CapacityExceededError; InvalidChangeError for a key."""
+        """Adds a change as the record `number`.
+
+        Raises CapacityExceededError, or InvalidChangeError for an invalid key.
+        """
         payload = record_format.encode_changes(changes)
         record_bytes = record_format.FRAME_BYTES + len(payload)
-        room = self._capacity_bytes - self.size_bytes
-        if record_bytes > room:
+        free_bytes = self._capacity_bytes - self.size_bytes
+        if record_bytes > free_bytes:
             raise CapacityExceededError(
-                f"folder {self._path}: {record_bytes} bytes at once, there is room for {room}"
+                f"folder {self._path}: record of {record_bytes} bytes exceeds the free {free_bytes} bytes "
+                "of the batch"
             )
         sizes = {
             key: 0 if value is None else record_format.section_size(key, value)
@@ -60,10 +68,11 @@
         }
         sizes_before = sum(self._section_size(key) for key in sizes)
         state_bytes = self._state_bytes - sizes_before + sum(sizes.values())
-        # Under a bound that was lowered the state may still shrink.
+        # If the capacity was lowered below the size of the state, the state may still shrink.
         if state_bytes > max(self._state_bytes, self._capacity_bytes):
             raise CapacityExceededError(
-                f"folder {self._path}: a state of {state_bytes} bytes, the bound is {self._capacity_bytes}"
+                f"folder {self._path}: state of {state_bytes} bytes exceeds the capacity of "
+                f"{self._capacity_bytes} bytes"
             )
         self._records.append(PendingChange(number, dict(changes), payload))
         self.size_bytes += record_bytes
@@ -76,17 +85,17 @@
         return record_format.section_size(key, self._state[key]) if key in self._state else 0
 
     def clear(self) -> None:
-        """Forgets the records; they are in the state now."""
+        """Clears the records, which are now in the state."""
         self._records = []
         self._section_sizes = {}
         self.size_bytes = 0
 
     def drop(self) -> None:
-        """Forgets the records; they are not in the state."""
+        """Drops the records, which are not in the state."""
         if self._records:
             self.clear()
             self.measure_state()
 
     def measure_state(self) -> None:
-        """Counts the state as it is stored."""
+        """Recomputes the size of the stored state."""
         self._state_bytes = record_format.state_size(self._state)
--- a/lichenquay/storage/record_format.py
+++ b/lichenquay/storage/record_format.py
@@ -1,9 +1,9 @@
 """The format of a store's files: a header, then framed records. No I/O, no clocks.
 
-Header: magic, version, its own size, CRC32C; then kind, generation, base (the number of the last record
-before this file), the fleet's name and the process's. The first 16 bytes and what the CRC32C covers stay
-as they are in every version, so that a newer version is distinguished from a flipped bit. A record's
-CRC32C starts from its header's: a record of another file is none here.
+Header: magic, version, header size, CRC32C; then kind, generation, base number (of the last record before
+this file), and the names of the fleet and of the process. The first 16 bytes and the range of the CRC32C are
+the same in every version, so that a newer version can be distinguished from a flipped bit. The CRC32C of a
+record is seeded with that of its file's header, so that a record of another file is not valid.
 """
 
 from collections.abc import Iterable, Iterator
@@ -20,10 +20,10 @@
 VERSION = 1
 MAX_HEADER_BYTES = 2048
 MAX_KEY_BYTES = 1024
-MAX_NAME_BYTES = 255  # of the fleet's name, and of the process's
+MAX_NAME_BYTES = 255  # of the names of the fleet and of the process
 _HEADER_START = Struct(">8sHHI")
 _HEADER_REST = Struct(">BQQBB")
-_CHECKSUM_BYTES = 4  # at the end of the header's start
+_CHECKSUM_BYTES = 4  # at the end of _HEADER_START
 _FRAME = Struct(">IQBI")
 _KEY = Struct(">BH")
 _SIZE = Struct(">I")
@@ -35,14 +35,14 @@
 
 
 class FileKind(IntEnum):
-    """The kinds of files."""
+    """The kind of a file."""
 
     SNAPSHOT = 1
     JOURNAL = 2
 
 
 class RecordKind(IntEnum):
-    """The kinds of records."""
+    """The kind of a record."""
 
     CHANGE = 1
     END = 2
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class FileHeader:
-    """`base_number`: of the last record before this file."""
+    """The header of a file; `base_number`: number of the last record before this file."""
 
     kind: int
     generation: int
@@ -60,7 +60,7 @@
 
 
 class ReadHeader(NamedTuple):
-    """A header as read, its size in the file, and the seed of its records' checksums."""
+    """A parsed header, its size in bytes, and the seed of the checksums of its file's records."""
 
     header: FileHeader
     size: int
@@ -68,15 +68,15 @@
 
 
 class Record(NamedTuple):
-    """One record of a file."""
+    """A record of a file."""
 
     number: int
     kind: int
     payload: bytes
 
 
-class RecordRun(NamedTuple):
-    """The intact records of a file, where the last one ends, and why no more follow (None: no bytes do)."""
+class IntactRecords(NamedTuple):
+    """The intact records of a file, the end offset of the last one, and why no more follow (or None)."""
 
     records: list[Record]
     end: int
@@ -84,7 +84,7 @@
 
 
 class SnapshotContent(NamedTuple):
-    """What a whole snapshot says."""
+    """The content of a complete snapshot."""
 
     header: FileHeader
     state: dict[str, bytes]
@@ -92,7 +92,10 @@
 
 @dataclass
 class JournalContent:
-    """`changes` of all intact records up to the first that is not; `reason` why it ended early, or None."""
+    """The content of a journal up to the first record that is not intact.
+
+    `reason`: why parsing stopped before the end, or None.
+    """
 
     header: FileHeader
     changes: list[Changes] = field(default_factory=list)
@@ -101,18 +104,21 @@
 
 
 class EncodedHeader(NamedTuple):
-    """The bytes of a header, and the seed of its records' checksums."""
+    """An encoded header, and the seed of the checksums of its file's records."""
 
     data: bytes
     seed: int
 
 
 def encode_header(header: FileHeader) -> EncodedHeader:
-    """The bytes of a header; InvalidChangeError for a name that is too long."""
+    """Encodes a header. Raises InvalidChangeError for a name that is too long."""
     fleet = header.fleet.encode()
     process_name = header.process_name.encode()
     if max(len(fleet), len(process_name)) > MAX_NAME_BYTES:
-        raise InvalidChangeError(f"a name of over {MAX_NAME_BYTES} bytes")
+        raise InvalidChangeError(
+            f"names of fleet and process have {len(fleet)} and {len(process_name)} bytes; "
+            f"the maximum is {MAX_NAME_BYTES}"
+        )
     fixed = _HEADER_REST.pack(
         header.kind, header.generation, header.base_number, len(fleet), len(process_name)
     )
@@ -123,23 +129,23 @@
 
 
 def read_header(data: bytes) -> ReadHeader:
-    """The header of a file; CorruptRecordError or NewerFormatError."""
+    """Parses the header of a file. Raises CorruptRecordError or NewerFormatError."""
     if len(data) < _HEADER_START.size:
-        raise CorruptRecordError("empty" if not data else "cut off in its header")
+        raise CorruptRecordError("empty" if not data else "truncated header")
     magic, version, size, seed = _HEADER_START.unpack_from(data)
     if magic != MAGIC:
-        raise CorruptRecordError("not a file of this form")
+        raise CorruptRecordError("unknown file format")
     if not _HEADER_START.size <= size <= MAX_HEADER_BYTES:
-        raise CorruptRecordError(f"a header of {size} bytes")
+        raise CorruptRecordError(f"invalid header size of {size} bytes")
     if size > len(data):
-        raise CorruptRecordError("cut off in its header")
+        raise CorruptRecordError("truncated header")
     rest = bytes(data[_HEADER_START.size : size])
     if _header_checksum(bytes(data[: _HEADER_START.size]), rest) != seed:
-        raise CorruptRecordError("its header's checksum is wrong")
+        raise CorruptRecordError("wrong header checksum")
     if version > VERSION:
-        raise NewerFormatError(f"version {version}, this program reads up to {VERSION}")
+        raise NewerFormatError(f"version {version}, this program supports up to {VERSION}")
     if version < 1 or len(rest) < _HEADER_REST.size:
-        raise CorruptRecordError("a header of no known version")
+        raise CorruptRecordError(f"invalid header of version {version}")
     return ReadHeader(_decode_header(rest), size, seed)
 
 
@@ -147,12 +153,12 @@
     kind, generation, base_number, fleet_size, name_size = _HEADER_REST.unpack_from(rest)
     names = rest[_HEADER_REST.size :]
     if len(names) != fleet_size + name_size:
-        raise CorruptRecordError("a header that does not add up")
+        raise CorruptRecordError("header size does not match its names")
     try:
         fleet = names[:fleet_size].decode()
         process_name = names[fleet_size:].decode()
     except UnicodeDecodeError:
-        raise CorruptRecordError("names that are no text") from None
+        raise CorruptRecordError("header names are not valid UTF-8") from None
     return FileHeader(kind, generation, base_number, fleet, process_name)
 
 
@@ -161,7 +167,7 @@
 
 
 def encode_record(seed: int, record: Record) -> bytes:
-    """One record: length, number, kind, CRC32C of these and of the payload; payload."""
+    """Encodes one record: length, number, kind, CRC32C of these and of the payload; payload."""
     checksum = _record_checksum(seed, record)
     return _FRAME.pack(len(record.payload), record.number, record.kind, checksum) + record.payload
 
@@ -171,39 +177,39 @@
     return google_crc32c.extend(seed, frame + record.payload)
 
 
-def read_records(data: bytes, start: int, seed: int, first_number: int) -> RecordRun:
-    """The intact records from the offset `start` on.
+def read_records(data: bytes, start: int, seed: int, first_number: int) -> IntactRecords:
+    """Parses records from the offset `start` up to the first one that is not intact.
 
-    A length is never followed past the end of `data`, so a hostile one takes no memory.
+    A length that exceeds `data` ends the parsing, so that a malicious one allocates no memory.
     """
     records = []
     offset = start
     number = first_number
     while offset < len(data):
         if len(data) - offset < FRAME_BYTES:
-            return RecordRun(records, offset, "cut off")
+            return IntactRecords(records, offset, "truncated record")
         length, found_number, kind, checksum = _FRAME.unpack_from(data, offset)
         if found_number != number:
-            return RecordRun(records, offset, f"a number where {number} should be")
+            return IntactRecords(records, offset, f"record number {found_number} where {number} was expected")
         if length > len(data) - offset - FRAME_BYTES:
-            return RecordRun(records, offset, "cut off")
+            return IntactRecords(records, offset, "truncated record")
         end = offset + FRAME_BYTES + length
         record = Record(number, kind, bytes(data[offset + FRAME_BYTES : end]))
         if _record_checksum(seed, record) != checksum:
-            return RecordRun(records, offset, "its checksum is wrong")
+            return IntactRecords(records, offset, "wrong record checksum")
         records.append(record)
         offset = end
         number += 1
-    return RecordRun(records, offset, None)
+    return IntactRecords(records, offset, None)
 
 
 def encode_changes(changes: Changes) -> bytes:
-    """The payload of one record; None deletes a key. InvalidChangeError for a key that does not fit."""
+    """Encodes the payload of one record; None deletes a key. Raises InvalidChangeError for an invalid key."""
     parts = []
     for key, value in changes.items():
         name = key.encode()
         if not 1 <= len(name) <= MAX_KEY_BYTES:
-            raise InvalidChangeError(f"a key of {len(name)} bytes")
+            raise InvalidChangeError(f"key of {len(name)} bytes; expected 1 to {MAX_KEY_BYTES} bytes")
         parts.append(_KEY.pack(_DELETE if value is None else _PUT, len(name)) + name)
         if value is not None:
             parts.append(_SIZE.pack(len(value)) + value)
@@ -211,18 +217,18 @@
 
 
 def read_changes(payload: bytes) -> Changes:
-    """The changes of a record's payload, or CorruptRecordError."""
+    """Parses the changes in the payload of a record. Raises CorruptRecordError."""
     changes = {}
     offset = 0
     while offset < len(payload):
         if len(payload) - offset < _KEY.size:
-            raise CorruptRecordError("a change that is cut off")
+            raise CorruptRecordError("truncated change")
         action, length = _KEY.unpack_from(payload, offset)
         offset += _KEY.size
         name = payload[offset : offset + length]
         offset += length
         if action not in (_PUT, _DELETE) or len(name) != length or not 1 <= length <= MAX_KEY_BYTES:
-            raise CorruptRecordError("a change that makes no sense")
+            raise CorruptRecordError("change with an invalid action or key")
         value = None
         if action == _PUT:
             value = _read_value(payload, offset)
@@ -230,22 +236,22 @@
         try:
             changes[name.decode()] = value
         except UnicodeDecodeError:
-            raise CorruptRecordError("a key that is no text") from None
+            raise CorruptRecordError("key is not valid UTF-8") from None
     return changes
 
 
 def _read_value(payload, offset):
     if len(payload) - offset < _SIZE.size:
-        raise CorruptRecordError("a change that is cut off")
+        raise CorruptRecordError("truncated change")
     (size,) = _SIZE.unpack_from(payload, offset)
     value = payload[offset + _SIZE.size : offset + _SIZE.size + size]
     if len(value) != size:
-        raise CorruptRecordError("a change that is cut off")
+        raise CorruptRecordError("truncated change")
     return value
 
 
 def apply_changes(state: dict[str, bytes], changes: Changes) -> None:
-    """Changes a state; None deletes a key."""
+    """Applies changes to a state in place; None deletes a key."""
     for key, value in changes.items():
         if value is None:
             state.pop(key, None)
@@ -254,17 +260,17 @@
 
 
 def section_size(key: str, value: bytes) -> int:
-    """Bytes that a section takes in a snapshot, with its frame."""
+    """Returns the bytes that a section takes in a snapshot, including its frame."""
     return FRAME_BYTES + _KEY.size + len(key.encode()) + _SIZE.size + len(value)
 
 
 def state_size(state: dict[str, bytes]) -> int:
-    """Bytes that all sections take in a snapshot."""
+    """Returns the bytes that all sections take in a snapshot."""
     return sum(section_size(key, value) for key, value in state.items())
 
 
 def encode_snapshot(header: FileHeader, state: dict[str, bytes]) -> Iterator[bytes]:
-    """A whole snapshot, piece by piece: a record for each section and one that says how many there were."""
+    """Yields a snapshot in parts: header, one record per section, and an end record with their number."""
     first, seed = encode_header(header)
     yield first
     number = 0
@@ -274,7 +280,7 @@
 
 
 def encode_journal_records(seed: int, numbered_payloads: Iterable[tuple[int, bytes]]) -> list[bytes]:
-    """The records of changes, as (number, payload), in a journal with that seed."""
+    """Encodes changes, given as (number, payload), as records of a journal with that seed."""
     return [
         encode_record(seed, Record(number, RecordKind.CHANGE, payload))
         for number, payload in numbered_payloads
@@ -282,7 +288,7 @@
 
 
 def read_snapshot(data: bytes) -> SnapshotContent:
-    """A snapshot, which is whole or nothing; CorruptRecordError or NewerFormatError."""
+    """Parses a snapshot. Raises CorruptRecordError unless it is complete and intact, or NewerFormatError."""
     header, size, seed = read_header(data)
     if header.kind != FileKind.SNAPSHOT:
         raise CorruptRecordError("not a snapshot")
@@ -290,7 +296,7 @@
     if reason:
         raise CorruptRecordError(f"after record {len(records)}: {reason}")
     if not records or not _is_end_of(records[-1], len(records) - 1):
-        raise CorruptRecordError("it has no end")
+        raise CorruptRecordError("missing end record")
     state = {}
     for record in records[:-1]:
         if record.kind != RecordKind.CHANGE:
@@ -304,19 +310,22 @@
 
 
 def read_journal(data: bytes) -> JournalContent:
-    """A journal as far as it is intact; CorruptRecordError (its header) or NewerFormatError."""
+    """Parses a journal as far as it is intact.
+
+    Raises CorruptRecordError for its header, or NewerFormatError.
+    """
     header, size, seed = read_header(data)
     if header.kind != FileKind.JOURNAL:
         raise CorruptRecordError("not a journal")
     records, end, reason = read_records(data, size, seed, header.base_number + 1)
     journal = JournalContent(header, skipped_bytes=len(data) - end, reason=reason)
-    for place, record in enumerate(records):
+    for index, record in enumerate(records):
         try:
             if record.kind != RecordKind.CHANGE:
-                raise CorruptRecordError(f"a record of kind {record.kind}")
+                raise CorruptRecordError(f"record {record.number} of kind {record.kind}")
             journal.changes.append(read_changes(record.payload))
         except CorruptRecordError as error:
             journal.reason = str(error)
-            journal.skipped_bytes += sum(FRAME_BYTES + len(left.payload) for left in records[place:])
+            journal.skipped_bytes += sum(FRAME_BYTES + len(skipped.payload) for skipped in records[index:])
             break
     return journal
--- a/lichenquay/storage/recovery.py
+++ b/lichenquay/storage/recovery.py
@@ -1,4 +1,4 @@
-"""What a store's files say together: the newest intact snapshot, then the journals that follow it."""
+"""Recovery of a store's state: the newest intact snapshot, then the journals that follow it."""
 
 import errno
 from dataclasses import dataclass, field
@@ -10,29 +10,29 @@
 from lichenquay.storage.file_system import READ_FLAGS, FileSystem, close_quietly
 from lichenquay.storage.record_format import FileKind
 
-MAX_FILE_BYTES = 64 << 20  # read of one file; a store makes none as large
-READ_BYTES = 1 << 20  # at a time
+MAX_FILE_BYTES = 64 << 20  # read of one file; the files that a store writes are smaller
+READ_CHUNK_BYTES = 1 << 20  # per read call
 MAX_GENERATIONS_READ = 4096  # newest first
 MAX_SKIPPED_LINES = 8
 
 
 @dataclass
 class Recovery:
-    """What recovery found."""
+    """The result of recovery."""
 
     tolerates_errors: bool = False
     state: dict[str, bytes] = field(default_factory=dict)
-    number: int = 0  # of the last record in `state`
-    generations: list[int] = field(default_factory=list)  # that `state` came from, ascending
-    highest_generation: int = 0  # of any file with an intact header
-    damaged_files: set[str] = field(default_factory=set)  # skipped in part or whole
-    skipped_files: list[str] = field(default_factory=list)  # a line on each, the first few
+    last_record_number: int = 0  # in `state`
+    generations: list[int] = field(default_factory=list)  # used for `state`, ascending
+    highest_generation: int = 0  # of all files with an intact header
+    corrupt_files: set[str] = field(default_factory=set)  # skipped partly or entirely
+    skipped_files: list[str] = field(default_factory=list)  # one line per file, at most MAX_SKIPPED_LINES
     skipped_bytes: int = 0
-    has_read_errors: bool = False  # and they were tolerated
+    has_read_errors: bool = False  # that were tolerated
 
     def skip(self, name: str, reason: str, size: int) -> None:
-        """Records that a file was skipped, in part or whole."""
-        self.damaged_files.add(name)
+        """Records that a file was skipped partly or entirely."""
+        self.corrupt_files.add(name)
         self.skipped_bytes += size
         if len(self.skipped_files) < MAX_SKIPPED_LINES:
             self.skipped_files.append(f"{name}: {reason}")
@@ -43,11 +43,11 @@
 ) -> Recovery:
     """Reads the files of a store.
 
-    `tolerates_errors`: a file that the disk cannot read (EIO) counts as damaged. A disk that fails as a
-    whole for a while would cost the newest generation that way, so the first attempts tolerate none.
+    `tolerates_errors`: a file that the disk cannot read (EIO) is treated as corrupt. As this would lose the
+    newest generation while the whole disk fails temporarily, the first recoveries do not tolerate errors.
 
-    Raises UnusableStoreError where some file is of another fleet or process or of a newer version, OSError
-    where the folder cannot be read now.
+    Raises UnusableStoreError if a file belongs to another fleet or process or has a newer version, OSError if
+    the folder cannot be read now.
     """
     return _Reader(file_system, path, Recovery(tolerates_errors)).read(fleet, process_name)
 
@@ -67,13 +67,13 @@
             if kind is FileKind.JOURNAL and generation >= first:
                 self._read_journal(generation, headers[generation, kind])
         if recovery.has_read_errors and not recovery.generations:
-            raise OSError(errno.EIO, "nothing of it can be read")
+            raise OSError(errno.EIO, "no snapshot or journal can be read")
         return recovery
 
     def _read_headers(self, fleet, process_name):
-        """{(generation, kind): header} of the files with an intact header.
+        """Returns {(generation, kind): header} of the files with an intact header.
 
-        All are read before anything is changed, so that a refused folder stays as it is.
+        All headers are read before anything is changed, so that a rejected folder stays unchanged.
         """
         headers = {}
         files = [file for file in store_files(self.file_system.listdir(self.path)) if file.is_readable]
@@ -85,24 +85,26 @@
             if header is None:
                 continue
             if header.fleet != fleet:
-                raise UnusableStoreError(f"folder {self.path} is of fleet {header.fleet!r}, not {fleet!r}")
+                raise UnusableStoreError(
+                    f"folder {self.path} belongs to fleet {header.fleet!r}, not {fleet!r}"
+                )
             if header.process_name != process_name:
                 raise UnusableStoreError(
-                    f"folder {self.path} is of front {header.process_name!r}, not {process_name!r}"
+                    f"folder {self.path} belongs to process {header.process_name!r}, not {process_name!r}"
                 )
             headers[file.generation, file.kind] = header
             self.recovery.highest_generation = max(self.recovery.highest_generation, file.generation)
         return headers
 
     def _read_header(self, file):
-        """The header of a file; None where it is damaged or another file's."""
+        """Returns the header of a file; None if it is corrupt or does not match the file's name."""
         data = self._content(file.name, record_format.MAX_HEADER_BYTES)
         try:
             header = record_format.read_header(data).header
             if (header.kind, header.generation) != (file.kind, file.generation):
-                raise CorruptRecordError("it has another file's header")
+                raise CorruptRecordError("header does not match the file name")
         except NewerFormatError as error:
-            raise UnusableStoreError(f"folder {self.path}: {file.name} is of {error}") from None
+            raise UnusableStoreError(f"folder {self.path}: {file.name} has format {error}") from None
         except CorruptRecordError as error:
             self.recovery.skip(file.name, str(error), len(data))
             return None
@@ -119,17 +121,17 @@
                 self.recovery.skip(name, str(error), len(data))
                 continue
             self.recovery.state = snapshot.state
-            self.recovery.number = snapshot.header.base_number
+            self.recovery.last_record_number = snapshot.header.base_number
             self.recovery.generations = [generation]
             return
 
     def _read_journal(self, generation, header):
-        """A journal that does not begin where the state ends belongs to another past, and is skipped."""
+        """Applies a journal, or skips it if it does not start at the record where the state ends."""
         recovery = self.recovery
         name = file_name(generation, FileKind.JOURNAL)
         data = self._content(name, MAX_FILE_BYTES)
-        if header.base_number != recovery.number:
-            reason = f"it follows record {header.base_number}, the state ends at {recovery.number}"
+        if header.base_number != recovery.last_record_number:
+            reason = f"follows record {header.base_number}, the state ends at {recovery.last_record_number}"
             recovery.skip(name, reason, len(data))
             return
         try:
@@ -139,21 +141,25 @@
             return
         for changes in journal.changes:
             record_format.apply_changes(recovery.state, changes)
-        recovery.number += len(journal.changes)
+        recovery.last_record_number += len(journal.changes)
         if generation not in recovery.generations:
             recovery.generations.append(generation)
         if journal.reason:
-            reason = f"{journal.skipped_bytes} bytes after record {recovery.number}: {journal.reason}"
+            last_number = recovery.last_record_number
+            reason = f"{journal.skipped_bytes} bytes after record {last_number}: {journal.reason}"
             recovery.skip(name, reason, journal.skipped_bytes)
 
     def _content(self, name, max_bytes):
-        """Up to `max_bytes` of a file. Where errors are tolerated, what cannot be read counts as cut off."""
+        """Returns up to `max_bytes` of a file.
+
+        If errors are tolerated, a read error truncates the content.
+        """
         parts = []
         descriptor = None
         try:
             descriptor = self.file_system.open(join(self.path, name), READ_FLAGS)
             while max_bytes > 0:
-                part = self.file_system.read(descriptor, min(max_bytes, READ_BYTES))
+                part = self.file_system.read(descriptor, min(max_bytes, READ_CHUNK_BYTES))
                 if not part:
                     break
                 parts.append(part)
--- a/lichenquay/storage/store.py
+++ b/lichenquay/storage/store.py
@@ -1,8 +1,7 @@
 """The durable store of one process: named sections of bytes.
 
-Format: record_format.py; design: docs/design/storage.md.
-Blocking: its host calls it from a thread of its own (writer.py). Times are milliseconds of the host's
-monotonic clock.
+Format: record_format.py; design: docs/design/storage.md. The calls block, so the host makes them from a
+separate thread (writer.py). Times are milliseconds of the host's monotonic clock.
 """
 
 import errno
@@ -19,27 +18,27 @@
 from lichenquay.storage.record_format import Changes
 from lichenquay.storage.recovery import MAX_FILE_BYTES, recover
 
-# Three snapshots and two journals may be there at once, and three damaged files that are set aside.
-CAPACITY_SHARES = 8
-MIN_SHARE_BYTES = 4096
-MAX_SHARE_BYTES = MAX_FILE_BYTES // 2
-STRICT_ATTEMPTS = 6  # of reading, 16 s, before bytes that cannot be read are given up
+# At most three snapshots, two journals and three corrupt files set aside exist at the same time.
+CAPACITY_DIVISOR = 8
+MIN_FILE_CAPACITY_BYTES = 4096
+MAX_FILE_CAPACITY_BYTES = MAX_FILE_BYTES // 2
+STRICT_ATTEMPTS = 6  # to read, in about 16 s, before unreadable bytes are skipped
 FIRST_RETRY_MS = 250.0
 MAX_RETRY_MS = 30_000.0
 
 
 class DurableStore:
-    """Durable sections: `append` accepts changes, atomic each; `flush` makes all of them durable.
+    """A durable store of sections: `append` accepts atomic changes, `flush` makes all of them durable.
 
-    `state`: what is stored.
-    `is_open`: it was read.
-    `is_durable`: all of it is on disk by this process's own fsync.
+    `state`: the stored sections.
+    `is_open`: whether the stored state has been read.
+    `is_durable`: whether this process has fsynced all of the state.
     `last_error`: one line, or None.
-    `due_ms`: when the next attempt may be made.
-    `skipped_files`, `skipped_bytes`: what of the files was not read at opening.
+    `due_ms`: when the next attempt after a failure may be made.
+    `skipped_files`, `skipped_bytes`: the parts of the files that were skipped at opening.
 
-    Opening raises UnusableStoreError, and InvalidChangeError for a bound that is not valid; a disk that
-    fails does not raise then, it is a `last_error`. `flush` raises NotStoredError.
+    Opening raises UnusableStoreError, and InvalidChangeError for a capacity that is out of range; a disk
+    failure then does not raise but sets `last_error`. `flush` raises NotStoredError.
     """
 
     def __init__(
@@ -51,24 +50,26 @@
         file_system: FileSystem | None = None,
         now_ms: float = 0.0,
     ):
-        """`fleet` and `name`: whose folder it is. `max_bytes`: of all files together."""
-        share = max_bytes // CAPACITY_SHARES
-        if not MIN_SHARE_BYTES <= share <= MAX_SHARE_BYTES:
-            lowest = MIN_SHARE_BYTES * CAPACITY_SHARES
-            highest = MAX_SHARE_BYTES * CAPACITY_SHARES
-            raise InvalidChangeError(f"a folder's bound is from {lowest} to {highest} bytes")
+        """Opens the store of the process `name` of a fleet. `max_bytes`: limit of all files together."""
+        file_capacity_bytes = max_bytes // CAPACITY_DIVISOR
+        if not MIN_FILE_CAPACITY_BYTES <= file_capacity_bytes <= MAX_FILE_CAPACITY_BYTES:
+            lowest = MIN_FILE_CAPACITY_BYTES * CAPACITY_DIVISOR
+            highest = MAX_FILE_CAPACITY_BYTES * CAPACITY_DIVISOR
+            raise InvalidChangeError(
+                f"max_bytes of folder {path}: {max_bytes}; expected {lowest} to {highest} bytes"
+            )
         self.path = abspath(path)
         self.fleet = fleet
         self.name = name
-        self.max_batch_bytes = share - record_format.MAX_HEADER_BYTES
-        self._max_journal_bytes = share
+        self.max_batch_bytes = file_capacity_bytes - record_format.MAX_HEADER_BYTES
+        self._max_journal_bytes = file_capacity_bytes
         self._file_system = file_system or FileSystem()
         self._state = {}
         self.state = MappingProxyType(self._state)
         self._pending = PendingChanges(self.path, self._state, self.max_batch_bytes)
         self._directory = StoreDirectory(self._file_system, self.path)
         self._generations = Generations(self._file_system, self._directory, fleet, name)
-        self.number = 0  # of the last record given out
+        self.last_record_number = 0  # the last one assigned
         self.is_open = False
         self.is_durable = False
         self.is_closed = False
@@ -76,10 +77,10 @@
         self.due_ms = 0.0
         self._retry_ms = FIRST_RETRY_MS
         self._failed_attempts = 0  # since the last success
-        self.failures = 0  # in all
+        self.failures = 0  # in total
         self.skipped_files = []
         self.skipped_bytes = 0
-        self.incarnation = 0  # the last one given, see incarnation.py
+        self.incarnation = 0  # the last one returned, see incarnation.py
         try:
             self._open()
         except OSError as error:
@@ -90,34 +91,34 @@
 
     @property
     def generation(self) -> int:
-        """The generation that is written."""
+        """The number of the generation that is being written."""
         return self._generations.current
 
     def append(self, changes: Changes) -> int:
         """Appends {key: bytes, or None to delete it} as one record and returns the record's number.
 
-        Nothing is stored before `flush`.
-        Errors: CapacityExceededError, NotStoredError; InvalidChangeError for a key that is empty or too long.
+        Nothing is stored before `flush`. Raises CapacityExceededError, NotStoredError, or InvalidChangeError
+        for a key that is empty or too long.
         """
         if not self.is_open or self.is_closed:
             raise NotStoredError(self._unavailable_reason)
-        self._pending.add(self.number + 1, changes)
-        self.number += 1
-        return self.number
+        self._pending.add(self.last_record_number + 1, changes)
+        self.last_record_number += 1
+        return self.last_record_number
 
     def flush(self, now_ms: float) -> int:
-        """Makes all that was appended durable, or raises NotStoredError. The number of the last record."""
+        """Makes all appended records durable and returns the last record number. Raises NotStoredError."""
         if self._pending or not self.is_durable:
             self._commit(now_ms, as_new_generation=False)
-        return self.number
+        return self.last_record_number
 
     def compact(self, now_ms: float) -> int:
-        """As `flush`, by a new generation."""
+        """Makes all appended records durable as `flush` does, but always writes a new generation."""
         self._commit(now_ms, as_new_generation=True)
-        return self.number
+        return self.last_record_number
 
     def retry(self, now_ms: float) -> bool:
-        """Tries again after a failure, if it is time. True: the store works now."""
+        """Retries after a failure once `due_ms` is reached. Returns whether the store has no error."""
         if self.last_error and not self.is_closed and now_ms >= self.due_ms:
             try:
                 self._commit(now_ms, as_new_generation=True)
@@ -126,7 +127,7 @@
         return self.last_error is None
 
     def close(self) -> None:
-        """Releases the lock. What was not flushed is not stored."""
+        """Releases the lock. Records that were not flushed are lost."""
         self.is_closed = True
         self._pending.drop()
         self._generations.close_journal()
@@ -144,7 +145,7 @@
             if not self.is_open:
                 self._open()
             elif as_new_generation or not self._fits_journal():
-                self._directory.enter(self._check_history)
+                self._directory.ensure_locked(self._check_history)
                 self._begin_generation()
             else:
                 self._generations.append(self._pending.payloads())
@@ -172,9 +173,10 @@
         self._failed_attempts = 0
 
     def _record_failure(self, now_ms, error):
-        """What a failed write or fsync left is unknown: part of a record, or all in the page cache alone.
+        """Records a failed write or fsync and sets the time of the retry.
 
-        So its journal is never written again, and the next generation begins from memory under a number that
+        What the failure left is unknown: part of a record, or all of it but only in the page cache. So the
+        journal is never written again, and the next generation starts from memory with a record number that
         continues no journal.
         """
         self.failures += 1
@@ -185,47 +187,50 @@
             self.last_error = f"folder {self.path}: {error.strerror or error}"
         self._generations.close_journal()
         self._pending.drop()
-        self.number += 1
+        self.last_record_number += 1
         self.due_ms = now_ms + self._retry_ms
         self._retry_ms = min(2 * self._retry_ms, MAX_RETRY_MS)
 
     def _open(self):
-        self._directory.enter(self._check_history)
+        self._directory.ensure_locked(self._check_history)
         recovery = self._recover()
         self._state.update(recovery.state)
         self._pending.measure_state()
-        self.number = max(self.number, recovery.number)
+        self.last_record_number = max(self.last_record_number, recovery.last_record_number)
         self._generations.adopt(recovery)
         self.skipped_files = recovery.skipped_files
         self.skipped_bytes = recovery.skipped_bytes
         self.is_open = True
-        # What was read may be in the page cache alone, left by a process that was killed before its fsync:
-        # all is written anew.
+        # The state that was read may be only in the page cache, if its writer was killed before its fsync, so
+        # all of it is rewritten.
         try:
             self._begin_generation()
-            if recovery.damaged_files:
-                # The damaged files can be fallen back to no more: now there are two intact generations again.
+            if recovery.corrupt_files:
+                # The corrupt files are no fallback; a second new generation restores two intact ones.
                 self._begin_generation()
         except OSError:
-            if recovery.has_read_errors:  # the disk fails as a whole: its files may be intact
+            if recovery.has_read_errors:  # the whole disk fails: its files may be intact
                 self.is_open = False
                 self._state.clear()
             raise
         self._record_success()
 
     def _recover(self):
-        is_patient = self._failed_attempts >= STRICT_ATTEMPTS
-        return recover(self._file_system, self.path, self.fleet, self.name, tolerates_errors=is_patient)
+        tolerates_errors = self._failed_attempts >= STRICT_ATTEMPTS
+        return recover(self._file_system, self.path, self.fleet, self.name, tolerates_errors=tolerates_errors)
 
     def _check_history(self):
-        """The folder may have been replaced while this process ran, and another has written there."""
+        """Raises UnusableStoreError if another process has written newer generations to the folder.
+
+        The folder may have been replaced while this process was running.
+        """
         if not self.is_open:
             return
         recovery = self._recover()
         if recovery.highest_generation > self._generations.highest:
-            raise UnusableStoreError(f"folder {self.path}: another process has written it meanwhile")
-        self._generations.damaged_files = recovery.damaged_files
+            raise UnusableStoreError(f"folder {self.path}: another process has written to it meanwhile")
+        self._generations.corrupt_files = recovery.corrupt_files
 
     def _begin_generation(self):
-        base_number = self.number - len(self._pending)
+        base_number = self.last_record_number - len(self._pending)
         self._generations.begin(self._state, base_number, self._pending.payloads())
--- a/lichenquay/storage/writer.py
+++ b/lichenquay/storage/writer.py
@@ -1,4 +1,4 @@
-"""A thread that writes a store, so that its host never waits for a disk.
+"""A thread that writes a store, so that its host never blocks on disk I/O.
 
 Times are milliseconds of the host's monotonic clock.
 """
@@ -15,33 +15,33 @@
 from lichenquay.storage.store import DurableStore
 
 MAX_QUEUED_WRITES = 1024
-LOG_INTERVAL_MS = 60_000.0  # at most one line of a kind
-CHANGE_OVERHEAD_BYTES = 32  # of a section in the queue, at most
-MAX_UTF8_BYTES = 4  # of a character
+LOG_INTERVAL_MS = 60_000.0  # minimum interval between log lines of one kind
+CHANGE_OVERHEAD_BYTES = 32  # maximum overhead per section in the queue
+MAX_UTF8_BYTES = 4  # per character
 
 
-class RateLimit:
-    """Allows one log line in LOG_INTERVAL_MS, and counts what happened since."""
+class LogRateLimit:
+    """A limit of one log line per LOG_INTERVAL_MS, which counts the events between the lines."""
 
     def __init__(self):
-        """Allows the first at once."""
-        self.last_ms = None
-        self.since = 0
-
-    def count(self, now_ms: float) -> int:
-        """Counts one more event: how many since the last line if a line may be written now, else 0."""
-        self.since += 1
-        if self.last_ms is not None and now_ms - self.last_ms < LOG_INTERVAL_MS:
+        """Allows the first line immediately."""
+        self.last_line_ms = None
+        self.events_since_line = 0
+
+    def count_event(self, now_ms: float) -> int:
+        """Counts an event. Returns the events since the last line if a line may be written now, else 0."""
+        self.events_since_line += 1
+        if self.last_line_ms is not None and now_ms - self.last_line_ms < LOG_INTERVAL_MS:
             return 0
-        self.last_ms = now_ms
-        since = self.since
-        self.since = 0
-        return since
+        self.last_line_ms = now_ms
+        event_count = self.events_since_line
+        self.events_since_line = 0
+        return event_count
 
 
 @dataclass(eq=False, slots=True)
 class QueuedWrite:
-    """One `store` of the host. `is_stored`: None until the writer's thread is done with it."""
+    """One `store` call of the host. `is_stored`: None until the writer thread has handled it."""
 
     changes: Changes
     on_result: Callable[[bool], None]
@@ -51,11 +51,11 @@
 
 
 class StoreWriter:
-    """Writes the changes of its host in a thread of its own.
+    """A writer of its host's changes, with its own thread.
 
-    `store(changes, on_result)`: on_result(True) when they are on disk, on_result(False) when that is not
-    known; each exactly once, in the order of the calls, in the host's thread. All methods are for that
-    thread.
+    `store(changes, on_result)` calls on_result(True) once the changes are on disk, or on_result(False) if
+    that is not known: exactly once per call, in the order of the calls, in the host's thread. All public
+    methods must be called from that thread.
     """
 
     def __init__(
@@ -67,11 +67,10 @@
         log=None,
         max_queued: int = MAX_QUEUED_WRITES,
     ):
-        """`store`: from now on the writer's thread's alone.
+        """Starts the thread, which owns `store` from now on.
 
-        `call_in_host(function, *arguments)` brings a call to the host's thread. `now_ms`: a function that
-        any thread may call. `on_open(state)`: called once, where the store could not be read at the start,
-        when it has been.
+        `call_in_host(function, *arguments)` schedules a call in the host's thread. `now_ms` is thread-safe.
+        `on_open(state)`: if the store could not be read at the start, called once when it has been read.
         """
         self._store = store
         self._call_in_host = call_in_host
@@ -80,16 +79,16 @@
         self._log = (log or structlog.get_logger()).bind(member=store.name)
         self._max_queued = max_queued
         self._max_queued_bytes = store.max_batch_bytes
-        self._changed = threading.Condition()
+        self._condition = threading.Condition()
         self._queue = deque()
         self._queued_bytes = 0
         self._is_closing = False
-        self._unanswered = deque()  # of the host's thread alone
+        self._unanswered = deque()  # used only in the host's thread
         self._busy_since_ms = None
-        self._is_open = store.is_open  # of the host's thread
-        self._has_reported_open = store.is_open  # of the writer's thread
-        self._queue_full_limit = RateLimit()
-        self._rejected_limit = RateLimit()
+        self._is_open = store.is_open  # used only in the host's thread
+        self._has_reported_open = store.is_open  # used only in the writer thread
+        self._queue_full_limit = LogRateLimit()
+        self._rejected_limit = LogRateLimit()
         self._reported_failure_ms = -LOG_INTERVAL_MS
         self._unreported_failures = 0
         self._was_failing = False
@@ -107,7 +106,7 @@
         self.last_error = store.last_error  # one line, or None
         if store.skipped_files:
             self._log.warning(
-                "folder: files left out",
+                "folder: files skipped",
                 files=store.skipped_files,
                 bytes=store.skipped_bytes,
                 generation=store.generation,
@@ -120,8 +119,8 @@
     def store(self, changes: Changes, on_result: Callable[[bool], None]) -> None:
         """Queues changes; `on_result(is_stored)` is called once.
 
-        The queue is bounded, also while a disk stalls: what does not fit has its result at once, and so
-        have changes of sections that nobody could read yet.
+        The queue is bounded, also while a disk stalls. Changes that do not fit fail immediately, and so do
+        changes before the stored state could be read.
         """
         if not self._is_open:
             self.counts["before_open"] += 1
@@ -137,42 +136,45 @@
             on_result(False)
 
     def _enqueue(self, write):
-        with self._changed:
-            has_room = len(self._queue) < self._max_queued
-            has_bytes = self._queued_bytes + write.size_bytes <= self._max_queued_bytes or not self._queue
-            if self._is_closing or not has_room or not has_bytes:
+        with self._condition:
+            fits_count = len(self._queue) < self._max_queued
+            fits_bytes = self._queued_bytes + write.size_bytes <= self._max_queued_bytes or not self._queue
+            if self._is_closing or not fits_count or not fits_bytes:
                 return False
             self._unanswered.append(write)
             self._queue.append(write)
             self._queued_bytes += write.size_bytes
-            self._changed.notify()
+            self._condition.notify()
             return True
 
     def _report_queue_full(self):
         now_ms = self._now_ms()
         if self._is_closing:
             return
-        times = self._queue_full_limit.count(now_ms)
+        times = self._queue_full_limit.count_event(now_ms)
         if times:
             stalled_ms = round(self.stalled_ms(now_ms))
             self._log.warning("folder: write queue is full", not_taken=times, stalled_ms=stalled_ms)
 
     def stalled_ms(self, now_ms: float) -> float:
-        """How long the disk has been at its present write; 0 if there is none."""
+        """Returns how long the current write has taken so far; 0 if there is none."""
         since_ms = self._busy_since_ms
         return 0.0 if since_ms is None else max(0.0, now_ms - since_ms)
 
     def queued_writes(self) -> int:
-        """How many writes have no result yet."""
+        """Returns the number of writes without a result."""
         return len(self._unanswered)
 
     def close(self, timeout_ms: float) -> bool:
-        """Writes what is queued, and ends; True if all was done in time. The rest is on_result(False)."""
-        with self._changed:
+        """Writes the queue and ends the thread.
+
+        Returns whether it ended in time; the rest gets on_result(False).
+        """
+        with self._condition:
             self._is_closing = True
-            self._changed.notify()
+            self._condition.notify()
         self._thread.join(timeout_ms / 1000)
-        with self._changed:
+        with self._condition:
             self._queue.clear()
         self._answer(list(self._unanswered))
         return not self._thread.is_alive()
@@ -183,7 +185,7 @@
                 write.is_answered = True
                 try:
                     write.on_result(write.is_stored is True)
-                except Exception:  # an error of one callback must not leave the others without their result
+                except Exception:  # an error in one callback must not keep the others from their results
                     self._log.exception("folder: error in the callback of a write")
         while self._unanswered and self._unanswered[0].is_answered:
             self._unanswered.popleft()
@@ -193,7 +195,7 @@
         if self._on_open:
             self._on_open(state)
 
-    # From here on: the writer's thread.
+    # The methods below run in the writer thread.
 
     def _run(self):
         try:
@@ -203,7 +205,10 @@
             self._store.close()
 
     def _write_next_batch(self):
-        """Waits for writes or for the time to retry, and does it. False: there is nothing more to do."""
+        """Waits for writes or for a retry to be due, and performs it.
+
+        Returns False when the thread should end.
+        """
         batch = self._take_batch()
         if batch is None:
             return False
@@ -211,25 +216,25 @@
         self._busy_since_ms = began_ms
         try:
             self._write(batch, began_ms)
-        except Exception:  # an error of ours must not end the thread, and every later write with it
+        except Exception:  # a bug must not end the thread, which would fail every later write
             self._log.exception("folder: error in the writer")
         for write in batch:
             write.is_stored = write.is_stored is True
         ended_ms = self._now_ms()
         self._busy_since_ms = None
-        self._account(batch, began_ms, ended_ms)
+        self._record_batch(batch, began_ms, ended_ms)
         if batch:
             self._call_in_host(self._answer, batch)
         return True
 
     def _take_batch(self):
-        """The next writes, none where it is time to retry; None: the writer ends."""
-        with self._changed:
+        """Waits for and returns the next writes: empty if a retry is due, None if the thread should end."""
+        with self._condition:
             while not self._queue and not self._is_closing:
                 wait_ms = self._store.due_ms - self._now_ms() if self._store.last_error else None
                 if wait_ms is not None and wait_ms <= 0:
                     break
-                self._changed.wait(None if wait_ms is None else wait_ms / 1000)
+                self._condition.wait(None if wait_ms is None else wait_ms / 1000)
             if self._is_closing and not self._queue:
                 return None
             batch = []
@@ -247,31 +252,31 @@
         store = self._store
         if store.last_error and not store.retry(now_ms):
             return
-        taken = []
+        appended = []
         for write in batch:
             try:
                 store.append(write.changes)
-                taken.append(write)
+                appended.append(write)
             except NotStoredError:
                 continue
-            except Exception as error:  # beyond the capacity, or no valid change: it fails alone
+            except Exception as error:  # over capacity or invalid: only this change fails
                 self._count_rejected(now_ms, error)
-        if not taken:
+        if not appended:
             return
         try:
             store.flush(now_ms)
         except NotStoredError:
             return
-        for write in taken:
+        for write in appended:
             write.is_stored = True
 
     def _count_rejected(self, now_ms, error):
         self.counts["rejected"] += 1
-        times = self._rejected_limit.count(now_ms)
+        times = self._rejected_limit.count_event(now_ms)
         if times:
             self._log.warning("folder: change rejected", why=str(error), times=times)
 
-    def _account(self, batch, began_ms, ended_ms):
+    def _record_batch(self, batch, began_ms, ended_ms):
         store = self._store
         counts = self.counts
         stored = sum(write.is_stored for write in batch)
@@ -300,7 +305,7 @@
         self._unreported_failures = 0
 
     def _report_failure(self, now_ms):
-        """One line when it begins and one in LOG_INTERVAL_MS while it lasts."""
+        """Logs one line when a failure starts and one per LOG_INTERVAL_MS while it lasts."""
         if not self._was_failing or now_ms - self._reported_failure_ms >= LOG_INTERVAL_MS:
             self._log.warning(
                 "folder: does not store",
--- a/tests/storage_golden.py
+++ b/tests/storage_golden.py
@@ -1,4 +1,4 @@
-"""Scripted histories of a folder: every version with the format of revision 0018238 writes the same bytes."""
+"""Scripted histories of a folder. Every version with the format of revision 0018238 writes the same bytes."""
 
 from storage_real import open_store
 
@@ -7,11 +7,11 @@
 FLEET = "fleet-golden"
 NAME = "front-1"
 MAX_BYTES = 64 << 10
-CLOCKS_MS = (1_700_000_000_000, 1_600_000_000_000)  # the second start finds a clock that was set back
+CLOCKS_MS = (1_700_000_000_000, 1_600_000_000_000)  # the clock is set back before the second start
 
 
 def write_incarnation(path):
-    """Two starts of one process; the incarnations that it was given."""
+    """Writes two starts of one process; returns their incarnations."""
     numbers = []
     for unix_ms in CLOCKS_MS:
         store = open_store(path, NAME, FLEET, MAX_BYTES)
@@ -21,7 +21,7 @@
 
 
 def write_generations(path):
-    """Changes over several generations and two starts: sections put, replaced, deleted and empty."""
+    """Writes several generations in two starts: sections added, replaced, deleted and empty."""
     store = open_store(path, NAME, FLEET, MAX_BYTES)
     for step in range(8):
         store.append({f"owner/ledger/record/{step}": bytes([step]) * 5 * step, "last": b"%d" % step})
@@ -36,7 +36,7 @@
 
 
 def write_torn(path):
-    """As `write_generations`, and the first bytes of a record that power loss cut off."""
+    """Writes the same as `write_generations`, and the first bytes of a record truncated by a power loss."""
     write_generations(path)
     newest = max(path.glob("*.journal"))
     with open(newest, "ab") as journal:
@@ -47,16 +47,19 @@
 
 
 def files_of(path):
-    """{name: bytes} of a folder."""
+    """Returns {name: bytes} of a folder."""
     return {file.name: file.read_bytes() for file in sorted(path.iterdir())}
 
 
 def meaning_of(path):
-    """What the store reads in a folder, as plain data. Reading writes a new generation: give it a copy."""
+    """Returns the state that the store reads from a folder, as plain data.
+
+    Opening a store writes a new generation, so `path` should be a copy.
+    """
     store = open_store(path, NAME, FLEET, MAX_BYTES)
     meaning = {
         "sections": {key: value.hex() for key, value in sorted(store.state.items())},
-        "number": store.number,
+        "number": store.last_record_number,
         "generation": store.generation,
         "left_out": [line.partition(":")[0] for line in store.skipped_files],
         "left_bytes": store.skipped_bytes,
--- a/tests/storage_measure.py
+++ b/tests/storage_measure.py
@@ -1,4 +1,4 @@
-"""Times of a store on this machine's disk, not a test: python tests/storage_measure.py FOLDER."""
+"""Measures a store on this machine's disk; not a test. Usage: python tests/storage_measure.py FOLDER."""
 
 import queue
 import sys
@@ -15,26 +15,26 @@
 
 
 def now_ms():
-    """The monotonic clock."""
+    """Returns the time of the monotonic clock."""
     return time.monotonic() * 1000
 
 
 def open_store(path):
-    """A store with much room."""
-    return DurableStore(path, "fleet", "front", MAX_BYTES)
+    """Opens a store with a large capacity."""
+    return DurableStore(path, "fleet", "gateway", MAX_BYTES)
 
 
 def print_times(name, times_ms):
-    """Median, 99th percentile and maximum."""
+    """Prints median, 99th percentile and maximum."""
     times_ms = sorted(times_ms)
     count = len(times_ms)
     p50_ms = times_ms[count // 2]
     p99_ms = times_ms[min(count - 1, int(count * 0.99))]
-    print(f"{name}: p50 {p50_ms:.3f} ms, p99 {p99_ms:.3f} ms, most {times_ms[-1]:.3f} ms, of {count}")
+    print(f"{name}: p50 {p50_ms:.3f} ms, p99 {p99_ms:.3f} ms, max {times_ms[-1]:.3f} ms, n={count}")
 
 
 def measure_flushes(path, number=2000):
-    """One record and one fsync at a time."""
+    """Measures the time of one record and its fsync."""
     store = open_store(path / "one")
     times_ms = []
     for step in range(number):
@@ -47,7 +47,7 @@
 
 
 def measure_generations(path, sections, number=30):
-    """New generations of a state with many sections, and its opening."""
+    """Measures new generations of a state with many sections, and its opening."""
     path = path / f"many{sections}"
     store = open_store(path)
     for section in range(sections):
@@ -62,12 +62,12 @@
     store.close()
     began_ms = now_ms()
     open_store(path).close()
-    took_ms = now_ms() - began_ms
-    print(f"opening with {sections} sections, a new generation included: {took_ms:.1f} ms")
+    duration_ms = now_ms() - began_ms
+    print(f"opening with {sections} sections, a new generation included: {duration_ms:.1f} ms")
 
 
 def measure_writer(path, concurrency, number=4000):
-    """`concurrency` writes are open at any time: the next goes out as one has its result."""
+    """Measures the writer with a constant number of writes in flight."""
     calls = queue.SimpleQueue()
     result_times_ms = []
     call_times_ms = []
@@ -100,9 +100,9 @@
         function(*arguments)
     per_second = number / (now_ms() - began_ms) * 1000
     per_fsync = number / max(writer.counts["batches"], 1)
-    print(f"writer, {concurrency} open: {per_second:.0f} stores/s, {per_fsync:.1f} a fsync")
-    print_times("  until the result", result_times_ms)
-    print_times("  the host's thread in store()", call_times_ms)
+    print(f"writer, {concurrency} in flight: {per_second:.0f} stores/s, {per_fsync:.1f} per fsync")
+    print_times("  time to the result", result_times_ms)
+    print_times("  duration of store() in the host's thread", call_times_ms)
     writer.close(5000)
 
 
--- a/tests/storage_real.py
+++ b/tests/storage_real.py
@@ -1,4 +1,4 @@
-"""What the tests of a store on a real disk have in common."""
+"""Helpers for tests of a store on a real disk."""
 
 import os
 
@@ -7,13 +7,13 @@
 MAX_BYTES = 1 << 20
 
 
-def open_store(path, name="front", fleet="fleet", max_bytes=MAX_BYTES, **more):
-    """A store at a path."""
+def open_store(path, name="gateway", fleet="fleet", max_bytes=MAX_BYTES, **more):
+    """Opens the store at a path."""
     return DurableStore(path, fleet, name, max_bytes, **more)
 
 
 def write_two_generations(path, number=5):
-    """A closed store with two generations: `number` records, half of them before the newest snapshot."""
+    """Writes `number` records, half of them before the newest snapshot; returns the closed store."""
     store = open_store(path)
     for step in range(number):
         store.append({f"k{step % 3}": b"%d" % step, "last": b"%d" % step})
@@ -23,5 +23,5 @@
 
 
 def names_in(path):
-    """The names in a folder, sorted."""
+    """Returns the names in a folder, sorted."""
     return sorted(os.listdir(path))
--- a/tests/storage_sim.py
+++ b/tests/storage_sim.py
@@ -1,4 +1,4 @@
-"""A disk in memory that fails, tears and loses power on demand, behind the calls of `storage.file_system`."""
+"""A simulated disk with failing calls, torn writes and power loss, with the interface of FileSystem."""
 
 import errno
 import os
@@ -15,12 +15,12 @@
 FIRST_DESCRIPTOR = 101
 
 
-class PowerOff(BaseException):
-    """The process is no more."""
+class PowerLoss(BaseException):
+    """The process ends by a power loss. As a BaseException it is not handled by the code under test."""
 
 
 class WriteState(Enum):
-    """What became of a write."""
+    """The state of a write."""
 
     DIRTY = "in the page cache"
     DURABLE = "on disk"
@@ -28,7 +28,7 @@
 
 
 class Survival(Enum):
-    """How much of what no fsync has made durable is there after a power loss, be it of names or of bytes."""
+    """How many of the names and bytes that are not durable by an fsync survive a power loss."""
 
     NONE = "none"
     SOME = "some"
@@ -44,23 +44,23 @@
     state: WriteState = WriteState.DIRTY
 
     def copy(self):
-        """The same write, to be changed on its own."""
+        """Returns an independent copy."""
         return Write(self.offset, self.data, self.state)
 
 
 class File:
-    """A file, as the writes that it had."""
+    """A file, represented by its writes."""
 
     def __init__(self, writes=()):
-        """`writes`: in their order."""
+        """Holds `writes`, in their order."""
         self.writes = list(writes)
 
     def copy(self):
-        """The same file on another disk."""
+        """Returns an independent copy."""
         return File(write.copy() for write in self.writes)
 
     def content(self, surviving=lambda write: write.data):
-        """The bytes, where `surviving(write)` is left of each write."""
+        """Returns the bytes, of which `surviving(write)` is left of each write."""
         content = bytearray(max((write.offset + len(write.data) for write in self.writes), default=0))
         end = 0
         for write in self.writes:
@@ -70,8 +70,8 @@
                 end = max(end, write.offset + len(data))
         return bytes(content[:end])
 
-    def settle(self, state):
-        """What is dirty has become `state`."""
+    def resolve_dirty_writes(self, state):
+        """Sets the state of all dirty writes."""
         for write in self.writes:
             if write.state is WriteState.DIRTY:
                 write.state = state
@@ -79,77 +79,77 @@
 
 @dataclass(frozen=True)
 class SetName:
-    """A name refers to a node."""
+    """A change that lets a name refer to a node."""
 
     name: str
     node: int
 
     def apply(self, entries):
-        """Changes the entries of a directory."""
+        """Applies the change to the entries of a directory."""
         entries[self.name] = self.node
 
 
 @dataclass(frozen=True)
 class DeleteName:
-    """A name is no more."""
+    """A change that removes a name."""
 
     name: str
 
     def apply(self, entries):
-        """Changes the entries of a directory."""
+        """Applies the change to the entries of a directory."""
         entries.pop(self.name, None)
 
 
 @dataclass(frozen=True)
 class RenameNode:
-    """A node has another name."""
+    """A change that renames a node."""
 
     old: str
     new: str
     node: int
 
     def apply(self, entries):
-        """Changes the entries of a directory."""
+        """Applies the change to the entries of a directory."""
         entries.pop(self.old, None)
         entries[self.new] = self.node
 
 
 class Directory:
-    """A directory: its entries as seen, those on disk, and the changes since."""
+    """A directory: its current entries, those on disk, and the changes between them."""
 
     def __init__(self, current=(), durable=(), changes=()):
-        """`current` and `durable`: {name: node}."""
+        """Holds the entries; `current` and `durable`: {name: node}."""
         self.current = dict(current)
         self.durable = dict(durable)
         self.changes = list(changes)
 
     def copy(self):
-        """The same directory on another disk."""
+        """Returns an independent copy."""
         return Directory(self.current, self.durable, self.changes)
 
     def change(self, change):
-        """Changes the entries; not on disk yet."""
+        """Applies a change that is not on disk yet."""
         self.changes.append(change)
         change.apply(self.current)
 
     def sync(self):
-        """The entries are on disk."""
+        """Makes the entries durable."""
         self.durable = dict(self.current)
         self.changes = []
 
 
 class Disk:
-    """What is on a disk and in its page cache."""
+    """The content of a disk and of its page cache."""
 
     def __init__(self):
-        """An empty disk under /disk."""
+        """Starts with an empty directory /disk."""
         root = Directory({"disk": DISK_NODE}, {"disk": DISK_NODE})
         self.nodes = {ROOT_NODE: root, DISK_NODE: Directory()}
         self.next_node = FIRST_FREE_NODE
         self.locks = {}
 
     def find(self, path):
-        """The node of a path."""
+        """Returns the node number of a path."""
         number = ROOT_NODE
         for part in [part for part in path.split("/") if part]:
             node = self.nodes[number]
@@ -161,11 +161,11 @@
         return number
 
     def directory_of(self, path):
-        """The directory that has the name of a path."""
+        """Returns the directory that contains a path."""
         return self.nodes[self.find(dirname(path))]
 
     def add(self, path, node):
-        """A new node under a path; its number."""
+        """Adds a node at a path and returns its number."""
         number = self.next_node
         self.next_node += 1
         self.nodes[number] = node
@@ -173,14 +173,14 @@
         return number
 
     def after_kill(self):
-        """The process is gone, the machine runs on."""
+        """Returns the disk after the process is killed and the machine keeps running."""
         disk = Disk()
         disk.nodes = {number: node.copy() for number, node in self.nodes.items()}
         disk.next_node = self.next_node
         return disk
 
     def after_power_loss(self, rng, survival):
-        """What a restart of the machine finds."""
+        """Returns the disk after a power loss and a restart of the machine."""
         disk = self.after_kill()
         for number, node in disk.nodes.items():
             if isinstance(node, Directory):
@@ -196,7 +196,7 @@
 
 
 def surviving_bytes(write, rng, survival):
-    """What is left of a write after a power loss."""
+    """Returns the part of a write that survives a power loss."""
     if write.state is WriteState.DURABLE or survival is Survival.ALL:
         return write.data
     if survival is Survival.NONE:
@@ -213,14 +213,14 @@
 
 
 class SimulatedFileSystem:
-    """One process's calls.
+    """The system calls of one process on a simulated disk.
 
-    crash_at: PowerOff instead of that call. fails(number, name): an errno or None, asked before each call.
-    max_write_bytes: that one write takes (short writes).
+    `crash_at`: number of the call that raises PowerLoss. `fails(number, name)`: returns an errno or None for
+    each call. `max_write_bytes`: limit of one write (short writes).
     """
 
     def __init__(self, disk, crash_at=None, fails=None, max_write_bytes=None):
-        """A process that has nothing open."""
+        """Starts a process without open files."""
         self.disk = disk
         self.crash_at = crash_at
         self.fails = fails
@@ -231,7 +231,7 @@
 
     def _begin(self, name, *arguments):
         if len(self.calls) == self.crash_at:
-            raise PowerOff
+            raise PowerLoss
         self.calls.append((name, *arguments))
         error_number = self.fails(len(self.calls) - 1, name) if self.fails else None
         if not error_number:
@@ -239,11 +239,11 @@
         if name == "fsync":
             node = self.disk.nodes[self.descriptors[arguments[0]].node]
             if isinstance(node, File):
-                node.settle(WriteState.LOST)
+                node.resolve_dirty_writes(WriteState.LOST)
         raise OSError(error_number, os.strerror(error_number))
 
     def open(self, path, flags):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("open", path)
         try:
             number = self.disk.find(path)
@@ -259,7 +259,7 @@
         return descriptor
 
     def read(self, descriptor, size):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("read", descriptor)
         opened = self.descriptors[descriptor]
         data = self.disk.nodes[opened.node].content()[opened.offset : opened.offset + size]
@@ -267,7 +267,7 @@
         return data
 
     def write(self, descriptor, data):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("write", descriptor)
         data = bytes(data[: self.max_write_bytes])
         opened = self.descriptors[descriptor]
@@ -276,16 +276,16 @@
         return len(data)
 
     def fsync(self, descriptor):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("fsync", descriptor)
         node = self.disk.nodes[self.descriptors[descriptor].node]
         if isinstance(node, Directory):
             node.sync()
         else:
-            node.settle(WriteState.DURABLE)
+            node.resolve_dirty_writes(WriteState.DURABLE)
 
     def close(self, descriptor):
-        """As FileSystem's; on Linux a close that fails has closed."""
+        """Implements the call of FileSystem; as on Linux, a failing close still closes the descriptor."""
         try:
             self._begin("close", descriptor)
         except OSError:
@@ -299,40 +299,40 @@
             del self.disk.locks[node]
 
     def rename(self, old, new):
-        """As FileSystem's, within a directory."""
+        """Implements the call of FileSystem, only within a directory."""
         self._begin("rename", old, new)
         node = self.disk.find(old)
         self.disk.directory_of(old).change(RenameNode(basename(old), basename(new), node))
 
     def unlink(self, path):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("unlink", path)
         self.disk.find(path)
         self.disk.directory_of(path).change(DeleteName(basename(path)))
 
     def mkdir(self, path):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("mkdir", path)
         self.disk.add(path, Directory())
 
     def listdir(self, path):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("listdir", path)
         return list(self.disk.nodes[self.disk.find(path)].current)
 
     def stat(self, path):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("stat", path)
         node = self.disk.find(path)
         return FileIdentity(1, node, isinstance(self.disk.nodes[node], Directory))
 
     def fstat(self, descriptor):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("fstat", descriptor)
         return FileIdentity(1, self.descriptors[descriptor].node, False)
 
     def flock(self, descriptor):
-        """As FileSystem's."""
+        """Implements the call of FileSystem."""
         self._begin("flock", descriptor)
         node = self.descriptors[descriptor].node
         owner = (id(self), descriptor)
@@ -342,14 +342,14 @@
 
 
 class AllowedStates:
-    """The states that may be found: the last one stored, and any prefix of the records tried since."""
+    """The states that recovery may find: the last stored one with any prefix of the records since then."""
 
     def __init__(self):
-        """Nothing was stored."""
+        """Starts with the empty state."""
         self.states = [{}]
 
     def begin_attempt(self, state, batch):
-        """Before a flush of `batch` on `state`; the state after it."""
+        """Adds the states that a flush of `batch` on `state` may leave; returns the state if it succeeds."""
         state = dict(state)
         self.states.append(dict(state))
         for changes in batch:
@@ -358,9 +358,9 @@
         return state
 
     def record_stored(self, state):
-        """The flush succeeded."""
+        """Allows only `state`, after a successful flush."""
         self.states = [dict(state)]
 
     def check(self, state):
-        """Whether a state may be found."""
+        """Checks that a state is allowed."""
         assert dict(state) in self.states, (sorted(state), [sorted(known) for known in self.states])
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""A store on a real disk: what it keeps, what is refused, what is skipped."""
+"""A store on a real disk: stored state, rejected folders, skipped files."""
 
 import errno
 import os
@@ -27,8 +27,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_what_is_stored_is_there_again(tmp_path):
-    """And nothing that was not flushed."""
+def test_stored_records_survive_a_restart(tmp_path):
+    """Records that were not flushed do not."""
     store = open_store(tmp_path / "f")
     assert store.is_open
     assert store.is_durable
@@ -48,27 +48,27 @@
     assert again.append({"a": b"3"}) == 3
 
 
-def test_two_generations_are_kept(tmp_path):
-    """Each with a journal and a snapshot."""
+def test_two_generations_are_retained(tmp_path):
+    """Each has a journal and a snapshot."""
     store = open_store(tmp_path / "f")
     for step in range(5):
         store.append({"a": b"%d" % step})
         store.compact(0.0)
     newest = store.generation
-    kept = [
+    retained = [
         file_name(generation, kind)
         for generation in (newest - 1, newest)
         for kind in (FileKind.JOURNAL, FileKind.SNAPSHOT)
     ]
-    assert names_in(tmp_path / "f") == [*kept, "lock"]
+    assert names_in(tmp_path / "f") == [*retained, "lock"]
 
 
-def test_bound_in_bytes(tmp_path):
-    """What would pass the bound is refused whole; the folder never holds more, and can still be emptied."""
+def test_capacity_in_bytes(tmp_path):
+    """A change over the capacity is rejected; the folder never exceeds it, and sections can be deleted."""
     path = tmp_path / "f"
     store = open_store(path, max_bytes=64 << 10)
     rng = random.Random(1)
-    refused = 0
+    rejected = 0
     largest = 0
     for _ in range(600):
         key = f"k{rng.randrange(40)}"
@@ -77,19 +77,19 @@
             store.append({key: rng.randbytes(rng.randrange(700)) if rng.random() < 0.9 else None})
             store.flush(0.0)
         except CapacityExceededError:
-            refused += 1
+            rejected += 1
             assert store.state == before
         largest = max(largest, sum(os.stat(path / name).st_size for name in names_in(path)))
-    assert refused > 20
+    assert rejected > 20
     assert store.generation > 6
     assert 20 << 10 < largest <= 64 << 10
-    with pytest.raises(CapacityExceededError, match="at once"):
+    with pytest.raises(CapacityExceededError, match="bytes exceeds the free .* bytes of the batch"):
         store.append({"large": bytes(40 << 10)})
     store.close()
-    tight = open_store(path, max_bytes=32 << 10)  # a bound that was lowered
+    tight = open_store(path, max_bytes=32 << 10)  # a lowered capacity
     assert tight.state == store.state
     assert tight.is_durable
-    with pytest.raises(CapacityExceededError, match="the bound is"):
+    with pytest.raises(CapacityExceededError, match="state of .* bytes exceeds the capacity of"):
         tight.append({"more": bytes(100)})
     for key in list(tight.state):
         tight.append({key: None})
@@ -99,32 +99,32 @@
 
 
 @pytest.mark.parametrize("max_bytes", [0, 1000, 1 << 40])
-def test_bounds_that_make_no_sense(tmp_path, max_bytes):
-    """Too small for the files of a store, or larger than recovery reads."""
-    with pytest.raises(InvalidChangeError, match="bound is from"):
+def test_a_capacity_out_of_range_is_rejected(tmp_path, max_bytes):
+    """It is too small for the files of a store, or larger than recovery reads."""
+    with pytest.raises(InvalidChangeError, match=f"{max_bytes}; expected 32768 to 268435456 bytes"):
         open_store(tmp_path / "f", max_bytes=max_bytes)
 
 
 @pytest.mark.parametrize("key", ["", "k" * 1025])
-def test_keys_that_make_no_sense(tmp_path, key):
-    """Empty or too long."""
-    with pytest.raises(InvalidChangeError, match="key of"):
+def test_invalid_keys_are_rejected(tmp_path, key):
+    """A key is empty or too long."""
+    with pytest.raises(InvalidChangeError, match=f"key of {len(key)} bytes; expected 1 to 1024 bytes"):
         open_store(tmp_path / "f").append({key: b""})
 
 
-def test_names_that_are_too_long(tmp_path):
-    """Of a process."""
-    with pytest.raises(InvalidChangeError, match="name of over"):
+def test_a_process_name_that_is_too_long_is_rejected(tmp_path):
+    """The error states the sizes and the maximum."""
+    with pytest.raises(InvalidChangeError, match="have 5 and 256 bytes; the maximum is 255"):
         open_store(tmp_path / "f", name="n" * 256)
 
 
-# What is refused
+# Rejected folders
 
 
 def write_newer_version(path):
-    """A folder with an intact header of the next version."""
+    """Writes a folder that has a file with an intact header of the next version."""
     generation = write_two_generations(path).generation + 1
-    header = FileHeader(FileKind.SNAPSHOT, generation, 9, "fleet", "front")
+    header = FileHeader(FileKind.SNAPSHOT, generation, 9, "fleet", "gateway")
     data = bytearray(record_format.encode_header(header).data)
     data[8:10] = struct.pack(">H", record_format.VERSION + 1)
     data[12:16] = struct.pack(">I", record_format._header_checksum(bytes(data[:16]), bytes(data[16:])))
@@ -132,42 +132,42 @@
 
 
 def write_file_instead(path):
-    """A file where the folder should be."""
+    """Writes a file at the path of the folder."""
     path.write_text("text")
 
 
 def write_file_above(path):
-    """A file where a part of the path should be."""
+    """Writes a file at a parent path of the folder."""
     path.parent.rmdir()
     path.parent.write_text("text")
 
 
-REFUSED = [
-    (lambda path: open_store(path, name="other").close(), "of front 'other', not 'front'"),
-    (lambda path: open_store(path, fleet="other").close(), "of fleet 'other', not 'fleet'"),
-    (write_newer_version, "version 2, this program reads up to 1"),
-    (write_file_instead, "is no folder"),
-    (write_file_above, "a part of its path is no folder"),
+REJECTED = [
+    (lambda path: open_store(path, name="other").close(), "belongs to process 'other', not 'gateway'"),
+    (lambda path: open_store(path, fleet="other").close(), "belongs to fleet 'other', not 'fleet'"),
+    (write_newer_version, "has format version 2, this program supports up to 1"),
+    (write_file_instead, "f is not a directory"),
+    (write_file_above, "a component of its path is not a directory"),
 ]
 
 
-@pytest.mark.parametrize("prepare, line", REFUSED)
-def test_refused_in_one_line_and_nothing_is_changed(tmp_path, prepare, line):
-    """Another's folder, a newer one, or no folder at all."""
+@pytest.mark.parametrize("prepare, line", REJECTED)
+def test_an_unusable_folder_is_rejected_in_one_line_and_stays_unchanged(tmp_path, prepare, line):
+    """It belongs to another process, has a newer format, or is not a directory."""
     path = tmp_path / "above" / "f"
     path.parent.mkdir()
     prepare(path)
     before = {name: (path / name).read_bytes() for name in names_in(path)} if path.is_dir() else None
-    with pytest.raises(UnusableStoreError, match=line) as refusal:
+    with pytest.raises(UnusableStoreError, match=line) as rejection:
         open_store(path)
-    assert "\n" not in str(refusal.value)
-    assert str(path) in str(refusal.value)
+    assert "\n" not in str(rejection.value)
+    assert str(path) in str(rejection.value)
     if before is not None:
         assert {name: (path / name).read_bytes() for name in names_in(path)} == before
 
 
-def test_no_permission(tmp_path):
-    """Refused as another's."""
+def test_a_folder_without_permission_is_rejected(tmp_path):
+    """The error has the text of the operating system."""
 
     class DeniedFileSystem(FileSystem):
         def open(self, path, flags):
@@ -177,11 +177,11 @@
         open_store(tmp_path / "f", file_system=DeniedFileSystem())
 
 
-def test_two_processes_on_one_folder(tmp_path):
-    """The second is refused until the first is gone."""
+def test_a_second_process_on_a_folder_is_rejected(tmp_path):
+    """It can open the folder once the first one has been killed."""
     code = (
         "import sys\nfrom lichenquay.storage.store import DurableStore\n"
-        "store = DurableStore(sys.argv[1], 'fleet', 'front', 1 << 20)\n"
+        "store = DurableStore(sys.argv[1], 'fleet', 'gateway', 1 << 20)\n"
         "print('open', flush=True)\nsys.stdin.read()"
     )
     first = subprocess.Popen(
@@ -199,11 +199,11 @@
         first.communicate()
 
 
-# What is skipped
+# Skipped files
 
 
-def damage(path, name, how, rng):
-    """Damages a file."""
+def corrupt(path, name, how, rng):
+    """Corrupts a file."""
     data = bytearray((path / name).read_bytes())
     if how == "empty":
         data.clear()
@@ -223,10 +223,10 @@
 
 @pytest.mark.parametrize("how", ["empty", "cut", "flip", "zeros", "more", "noise"])
 @pytest.mark.parametrize("kind", list(FileKind), ids=["snapshot", "journal"])
-def test_a_damaged_file_costs_its_records_at_most(tmp_path, how, kind):
-    """The state is one that was, with no more lost than the newest generation.
+def test_a_corrupt_file_loses_at_most_its_own_records(tmp_path, how, kind):
+    """The state is an earlier one, and at most the newest generation is lost.
 
-    The file is set aside; the next start is clean.
+    The file is set aside; the next start skips nothing.
     """
     histories = [{}]
     for step in range(6):
@@ -234,7 +234,7 @@
     for seed in range(5):
         path = tmp_path / str(seed)
         generation = write_two_generations(path, 6).generation
-        damage(path, file_name(generation, kind), how, random.Random(seed))
+        corrupt(path, file_name(generation, kind), how, random.Random(seed))
         store = open_store(path)
         assert store.is_durable
         assert dict(store.state) in histories[3 if kind is FileKind.JOURNAL else 6 :]
@@ -249,11 +249,11 @@
         again.close()
 
 
-def test_after_damage_there_are_two_intact_generations_again(tmp_path):
-    """The next damage is borne as the first one was."""
+def test_two_intact_generations_exist_again_after_a_corrupt_one(tmp_path):
+    """Otherwise a second corruption would lose the state."""
     path = tmp_path / "f"
     generation = write_two_generations(path, 6).generation
-    damage(path, file_name(generation, FileKind.JOURNAL), "noise", random.Random(1))
+    corrupt(path, file_name(generation, FileKind.JOURNAL), "noise", random.Random(1))
     store = open_store(path)
     store.close()
     assert store.generation == generation + 2
@@ -264,17 +264,17 @@
     assert again.state
 
 
-def test_few_files_are_set_aside(tmp_path):
-    """The newest three."""
+def test_at_most_three_corrupt_files_are_set_aside(tmp_path):
+    """The directory must not fill up with corrupt files."""
     for seed in range(6):
         generation = write_two_generations(tmp_path / "f").generation
-        damage(tmp_path / "f", file_name(generation, FileKind.SNAPSHOT), "noise", random.Random(seed))
+        corrupt(tmp_path / "f", file_name(generation, FileKind.SNAPSHOT), "noise", random.Random(seed))
     open_store(tmp_path / "f")
     assert len([name for name in names_in(tmp_path / "f") if name.startswith("bad.")]) == 3
 
 
-def test_all_damaged_is_an_empty_state_that_is_reported(tmp_path):
-    """Two snapshots and two journals."""
+def test_all_files_corrupt_gives_an_empty_state_that_is_reported(tmp_path):
+    """Two snapshots and two journals are skipped."""
     write_two_generations(tmp_path / "f")
     for name in names_in(tmp_path / "f"):
         (tmp_path / "f" / name).write_bytes(b"")
@@ -284,15 +284,15 @@
     assert len(store.skipped_files) == 4
 
 
-def test_hostile_names_and_files(tmp_path):
-    """A pipe, a folder and many empty files under names of a store's; other names are left alone."""
+def test_unexpected_files_do_not_affect_the_state(tmp_path):
+    """A pipe, a directory and many empty files have names of store files; files with other names are kept."""
     path = tmp_path / "f"
     state = dict(write_two_generations(path).state)
     os.mkfifo(path / file_name(999_999_999_999, FileKind.JOURNAL))
     (path / file_name(999_999_999_998, FileKind.SNAPSHOT)).mkdir()
     for number in range(100):
         (path / file_name(10**11 + number, FileKind.SNAPSHOT)).write_bytes(b"")
-    (path / "notes.txt").write_text("not ours")
+    (path / "notes.txt").write_text("text")
     store = open_store(path)
     assert store.state == state
     assert store.is_durable
@@ -304,8 +304,8 @@
 # Incarnation
 
 
-def test_incarnation_only_rises(tmp_path):
-    """A clock set back, a clock far ahead, starts without end: each is higher than all before."""
+def test_the_incarnation_always_increases(tmp_path):
+    """Each one is higher than all earlier ones, also if the clock is set back or jumps ahead."""
     last = 0
     for clock_ms in (1000, 1000, 500, 70_000, 3, 0):
         store = open_store(tmp_path / "f")
@@ -319,13 +319,13 @@
     assert last == 70_005
 
 
-def test_incarnation_of_hostile_content(tmp_path):
-    """A section of another size counts as none; the highest of all numbers is refused."""
+def test_an_invalid_stored_incarnation(tmp_path):
+    """A section of the wrong size is ignored; a number without a valid successor is an error."""
     store = open_store(tmp_path / "f")
     store.append({"incarnation": b"short"})
     store.flush(0.0)
     assert next_incarnation(store, 9) == (9, True)
     store.append({"incarnation": b"\xff" * 8})
     store.flush(0.0)
-    with pytest.raises(UnusableStoreError, match="leaves no higher one"):
+    with pytest.raises(UnusableStoreError, match="exceeds the maximum 9223372036854775807"):
         next_incarnation(store, 9)
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -1,4 +1,4 @@
-"""A store of real processes on a real disk: killed, full, gone."""
+"""A store on a real disk under faults: killed processes, a full disk, a removed or replaced folder."""
 
 import os
 import random
@@ -21,7 +21,7 @@
 WRITER = """
 import sys
 from lichenquay.storage.store import DurableStore
-f = DurableStore(sys.argv[1], "fleet", "front", 64 << 10)
+f = DurableStore(sys.argv[1], "fleet", "gateway", 64 << 10)
 n = int(f.state.get("n", b"0"))
 print(n, flush=True)
 while True:
@@ -34,7 +34,7 @@
 
 
 def state_after(number):
-    """What the child has stored with its n-th record."""
+    """Returns the state after the n-th record of the child process."""
     state = {"n": b"%d" % number} if number else {}
     for earlier in range(max(1, number - 6), number + 1):
         state[f"k{earlier % 7}"] = b"%d" % earlier + bytes(earlier % 900)
@@ -42,7 +42,7 @@
 
 
 def kill_a_writer(path, rng):
-    """Starts a process that stores, and kills it at a random moment; the last record that it reported."""
+    """Starts a writer process and kills it at a random moment; returns the last record that it reported."""
     child = subprocess.Popen([sys.executable, "-c", WRITER, path], cwd=ROOT, stdout=subprocess.PIPE)
     lines = rng.choice((0, 1, 1, 30, 100))
     reported = [child.stdout.readline() for _ in range(lines)]
@@ -53,17 +53,17 @@
 
 
 def add_torn_tail(path, rng):
-    """Some bytes behind the newest journal, as a power loss leaves them."""
+    """Appends some bytes to the newest journal, as a power loss may leave them."""
     newest = max([name for name in names_in(path) if name.endswith("journal")], default=None)
     if newest:
         with open(path / newest, "ab") as out:
             out.write(rng.randbytes(rng.randrange(1, 40)))
 
 
-def test_killed_anywhere(tmp_path):
-    """SIGKILL at random moments, each life on the folder of the last.
+def test_a_process_killed_at_random_moments_loses_no_stored_record(tmp_path):
+    """Each process opens the folder of the previous one.
 
-    All that was reported as stored is there, and no part of a record.
+    All records that were reported as stored are recovered, and no part of a record is.
     """
     rng = random.Random(1)
     path = tmp_path / "f"
@@ -84,21 +84,21 @@
     assert generation > KILLS
 
 
-FULL = """
+LIMITED_WRITER = """
 import os, resource, signal, sys
 from lichenquay.storage.errors import NotStoredError
 from lichenquay.storage.store import DurableStore
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
-f = DurableStore(sys.argv[1], "fleet", "front", 4 << 20)
+f = DurableStore(sys.argv[1], "fleet", "gateway", 4 << 20)
 resource.setrlimit(resource.RLIMIT_FSIZE, (20_000, resource.RLIM_INFINITY))
-stored = refused = 0
-while refused < 5:
+stored = failed = 0
+while failed < 5:
     f.append({"k%d" % (stored % 50): b"%d" % stored + bytes(700), "n": b"%d" % stored})
     try:
-        f.flush(1e5 * refused)
+        f.flush(1e5 * failed)
         stored += 1
     except NotStoredError as why:
-        refused += 1
+        failed += 1
         assert "File too large" in str(why), why
 resource.setrlimit(resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
 print(stored, f.state["n"].decode(), f.retry(1e6), f.last_error, sorted(os.listdir(sys.argv[1])))
@@ -109,10 +109,13 @@
 
 
 @pytest.mark.parametrize("more", [[], ["heal"]])
-def test_files_that_may_not_grow(tmp_path, more):
-    """What was refused is not there, and the store recovers once they may."""
+def test_a_file_size_limit_is_handled_like_a_full_disk(tmp_path, more):
+    """Failed records are not stored, and the store recovers once the limit is removed."""
     child = subprocess.run(
-        [sys.executable, "-c", FULL, tmp_path / "f", *more], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-c", LIMITED_WRITER, tmp_path / "f", *more],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
     )
     assert child.returncode == 0, child.stderr
     stored, last, has_recovered, last_error, *_ = child.stdout.split()
@@ -126,20 +129,20 @@
 
 
 class FullFileSystem(FileSystem):
-    """Writes go to /dev/full while `is_full`: the kernel's own ENOSPC."""
+    """A file system whose writes go to /dev/full while `is_full`, which gives the kernel's own ENOSPC."""
 
     is_full = False
 
     def write(self, descriptor, data):
-        """Fails on demand."""
+        """Writes to the file, or to /dev/full while `is_full`."""
         if not self.is_full:
             return super().write(descriptor, data)
         with open("/dev/full", "wb", buffering=0) as device:
             return device.write(data)
 
 
-def test_disk_full_and_free_again(tmp_path):
-    """Refused without a call until the next attempt is due."""
+def test_a_full_disk_that_has_space_again(tmp_path):
+    """Writes fail without a system call until the next retry is due."""
     file_system = FullFileSystem()
     store = open_store(tmp_path / "f", file_system=file_system)
     file_system.is_full = True
@@ -156,8 +159,8 @@
     assert open_store(tmp_path / "f").state == {"a": b"3"}
 
 
-def test_full_at_the_start(tmp_path):
-    """No refusal: the process runs on without its folder, and has it when there is room."""
+def test_a_disk_that_is_full_at_the_start_does_not_stop_the_process(tmp_path):
+    """The process runs without its folder, and writes it once the disk has space."""
     file_system = FullFileSystem()
     file_system.is_full = True
     store = open_store(tmp_path / "f", file_system=file_system)
@@ -170,8 +173,8 @@
 
 
 @pytest.mark.parametrize("what", ["all", "files", "replaced"])
-def test_folder_gone_while_it_is_used(tmp_path, what):
-    """The next attempt writes it anew, from memory."""
+def test_a_folder_removed_while_in_use_is_rewritten(tmp_path, what):
+    """The next retry writes the state from memory."""
     path = tmp_path / "f"
     store = open_store(path)
     store.append({"a": b"1"})
@@ -184,7 +187,7 @@
         if what == "replaced":
             path.mkdir()
     store.append({"a": b"2"})
-    with pytest.raises(NotStoredError, match="is gone"):
+    with pytest.raises(NotStoredError, match="was removed or replaced"):
         store.flush(1.0)
     store.append({"b": b"3"})
     store.flush(1000.0)
@@ -192,8 +195,8 @@
     assert open_store(path).state == {"a": b"1", "b": b"3"}
 
 
-def test_folder_replaced_by_one_that_another_process_wrote(tmp_path):
-    """Nothing is written into it."""
+def test_a_folder_replaced_by_that_of_another_process_is_not_written(tmp_path):
+    """The store of the first process fails from then on."""
     path = tmp_path / "f"
     store = open_store(path)
     shutil.move(path, tmp_path / "moved")
@@ -202,9 +205,9 @@
     other.compact(0.0)
     other.close()
     store.append({"a": b"1"})
-    with pytest.raises(NotStoredError, match="gone or replaced"):
+    with pytest.raises(NotStoredError, match="was removed or replaced"):
         store.flush(0.0)
     assert not store.retry(1000.0)
-    assert "another process has written it meanwhile" in store.last_error
+    assert "another process has written to it meanwhile" in store.last_error
     store.close()
     assert open_store(path).state == {"a": b"other"}
--- a/tests/test_storage_record_format.py
+++ b/tests/test_storage_record_format.py
@@ -1,4 +1,4 @@
-"""The format of a store's files against damaged and hostile bytes."""
+"""The format of a store's files, with corrupt and malicious bytes."""
 
 import struct
 import tracemalloc
@@ -22,13 +22,13 @@
     read_snapshot,
 )
 
-HEADER = FileHeader(FileKind.JOURNAL, 7, 40, "fleet", "front")
+HEADER = FileHeader(FileKind.JOURNAL, 7, 40, "fleet", "gateway")
 FIRST_NUMBER = HEADER.base_number + 1
 CHANGES = [{"a": b"1"}, {"b": bytes(300), "a": None}, {"c": b"x" * 20, "d": b""}]
 
 
 def journal_records(seed, changes=CHANGES):
-    """The records of a journal, one for each change."""
+    """Returns the records of a journal, one for each change."""
     return [
         encode_record(seed, Record(number, RecordKind.CHANGE, encode_changes(change)))
         for number, change in enumerate(changes, FIRST_NUMBER)
@@ -36,13 +36,13 @@
 
 
 def journal_bytes(number=None):
-    """A journal with the first changes, or with all."""
+    """Returns a journal with the first `number` changes, or with all."""
     first, seed = encode_header(HEADER)
     return first + b"".join(journal_records(seed, CHANGES[:number]))
 
 
-def read_either(data):
-    """What each reader finds, if anything."""
+def read_as_any_kind(data):
+    """Yields the results of the readers that accept the data."""
     for read in (read_snapshot, read_journal):
         try:
             found = read(data)
@@ -53,9 +53,9 @@
 
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=400))
-def test_noise_is_nothing(data):
-    """As a file, behind a header, and as the payload of a record."""
-    assert not list(read_either(data))
+def test_random_bytes_are_never_valid(data):
+    """They are read as a file, as records after a header, and as the payload of a record."""
+    assert not list(read_as_any_kind(data))
     first, _ = encode_header(HEADER)
     journal = read_journal(first + data)
     assert journal.changes == []
@@ -70,15 +70,15 @@
 
 @settings(max_examples=600, deadline=None)
 @given(st.data())
-def test_flips_and_cuts_never_add_a_change(data):
-    """What is read is a beginning of what was written, and said to be cut short unless it is all there."""
-    whole = journal_bytes()
-    damaged = bytearray(whole)
-    for bit in data.draw(st.lists(st.integers(0, 8 * len(whole) - 1), max_size=3, unique=True)):
+def test_flipped_bits_and_truncation_never_add_a_change(data):
+    """The reader returns a prefix of the written changes, with a reason unless the data is intact."""
+    intact = journal_bytes()
+    damaged = bytearray(intact)
+    for bit in data.draw(st.lists(st.integers(0, 8 * len(intact) - 1), max_size=3, unique=True)):
         damaged[bit // 8] ^= 1 << bit % 8
     del damaged[data.draw(st.integers(0, len(damaged))) :]
     damaged += data.draw(st.binary(max_size=30))
-    for found in read_either(bytes(damaged)):
+    for found in read_as_any_kind(bytes(damaged)):
         assert found.header == HEADER
         assert found.changes == CHANGES[: len(found.changes)]
         assert found.reason or bytes(damaged) == journal_bytes(len(found.changes))
@@ -86,8 +86,8 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=60), st.integers(0, 255), st.integers(0, 2**64 - 1))
-def test_intact_records_with_hostile_content(payload, kind, number):
-    """Checksums are no defence against who can make them: no exception, and nothing that does not parse."""
+def test_records_with_valid_checksums_and_invalid_content(payload, kind, number):
+    """Checksums do not protect against malicious writers: the reader must not raise on invalid content."""
     first, seed = encode_header(HEADER)
     records = [Record(FIRST_NUMBER, kind, payload), Record(number, kind, payload)]
     journal = read_journal(first + b"".join(encode_record(seed, record) for record in records))
@@ -95,45 +95,45 @@
     assert kind == RecordKind.CHANGE or not journal.changes
 
 
-def test_a_hostile_length_takes_no_memory():
-    """A record that says it has 4 GiB."""
+def test_a_false_record_length_allocates_no_memory():
+    """The record has a length of 4 GiB."""
     first, _ = encode_header(HEADER)
     tracemalloc.start()
     journal = read_journal(first + struct.pack(">IQBI", 2**32 - 1, FIRST_NUMBER, 1, 0) + bytes(1000))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
-    assert journal.reason == "cut off"
+    assert journal.reason == "truncated record"
     assert peak < 100_000
 
 
-def test_a_record_of_another_file_is_none_here():
-    """Its checksum starts from another header's."""
+def test_a_record_of_another_file_is_not_accepted():
+    """Its checksum is seeded with that of another header."""
     first, _ = encode_header(HEADER)
-    _, other_seed = encode_header(FileHeader(FileKind.JOURNAL, 8, 40, "fleet", "front"))
+    _, other_seed = encode_header(FileHeader(FileKind.JOURNAL, 8, 40, "fleet", "gateway"))
     journal = read_journal(first + journal_records(other_seed)[0])
     assert not journal.changes
-    assert journal.reason == "its checksum is wrong"
+    assert journal.reason == "wrong record checksum"
 
 
 @pytest.mark.parametrize("order", [(0, 2), (0, 0, 1), (0, 2, 1), (1, 2)])
-def test_a_record_out_of_its_order_ends_the_journal(order):
-    """A block that the disk put elsewhere is intact, and still not the next record."""
+def test_a_record_out_of_order_ends_the_journal(order):
+    """A block that the disk wrote to the wrong place is intact, but not the next record."""
     first, seed = encode_header(HEADER)
     records = journal_records(seed)
-    journal = read_journal(first + b"".join(records[place] for place in order))
+    journal = read_journal(first + b"".join(records[index] for index in order))
     assert journal.changes == (CHANGES[:1] if order[0] == 0 else [])
-    assert "where" in journal.reason
+    assert "was expected" in journal.reason
 
 
-def test_a_snapshot_is_whole_or_nothing():
-    """Cut anywhere, with more behind it, or with a part missing, it is no snapshot."""
+def test_an_incomplete_snapshot_is_rejected():
+    """It is truncated, has additional bytes, or lacks a record."""
     state = {f"k{number}": b"%d" % number for number in range(5)}
-    header = FileHeader(FileKind.SNAPSHOT, 7, 40, "fleet", "front")
+    header = FileHeader(FileKind.SNAPSHOT, 7, 40, "fleet", "gateway")
     parts = list(encode_snapshot(header, state))
-    whole = b"".join(parts)
-    assert read_snapshot(whole) == (header, state)
-    wrong = [whole[:size] for size in range(len(whole))] + [whole + b"\0", whole + parts[-1]]
-    wrong += [b"".join(parts[:place] + parts[place + 1 :]) for place in range(len(parts))]
+    intact = b"".join(parts)
+    assert read_snapshot(intact) == (header, state)
+    wrong = [intact[:size] for size in range(len(intact))] + [intact + b"\0", intact + parts[-1]]
+    wrong += [b"".join(parts[:index] + parts[index + 1 :]) for index in range(len(parts))]
     for data in wrong:
         with pytest.raises(CorruptRecordError):
             read_snapshot(data)
