--- a/lichenquay/quota/__init__.py
+++ b/lichenquay/quota/__init__.py
@@ -1,1 +1,1 @@
-"""One quota for each tenant in all gateways: a replicated ledger, tokens in escrow, and loans."""
+"""Fleet-wide quotas of tenants: a replicated ledger, tokens held in escrow by gateways, and loans."""
--- a/lichenquay/quota/errors.py
+++ b/lichenquay/quota/errors.py
@@ -6,7 +6,7 @@
 
 
 class AccountTermsError(QuotaError, ValueError):
-    """The settings of a tenant's account are not valid. The text is one line."""
+    """The settings of a tenant's account are not valid. The message is one line."""
 
 
 class LedgerError(QuotaError):
@@ -17,4 +17,4 @@
 
 
 class ImplausibleReportError(QuotaError):
-    """A gateway reports totals that exceed what it was granted."""
+    """A gateway reports totals that exceed its grants."""
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -1,12 +1,12 @@
-"""A gateway's escrow tokens: what it may spend of each tenant's quota without asking anybody. No I/O.
+"""A gateway's escrow tokens: what it may spend of each tenant's quota without a request. No I/O.
 
-`reserve` when a query comes, `settle` when its work is known. `on_message`, `tick`, `due_ms` and
-`outbox` are the exchange with the ledger's leader, which the host names (`leader`; None: not known).
+The host calls `reserve` when a query arrives and `settle` when its work is known. `on_message`, `tick`,
+`due_ms` and `outbox` are the exchange with the ledger's leader, which the host sets (`leader`; None: not
+known).
 
-The tokens of an epoch expire together, `term_ms` after the sending of the last request that was
-answered, by this gateway's clock. An expired epoch is sealed: nothing is reserved from it any more, and
-its totals are reported until the ledger has them. Tokens are whole microseconds of engine work, times
-milliseconds.
+The tokens of an epoch expire together, `term_ms` after the last answered request was sent, by this gateway's
+clock. An expired epoch is sealed: nothing is reserved from it any more, and its totals are reported until the
+ledger has them. Tokens are whole microseconds of engine work; times are in milliseconds.
 """
 
 from collections.abc import Hashable, Mapping
@@ -19,25 +19,25 @@
 from lichenquay.quota.messages import LeaderAddress, OutgoingMessage
 from lichenquay.quota.token_requests import (
     MAX_ROWS_AT_ONCE,
-    in_requests,
+    build_sealed_row,
     must_be_sent,
-    open_row,
-    sealed_row,
+    return_surplus_and_build_row,
     select_rows,
+    split_into_requests,
 )
 
 NEVER_MS = float("inf")
 LONG_AGO_MS = float("-inf")
-MAX_REQUESTS_REMEMBERED = 64  # with their sending times
-HINT_PERIODS = 10  # how long scarcity and debt count after the leader's last answer
-REQUESTS_PER_TERM = 4  # while there is nothing to request
+MAX_REQUESTS_REMEMBERED = 64  # requests whose sending times are stored
+HINT_PERIODS = 10  # periods for which scarcity and debt apply after the leader's last answer
+REQUESTS_PER_TERM = 4  # that renew the term while there is nothing to request
 URGENT_REQUESTS_PER_PERIOD = 4
 MIN_PERIOD_JITTER = 0.9
 PERIOD_JITTER_RANGE = 0.2
 
 
 class TenantStatus(NamedTuple):
-    """Of one tenant, in milliseconds of engine work: free and spent here; debt and limit in the fleet."""
+    """The status of a tenant, in ms of engine work: free and spent here, debt and limit in the fleet."""
 
     free_ms: float
     spent_ms: float
@@ -57,9 +57,10 @@
         period_ms: float = 250.0,
         random: Random | None = None,
     ):
-        """`idle_stocks_us`: by tenant, the tokens that are held even without queries.
+        """Starts without tokens.
 
-        `random`: jitter of requests.
+        `idle_stocks_us`: by tenant, the tokens to hold even without queries. `random`: for the jitter of
+        requests; None: no jitter.
         """
         self.gateway = gateway
         self.incarnation = incarnation
@@ -71,9 +72,9 @@
         self.holdings: dict[str, EscrowHolding] = {}
         self.sealed_holdings: dict[HoldingKey, EscrowHolding] = {}
         self.reservations: dict[Hashable, QueryReservation] = {}
-        self.overruns_us: dict[str, int] = {}  # work that no token has paid yet
+        self.overruns_us: dict[str, int] = {}  # work that is not charged to any token yet
         self.demands = {tenant: TenantDemand(stock_us) for tenant, stock_us in idle_stocks_us.items()}
-        self.under_pressure = False  # no room for work beyond quota; reported to the leader
+        self.under_pressure = False  # no room for work over quota; reported to the leader
         self.leaving = False
         self.outbox: list[OutgoingMessage] = []
         self.due_ms = NEVER_MS
@@ -87,7 +88,7 @@
 
     @property
     def leader(self) -> LeaderAddress | None:
-        """Who leads the ledger. While it is not known, the tokens held are spent until they expire."""
+        """The leader of the ledger. While it is not known, held tokens can be spent until they expire."""
         return self._leader
 
     @leader.setter
@@ -99,9 +100,9 @@
     # Queries.
 
     def reserve(self, now_ms: float, tenant: str, estimate_ms: float, ticket: Hashable) -> bool:
-        """Whether the tokens held cover a query.
+        """Reserves the estimate of a query until its ticket is settled.
 
-        If so, its estimate is reserved until its ticket is settled.
+        Returns False, and reserves nothing, if the held tokens do not cover it.
         """
         self.expire_if_due(now_ms)
         demand = self.demands.get(tenant)
@@ -124,44 +125,43 @@
         return covered
 
     def settle(self, now_ms: float, ticket: Hashable, work_ms: float) -> None:
-        """A query ended with this work; 0 for one that no engine can have run.
+        """Charges the work of a query that ended; 0 if no engine can have run it.
 
-        A ticket that is not known is ignored.
-
-        The rest of its estimate is free again. Work over the estimate is paid from what is held, then by
-        later grants.
+        The rest of its estimate becomes free. Work over the estimate is charged to free tokens, then to later
+        grants. An unknown ticket is ignored.
         """
         self.expire_if_due(now_ms)
         reservation = self.reservations.pop(ticket, None)
         if reservation is None:
             return
         tenant = reservation.tenant
-        unpaid_us = reservation.holding.settle(reservation.amount_us, max(0, round(work_ms * 1000)))
-        if unpaid_us > 0:
-            self.overruns_us[tenant] = self.overruns_us.get(tenant, 0) + unpaid_us
-            self._pay_overrun(tenant)
+        overrun_us = reservation.holding.settle(reservation.amount_us, max(0, round(work_ms * 1000)))
+        if overrun_us > 0:
+            self.overruns_us[tenant] = self.overruns_us.get(tenant, 0) + overrun_us
+            self._charge_overrun(tenant)
             self._request_soon(now_ms)
 
     def settle_at_estimate(self, now_ms: float, ticket: Hashable) -> None:
-        """A query may have run and its work will never be known, as it failed or its client left.
+        """Charges its estimate to a query that may have run and whose work will never be known.
 
-        Without this charge, clients that disconnect early would run for nothing.
+        Such a query failed, or its client disconnected. Without this charge, clients that disconnect early
+        would pay nothing for queries that run.
         """
         reservation = self.reservations.get(ticket)
         self.settle(now_ms, ticket, reservation.amount_us / 1000 if reservation else 0)
 
-    def _pay_overrun(self, tenant: str) -> None:
+    def _charge_overrun(self, tenant: str) -> None:
         holding = self.holdings.get(tenant)
         overrun_us = self.overruns_us.get(tenant, 0)
         if holding is not None and overrun_us:
-            self.overruns_us[tenant] = overrun_us - holding.pay(overrun_us)
+            self.overruns_us[tenant] = overrun_us - holding.charge(overrun_us)
 
     # Epochs.
 
     def expire_if_due(self, now_ms: float) -> None:
         """Seals the epoch once its term has ended.
 
-        Otherwise a gateway that was cut off or paused would spend what the leader has written off.
+        Otherwise a gateway that was partitioned or paused would spend tokens that the leader has written off.
         """
         if self.expires_at_ms != LONG_AGO_MS and now_ms >= self.expires_at_ms:
             self.expiries += 1
@@ -170,7 +170,7 @@
                 self._request_soon(now_ms)
 
     def seal_epoch(self) -> None:
-        """Begins the next epoch, without tokens; of this one, only totals are reported."""
+        """Starts the next epoch, without tokens; of the sealed one, only totals are reported."""
         for tenant, holding in self.holdings.items():
             holding.seal(self.request_number)
             self.sealed_holdings[HoldingKey(self.epoch, tenant)] = holding
@@ -179,10 +179,10 @@
         self.epoch += 1
 
     def return_all(self, now_ms: float) -> None:
-        """Before a shutdown: nothing is reserved any more, and what no open query has reserved is returned.
+        """Stops reservations before a shutdown, and returns all tokens that no open query has reserved.
 
-        Later grants pay overruns alone; without that, a tenant could overrun at a gateway and its debt would
-        end with the process. `leaving` is set back when the gateway stays after all.
+        Overruns are still charged to later grants; otherwise a tenant's overrun would be forgiven when the
+        process ends. The host resets `leaving` if the gateway stays after all.
         """
         self.leaving = True
         self.seal_epoch()
@@ -191,14 +191,14 @@
 
     @property
     def is_returned(self) -> bool:
-        """After `return_all`: whether the ledger has all of it."""
+        """Whether, after `return_all`, all tokens are returned and all work is reported to the ledger."""
         unfinished = self.sealed_holdings or self.holdings or self.reservations
         return self.leaving and not (unfinished or any(self.overruns_us.values()))
 
     # Exchange with the ledger's leader.
 
     def on_message(self, now_ms: float, sender, answer: pb.Answer) -> None:
-        """The leader's answer. Totals only rise, so that a late or repeated answer changes nothing."""
+        """Applies the leader's answer. Totals only rise, so a late or repeated answer changes nothing."""
         self.expire_if_due(now_ms)
         if not self._is_plausible(answer):
             self.implausible_answers += 1
@@ -222,7 +222,7 @@
             self.due_ms = now_ms + self._jittered_period_ms()
 
     def _is_plausible(self, answer: pb.Answer) -> bool:
-        """Whether an answer is for this incarnation, and its rows are of epochs and tenants that it has."""
+        """Returns whether an answer is for this incarnation, with rows of known epochs and tenants only."""
         if (answer.front, answer.incarnation) != (self.gateway, self.incarnation):
             return False
         if answer.book > self.epoch:
@@ -235,7 +235,7 @@
         )
 
     def apply_grant(self, now_ms: float, request_number: int, granted: pb.Granted) -> None:
-        """The leader's totals of a holding of the current epoch."""
+        """Applies the leader's totals for a holding of the current epoch."""
         tenant = granted.tenant
         self.demands[tenant].record_grant(now_ms, now_ms + HINT_PERIODS * self.period_ms, granted)
         if granted.gone:
@@ -249,27 +249,27 @@
         holding.granted_us = max(holding.granted_us, granted.granted_us)
         totals = ReportedTotals(granted.spent_us, granted.returned_us)
         holding.acknowledged = max(holding.acknowledged, totals)
-        self._pay_overrun(tenant)
+        self._charge_overrun(tenant)
 
     def _apply_sealed(self, request_number: int, granted: pb.Granted) -> None:
         key = HoldingKey(granted.book, granted.tenant)
         holding = self.sealed_holdings.get(key)
         if granted.gone:
-            # An answer to a request from before the sealing proves nothing: the entry may have been made
+            # An answer to a request sent before the sealing proves nothing: the entry may have been made
             # later.
             if holding is not None and request_number > holding.sealed_at:
                 del self.sealed_holdings[key]
-        elif holding is None:  # granted when the epoch was sealed already: all of it is returned
+        elif holding is None:  # granted after the epoch was sealed here: all of it is returned
             self.sealed_holdings[key] = EscrowHolding(self.request_number)
 
     def tick(self, now_ms: float) -> None:
-        """Sends token requests when they are due."""
+        """Sends the token requests that are due."""
         self.expire_if_due(now_ms)
         if self._leader is None or now_ms < self.due_ms:
             return
         self._last_request_ms = now_ms
-        rows = self._rows_to_send(now_ms)
-        for request_rows in in_requests(rows):
+        rows = self._collect_rows(now_ms)
+        for request_rows in split_into_requests(rows):
             self._send_request(now_ms, request_rows)
         if rows or self.leaving:
             self.due_ms = now_ms + self._jittered_period_ms()
@@ -286,8 +286,8 @@
         self.request_sent_ms[self.request_number] = now_ms
         self.request_sent_ms.pop(self.request_number - MAX_REQUESTS_REMEMBERED, None)
 
-    def _rows_to_send(self, now_ms: float) -> list[pb.Row]:
-        """Needs, returns and totals that the ledger does not have yet; in turns if there are too many."""
+    def _collect_rows(self, now_ms: float) -> list[pb.Row]:
+        """Returns rows for what the ledger does not have yet; too many rows take turns over several ticks."""
         rows = []
         for tenant, demand in self.demands.items():
             overrun_us = self.overruns_us.get(tenant, 0)
@@ -295,10 +295,10 @@
                 continue
             holding = self.holdings.setdefault(tenant, EscrowHolding())
             key = HoldingKey(self.epoch, tenant)
-            row = open_row(now_ms, key, holding, demand, self.leaving, overrun_us)
+            row = return_surplus_and_build_row(now_ms, key, holding, demand, self.leaving, overrun_us)
             if must_be_sent(row, holding):
                 rows.append(row)
-        rows += [sealed_row(key, holding) for key, holding in self.sealed_holdings.items()]
+        rows += [build_sealed_row(key, holding) for key, holding in self.sealed_holdings.items()]
         if len(rows) > MAX_ROWS_AT_ONCE:
             rows = select_rows(rows, self._rotation)
             self._rotation += MAX_ROWS_AT_ONCE // 2
@@ -310,7 +310,7 @@
         return self.period_ms * (MIN_PERIOD_JITTER + PERIOD_JITTER_RANGE * self.random.random())
 
     def _request_soon(self, now_ms: float) -> None:
-        """A request at once, but at most `URGENT_REQUESTS_PER_PERIOD`."""
+        """Schedules a request for now, or for when `URGENT_REQUESTS_PER_PERIOD` allows it."""
         if self._leader:
             earliest_ms = self._last_request_ms + self.period_ms / URGENT_REQUESTS_PER_PERIOD
             self.due_ms = min(self.due_ms, max(now_ms, earliest_ms))
@@ -318,7 +318,7 @@
     # For operators.
 
     def status(self, now_ms: float) -> dict[str, TenantStatus]:
-        """Of each tenant with tokens here."""
+        """Returns the status of each tenant with a holding here, by name."""
         self.expire_if_due(now_ms)
         return {
             tenant: TenantStatus(
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -1,8 +1,8 @@
-"""The leader of the quota's ledger, at the gateway that holds the ledger's replicated group. No I/O.
+"""The leader of the quota ledger, at the gateway that holds the ledger's replicated group. No I/O.
 
-`on_message` and `tick` bring time in, `outbox` holds the answers. Requests are gathered for a period,
-decided as one record, committed by the group, and only then answered. See `lease.leadership_term` for
-the two ledgers, committed and speculative.
+The host calls `on_message` and `tick` and delivers the answers in `outbox`. Requests are collected for a
+period, decided as one record, committed by the group, and only then answered. `lease.leadership_term`
+describes the two ledgers, committed and speculative.
 """
 
 from collections.abc import Iterable
@@ -20,20 +20,20 @@
 from lichenquay.quota.tenant_account import EpochKey
 from lichenquay.quota.token_allocation import ChangeBatch, TokenAllocation, demands_of
 
-IDLE_PERIODS = 5  # between records while no gateway requests anything
-EXPIRIES_REMEMBERED = 2  # how many expiry times a report is kept
-SCARCE_PERIODS = 10  # a tenant counts as scarce for so long after it was last short
+IDLE_PERIODS = 5  # periods between records while no gateway sends a request
+EXPIRIES_REMEMBERED = 2  # expiry times for which the last message of a gateway is remembered
+SCARCE_PERIODS = 10  # periods for which a tenant is scarce after it was last short of tokens
 
 
 class PendingWrite(NamedTuple):
-    """A write whose result is not known yet, and the generation that began it."""
+    """A write whose result is not known yet, and the generation that started it."""
 
     record: pb.Record
     generation: int
 
 
 class TenantLedgerStatus(NamedTuple):
-    """Of one tenant, in milliseconds of engine work."""
+    """The status of one tenant's account, in milliseconds of engine work."""
 
     pool_ms: float
     held_ms: float
@@ -43,18 +43,21 @@
 
 
 class LedgerLeader(StateMachineLeader[Ledger]):
-    """Leads the ledger while its gateway holds the group."""
+    """Leads the quota ledger while its gateway holds the replicated group."""
 
     load_errors = (LedgerError, DecodeError)
 
     def __init__(
         self, group: ReplicatedGroup, accounts: Iterable[pb.Open], term_ms: float, period_ms: float = 200.0
     ):
-        """`accounts`: the terms of each tenant; `term_ms`: how long a gateway's tokens last."""
+        """Creates a leader that does not lead yet.
+
+        `accounts`: the terms of each tenant; `term_ms`: after which a gateway's tokens expire.
+        """
         super().__init__(group, "the quota's ledger")
         self.accounts = list(accounts)
         self.period_ms = period_ms
-        # After this time without a message, a gateway's tokens have certainly expired.
+        # After this time without a message, a gateway's tokens have expired, also by a slow clock.
         self.expiry_ms = term_ms * (1 + CLOCK_DRIFT_BOUND)
         self.outbox: list[OutgoingMessage] = []
         self.due_ms = 0.0
@@ -70,24 +73,24 @@
     # Leadership.
 
     def load(self, state: bytes, records: list[bytes]) -> Ledger:
-        """The ledger of a snapshot and the records after it."""
+        """Returns the ledger of a snapshot and the records after it."""
         return Ledger.load(state, records)
 
     def forget_term(self, now_ms: float) -> None:
-        """Forgets requests and who was short of tokens."""
+        """Discards the requests of the term and which tenants were short of tokens."""
         self.pending = PendingRequests()
         self.unanswered: list[GatewayRequest] = []
         self.scarce_since_ms: dict[str, float] = {}
 
     def on_term_started(self, now_ms: float) -> None:
-        """Time without a leader is not accrued."""
+        """Starts accrual at the beginning of the term: time without a leader is not accrued."""
         self.accrued_until_ms = now_ms
         self.last_record_ms = now_ms
 
     # Requests of gateways.
 
     def on_message(self, now_ms: float, sender, request: pb.Ask) -> None:
-        """A token request of `sender`: (gateway, incarnation)."""
+        """Adds a token request to the next batch. `sender`: (gateway, incarnation)."""
         if not self.is_leading(now_ms):
             self.misdirected_requests += 1
             return
@@ -104,17 +107,17 @@
             self.due_ms = min(self.due_ms, max(now_ms, self.last_record_ms + wait_ms))
 
     def tick(self, now_ms: float) -> None:
-        """Commits what was gathered, or the passing of time."""
+        """Writes a batch of the collected requests, or now and then one of elapsed time only."""
         self.due_ms = now_ms + self.period_ms
         if not self.is_leading(now_ms) or self.pending_write:
             return
         if self.pending or now_ms >= self.last_record_ms + IDLE_PERIODS * self.period_ms:
             self.write_batch(now_ms)
 
-    # One batch: decided on the speculative ledger, committed by the group, then answered.
+    # One batch is decided on the speculative ledger, committed by the group, then answered.
 
     def write_batch(self, now_ms: float) -> None:
-        """Decides one record of changes and writes it; where nothing changes, answers at once."""
+        """Decides one record of changes and writes it; if nothing changes, answers at once."""
         self.last_record_ms = now_ms
         requests = self.pending.take_requests()
         batch = ChangeBatch(self.speculative)
@@ -133,7 +136,7 @@
             self.answer_requests(now_ms)
 
     def _take_elapsed_ms(self, now_ms: float) -> int:
-        """Whole milliseconds since the last accrual; the fraction is left for the next."""
+        """Returns the whole milliseconds since the last accrual; the fraction is left for the next."""
         elapsed_ms = int(now_ms - self.accrued_until_ms)
         self.accrued_until_ms += elapsed_ms
         return elapsed_ms
@@ -147,7 +150,7 @@
 
     def _add_expiries(self, now_ms: float, batch: ChangeBatch) -> None:
         for key in [key for key in self.speculative.epochs if key not in self.speculative.expired]:
-            # A gateway without a request in this term may have sent one to the leader before.
+            # A gateway without a request in this term may have sent one to the previous leader.
             last_message_ms = self.pending.last_message_ms.get(key, self.term_started_ms)
             if now_ms >= last_message_ms + self.expiry_ms:
                 batch.add(self.speculative.decide_expiry(*key))
@@ -157,20 +160,22 @@
     ) -> None:
         allocation = TokenAllocation(batch, demands_of(self.speculative, requests))
         allocation.grant_from_pools(elapsed_ms)
-        short = allocation.short
-        self._update_scarcity(now_ms, short, allocation.plentiful)
+        short_tenants = allocation.short_tenants
+        self._update_scarcity(now_ms, short_tenants, allocation.plentiful_tenants)
         if not self.pending.is_fleet_under_pressure(now_ms - self.expiry_ms):
-            allocation.lend(short)
+            allocation.lend(short_tenants)
             self.loans_barred += allocation.loans_barred
 
-    def _update_scarcity(self, now_ms: float, short: Iterable[str], plentiful: Iterable[str]) -> None:
+    def _update_scarcity(
+        self, now_ms: float, short_tenants: Iterable[str], plentiful_tenants: Iterable[str]
+    ) -> None:
         oldest_ms = now_ms - SCARCE_PERIODS * self.period_ms
         self.scarce_since_ms = {
             tenant: since_ms
             for tenant, since_ms in self.scarce_since_ms.items()
-            if since_ms > oldest_ms and tenant not in plentiful
+            if since_ms > oldest_ms and tenant not in plentiful_tenants
         }
-        self.scarce_since_ms |= dict.fromkeys(short, now_ms)
+        self.scarce_since_ms |= dict.fromkeys(short_tenants, now_ms)
 
     def _write(self, now_ms: float, changes: list[pb.Change]) -> None:
         record = pb.Record(no=self.committed.record_number + 1, changes=changes)
@@ -183,7 +188,7 @@
         )
 
     def on_write_ended(self, now_ms: float, record: pb.Record, committed: bool | None) -> None:
-        """The group's answer to a write; see `ReplicatedGroup.append`."""
+        """Applies the group's result of a write; see `ReplicatedGroup.append`."""
         if not self.pending_write or record is not self.pending_write.record:
             return
         generation = self.pending_write.generation
@@ -215,7 +220,7 @@
             self.outbox.append(OutgoingMessage(gateway, answer))
 
     def _fill_granted(self, granted: pb.Granted, key: EpochKey) -> None:
-        """Fills in the committed totals of an epoch for the tenant that `granted` names."""
+        """Fills in the committed totals of the epoch `key` for the tenant in `granted`."""
         tenant = granted.tenant
         entry = self.committed.epochs.get(key, {}).get(tenant)
         account = self.committed.accounts.get(tenant)
@@ -232,7 +237,7 @@
     # For operators.
 
     def status(self) -> dict[str, TenantLedgerStatus]:
-        """By tenant; empty where this process does not lead."""
+        """Returns the status of each account by tenant; empty if this process does not lead."""
         accounts = self.committed.accounts if self.committed else {}
         return {
             tenant: TenantLedgerStatus(
--- a/lichenquay/quota/ledger_records.py
+++ b/lichenquay/quota/ledger_records.py
@@ -1,9 +1,9 @@
-"""The ledger's records as a replicated group stores them, in pieces. No I/O.
+"""Storage of the ledger's records in a replicated group, split into pieces. No I/O.
 
-A record of the group is bounded in size and a batch of changes is not, so a batch is stored as pieces. It
-counts once all its pieces are there, one after the other. Pieces of a record whose rest never came (its
-leader lost the group in between) are dropped by the first piece of the next record: no gateway was answered
-by it. Errors: protobuf's DecodeError, and LedgerError.
+A record of the group is bounded in size and a batch of changes is not, so a batch is stored as consecutive
+pieces, and is complete once all of them are there. Pieces of a record that was never completed, because its
+leader lost the group in between, are dropped by the first piece of the next record: no gateway received an
+answer based on it. Raises protobuf's DecodeError, and LedgerError.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,18 +12,18 @@
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.ledger import Ledger
 
-PIECE_BYTES = 760  # of data; with its header a piece stays under the 800 bytes of a group's record
+PIECE_BYTES = 760  # of data; with its header a piece stays below the 800 bytes of a group's record
 
 
 class AssembledRecords(NamedTuple):
-    """Complete records in order, and the pieces of the last one that is not complete yet."""
+    """Complete records in order, and the pieces of a last record that is not complete yet."""
 
     records: list[bytes]
     incomplete: list[bytes]
 
 
 def split(record: bytes) -> list[bytes]:
-    """The pieces of a record."""
+    """Returns the pieces of a record."""
     chunks = [record[start : start + PIECE_BYTES] for start in range(0, len(record), PIECE_BYTES)]
     return [
         pb.Part(index=index, count=len(chunks), data=chunk).SerializeToString()
@@ -32,14 +32,14 @@
 
 
 def assemble(pieces: Iterable[bytes]) -> AssembledRecords:
-    """Joins pieces to records."""
+    """Joins pieces into records."""
     records = []
     incomplete = []
     for piece in pieces:
         part = pb.Part.FromString(piece)
         if part.index == 0:
             incomplete = []
-        # Where its first piece is missing, no gateway was answered by this record.
+        # A piece without those before it belongs to an incomplete record, on which no answer was based.
         if part.index != len(incomplete):
             incomplete = []
             continue
@@ -51,7 +51,7 @@
 
 
 def read(base: bytes, pieces: Iterable[bytes]) -> tuple[bytes, list[bytes]]:
-    """The snapshot in a group's base, and the complete records after it."""
+    """Returns the snapshot in a group's base, and the complete records after it."""
     stored = pb.Kept.FromString(base)
     return stored.state, assemble([*stored.parts, *pieces]).records
 
@@ -59,7 +59,10 @@
 def fold_with(
     base: bytes, pieces: Iterable[bytes], apply_records: Callable[[bytes, list[bytes]], bytes]
 ) -> bytes:
-    """The base with these pieces folded in; `apply_records(snapshot, records)` gives the next snapshot."""
+    """Returns the base with the pieces folded in.
+
+    `apply_records(snapshot, records)` returns the next snapshot.
+    """
     stored = pb.Kept.FromString(base)
     records, incomplete = assemble([*stored.parts, *pieces])
     state = apply_records(stored.state, records) if records else stored.state
@@ -67,49 +70,49 @@
 
 
 def fold(base: bytes, pieces: Iterable[bytes]) -> bytes:
-    """The `fold` of the ledger's group."""
+    """Folds pieces into the base of the ledger's group; see `lease.group`."""
     return fold_with(base, pieces, lambda state, records: Ledger.load(state, records).state())
 
 
 class PiecewiseGroup:
-    """A replicated group whose records may be of any size: a record is committed when its last piece is."""
+    """A replicated group with records of any size: a record is committed once all its pieces are."""
 
     def __init__(self, group):
-        """`group`: a `lease.group.LeaseGroup`."""
+        """Wraps `group`, a `lease.group.LeaseGroup`."""
         self.group = group
 
     @property
     def generation(self) -> int:
-        """The generation under which this process holds the group; 0: it does not."""
+        """The generation in which this process holds the group; 0: it does not hold it."""
         return self.group.generation
 
     def holds(self, now_ms: float) -> bool:
-        """Whether this process holds the group's lease."""
+        """Returns whether this process holds the group's lease."""
         return self.group.holds(now_ms)
 
     def snapshot(self) -> tuple[bytes, list[bytes]]:
-        """The snapshot, and the complete records after it."""
+        """Returns the snapshot, and the complete records after it."""
         return read(*self.group.state)
 
     def append(self, now_ms: float, record: bytes, done: Callable[[float, bool | None], None]) -> None:
-        """Writes a record; `done(now_ms, committed)` is called once all its pieces have ended.
+        """Writes a record; `done(now_ms, committed)` is called once the results of all pieces are in.
 
         `committed`: True, False (certainly not), or None (not known).
         """
         pieces = split(record)
         results = []
 
-        def piece_ended(ended_ms: float, committed: bool | None) -> None:
+        def on_piece_written(ended_ms: float, committed: bool | None) -> None:
             results.append(committed)
             if len(results) == len(pieces):
-                done(ended_ms, _result_of(results))
+                done(ended_ms, _combined_result(results))
 
         for piece in pieces:
-            self.group.append(now_ms, piece, piece_ended)
+            self.group.append(now_ms, piece, on_piece_written)
 
 
-def _result_of(results: list[bool | None]) -> bool | None:
-    """The result of a record: False if a piece was rejected, else None if one is unknown."""
+def _combined_result(results: list[bool | None]) -> bool | None:
+    """Returns True if all pieces are committed, False if one certainly is not, else None."""
     if all(results):
         return True
     return False if False in results else None
--- a/lichenquay/quota/ledger_snapshot.py
+++ b/lichenquay/quota/ledger_snapshot.py
@@ -1,4 +1,4 @@
-"""The ledger as a `State` message of quota.proto, and back. The wire names are mapped to ours here."""
+"""Snapshots of the ledger as `State` messages of quota.proto; maps wire names to the names in the code."""
 
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import LedgerError
@@ -6,7 +6,7 @@
 from lichenquay.quota.tenant_account import EpochKey, EscrowEntry, LatestEpoch, TenantAccount
 
 VERSION = 1
-ACCOUNT_FIELDS = {  # of pb.Account: of TenantAccount
+ACCOUNT_FIELDS = {  # field of pb.Account: attribute of TenantAccount
     "allowed_us": "debt_ceiling_us",
     "brim_us": "capacity_ceiling_us",
     "pool_us": "pool_us",
@@ -24,7 +24,7 @@
 
 
 def snapshot_of(ledger: LedgerState) -> pb.State:
-    """The whole ledger."""
+    """Returns the whole ledger as a message."""
     state = pb.State(
         version=VERSION,
         no=ledger.record_number,
@@ -54,9 +54,9 @@
 
 
 def restore(ledger: LedgerState, state: pb.State) -> None:
-    """Fills an empty ledger from a snapshot. Raises LedgerError for one of another version."""
+    """Fills an empty ledger from a snapshot. Raises LedgerError for another version."""
     if state.version != VERSION:
-        raise LedgerError(f"a ledger of version {state.version}, not {VERSION}")
+        raise LedgerError(f"ledger snapshot of version {state.version}, expected {VERSION}")
     ledger.record_number = state.no
     ledger.last_loan_id = state.loans_made
     for stored in state.accounts:
--- a/lichenquay/quota/ledger_state.py
+++ b/lichenquay/quota/ledger_state.py
@@ -1,52 +1,52 @@
-"""The ledger as its records have made it: a deterministic state machine without I/O, clock or random source.
+"""The state of the ledger: a deterministic state machine without I/O, clock or random source.
 
-A `Record` of changes was made durable by a replicated group; `apply` brings it in, once, by its number.
+A replicated group makes a `Record` of changes durable; `apply` applies it once, by its number.
 """
 
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import LedgerError
 from lichenquay.quota.tenant_account import EntryTotals, EpochKey, EscrowEntry, LatestEpoch, TenantAccount
 
-MAX_EXPIRED_EPOCHS = 64  # of one gateway; of older ones the amounts are lost
+MAX_EXPIRED_EPOCHS = 64  # of one gateway; the amounts of older ones count as lost
 NO_EPOCH = LatestEpoch(0, 0, False)
 
 
 class LedgerState:
-    """Accounts, escrow entries and loans, and how each kind of change alters them."""
+    """Accounts, escrow entries and loans, and the transitions for each kind of change."""
 
     def __init__(self):
-        """A ledger without accounts."""
+        """Creates a ledger without accounts."""
         self.record_number = 0
         self.last_loan_id = 0
         self.accounts: dict[str, TenantAccount] = {}
         self.epochs: dict[EpochKey, dict[str, EscrowEntry]] = {}  # entries by tenant; the oldest epoch first
         self.expired: set[EpochKey] = set()
         self.latest: dict[str, LatestEpoch] = {}  # by gateway
-        self.loans: dict[int, pb.Loan] = {}  # that are not repaid, the oldest first
+        self.loans: dict[int, pb.Loan] = {}  # by id; open ones only, the oldest first
 
     def apply(self, record: pb.Record) -> bool:
-        """Applies a record; False if it was applied before.
+        """Applies a record; returns False if it was applied before.
 
-        Raises LedgerError for a gap in the numbers: the missing record may hold a loan.
+        Raises LedgerError for a gap in the numbers: the missing record may contain a loan.
         """
         if record.no <= self.record_number:
             return False
         if record.no != self.record_number + 1:
-            raise LedgerError(f"record {record.no} after {self.record_number}")
+            raise LedgerError(f"record {record.no} after {self.record_number}: records are missing")
         for change in record.changes:
             self.apply_change(change)
         self.record_number = record.no
         return True
 
     def apply_change(self, change: pb.Change) -> None:
-        """Applies one change. Raises LedgerError where it breaks an invariant."""
+        """Applies one change. Raises LedgerError if it breaks an invariant."""
         kind = change.WhichOneof("what")
         if kind is None:
             raise LedgerError("a change of a kind that is not known")
         getattr(self, APPLY_METHODS[kind])(getattr(change, kind))
 
     def apply_account_terms(self, terms: pb.Open) -> None:
-        """Opens an account with a full bucket, or changes the terms of one."""
+        """Opens an account with a full bucket, or changes the terms of an account."""
         stored = pb.Open()
         stored.CopyFrom(terms)
         account = self.accounts.get(stored.tenant)
@@ -61,14 +61,14 @@
         account.capacity_ceiling_us = max(stored.bucket_us, present_us)
 
     def apply_accrual(self, accrual: pb.Beat) -> None:
-        """Time passes: accounts accrue, debtors repay their share, loans age."""
+        """Applies elapsed time: accounts accrue, debtors repay their share, and loans age."""
         for loan in self.loans.values():
             loan.age_ms += accrual.elapsed_ms
         for tenant, account in self.accounts.items():
             accrued_us, account.accrual_remainder = divmod(
                 account.terms.rate_us * accrual.elapsed_ms + account.accrual_remainder, 1000
             )
-            repayment_us = self._repayment_share(account, accrued_us)
+            repayment_us = self._take_repayment_us(account, accrued_us)
             issued_us = max(0, min(accrued_us, account.headroom_us + repayment_us))
             account.issued_us += issued_us
             account.pool_us += issued_us
@@ -77,13 +77,13 @@
                 self._repay_oldest_first(tenant, repayment_us)
 
     @staticmethod
-    def _repayment_share(account: TenantAccount, accrued_us: int) -> int:
+    def _take_repayment_us(account: TenantAccount, accrued_us: int) -> int:
         if not account.debt_us:
             return 0
         share_us, account.repayment_remainder = divmod(
             account.terms.repay_permille * accrued_us + account.repayment_remainder, 1000
         )
-        # What a full bucket cannot take costs the debtor nothing.
+        # Accrual that overflows the bucket repays debt at no cost to the debtor.
         headroom_us = account.headroom_us
         excess_us = accrued_us - headroom_us if headroom_us >= 0 else 0
         return min(max(share_us, excess_us), account.debt_us, accrued_us)
@@ -100,7 +100,7 @@
         lender = self.accounts[loan.lender]
         borrower = self.accounts[loan.borrower]
         if amount_us <= 0 or amount_us > min(borrower.pool_us, loan.amount_us - loan.repaid_us):
-            raise LedgerError(f"loan {loan.id} cannot be repaid by {amount_us}")
+            raise LedgerError(f"loan {loan.id} cannot be repaid by {amount_us} us")
         borrower.pool_us -= amount_us
         borrower.repaid_us += amount_us
         lender.pool_us += amount_us
@@ -111,10 +111,10 @@
             del self.loans[loan.id]
 
     def apply_repayment(self, repayment: pb.Repay) -> None:
-        """Repays a part of one loan from its borrower's pool."""
+        """Repays part of one loan from its borrower's pool."""
         loan = self.loans.get(repayment.loan)
         if loan is None:
-            raise LedgerError(f"no loan {repayment.loan}")
+            raise LedgerError(f"repayment of unknown loan {repayment.loan}")
         self._repay_loan(loan, repayment.amount_us)
 
     def apply_loan(self, loan: pb.Loan) -> None:
@@ -127,7 +127,9 @@
             or not 0 < loan.amount_us <= lender.pool_us
             or borrower.debt_us + loan.amount_us > borrower.terms.limit_us
         ):
-            raise LedgerError(f"loan {loan.id} cannot be made")
+            raise LedgerError(
+                f"loan {loan.id} of {loan.amount_us} us from {loan.lender} to {loan.borrower} is not allowed"
+            )
         self.last_loan_id = loan.id
         stored = pb.Loan()
         stored.CopyFrom(loan)
@@ -138,9 +140,9 @@
         borrower.borrowed_us += loan.amount_us
 
     def may_grant(self, gateway: str, incarnation: int, epoch: int) -> bool:
-        """Whether tokens may be granted to this epoch: the newest one, if not closed, or a newer one.
+        """Returns whether tokens may be granted to an epoch: the latest one, if not closed, or a newer one.
 
-        Without this, a late request of an incarnation or epoch that has ended would get tokens that nobody
+        Otherwise a late request of an incarnation or epoch that has ended would be granted tokens that nobody
         will spend or return.
         """
         latest = self.latest.get(gateway, NO_EPOCH)
@@ -149,11 +151,13 @@
         return (incarnation, epoch) > (latest.incarnation, latest.epoch)
 
     def apply_grant(self, grant: pb.Grant) -> None:
-        """Moves tokens from the pool of a tenant to an epoch of a gateway."""
+        """Moves tokens from a tenant's pool to an epoch of a gateway."""
         account = self.accounts[grant.tenant]
         key = EpochKey(grant.front, grant.incarnation, grant.book)
         if not 0 < grant.amount_us <= account.pool_us or not self.may_grant(*key):
-            raise LedgerError(f"no grant of {grant.tenant} to {tuple(key)}")
+            raise LedgerError(
+                f"grant of {grant.amount_us} us of {grant.tenant} to {tuple(key)} is not allowed"
+            )
         self.latest[grant.front] = LatestEpoch(grant.incarnation, grant.book, False)
         entry = self.epochs.setdefault(key, {}).setdefault(grant.tenant, EscrowEntry())
         entry.granted_us += grant.amount_us
@@ -162,9 +166,9 @@
 
     @staticmethod
     def merged_totals(entry: EscrowEntry, row: pb.Row) -> EntryTotals:
-        """The larger totals of an entry and a report.
+        """Returns the larger totals of an entry and a report.
 
-        A sealed epoch returns also what its gateway never received.
+        A sealed epoch also returns the tokens of grants that never reached its gateway.
         """
         never_received_us = entry.granted_us - row.known_us if row.sealed else 0
         return EntryTotals(
@@ -174,10 +178,7 @@
         )
 
     def apply_usage(self, report: pb.Word) -> None:
-        """A gateway's totals of one tenant in one epoch.
-
-        Of an entry that is not known they change nothing.
-        """
+        """Applies a gateway's totals of one tenant in one epoch; those of an unknown entry are ignored."""
         key = EpochKey(report.front, report.incarnation, report.row.book)
         tenant = report.row.tenant
         entry = self.epochs.get(key, {}).get(tenant)
@@ -194,7 +195,7 @@
         account.spent_us += newly_spent_us
         if key in self.expired:
             account.written_off_us -= newly_spent_us + newly_returned_us
-            # The bucket may have filled since the epoch expired.
+            # The bucket may have been refilled since the epoch expired.
             credited_us = min(newly_returned_us, max(0, account.headroom_us))
         else:
             account.held_us -= newly_spent_us + newly_returned_us
@@ -206,7 +207,7 @@
             self._remove_settled(key)
 
     def apply_expiry(self, expiry: pb.Lapse) -> None:
-        """Writes an epoch off: what its gateway held counts as spent until it reports."""
+        """Writes off an epoch: tokens that its gateway held count as spent until it reports."""
         key = EpochKey(expiry.front, expiry.incarnation, expiry.book)
         if key not in self.epochs or key in self.expired:
             return
@@ -220,7 +221,7 @@
         self._forget_oldest_expired(key.gateway)
 
     def _forget_oldest_expired(self, gateway: str) -> None:
-        """Bounds what a gateway that restarts again and again leaves in the ledger."""
+        """Bounds the number of expired epochs that a gateway with frequent restarts leaves in the ledger."""
         expired = [key for key in self.epochs if key.gateway == gateway and key in self.expired]
         for key in expired[:-MAX_EXPIRED_EPOCHS]:
             for tenant, entry in self.epochs.pop(key).items():
@@ -235,7 +236,7 @@
             self.latest[key.gateway] = LatestEpoch(key.incarnation, key.epoch, True)
 
     def _remove_settled(self, key: EpochKey) -> None:
-        """Entries that are closed and fully settled live on in their account's totals alone."""
+        """Removes closed entries that are fully settled; their amounts remain in the account's totals."""
         entries = self.epochs[key]
         expired = key in self.expired
         settled = [
@@ -250,7 +251,7 @@
             self.expired.discard(key)
 
 
-# The kinds of quota.proto's Change, by the names of their fields.
+# The method for each kind of quota.proto's Change, by field name.
 APPLY_METHODS = {
     "open": "apply_account_terms",
     "beat": "apply_accrual",
--- a/lichenquay/quota/messages.py
+++ b/lichenquay/quota/messages.py
@@ -1,4 +1,4 @@
-"""Records that the gateway's side and the leader's side of the quota protocol share."""
+"""Types that the gateway's side and the leader's side of the quota protocol share."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message, and the name of the gateway that it is for."""
+    """A message and the name of the gateway that it is addressed to."""
 
     to: str
     message: Message
 
 
 class LeaderAddress(NamedTuple):
-    """The gateway that leads the ledger, and the generation of the group under which it does."""
+    """The gateway that leads the ledger, and the generation of the group in which it does."""
 
     name: str
     generation: int
--- a/lichenquay/quota/pending_requests.py
+++ b/lichenquay/quota/pending_requests.py
@@ -1,4 +1,4 @@
-"""What gateways have requested and reported since the leader's last record, and how recently."""
+"""Requests and usage reports of gateways since the leader's last record, and when each was last heard."""
 
 from collections.abc import Container
 from typing import NamedTuple
@@ -6,13 +6,13 @@
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.tenant_account import EpochKey
 
-MAX_REPORTS = 8192  # in a period; gateways repeat what is beyond that
-MAX_REQUESTS_PER_GATEWAY = 8  # in a period
-TOTAL_LIMIT_US = 1 << 63  # no valid total is as large
+MAX_REPORTS = 8192  # per period; gateways repeat requests that are shed beyond that
+MAX_REQUESTS_PER_GATEWAY = 8  # per period
+TOTAL_LIMIT_US = 1 << 63  # valid totals are smaller
 
 
 class RequestOrder(NamedTuple):
-    """Orders the requests of one gateway."""
+    """The position of a request among those of its gateway; it sorts by time of sending."""
 
     incarnation: int
     epoch: int
@@ -20,14 +20,14 @@
 
 
 class PressureReport(NamedTuple):
-    """Whether a gateway had no room for work beyond quota, and when it reported that."""
+    """Whether a gateway has no room for work over quota, and when it reported that."""
 
     reported_ms: float
     under_pressure: bool
 
 
 class GatewayRequest(NamedTuple):
-    """A token request with its sender."""
+    """A token request and its sender."""
 
     gateway: str
     incarnation: int
@@ -35,7 +35,7 @@
 
 
 class UsageReport(NamedTuple):
-    """A row of a token request with its sender."""
+    """A row of a token request and the sender of the request."""
 
     gateway: str
     incarnation: int
@@ -43,7 +43,7 @@
 
 
 def is_plausible(request: pb.Ask) -> bool:
-    """Whether a gateway that works as designed can have sent this."""
+    """Returns whether a correct gateway can have sent this request."""
     if not (request.book and request.no):
         return False
     holdings = {(row.tenant, row.book) for row in request.rows}
@@ -64,7 +64,7 @@
     """Requests and usage reports of one leadership term."""
 
     def __init__(self):
-        """Nothing was received yet."""
+        """Starts without requests."""
         self.last_message_ms: dict[EpochKey, float] = {}
         self.newest: dict[str, RequestOrder] = {}
         self.pressure: dict[str, PressureReport] = {}
@@ -72,7 +72,7 @@
         self.reports: list[UsageReport] = []
 
     def __bool__(self):
-        """Whether there is anything for the next record."""
+        """Returns whether there are requests or reports for the next record."""
         return bool(self.requests or self.reports)
 
     @property
@@ -81,7 +81,7 @@
         return len(self.reports) > MAX_REPORTS
 
     def add(self, now_ms: float, gateway: str, incarnation: int, request: pb.Ask) -> bool:
-        """Adds a request that is plausible; whether it is to be answered.
+        """Adds a plausible request; returns whether it will be answered.
 
         Its totals count in any case; only requests of a gateway's newest epoch are granted and answered.
         """
@@ -99,12 +99,12 @@
         return True
 
     def take_reports(self) -> list[UsageReport]:
-        """All usage reports, which are not pending any more."""
+        """Removes and returns all usage reports."""
         reports, self.reports = self.reports, []
         return reports
 
     def take_requests(self) -> list[GatewayRequest]:
-        """Those of each gateway's newest epoch, which are not pending any more."""
+        """Removes all requests and returns those of each gateway's newest epoch."""
         taken, self.requests = self.requests, {}
         return [
             request
@@ -114,9 +114,9 @@
         ]
 
     def forget_before(self, oldest_ms: float, open_epochs: Container[EpochKey]) -> None:
-        """Forgets gateways without any request since then.
+        """Forgets gateways without a request since `oldest_ms`, unless they have an open epoch.
 
-        Otherwise those that come and go would fill the memory.
+        Otherwise memory would grow with the number of gateways that were ever started.
         """
         self.last_message_ms = {
             key: message_ms
@@ -128,6 +128,6 @@
         }
 
     def is_fleet_under_pressure(self, since_ms: float) -> bool:
-        """Whether at least half of the gateways seen since then have no room for work beyond quota."""
+        """Returns whether at least half of the gateways heard since then have no room for work over quota."""
         reports = [report for report in self.pressure.values() if report.reported_ms > since_ms]
         return 2 * sum(report.under_pressure for report in reports) >= len(reports)
--- a/lichenquay/quota/tenant_account.py
+++ b/lichenquay/quota/tenant_account.py
@@ -1,6 +1,6 @@
-"""The amounts that the ledger keeps: of a tenant, and of one epoch of a gateway.
+"""The amounts that the ledger stores: of a tenant's account, and of one epoch of a gateway.
 
-One token is one microsecond of engine work, so that sums are exact.
+A token is one microsecond of engine work, so that sums are exact.
 """
 
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
     """One tenant's account; `held_us` and `written_off_us` are running sums over its escrow entries.
 
     `terms`: rate, bucket size and credit, as configured.
-    `debt_ceiling_us`: the credit limit, or the debt at the time when the limit was lowered.
-    `capacity_ceiling_us`: the bucket size, or what the account had when the bucket was made smaller.
+    `debt_ceiling_us`: the credit limit, or the debt when the limit was lowered.
+    `capacity_ceiling_us`: the bucket size, or the amount of the account when the bucket was made smaller.
     `pool_us`: unspent and not granted to any gateway.
     `held_us`: granted to open epochs of gateways, neither spent nor returned.
-    `written_off_us`: the same of expired epochs.
+    `written_off_us`: granted to expired epochs, neither spent nor returned.
     `overflowed_us`: returned from an expired epoch when the bucket was full again.
-    `lost_us`: written off, and its escrow entries forgotten.
+    `lost_us`: written off, with the escrow entries forgotten.
     `collected_us`: repayments received as a lender.
     `accrual_remainder`, `repayment_remainder`: thousandths of a microsecond, carried to the next accrual.
     """
@@ -44,35 +44,35 @@
 
     @classmethod
     def opened(cls, terms: pb.Open) -> "TenantAccount":
-        """An account of these terms, without any amount yet."""
+        """Returns an account with these terms, and all amounts zero."""
         return cls(terms, debt_ceiling_us=terms.limit_us, capacity_ceiling_us=terms.bucket_us)
 
     @property
     def debt_us(self) -> int:
-        """Borrowed and not repaid."""
+        """The borrowed amount that is not repaid."""
         return self.borrowed_us - self.repaid_us
 
     @property
     def receivable_us(self) -> int:
-        """Lent and not collected."""
+        """The lent amount that is not collected."""
         return self.lent_us - self.collected_us
 
     @property
     def headroom_us(self) -> int:
-        """Up to a full bucket; negative while the tenant has borrowed more than that.
+        """The amount up to a full bucket; negative while the tenant has borrowed more than that.
 
-        What it lent counts as if it were there, so that a lender accrues as if it had not lent.
+        Lent tokens count as present, so that a lender accrues as if it had not lent.
         """
         return self.terms.bucket_us - self.pool_us - self.held_us - self.receivable_us
 
     @property
     def lendable_us(self) -> int:
-        """Unused tokens beyond the part of its bucket that a lender keeps."""
+        """The tokens of the pool beyond the part of the bucket that is never lent."""
         return max(0, self.pool_us - self.terms.bucket_us * self.terms.lend_permille // 1000)
 
 
 class EpochKey(NamedTuple):
-    """An epoch of a gateway: all tokens that it holds until they expire together."""
+    """The key of an epoch of a gateway; the tokens of an epoch expire together."""
 
     gateway: str
     incarnation: int
@@ -80,10 +80,7 @@
 
 
 class LatestEpoch(NamedTuple):
-    """The newest epoch of a gateway that was granted tokens.
-
-    No tokens are granted to it once it is closed.
-    """
+    """The newest epoch of a gateway that was granted tokens; once closed, it is granted no more."""
 
     incarnation: int
     epoch: int
@@ -91,7 +88,7 @@
 
 
 class EntryTotals(NamedTuple):
-    """What a gateway's report makes of an escrow entry."""
+    """The totals of an escrow entry after a gateway's report."""
 
     spent_us: int
     returned_us: int
@@ -100,9 +97,9 @@
 
 @dataclass(slots=True)
 class EscrowEntry:
-    """One tenant's tokens in one epoch: totals since the epoch began.
+    """One tenant's tokens in one epoch: totals since the epoch started.
 
-    A sealed entry is not spent from any more.
+    Nothing more is spent from a sealed entry.
     """
 
     granted_us: int = 0
@@ -112,5 +109,5 @@
 
     @property
     def unsettled_us(self) -> int:
-        """Granted, and reported neither as spent nor as returned."""
+        """The granted amount that is reported neither as spent nor as returned."""
         return self.granted_us - self.spent_us - self.returned_us
--- a/lichenquay/quota/token_allocation.py
+++ b/lichenquay/quota/token_allocation.py
@@ -1,4 +1,4 @@
-"""Who gets which tokens in one batch of changes: grants from the pools, recalled loans, new loans."""
+"""The allocation of tokens in one batch of changes: grants from pools, recalled loans, new loans."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,20 +9,20 @@
 from lichenquay.quota.pending_requests import GatewayRequest
 from lichenquay.quota.tenant_account import EpochKey
 
-GRANT_SHARE = 4  # one request is granted at most one part in so many of a bucket
-MAX_LOANS_AT_ONCE = 4  # of a tenant in a batch, each from another lender
+MAX_GRANT_DIVISOR = 4  # one request is granted at most the bucket divided by this
+MAX_LOANS_AT_ONCE = 4  # to one tenant in one batch, each from another lender
 
 
 class ChangeBatch:
-    """Changes decided one after the other on a speculative ledger, to be committed as one record."""
+    """Changes decided one by one on a speculative ledger, to be committed as one record."""
 
     def __init__(self, ledger: Ledger):
-        """`ledger`: the speculative one; each change is applied to it at once."""
+        """Starts an empty batch. `ledger`: the speculative one, to which each change is applied at once."""
         self.ledger = ledger
         self.changes: list[pb.Change] = []
 
     def add(self, change: pb.Change | None) -> bool:
-        """Adds a change; False for None, where nothing was decided."""
+        """Adds a change; returns False if the change is None."""
         if change is None:
             return False
         self.ledger.apply_change(change)
@@ -31,16 +31,16 @@
 
 
 class DemandKind(StrEnum):
-    """Which part of a demand is served; the values are the names of its attributes."""
+    """The part of a demand to serve; the values are names of attributes of TokenDemand."""
 
-    REQUESTED = "requested_us"  # all, stock included
-    NEEDED = "needed_us"  # for the queries that come
-    BORROWABLE = "borrowable_us"  # for those of the last second; loans are for nothing else
+    REQUESTED = "requested_us"  # all of it, idle stock included
+    NEEDED = "needed_us"  # for the expected queries
+    BORROWABLE = "borrowable_us"  # for the queries of the last second; loans are granted for nothing else
 
 
 @dataclass(slots=True)
 class TokenDemand:
-    """What one gateway still demands of one tenant; each amount is part of the next one."""
+    """The open demand of one gateway for tokens of one tenant; each amount is part of the next one."""
 
     key: EpochKey
     under_pressure: bool
@@ -49,26 +49,26 @@
     requested_us: int = 0
 
     def amount_us(self, kind: DemandKind) -> int:
-        """The amount of this kind."""
+        """Returns the amount of a kind."""
         return getattr(self, kind)
 
     def raise_to(self, borrowable_us: int, needed_us: int, requested_us: int) -> None:
-        """Another request of the same gateway: amounts are totals, so the larger ones count."""
+        """Adds another request of the same gateway: amounts are totals, so the larger ones count."""
         self.borrowable_us = max(self.borrowable_us, borrowable_us)
         self.needed_us = max(self.needed_us, needed_us)
         self.requested_us = max(self.requested_us, requested_us)
 
     def reduce_by(self, granted_us: int) -> None:
-        """Tokens were granted."""
+        """Subtracts granted tokens."""
         self.borrowable_us = max(0, self.borrowable_us - granted_us)
         self.needed_us = max(0, self.needed_us - granted_us)
         self.requested_us -= granted_us
 
 
 def demands_of(ledger: Ledger, requests: Iterable[GatewayRequest]) -> dict[str, list[TokenDemand]]:
-    """The demands by tenant.
+    """Returns the demands by tenant.
 
-    Requests name the total that they need, so that one which is received twice is granted once.
+    Requests state the total that they need, so a request that is received twice is granted once.
     """
     demands: dict[str, dict[EpochKey, TokenDemand]] = {}
     for gateway, incarnation, request in requests:
@@ -81,7 +81,7 @@
                 continue
             entry = ledger.epochs.get(key, {}).get(row.tenant)
             granted_us = entry.granted_us if entry else 0
-            requested_us = min(max(0, row.upto_us - granted_us), account.terms.bucket_us // GRANT_SHARE)
+            requested_us = min(max(0, row.upto_us - granted_us), account.terms.bucket_us // MAX_GRANT_DIVISOR)
             if not requested_us:
                 continue
             needed_us = min(max(0, row.need_us - (granted_us - row.known_us)), requested_us)
@@ -92,27 +92,31 @@
 
 
 class TokenAllocation:
-    """One batch's allocation; its results are `short` and `plentiful` tenants and `loans_barred`."""
+    """The allocation of one batch.
+
+    Its results are the changes in the batch, `short_tenants`, `plentiful_tenants` and `loans_barred` (tenants
+    that demanded loans while one was overdue).
+    """
 
     def __init__(self, batch: ChangeBatch, demands: dict[str, list[TokenDemand]]):
-        """`demands`: by tenant, as `demands_of` gives them."""
+        """Starts an allocation. `demands`: by tenant, from `demands_of`."""
         self.ledger = batch.ledger
         self.batch = batch
         self.demands = demands
-        self.plentiful: list[str] = []
+        self.plentiful_tenants: list[str] = []
         self.loans_barred = 0
 
     @property
-    def short(self) -> list[str]:
+    def short_tenants(self) -> list[str]:
         """Tenants whose queries lack tokens."""
         return [
             tenant for tenant, demands in self.demands.items() if any(demand.needed_us for demand in demands)
         ]
 
     def grant_from_pools(self, elapsed_ms: int) -> None:
-        """Serves needs, with recalled loans where a lender is short, and then stock.
+        """Serves needs, for which lenders that are short recall loans, and then idle stock.
 
-        `elapsed_ms`: accrued time.
+        `elapsed_ms`: the time accrued in this batch.
         """
         retained_us = self._retained_by_debtors(elapsed_ms)
         for tenant in self.demands:
@@ -123,12 +127,12 @@
             if account.pool_us:
                 self._divide_pool(tenant, self.demands[tenant], DemandKind.REQUESTED)
             if account.pool_us:
-                self.plentiful.append(tenant)
+                self.plentiful_tenants.append(tenant)
 
     def _retained_by_debtors(self, elapsed_ms: int) -> dict[str, int]:
-        """What a debtor in need keeps of its accrual, so that recalled loans never starve it."""
+        """Returns what each short tenant keeps of its accrual, so that recalls never starve a debtor."""
         retained_us = {}
-        for tenant in self.short:
+        for tenant in self.short_tenants:
             terms = self.ledger.accounts[tenant].terms
             retained_us[tenant] = terms.rate_us * elapsed_ms * (1000 - terms.repay_permille) // 1_000_000
         return retained_us
@@ -143,7 +147,7 @@
                 return
 
     def _divide_pool(self, tenant: str, demands: list[TokenDemand], kind: DemandKind) -> None:
-        """All that is demanded, or of the pool as much as each demands of the whole."""
+        """Grants all demands, or divides a pool that is too small in proportion to them."""
         pool_us = self.ledger.accounts[tenant].pool_us
         amounts_us = [demand.amount_us(kind) for demand in demands]
         total_us = sum(amounts_us)
@@ -155,7 +159,7 @@
                 demand.reduce_by(granted_us)
 
     def lend(self, tenants: Iterable[str]) -> None:
-        """Loans for these tenants, granted at once to gateways that have room for work beyond quota."""
+        """Makes loans to these tenants, and grants them to gateways that have room for work over quota."""
         for tenant in tenants:
             demands = [
                 demand
--- a/lichenquay/quota/token_requests.py
+++ b/lichenquay/quota/token_requests.py
@@ -1,4 +1,4 @@
-"""What a gateway's token requests say: which rows, how many at a time, in which messages."""
+"""The contents of a gateway's token requests: their rows, and how rows are split into requests."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,21 +7,21 @@
 from lichenquay.quota.escrow_demand import TenantDemand
 from lichenquay.quota.escrow_holding import EscrowHolding, HoldingKey
 
-ROWS_PER_REQUEST = 8  # a datagram of under 1,200 bytes
+ROWS_PER_REQUEST = 8  # fit in a datagram of 1,200 bytes
 MAX_REQUESTS_AT_ONCE = 4
 MAX_ROWS_AT_ONCE = ROWS_PER_REQUEST * MAX_REQUESTS_AT_ONCE
 
 
 class HoldingTargets(NamedTuple):
-    """How many tokens (us) to hold: request up to `requested_us`, return what is well over `retained_us`."""
+    """Tokens (us) to hold: requests go up to `requested_us`, returns down to `retained_us`."""
 
     requested_us: int
     retained_us: int
     needed_us: int
 
 
-def targets_of(now_ms: float, demand: TenantDemand, leaving: bool) -> HoldingTargets:
-    """A debtor holds no more than it needs now; where tokens are scarce, nothing is held in stock."""
+def holding_targets(now_ms: float, demand: TenantDemand, leaving: bool) -> HoldingTargets:
+    """Returns the targets: a debtor holds only what it needs now, and scarce tokens are not kept in stock."""
     if leaving:
         return HoldingTargets(0, 0, 0)
     if demand.is_in_debt(now_ms):
@@ -34,7 +34,7 @@
     return HoldingTargets(stocked_us, stocked_us, needed_us)
 
 
-def open_row(
+def return_surplus_and_build_row(
     now_ms: float,
     key: HoldingKey,
     holding: EscrowHolding,
@@ -42,11 +42,12 @@
     leaving: bool,
     overrun_us: int,
 ) -> pb.Row:
-    """The row of a holding of the current epoch; returns surplus tokens first.
+    """Returns the surplus tokens of a holding of the current epoch to the ledger, and builds its row.
 
-    `overrun_us`: work of ended queries that no token has paid yet.
+    Also updates the low watermark of the demand. `overrun_us`: work of ended queries that is not charged to
+    any token yet.
     """
-    targets = targets_of(now_ms, demand, leaving)
+    targets = holding_targets(now_ms, demand, leaving)
     demand.low_water_us = targets.needed_us // 2
     if holding.free_us > targets.retained_us * 3 // 2:
         holding.returned_us += holding.free_us - targets.retained_us
@@ -64,8 +65,8 @@
     )
 
 
-def sealed_row(key: HoldingKey, holding: EscrowHolding) -> pb.Row:
-    """The row of a holding of a sealed epoch."""
+def build_sealed_row(key: HoldingKey, holding: EscrowHolding) -> pb.Row:
+    """Builds the row of a holding of a sealed epoch."""
     return pb.Row(
         tenant=key.tenant,
         book=key.epoch,
@@ -77,10 +78,10 @@
 
 
 def must_be_sent(row: pb.Row, holding: EscrowHolding) -> bool:
-    """Whether a row of the current epoch says anything new.
+    """Returns whether a row of the current epoch has news for the leader.
 
-    A request for tokens is repeated until it is answered: the grant may have been made and its answer lost,
-    and once nothing more is needed the gateway would never learn of it.
+    A request for tokens is retried until it is answered: the grant may have been made and its answer lost,
+    and the gateway would never learn of the grant once it needs no more tokens.
     """
     if row.upto_us > row.known_us or holding.requested_at > holding.answered_at:
         return True
@@ -88,9 +89,9 @@
 
 
 def select_rows(rows: list[pb.Row], rotation: int) -> list[pb.Row]:
-    """At most `MAX_ROWS_AT_ONCE`, from `rotation` on.
+    """Returns at most `MAX_ROWS_AT_ONCE` rows, starting at `rotation`.
 
-    Rows of tenants in need take up to half of them first.
+    Rows of tenants in need come first and take up to half of them.
     """
     start = rotation % len(rows)
     rotated = rows[start:] + rows[:start]
@@ -99,7 +100,7 @@
     return first + others[: MAX_ROWS_AT_ONCE - len(first)]
 
 
-def in_requests(rows: list[pb.Row]) -> Iterator[list[pb.Row]]:
-    """The rows of each request; one empty request where there are none, as a sign of life."""
+def split_into_requests(rows: list[pb.Row]) -> Iterator[list[pb.Row]]:
+    """Yields the rows of each request; without rows, one empty request that serves as a heartbeat."""
     for start in range(0, max(1, len(rows)), ROWS_PER_REQUEST):
         yield rows[start : start + ROWS_PER_REQUEST]
--- a/tests/golden_quota_exchange.py
+++ b/tests/golden_quota_exchange.py
@@ -1,7 +1,7 @@
 """A scripted exchange of the quota protocol between three gateways, with every message and record as bytes.
 
-The clock, the network and the random source are deterministic, so that two revisions that behave the same
-produce the same transcript. `golden/quota/transcript.json` is the one of revision 0018238.
+The clock, the network and the random source are deterministic, so revisions with the same behaviour produce
+the same transcript. `golden/quota/transcript.json` was written by revision 0018238.
 """
 
 from random import Random
@@ -31,25 +31,25 @@
     )
     for tenant in ("north", "south")
 )
-# From when (ms), until when, gateway, tenant, queries a second.
+# (from ms, until ms, gateway, tenant, queries per second)
 TRAFFIC = (
     (500, 3_000, "gateway-0", "north", 4),
     (500, 4_500, "gateway-1", "north", 16),
     (3_000, 4_500, "gateway-2", "south", 16),
     (4_500, 9_000, "gateway-1", "south", 4),
 )
-CUT_FROM_MS, CUT_UNTIL_MS = 5_000, 9_000  # gateway-2 hears nothing and is not heard
-SNAPSHOT_MS = 8_000  # what gateway-2 held has been written off by then
+CUT_FROM_MS, CUT_UNTIL_MS = 5_000, 9_000  # all messages to and from gateway-2 are lost
+SNAPSHOT_MS = 8_000  # by when the tokens held by gateway-2 are written off
 END_MS = 12_000
 QUERY_MS = 20.0
-RUN_STEPS = 4
+QUERY_DURATION_STEPS = 4
 
 
 class Exchange:
     """The gateways, their messages in order, and the records of the ledger."""
 
     def __init__(self):
-        """At 0 ms, before the first message."""
+        """Starts at 0 ms, before the first message."""
         self.random = Random(11)
         self.group = StableGroup(GENERATION)
         self.leader = LedgerLeader(self.group, ACCOUNTS, TERM_MS, PERIOD_MS)
@@ -61,12 +61,12 @@
         for escrow in self.escrows.values():
             escrow.leader = LEADER, self.group.generation
         self.messages = []
-        self.ends = []
+        self.running_queries = []  # (end ms, gateway, ticket, work ms)
         self.admitted = 0
         self.state_with_expired_rows = b""
 
     def run(self):
-        """To the end of the script."""
+        """Runs the whole script and returns self."""
         for now_ms in range(0, END_MS, STEP_MS):
             self.group.complete_writes(now_ms)
             if now_ms == SNAPSHOT_MS:
@@ -82,8 +82,8 @@
         return self
 
     def _send_queries(self, now_ms):
-        ended = [end for end in self.ends if end[0] <= now_ms]
-        self.ends = [end for end in self.ends if end[0] > now_ms]
+        ended = [query for query in self.running_queries if query[0] <= now_ms]
+        self.running_queries = [query for query in self.running_queries if query[0] > now_ms]
         for _, name, ticket, work_ms in ended:
             self.escrows[name].settle(now_ms, ticket, work_ms)
         for from_ms, until_ms, name, tenant, rate in TRAFFIC:
@@ -93,7 +93,7 @@
             if self.escrows[name].reserve(now_ms, tenant, QUERY_MS, ticket):
                 self.admitted += 1
                 work_ms = QUERY_MS * self.random.uniform(0.5, 1.5)
-                self.ends.append((now_ms + RUN_STEPS * STEP_MS, name, ticket, work_ms))
+                self.running_queries.append((now_ms + QUERY_DURATION_STEPS * STEP_MS, name, ticket, work_ms))
 
     def _deliver(self, now_ms, sender, part):
         outbox, part.outbox[:] = list(part.outbox), []
@@ -108,7 +108,7 @@
                 self.escrows[to].on_message(now_ms, (sender, self.group.generation), message.answer)
 
     def transcript(self):
-        """What is compared with the golden file: bytes as hexadecimal digits, amounts in microseconds."""
+        """Returns what is compared with the golden file: bytes as hexadecimal digits, amounts in us."""
         records = self.group.records
         pieces = [piece for record in records for piece in ledger_records.split(record)]
         half = len(pieces) // 2
@@ -130,7 +130,7 @@
 
 
 def amounts_of(ledger):
-    """What a ledger says of each tenant."""
+    """Returns the amounts of each tenant in a ledger, by the names in the golden file."""
     return {
         tenant: {
             "pool": account.pool_us,
--- a/tests/quota_audit.py
+++ b/tests/quota_audit.py
@@ -1,41 +1,44 @@
-"""What must hold in a `quota_world` after every step, and at rest. It knows more than any gateway."""
+"""Invariants of a `quota_world`, checked after every step and in the quiescent state.
+
+The audit sees the state of all gateways and the ledger, which no gateway does.
+"""
 
 from invariants import require
 
 FASTEST_CLOCK = 1.03
-SETTLING_MS = 500
+MESSAGE_HORIZON_MS = 500  # in a quiescent world, no event is scheduled later than this
 
 
-class ForgettingDict(dict):
-    """Sealed holdings of a gateway; what the gateway forgets is kept here for the audit."""
+class DeletionTrackingDict(dict):
+    """The sealed holdings of a gateway; `deleted` has those that the gateway deleted, for the audit."""
 
     def __init__(self):
-        """Empty."""
+        """Starts empty."""
         super().__init__()
-        self.forgotten = []
+        self.deleted = []
 
     def __delitem__(self, key):
-        """Forgets a holding."""
-        self.forgotten.append((key, self[key]))
+        """Deletes a holding and adds it to `deleted`."""
+        self.deleted.append((key, self[key]))
         super().__delitem__(key)
 
 
 def holdings_of(escrow):
-    """((epoch, tenant), holding) of all that a gateway's incarnation ever held; some may come twice."""
+    """Yields ((epoch, tenant), holding) for all that an incarnation ever held; some may be repeated."""
     yield from (((escrow.epoch, tenant), holding) for tenant, holding in escrow.holdings.items())
     yield from escrow.sealed_holdings.items()
-    yield from escrow.sealed_holdings.forgotten
+    yield from escrow.sealed_holdings.deleted
 
 
 class Audit:
     """The audit of one world."""
 
     def __init__(self, world):
-        """`world`: a quota_world.World."""
+        """`world`: the quota_world.World to audit."""
         self.world = world
 
     def check_change(self, ledger, change):
-        """What a change may not do, by what was committed before it."""
+        """Checks that a loan is allowed by the ledger before it."""
         if not change.HasField("loan"):
             return
         loan = change.loan
@@ -51,7 +54,7 @@
         )
 
     def check(self):
-        """After a step: nothing is spent that was not granted, and all leaders have the committed ledger."""
+        """Checks after a step that only granted tokens are spent and leaders have the committed ledger."""
         used_us = dict.fromkeys(self.world.group.ledger.accounts, 0)
         for gateway in self.world.gateways.values():
             for escrow in gateway.incarnations:
@@ -97,21 +100,23 @@
         require(account.issued_us <= most_us, f"{tenant}: more issued than its rate and bucket")
         require(used_us <= most_us + account.debt_us, f"{tenant}: spent more than its rate, bucket and loans")
 
-    def check_rest(self):
-        """No message under way, no loan, and gateways and ledger agree on every amount."""
+    def check_quiescent(self):
+        """Checks that no message is in flight, no loan open, and gateways and ledger agree on all amounts."""
         ledger = self.world.group.ledger
-        settled = all(at_ms < self.world.now + SETTLING_MS for at_ms, _, _ in self.world.events)
-        require(settled, "a message is still under way")
+        is_network_idle = all(
+            at_ms < self.world.now + MESSAGE_HORIZON_MS for at_ms, _, _ in self.world.events
+        )
+        require(is_network_idle, "a message is still in flight")
         require(not ledger.loans, "loans are not repaid in time")
         for gateway in self.world.gateways.values():
             for escrow in gateway.incarnations:
-                self._check_forgotten(gateway, escrow)
-            self._check_escrow_at_rest(gateway)
+                self._check_deleted(gateway, escrow)
+            self._check_quiescent_escrow(gateway)
         for key in ledger.epochs:
             gateway = self.world.gateways[key.gateway]
-            present = (gateway.incarnation, gateway.escrow.epoch)
+            current = (gateway.incarnation, gateway.escrow.epoch)
             require(
-                key in ledger.expired or (key.incarnation, key.epoch) == present,
+                key in ledger.expired or (key.incarnation, key.epoch) == current,
                 f"epoch {tuple(key)} was not closed",
             )
             require(
@@ -119,18 +124,19 @@
                 f"epoch {tuple(key)}: its gateway runs and has reported",
             )
 
-    def _check_forgotten(self, gateway, escrow):
-        spent_us = {}  # a late answer may make an empty holding again of one that was reported
-        for key, holding in escrow.sealed_holdings.forgotten:
+    def _check_deleted(self, gateway, escrow):
+        spent_us = {}  # a late answer may recreate an empty holding after a report
+        for key, holding in escrow.sealed_holdings.deleted:
             spent_us[key] = max(holding.spent_us, spent_us.get(key, 0))
         for key, amount_us in spent_us.items():
             entry = self.world.group.entries.get((gateway.name, escrow.incarnation, *key))
             recorded_us = entry.spent_us if entry else 0
             require(
-                amount_us == recorded_us, f"{gateway.name} spent and reported other than the ledger recorded"
+                amount_us == recorded_us,
+                f"{gateway.name} spent {amount_us} us, the ledger has {recorded_us} us",
             )
 
-    def _check_escrow_at_rest(self, gateway):
+    def _check_quiescent_escrow(self, gateway):
         escrow = gateway.escrow
         require(not escrow.leaving or escrow.is_returned, f"{gateway.name} has not left")
         unsettled = escrow.sealed_holdings or escrow.reservations
--- a/tests/quota_broken.py
+++ b/tests/quota_broken.py
@@ -1,4 +1,4 @@
-"""Rules of the quota broken on purpose: the audit of `quota_world` must find each."""
+"""Rules of the quota broken on purpose; the audit of `quota_world` must detect each."""
 
 from contextlib import contextmanager
 from unittest import mock
@@ -14,10 +14,10 @@
 
 
 class AnswersBeforeCommit(LedgerLeader):
-    """Answers with what was decided, not with what is committed."""
+    """Answers with decided amounts that are not committed yet."""
 
     def write_batch(self, now_ms):
-        """As it is written."""
+        """Answers while the record is being written."""
         super().write_batch(now_ms)
         if self.pending_write:
             committed, self.committed = self.committed, self.speculative
@@ -29,43 +29,43 @@
     """Writes an epoch off before its tokens have expired."""
 
     def __init__(self, *args):
-        """After a part of the term."""
+        """Shortens the expiry time to a part of the term."""
         super().__init__(*args)
         self.expiry_ms = 0.3 * TERM_MS
 
 
 class NewLeaderExpiresAtOnce(LedgerLeader):
-    """Takes gateways that it has not heard for silent when its term begins."""
+    """Expires gateways at the start of its term if it has not received their requests."""
 
     def is_leading(self, now_ms):
-        """As if its term had begun long ago."""
+        """Pretends that the term started long ago."""
         leading = super().is_leading(now_ms)
         self.term_started_ms = float("-inf")
         return leading
 
 
-class TakesUncertainForCommitted(LedgerLeader):
-    """Takes a write whose result is not known for committed."""
+class TreatsUncertainAsCommitted(LedgerLeader):
+    """Treats a write whose result is not known as committed."""
 
     def on_write_ended(self, now_ms, record, committed):
-        """Whatever the result."""
+        """Reports every write as committed."""
         super().on_write_ended(now_ms, record, True)
 
 
 class IgnoresIncarnation(LedgerLeader):
-    """Takes what older incarnations report for the newest one's."""
+    """Attributes reports of older incarnations to the newest one."""
 
     def on_message(self, now_ms, sender, request):
-        """From the newest."""
+        """Replaces the incarnation of the sender by the newest."""
         newest = self.pending.newest.get(sender[0], (0,))[0]
         super().on_message(now_ms, (sender[0], max(newest, sender[1])), request)
 
 
 class AddsGrants(TokenEscrow):
-    """Takes totals for further grants."""
+    """Adds granted totals up, as if they were increments."""
 
     def apply_grant(self, now_ms, request_number, granted):
-        """Adds them."""
+        """Adds the granted total."""
         holding = self.holdings.setdefault(granted.tenant, EscrowHolding())
         holding.granted_us += granted.granted_us
 
@@ -74,31 +74,31 @@
     """Spends tokens after their term."""
 
     def expire_if_due(self, now_ms):
-        """Prolongs the term."""
+        """Extends the term instead of expiring it."""
         self.expires_at_ms = max(self.expires_at_ms, now_ms + 1)
 
 
-class TakesAnyAnswer(TokenEscrow):
-    """Counts answers to older incarnations, and to other gateways."""
+class AcceptsAnyAnswer(TokenEscrow):
+    """Accepts answers to other incarnations and other gateways."""
 
     def on_message(self, now_ms, sender, answer):
-        """As if it were for this one."""
+        """Readdresses the answer to this incarnation."""
         answer.front = self.gateway
         answer.incarnation = self.incarnation
         super().on_message(now_ms, sender, answer)
 
 
 class ReusesEpoch(TokenEscrow):
-    """Uses an epoch again that it has sealed."""
+    """Reuses an epoch that it has sealed."""
 
     def seal_epoch(self):
-        """And goes on with the same number."""
+        """Seals the epoch, but keeps its number for the next one."""
         super().seal_epoch()
         self.epoch -= 1
 
 
 def apply_repeatedly(self, record):
-    """A `Ledger.apply` for records that come twice."""
+    """A `Ledger.apply` that applies repeated records again."""
     for change in record.changes:
         self.apply_change(change)
     self.record_number = max(self.record_number, record.no)
@@ -106,12 +106,12 @@
 
 
 def add_returned(entry, row):
-    """A `Ledger.merged_totals` that adds."""
+    """A `Ledger.merged_totals` that adds returned amounts instead of taking the larger total."""
     return EntryTotals(max(entry.spent_us, row.spent_us), entry.returned_us + row.returned_us, row.sealed)
 
 
 def lend_without_limit(self, borrower, amount_us):
-    """A `Ledger.decide_loan` that knows no limit."""
+    """A `Ledger.decide_loan` that ignores the credit limit."""
     lenders = (tenant for tenant in self.accounts if tenant != borrower)
     lender = max(lenders, key=lambda tenant: self.accounts[tenant].lendable_us)
     loan_us = min(amount_us, self.accounts[lender].lendable_us)
@@ -122,7 +122,7 @@
 
 
 def return_expired(self, expiry):
-    """A `Ledger.apply_expiry` that gives back what the gateway held."""
+    """A `Ledger.apply_expiry` that returns held tokens to the pool."""
     key = expiry.front, expiry.incarnation, expiry.book
     for tenant, entry in self.epochs.get(key, {}).items():
         account = self.accounts[tenant]
@@ -133,27 +133,27 @@
 
 
 BROKEN_RULES = {
-    "answered before it is committed": {"leader": AnswersBeforeCommit},
-    "no wait for the term": {"leader": ExpiresTooSoon},
-    "no wait of a new leader": {"leader": NewLeaderExpiresAtOnce},
-    "uncertain taken for committed": {"leader": TakesUncertainForCommitted},
-    "older incarnation's report counted": {"leader": IgnoresIncarnation},
-    "grant counted twice": {"escrow": AddsGrants},
-    "spent past the term": {"escrow": NeverExpires},
-    "a closed epoch granted again": {"ledger": {"may_grant": lambda self, *key: True}},
-    "another's answer counted": {"escrow": TakesAnyAnswer},
-    "a sealed epoch used again": {"escrow": ReusesEpoch},
-    "records and repayments not idempotent": {"ledger": {"apply": apply_repeatedly}},
-    "returns added, not the larger total": {"ledger": {"merged_totals": staticmethod(add_returned)}},
-    "limit not of the whole fleet": {"ledger": {"decide_loan": lend_without_limit}},
-    "overdue does not bar": {"ledger": {"is_overdue": lambda self, tenant: False}},
-    "what a silent gateway held is given back": {"ledger": {"apply_expiry": return_expired}},
+    "answers before the commit": {"leader": AnswersBeforeCommit},
+    "an epoch expires before its term": {"leader": ExpiresTooSoon},
+    "a new leader expires epochs at once": {"leader": NewLeaderExpiresAtOnce},
+    "an uncertain write counts as committed": {"leader": TreatsUncertainAsCommitted},
+    "a report of an older incarnation counts for the newest": {"leader": IgnoresIncarnation},
+    "a granted total is added up": {"escrow": AddsGrants},
+    "tokens are spent after their term": {"escrow": NeverExpires},
+    "a closed epoch is granted tokens": {"ledger": {"may_grant": lambda self, *key: True}},
+    "an answer to another gateway counts": {"escrow": AcceptsAnyAnswer},
+    "a sealed epoch is reused": {"escrow": ReusesEpoch},
+    "a repeated record is applied again": {"ledger": {"apply": apply_repeatedly}},
+    "returned totals are added up": {"ledger": {"merged_totals": staticmethod(add_returned)}},
+    "loans exceed the credit limit": {"ledger": {"decide_loan": lend_without_limit}},
+    "an overdue loan does not bar further ones": {"ledger": {"is_overdue": lambda self, tenant: False}},
+    "tokens of a silent gateway return to the pool": {"ledger": {"apply_expiry": return_expired}},
 }
 
 
 @contextmanager
 def broken(leader=LedgerLeader, escrow=TokenEscrow, ledger=None):
-    """Worlds with this leader and escrow, and a ledger with these attributes replaced."""
+    """Makes worlds use this leader and escrow, and replaces these attributes of Ledger."""
     make_world = World.__init__
     parts = {"make_leader": leader, "make_escrow": escrow}
     with (
--- a/tests/quota_group.py
+++ b/tests/quota_group.py
@@ -1,4 +1,4 @@
-"""The ledger's replicated group in memory, with the promises of `lease`."""
+"""An in-memory stand-in for the ledger's replicated group, with the guarantees of `lease`."""
 
 from invariants import require
 from replicated_group import PendingWrite, UncertainGroup
@@ -8,26 +8,26 @@
 
 RECORDS_BEFORE_COMPACTION = 40
 RECORDS_AFTER_COMPACTION = 10
-OVERLAP_RECORDS = 3  # a snapshot comes with some records that are in it already
-USUAL_WRITE_MS = 5.0
+OVERLAP_RECORDS = 3  # records that are returned though they are already in the snapshot
+DEFAULT_WRITE_MS = 5.0
 
 
 class SimulatedGroup(UncertainGroup):
-    """The ledger's group; its holder is the name of a gateway."""
+    """The ledger's replicated group; its holder is the name of a gateway."""
 
     def __init__(self, world):
-        """`world`: a quota_world.World."""
+        """Starts without records and without a holder. `world`: a quota_world.World."""
         super().__init__(world)
         self.compacted = 0  # records in the latest snapshot
         self.ledger = Ledger()  # all committed records, replayed
-        self.entries = {}  # its escrow entries, with those that it forgot since
+        self.entries = {}  # its latest escrow entries, also those that it has removed
         self.states = {0: self.ledger.state()}
-        self.write_delay_ms = lambda: USUAL_WRITE_MS
+        self.write_delay_ms = lambda: DEFAULT_WRITE_MS
 
     def elect(self, gateway_name):
-        """A new generation.
+        """Makes a gateway the holder, in a new generation.
 
-        Pending writes are committed or not before the new holder reads; the old holder is told neither.
+        Pending writes are committed or dropped before the new holder reads; the old holder learns no result.
         """
         for write in self.pending:
             self._end(write, None, self.world.random.random() < 0.5)
@@ -36,7 +36,7 @@
         self.holder = gateway_name
 
     def append(self, handle, record, done):
-        """A holder's write, with its result later."""
+        """Writes a record, with the result after `write_delay_ms()`."""
         write = PendingWrite(handle, record, done)
         self.pending.append(write)
         self.world.at(self.write_delay_ms(), lambda: self._end_in_time(write))
@@ -55,7 +55,7 @@
             for change in record.changes:
                 self.world.audit.check_change(ledger, change)
                 ledger.apply_change(change)
-        require(self.ledger.apply(record), "a record that was committed before")
+        require(self.ledger.apply(record), f"record {record.no} is committed twice")
         self.ledger.check()
         self.log.append(record.SerializeToString())
         self.states[self.ledger.record_number] = self.ledger.state()
@@ -64,7 +64,7 @@
                 self.entries[*key, tenant] = entry
 
     def snapshot(self):
-        """A state, and records of which some are in it already."""
+        """Returns a state, and records of which some are already in it."""
         if len(self.log) > RECORDS_BEFORE_COMPACTION:
             self.compacted = len(self.log) - RECORDS_AFTER_COMPACTION
         start = max(0, self.compacted - OVERLAP_RECORDS)
@@ -72,26 +72,26 @@
 
 
 class GroupHandle:
-    """The group as one process has it."""
+    """The access of one process to the group."""
 
     def __init__(self, group, name):
-        """`name`: of the gateway."""
+        """`name`: the name of the gateway."""
         self.group = group
         self.name = name
 
     @property
     def generation(self):
-        """Of the present holder."""
+        """The generation of the current holder."""
         return self.group.generation
 
     def holds(self, now_ms):
-        """Whether this gateway is the holder."""
+        """Returns whether this gateway is the holder."""
         return self.group.holder == self.name
 
     def append(self, now_ms, record, done):
-        """As `ledger_leader.ReplicatedGroup.write`."""
+        """Writes a record, as `ReplicatedGroup.append` does."""
         self.group.append(self, record, done)
 
     def snapshot(self):
-        """As `ledger_leader.ReplicatedGroup.snapshot`."""
+        """Returns a state and records, as `ReplicatedGroup.snapshot` does."""
         return self.group.snapshot()
--- a/tests/quota_mutations.py
+++ b/tests/quota_mutations.py
@@ -1,4 +1,4 @@
-"""A scenario of the quota, and each way in which one of its messages may be changed."""
+"""A scenario of the quota, and all mutations of one of its messages."""
 
 from random import Random
 
@@ -17,11 +17,11 @@
 
 
 def scenario(mutate=None):
-    """Every fault once: (the world at rest, the number of messages before that).
+    """Runs every fault once; returns (the quiescent world, the number of messages until the last fault).
 
-    A tenant borrows, its lender is repaid, the leader crashes, a gateway is cut off for longer than its term
-    and returns, one is killed and comes back, one leaves in order. Only the network's small delays are
-    random.
+    A tenant borrows, its lender is repaid, the leader crashes, a gateway is partitioned for longer than its
+    term and reconnects, the crashed one restarts and shuts down gracefully. Traffic and the network's small
+    delays are drawn from seeded random sources.
     """
     world = World(11, 3, ACCOUNTS[:3])
     random = Random(5)
@@ -30,7 +30,7 @@
     world.mutate = mutate
     world.group.elect("f0")
 
-    def play(duration_ms, **rates):
+    def run_traffic(duration_ms, **rates):
         end_ms = world.now + duration_ms
         while world.now < end_ms:
             world.run(world.now + STEP_MS)
@@ -40,27 +40,27 @@
 
     first = world.gateways["f0"]
     world.run(500)
-    play(2500, f0=("a", 4), f1=("a", 16))  # borrows
-    play(1500, f1=("a", 16), f2=("b", 16))  # its lender needs it
+    run_traffic(2500, f0=("a", 4), f1=("a", 16))  # a borrows
+    run_traffic(1500, f1=("a", 16), f2=("b", 16))  # the lender of a needs its tokens
     first.kill()  # the leader
-    play(700, f1=("a", 4))
+    run_traffic(700, f1=("a", 4))
     world.group.elect("f1")
-    play(500, f2=("b", 4))
+    run_traffic(500, f2=("b", 4))
     world.cut_links = {("f2", "f1"), ("f1", "f2")}
-    play(2600, f2=("b", 4))  # its tokens expire
+    run_traffic(2600, f2=("b", 4))  # the tokens of f2 expire
     world.cut_links = set()
     first.start()
-    play(1200, f2=("b", 4), f0=("c", 4))
+    run_traffic(1200, f2=("b", 4), f0=("c", 4))
     first.escrow.return_all(first.now_ms)
-    play(900, f2=("b", 4))
+    run_traffic(900, f2=("b", 4))
     first.kill()
     sent = world.sent
-    world.rest(15000)
+    world.run_until_quiescent(15000)
     return world, sent
 
 
 def changed(message, change):
-    """A copy of the message, changed by `change(copy)`."""
+    """Returns a copy of the message, changed by `change(copy)`."""
     copy = type(message)()
     copy.CopyFrom(message)
     change(copy)
@@ -68,12 +68,12 @@
 
 
 def changed_field(message, field, value):
-    """A copy with another value of one field."""
+    """Returns a copy with another value of one field."""
     return changed(message, lambda copy: setattr(copy, field, value))
 
 
 def changed_rows(message, change):
-    """A copy with `change(row)` done to each of its rows."""
+    """Returns a copy with `change(row)` applied to each row."""
 
     def change_all(copy):
         for row in copy.rows:
@@ -90,7 +90,7 @@
 
 
 def changed_requests(request):
-    """(name, changed request): fields to their neighbours and edges, where the receiver can tell."""
+    """Yields (name, changed request): neighbouring and edge values that the receiver can recognize."""
     yield "book 0", changed_field(request, "book", 0)
     yield "no 0", changed_field(request, "no", 0)
     yield "of a later epoch", changed(request, lambda m: m.rows.add(tenant="a", book=m.book + 1))
@@ -103,7 +103,7 @@
 
 
 def changed_answers(answer):
-    """(name, changed answer)."""
+    """Yields (name, changed answer)."""
     yield "another gateway's", changed_field(answer, "front", "f9")
     yield "older incarnation", changed_field(answer, "incarnation", answer.incarnation - 1)
     yield "newer incarnation", changed_field(answer, "incarnation", answer.incarnation + 1)
@@ -118,47 +118,47 @@
 
 
 def mutations(copy, before):
-    """All that one change can do to a message: (name, what is delivered instead).
+    """Yields (name, copies to deliver instead) for all mutations of a message.
 
-    `before`: the message before it on the same link, or None.
+    `copy`: the message as it is sent. `before`: the message before it on the same link, or None.
     """
     to, name, incarnation, message, delay_ms = copy
     others = [gateway for gateway in GATEWAYS if gateway != to]
     yield "lost", []
-    yield "doubled", [copy, (to, name, incarnation, message, delay_ms + 30)]
-    yield "doubled much later", [copy, (to, name, incarnation, message, delay_ms + 4000)]
-    yield "late past the next", [(to, name, incarnation, message, delay_ms + 700)]
-    yield "late past the term", [(to, name, incarnation, message, delay_ms + TERM_MS * 1.3)]
-    yield "late past all", [(to, name, incarnation, message, delay_ms + 9000)]
+    yield "duplicated", [copy, (to, name, incarnation, message, delay_ms + 30)]
+    yield "duplicated much later", [copy, (to, name, incarnation, message, delay_ms + 4000)]
+    yield "delayed beyond the next", [(to, name, incarnation, message, delay_ms + 700)]
+    yield "delayed beyond the term", [(to, name, incarnation, message, delay_ms + TERM_MS * 1.3)]
+    yield "delayed beyond all others", [(to, name, incarnation, message, delay_ms + 9000)]
     yield "to another gateway", [(others[0], name, incarnation, message, delay_ms)]
     yield "to all", [(gateway, name, incarnation, message, delay_ms) for gateway in GATEWAYS]
     yield "older incarnation", [(to, name, incarnation - 1, message, delay_ms)]
     if before is not None:
         yield "swapped", [(*before[:4], delay_ms + 10), copy]
     changed_messages = changed_requests if isinstance(message, pb.Ask) else changed_answers
-    for what, other in changed_messages(message):
-        yield what, [(to, name, incarnation, other, delay_ms)]
+    for change, changed_message in changed_messages(message):
+        yield change, [(to, name, incarnation, changed_message, delay_ms)]
 
 
-def record():
-    """(the messages of the scenario, the world at rest)."""
+def record_scenario():
+    """Runs the scenario; returns (its messages, the quiescent world)."""
     messages = []
 
-    def note(number, copies):
+    def record_message(number, copies):
         messages.append(copies[0])
         return copies
 
-    world, _ = scenario(note)
+    world, _ = scenario(record_message)
     return messages, world
 
 
 def mutants(messages):
-    """(name, `mutate`) of each message and mutation; it changes that message and no other."""
+    """Yields (name, `mutate`) for each message and mutation; `mutate` changes that message only."""
     for i, copy in enumerate(messages):
         same_link = (m for m in reversed(messages[:i]) if m[0] == copy[0] and m[1] == copy[1])
-        for what, instead in mutations(copy, next(same_link, None)):
-            yield f"message {i + 1}: {what}", _mutate_one(i + 1, instead)
+        for name, replacement in mutations(copy, next(same_link, None)):
+            yield f"message {i + 1}: {name}", _mutate_one(i + 1, replacement)
 
 
-def _mutate_one(mutated, instead):
-    return lambda number, copies: instead if number == mutated else copies
+def _mutate_one(mutated_number, replacement):
+    return lambda number, copies: replacement if number == mutated_number else copies
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -1,10 +1,14 @@
-"""Virtual time for the quota: gateways with clocks of their own, a network with every fault, and an audit."""
+"""A simulation of the quota in virtual time.
+
+Gateways have clocks of their own, the network loses, duplicates, delays and cuts off messages, and an audit
+runs after every step.
+"""
 
 from heapq import heappop, heappush
 from random import Random
 
 from invariants import InvariantError, require
-from quota_audit import Audit, ForgettingDict
+from quota_audit import Audit, DeletionTrackingDict
 from quota_group import GroupHandle, SimulatedGroup
 
 from lichenquay.quota import quota_pb2 as pb
@@ -15,12 +19,12 @@
 TERM_MS = 2000.0
 PERIOD_MS = 200.0
 STEP_MS = 50.0
-LATE_MS = 2000.0  # mean further delay of a late message
+MEAN_EXTRA_DELAY_MS = 2000.0  # of a delayed message
 CLOCK_DRIFT = 0.024
 
 
 def tenant_terms(tenant, rate=100, bucket=200, limit=100, term_ms=5000, repay=500, lend=250):
-    """The terms of an account; rate, bucket and limit in milliseconds of work, shares in thousandths."""
+    """Returns the terms of an account; rate, bucket and limit in ms of work, repay and lend in permille."""
     return pb.Open(
         tenant=tenant,
         rate_us=rate * 1000,
@@ -33,7 +37,7 @@
 
 
 class Gateway:
-    """A process with an escrow, a leader of the ledger, and a clock."""
+    """A process with an escrow, a leader of the ledger, and its own clock."""
 
     def __init__(self, world, name, clock_rate, clock_offset_ms):
         """Starts its first incarnation."""
@@ -47,11 +51,11 @@
 
     @property
     def now_ms(self):
-        """By its own clock."""
+        """The time by its own clock."""
         return self.world.now * self.clock_rate + self.clock_offset_ms
 
     def start(self):
-        """The next incarnation, with empty hands."""
+        """Starts the next incarnation, without tokens."""
         world = self.world
         self.incarnation += 1
         self.up = True
@@ -63,32 +67,32 @@
         self.escrow = world.make_escrow(
             self.name, self.incarnation, stocks_us, TERM_MS, PERIOD_MS, world.random
         )
-        self.escrow.sealed_holdings = ForgettingDict()
+        self.escrow.sealed_holdings = DeletionTrackingDict()
         self.incarnations.append(self.escrow)
         self.known_leader = None
         self.checked = None
 
     def kill(self):
-        """The process ends without warning."""
+        """Crashes the process."""
         self.up = False
         self.group_handle = None
 
     def call(self, action):
-        """Something happens to the process: now, or when it runs again."""
+        """Calls `action(now_ms)` now, or when a pause ends; drops it if the process does not run."""
         if self.up and self.paused:
             self.inbox.append(action)
         elif self.up:
             action(self.now_ms)
 
     def resume(self):
-        """Ends a pause."""
+        """Ends a pause, and handles what happened meanwhile."""
         self.paused = False
         inbox, self.inbox = self.inbox, []
         for action in inbox:
             self.call(action)
 
     def step(self):
-        """Ticks what is due and sends; whether anything happened."""
+        """Ticks what is due and sends messages; returns whether anything was due."""
         if not self.up or self.paused:
             return False
         now_ms = self.now_ms
@@ -119,9 +123,9 @@
         make_escrow=TokenEscrow,
         drift=CLOCK_DRIFT,
     ):
-        """`accounts`: the terms of each tenant.
+        """Starts all gateways.
 
-        `drift`: how far the fastest and the slowest clock are off.
+        `accounts`: the terms of each tenant. `drift`: relative error of the fastest and the slowest clock.
         """
         self.random = Random(seed)
         self.now = 0.0
@@ -131,15 +135,15 @@
         self.accounts = list(accounts)
         self.make_leader = make_leader
         self.make_escrow = make_escrow
-        self.loss = 0.0
-        self.duplication = 0.0
-        self.lateness = 0.0
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.delay_rate = 0.0
         self.cut_links = set()
         self.sent = 0
         self.mutate = None
-        self.within = {}
-        self.beyond = {}
-        self.ticket = 0
+        self.within_quota = {}  # by tenant: number of queries
+        self.over_quota = {}  # by tenant: number of queries
+        self.last_ticket = 0
         self.group = SimulatedGroup(self)
         self.audit = Audit(self)
         spans = max(1, gateway_count - 1)
@@ -151,12 +155,12 @@
     # Time and network.
 
     def at(self, after_ms, action):
-        """Calls `action()` that much later."""
+        """Calls `action()` after that time."""
         self.event_number += 1
         heappush(self.events, (self.now + after_ms, self.event_number, action))
 
     def run(self, until_ms):
-        """Steps until then, with an audit after each step in which anything happened."""
+        """Runs until that time, with an audit after each step in which anything happened."""
         while self.now < until_ms:
             step_ms = self.now + STEP_MS
             busy = False
@@ -172,24 +176,24 @@
                 self.audit.check()
 
     def send(self, gateway, to, message):
-        """Each message has a number, so that a run can be repeated with one of them changed."""
+        """Sends a message; messages are numbered, so that a run can be repeated with one of them mutated."""
         self.sent += 1
         link = (gateway.name, to)
         copies = [(to, gateway.name, gateway.incarnation, message, 2 + 8 * self.random.random())]
         if self.mutate:
             copies = self.mutate(self.sent, copies)
         for to_name, name, incarnation, copied, delay_ms in copies:
-            if link in self.cut_links or self.random.random() < self.loss:
+            if link in self.cut_links or self.random.random() < self.loss_rate:
                 continue
             delivery = (to_name, name, incarnation, copied.SerializeToString(), type(copied))
-            times = 2 if self.random.random() < self.duplication else 1
+            times = 2 if self.random.random() < self.duplication_rate else 1
             for _ in range(times):
-                late = self.random.random() < self.lateness
-                late_ms = self.random.expovariate(1 / LATE_MS) if late else 0.0
-                self.at(delay_ms + late_ms, lambda delivery=delivery: self.deliver(*delivery))
+                is_delayed = self.random.random() < self.delay_rate
+                extra_ms = self.random.expovariate(1 / MEAN_EXTRA_DELAY_MS) if is_delayed else 0.0
+                self.at(delay_ms + extra_ms, lambda delivery=delivery: self.deliver(*delivery))
 
     def deliver(self, to, name, incarnation, raw, message_type):
-        """To the process that runs at this moment, not to a later one."""
+        """Delivers a message to the incarnation that runs now."""
         gateway = self.gateways.get(to)
         if gateway is None:
             return
@@ -201,18 +205,18 @@
     # Queries.
 
     def query(self, gateway, tenant, estimate_ms, work_ms=None, runs_ms=100.0, work_is_known=True):
-        """A client's query: whether it is within quota; None where the gateway does not run."""
+        """Sends a query; returns whether it is within quota, or None if the gateway does not run."""
         if not gateway.up or gateway.paused:
             return None
-        self.ticket += 1
-        ticket = self.ticket
+        self.last_ticket += 1
+        ticket = self.last_ticket
         escrow = gateway.escrow
-        within = escrow.reserve(gateway.now_ms, tenant, estimate_ms, ticket)
-        if within:
+        is_within_quota = escrow.reserve(gateway.now_ms, tenant, estimate_ms, ticket)
+        if is_within_quota:
             key = gateway.name, gateway.incarnation, escrow.epoch
-            require(key not in self.group.ledger.expired, f"{key} spends what was written off")
+            require(key not in self.group.ledger.expired, f"{key} spends tokens that were written off")
             granted = tenant in self.group.ledger.epochs.get(key, {})
-            require(granted, f"{key} spends what no record granted")
+            require(granted, f"{key} spends tokens that no record granted")
             spent_ms = estimate_ms if work_ms is None else work_ms
 
             def end(now_ms):
@@ -222,17 +226,17 @@
                     escrow.settle_at_estimate(now_ms, ticket)
 
             self.at(runs_ms, lambda: gateway.escrow is escrow and gateway.call(end))
-        counts = self.within if within else self.beyond
+        counts = self.within_quota if is_within_quota else self.over_quota
         counts[tenant] = counts.get(tenant, 0) + 1
-        return within
+        return is_within_quota
 
-    # The end.
+    # The end of a run.
 
-    def rest(self, within_ms):
-        """No more faults and no more queries: within this time, gateways and ledger agree."""
-        self.loss = 0.0
-        self.duplication = 0.0
-        self.lateness = 0.0
+    def run_until_quiescent(self, timeout_ms):
+        """Ends all faults and runs until gateways and ledger agree; raises InvariantError on a timeout."""
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.delay_rate = 0.0
         self.group.uncertain_share = 0.0
         self.cut_links = set()
         self.mutate = None
@@ -243,11 +247,11 @@
                 gateway.resume()
         if self.group.holder is None:
             self.group.elect("f0")
-        until_ms = self.now + within_ms
+        until_ms = self.now + timeout_ms
         while True:
             self.run(self.now + 500)
             try:
-                return self.audit.check_rest()
+                return self.audit.check_quiescent()
             except InvariantError:
                 if self.now >= until_ms:
                     raise
--- a/tests/test_golden_quota.py
+++ b/tests/test_golden_quota.py
@@ -1,8 +1,8 @@
-"""The quota's messages and ledger are the same bytes as those of revision 0018238.
+"""Messages and the ledger of the quota are byte for byte those of revision 0018238.
 
-A fleet is upgraded one gateway at a time: leaders and gateways of both revisions talk to each other, and each
-reads the ledger that the other wrote. `golden/quota/transcript.json` was written by that revision from the
-same script.
+A fleet is upgraded one gateway at a time: leaders and gateways of both revisions exchange messages, and each
+reads the ledger that the other wrote. Revision 0018238 wrote `golden/quota/transcript.json` from the same
+script.
 """
 
 import json
@@ -25,19 +25,19 @@
 
 @pytest.fixture(scope="module")
 def transcript():
-    """The same script, played by this revision."""
+    """Returns the transcript of the script, run by this revision."""
     return Exchange().run().transcript()
 
 
 @pytest.mark.parametrize("part", sorted(GOLDEN.keys() - {"kinds"}))
 def test_the_same_script_gives_the_same_bytes(transcript, part):
-    """Messages, records, the snapshot amid and at the end, and a record in pieces."""
+    """Messages, records, the snapshots at half and at the end, and the pieces of a record are equal."""
     assert transcript[part] == GOLDEN[part]
 
 
 @pytest.mark.parametrize("kind", sorted({*MESSAGE_KINDS, *CHANGE_KINDS}))
 def test_each_kind_of_message_and_change_is_read_as_before(kind):
-    """Each field has the name and value that it had, and is written to the same bytes again."""
+    """Each field has its former name and value, and the message is encoded to the same bytes."""
     golden = GOLDEN["kinds"][kind]
     message = MESSAGE_KINDS.get(kind, pb.Change).FromString(bytes.fromhex(golden["bytes"]))
     assert MessageToDict(message, preserving_proto_field_name=True) == golden["fields"]
@@ -45,7 +45,7 @@
 
 
 def test_a_stored_ledger_is_loaded_with_the_same_amounts():
-    """From the snapshot at the end, and from the one amid with the records after it."""
+    """The last snapshot, the one at half with all records, and the records alone give the same amounts."""
     records = [bytes.fromhex(record) for record in GOLDEN["records"]]
     state, none_left = ledger_records.read(bytes.fromhex(GOLDEN["base_at_end"]), [])
     assert state.hex() == GOLDEN["state"] and not none_left
@@ -56,14 +56,14 @@
 
 
 def test_a_stored_ledger_with_rows_that_were_written_off_is_loaded_as_before():
-    """Those of the gateway that was cut off."""
+    """The rows are those of the gateway that was partitioned."""
     state = bytes.fromhex(GOLDEN["state_with_expired_rows"])
     assert [book.front for book in pb.State.FromString(state).books if book.lapsed] == ["gateway-2"]
     assert Ledger.load(state).state() == state
 
 
-def test_a_stored_record_in_pieces_is_whole_again():
-    """One piece at the end is not enough; all of them give the record."""
+def test_a_stored_record_is_assembled_from_its_pieces():
+    """An incomplete record is not returned; all pieces together give the record."""
     pieces = [bytes.fromhex(piece) for piece in GOLDEN["large_record_pieces"]]
     base = bytes.fromhex(GOLDEN["base_amid_a_record"])
     assert len(pieces) == 3
--- a/tests/test_quota_escrow.py
+++ b/tests/test_quota_escrow.py
@@ -1,4 +1,4 @@
-"""The terms of an account, and the escrow tokens of one gateway."""
+"""Validation of account settings, and the escrow tokens of one gateway."""
 
 import pytest
 from quota_world import World, tenant_terms
@@ -8,11 +8,11 @@
 from lichenquay.quota.errors import AccountTermsError
 from lichenquay.quota.escrow import TokenEscrow
 
-MS = 1000  # in microseconds
+MS = 1000  # microseconds per millisecond
 GATEWAY = "f0"
 INCARNATION = 3
 LEADER = ("f1", 1)
-LARGE_US = 1 << 48
+LARGE_US = 1 << 48  # an amount, with a long encoding
 MAX_DATAGRAM_BYTES = 1200
 
 
@@ -41,14 +41,14 @@
 
 
 def escrow_of(term_ms=2000.0, **idle_stocks_us):
-    """The escrow of a gateway that knows its leader."""
+    """Returns the escrow of a gateway that knows its leader."""
     escrow = TokenEscrow(GATEWAY, INCARNATION, idle_stocks_us or {"a": 0}, term_ms, 200.0)
     escrow.leader = LEADER
     return escrow
 
 
 def request_of(escrow, now_ms):
-    """The first request that it sends now."""
+    """Returns the first request that the escrow sends now."""
     escrow.due_ms = now_ms
     escrow.tick(now_ms)
     request = escrow.outbox[0].message
@@ -57,7 +57,7 @@
 
 
 def answer_to(request, **granted_ms):
-    """The leader's answer, with these totals."""
+    """Returns the leader's answer with these totals."""
     rows = [
         pb.Granted(tenant=tenant, book=request.book, granted_us=amount_ms * MS)
         for tenant, amount_ms in granted_ms.items()
@@ -68,12 +68,12 @@
 
 
 def grant(escrow, now_ms, **granted_ms):
-    """A request, answered at once with these totals."""
+    """Has the escrow send a request, and answers it at once with these totals."""
     escrow.on_message(now_ms, LEADER, answer_to(request_of(escrow, now_ms), **granted_ms))
 
 
-def test_tokens_are_spent_only_until_the_term_of_the_last_answered_request_is_over():
-    """The term begins with the sending of the request, not with the answer."""
+def test_tokens_expire_a_term_after_the_last_answered_request_was_sent():
+    """The term starts when the request is sent, not when the answer arrives."""
     escrow = escrow_of()
     assert not escrow.reserve(0.0, "a", 10.0, 0)
     request = request_of(escrow, 100.0)
@@ -93,7 +93,7 @@
 
 
 def test_late_repeated_foreign_and_older_answers_change_nothing():
-    """Implausible ones are counted."""
+    """Implausible answers are counted."""
     escrow = escrow_of()
     escrow.reserve(0.0, "a", 10.0, 0)
     first = request_of(escrow, 0.0)
@@ -108,15 +108,15 @@
         escrow.on_message(300.0, LEADER, foreign)
     escrow.on_message(300.0, LEADER, answer_to(second, nobody=1))
     damaged = answer_to(second, a=30)
-    damaged.rows[0].book = 0  # stored as a sealed epoch, it would make every later request implausible
+    damaged.rows[0].book = 0  # if stored as a sealed epoch, it would make every later request implausible
     escrow.on_message(300.0, LEADER, damaged)
     assert escrow.implausible_answers == 6
     assert escrow.holdings["a"].granted_us == 30 * MS
     assert not escrow.sealed_holdings
 
 
-def test_an_overrun_is_paid_first_by_the_next_grants():
-    """While it is not paid, no query of the tenant is within quota here."""
+def test_an_overrun_is_charged_first_to_the_next_grants():
+    """Until it is charged, no query of the tenant is within quota here."""
     escrow = escrow_of()
     grant(escrow, 0.0, a=20)
     assert escrow.reserve(10.0, "a", 20.0, 1)
@@ -134,7 +134,7 @@
 
 
 def test_a_query_that_may_have_run_costs_its_estimate_and_one_that_cannot_have_run_nothing():
-    """A ticket that is settled already, or was never known, is ignored."""
+    """A ticket that is settled already, or is unknown, is ignored."""
     escrow = escrow_of()
     grant(escrow, 0.0, a=30)
     for ticket in (1, 2, 3):
@@ -147,8 +147,8 @@
     assert (holding.spent_us, holding.reserved_us, holding.free_us) == (10 * MS, 10 * MS, 10 * MS)
 
 
-def test_a_gateway_asks_again_for_a_tenant_that_was_scarce():
-    """Scarcity ends by itself; otherwise a gateway that needs nothing would never learn of its end."""
+def test_a_gateway_requests_tokens_again_after_scarcity():
+    """Scarcity expires by itself; otherwise a gateway without needs would never learn of its end."""
     escrow = escrow_of(a=10 * MS)
     answer = answer_to(request_of(escrow, 0.0), a=0)
     answer.rows[0].scarce = True
@@ -158,7 +158,7 @@
 
 
 def test_requests_are_bounded_however_many_queries_find_no_tokens():
-    """Four in a period of 200 ms; none without a leader."""
+    """There are at most four per period of 200 ms, and none without a leader."""
     escrow = escrow_of(a=10 * MS)
     requests = 0
     for now_ms in range(4000):
@@ -174,26 +174,26 @@
 
 
 def test_many_tenants_with_long_names_and_large_amounts_take_turns_in_datagrams():
-    """Requests and answers of full size fit in one datagram each."""
+    """Requests and answers of the maximum size fit in one datagram each."""
     escrow = escrow_of(**{f"{i:064}": LARGE_US for i in range(100)})
-    named = set()
+    requested_tenants = set()
     for i in range(8):
         escrow.tick(escrow.due_ms if i else 0.0)
         assert len(escrow.outbox) <= 4
         for _, request in escrow.outbox:
             assert request.ByteSize() < MAX_DATAGRAM_BYTES
-            named |= {row.tenant for row in request.rows}
+            requested_tenants |= {row.tenant for row in request.rows}
             rows = [large_granted(row.tenant) for row in request.rows]
             answer = pb.Answer(
                 front="f" * 32, incarnation=LARGE_US, generation=LARGE_US, book=1, no=1 << 32, rows=rows
             )
             assert answer.ByteSize() < MAX_DATAGRAM_BYTES
         escrow.outbox.clear()
-    assert len(named) == 100
+    assert len(requested_tenants) == 100
 
 
 def large_granted(tenant):
-    """A row of an answer with amounts that take the most bytes."""
+    """Returns a row of an answer with amounts of a long encoding."""
     return pb.Granted(
         tenant=tenant,
         book=1,
@@ -206,21 +206,21 @@
     )
 
 
-def test_a_gateway_that_leaves_returns_all_but_what_queries_hold_and_then_the_rest():
-    """Its entries are gone from the ledger in the end."""
+def test_a_leaving_gateway_returns_free_tokens_at_once_and_reserved_ones_when_queries_end():
+    """In the end it has no entries in the ledger."""
     world = World(3, 2, [tenant_terms("a", rate=0, limit=0)])
     world.group.elect("f0")
     world.run(1500)
-    leaver = world.gateways["f1"]
+    leaving = world.gateways["f1"]
     account = world.group.ledger.accounts["a"]
-    assert world.query(leaver, "a", 20, 5, runs_ms=3000)
-    leaver.escrow.return_all(leaver.now_ms)
-    assert world.query(leaver, "a", 1) is False
+    assert world.query(leaving, "a", 20, 5, runs_ms=3000)
+    leaving.escrow.return_all(leaving.now_ms)
+    assert world.query(leaving, "a", 1) is False
     world.run(2500)
-    assert not leaver.escrow.is_returned
+    assert not leaving.escrow.is_returned
     assert account.written_off_us == 0
     world.run(6000)
-    assert leaver.escrow.is_returned
+    assert leaving.escrow.is_returned
     assert account.spent_us == 5 * MS
     assert account.pool_us + account.held_us == 195 * MS
     assert not [key for key in world.group.ledger.epochs if key.gateway == "f1"]
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -1,4 +1,4 @@
-"""The quota under faults, in virtual time: seeded runs, changed messages, and rules broken on purpose."""
+"""The quota under faults in virtual time: seeded runs, mutated messages, and rules broken on purpose."""
 
 import os
 from itertools import islice
@@ -6,31 +6,31 @@
 
 import pytest
 from invariants import InvariantError
-from quota_broken import BROKEN_RULES, AddsGrants, TakesAnyAnswer, broken
-from quota_mutations import ACCOUNTS, mutants, mutations, record, scenario
+from quota_broken import BROKEN_RULES, AcceptsAnyAnswer, AddsGrants, broken
+from quota_mutations import ACCOUNTS, mutants, mutations, record_scenario, scenario
 from quota_world import STEP_MS, World
 
 from lichenquay.quota.errors import LedgerError
 
-REST_MS = 20000.0  # a limit of 150 ms at half of 20 ms a second, and one term
+QUIESCENCE_TIMEOUT_MS = 20000.0  # to repay a limit of 150 ms by half of 20 ms a second, and one term
 FAULTS = ("pause", "kill", "cut", "elect", "heal", "leave", "pressure")
 RESTARTS = ("kill",)
-MUTATION_SHARE = 4  # one in so many is tried; all with QUOTA_MUTANTS=all
+MUTATION_STRIDE = 4  # every fourth mutation is tried; all with QUOTA_MUTANTS=all
 MAX_CHILDREN = 2
 
 
-def run_with_faults(seed, seconds=25, faults=FAULTS, lateness=(0, 0.2)):
-    """Faults at random, then rest.
+def run_with_faults(seed, seconds=25, faults=FAULTS, delay_rates=(0, 0.2)):
+    """Runs a world with random faults, then until it is quiescent.
 
-    Gateways are paused, killed and started; the leader changes with and without order; links are cut one way;
-    messages are lost, doubled, late by seconds.
+    Gateways are paused, killed, restarted and shut down; the leader changes by election or by a fault; links
+    are cut in one direction; messages are lost, duplicated, or delayed by seconds.
     """
     world = World(seed, 3 + seed % 3, ACCOUNTS)
     random = Random(seed * 7 + 1)
     world.group.elect("f0")
-    world.loss = random.choice([0, 0.05, 0.2])
-    world.duplication = random.choice([0, 0.2])
-    world.lateness = random.choice(lateness)
+    world.loss_rate = random.choice([0, 0.05, 0.2])
+    world.duplication_rate = random.choice([0, 0.2])
+    world.delay_rate = random.choice(delay_rates)
     world.group.uncertain_share = random.choice([0, 0.02])
     world.group.write_delay_ms = lambda: random.choice([2.0, 5.0, 5.0, 60.0, 600.0])
     names = list(world.gateways)
@@ -51,12 +51,12 @@
             fault_ms = world.now + random.uniform(200, 2500)
             gateway = world.gateways[random.choice(names)]
             cause_fault(world, random, gateway, random.choice(faults))
-    world.rest(REST_MS)
+    world.run_until_quiescent(QUIESCENCE_TIMEOUT_MS)
     return world
 
 
 def send_query(world, random, tenant):
-    """Of a random size and duration, at a random gateway."""
+    """Sends a query of random size and duration to a random gateway."""
     estimate_ms = random.choice([2, 10, 40])
     world.query(
         world.gateways[random.choice(list(world.gateways))],
@@ -69,7 +69,7 @@
 
 
 def cause_fault(world, random, gateway, kind):
-    """One of FAULTS at this gateway, where it applies."""
+    """Causes one of FAULTS at a gateway, if it applies."""
     running = gateway.up and not gateway.paused
     if kind == "pause" and running:
         gateway.paused = True
@@ -93,27 +93,27 @@
 
 
 def lose_leadership(world, gateway):
-    """The group has no holder if this gateway was it."""
+    """Leaves the group without a holder if this gateway held it."""
     if world.group.holder == gateway.name:
         world.group.holder = None
 
 
 def restart(world, gateway):
-    """The next incarnation, unless it leads."""
+    """Starts the next incarnation, unless the gateway leads."""
     if gateway.up and world.group.holder != gateway.name:
         gateway.kill()
         gateway.start()
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_under_faults_all_is_conserved_and_comes_to_rest(seed):
+def test_under_faults_amounts_are_conserved_and_the_world_becomes_quiescent(seed):
     """The audit runs after every step."""
     world = run_with_faults(seed)
-    assert sum(world.within.values()) > 20
+    assert sum(world.within_quota.values()) > 20
 
 
-def test_the_seeds_reach_what_they_are_for():
-    """Loans, repayments, expiries, uncertain writes, barred loans: a run without them shows nothing."""
+def test_the_seeds_cover_loans_repayments_expiries_uncertain_writes_and_barred_loans():
+    """Runs without them would prove nothing."""
     names = ("borrowed_us", "collected_us", "expiries", "uncertain_writes", "loans_barred")
     seen = dict.fromkeys(names, 0)
     for seed in range(30, 36):
@@ -129,23 +129,23 @@
 
 
 class MutationRun:
-    """The scenario once, forked for every `part`th mutation; the child goes on with that one.
+    """One run of the scenario that forks for every `stride`th mutation; the child continues with that one.
 
-    `failures`: what broke, by message and mutation. `count`: of mutations. At most `MAX_CHILDREN` run at a
-    time.
+    `failures`: descriptions, with message and mutation. `count`: of all mutations. At most `MAX_CHILDREN`
+    children run at a time.
     """
 
-    def __init__(self, part):
-        """`part`: one mutation in so many is tried."""
-        self.part = part
+    def __init__(self, stride):
+        """`stride`: every how many mutations one is tried."""
+        self.stride = stride
         self.failures = []
         self.count = 0
         self._running = []
-        self._before = {}
-        self._child_pipe = None  # of this process, where it is a child
+        self._last_copies = {}  # by link
+        self._child_pipe = None  # set in a child: to report its failure
 
     def run(self):
-        """Returns the world without mutations."""
+        """Runs the scenario and all children; returns the world without mutations."""
         try:
             world, _ = scenario(self._mutate)
         except BaseException as error:
@@ -170,9 +170,9 @@
         if self._child_pipe is not None:
             return copies
         link = copies[0][0], copies[0][1]
-        for what, instead in mutations(copies[0], self._before.get(link)):
+        for name, replacement in mutations(copies[0], self._last_copies.get(link)):
             self.count += 1
-            if self.count % self.part:
+            if self.count % self.stride:
                 continue
             if len(self._running) == MAX_CHILDREN:
                 self._wait_for_one()
@@ -180,22 +180,22 @@
             pid = os.fork()
             if not pid:
                 self._child_pipe = write
-                return instead
+                return replacement
             os.close(write)
-            self._running.append((f"message {number}: {what}", pid, read))
-        self._before[link] = copies[0]
+            self._running.append((f"message {number}: {name}", pid, read))
+        self._last_copies[link] = copies[0]
         return copies
 
 
-def test_each_message_changed_in_each_way_breaks_nothing():
-    """Each message; of its mutations one in four, in turns, so that all are met.
+def test_no_mutation_of_a_message_breaks_an_invariant():
+    """Tries every fourth mutation, so that every message and every kind of mutation occurs.
 
-    QUOTA_MUTANTS=all: all of them.
+    With QUOTA_MUTANTS=all, tries all of them.
     """
-    part = 1 if os.environ.get("QUOTA_MUTANTS") == "all" else MUTATION_SHARE
-    mutation_run = MutationRun(part)
-    world = mutation_run.run()
-    assert not mutation_run.failures and mutation_run.count // part > 2400 // part, mutation_run.failures[:5]
+    stride = 1 if os.environ.get("QUOTA_MUTANTS") == "all" else MUTATION_STRIDE
+    forked_run = MutationRun(stride)
+    world = forked_run.run()
+    assert not forked_run.failures and forked_run.count // stride > 2400 // stride, forked_run.failures[:5]
     borrower = world.group.ledger.accounts["a"]
     assert borrower.borrowed_us
     assert borrower.borrowed_us == borrower.repaid_us
@@ -203,29 +203,26 @@
     assert any(escrow.expiries for escrow in world.gateways["f2"].incarnations)
 
 
-def test_a_message_that_breaks_something_is_named():
-    """One rule that the scenario breaks by itself, one that it takes a changed message to break."""
+def test_failures_name_the_mutated_message():
+    """One broken rule is detected by the scenario itself, another one only by a mutated message."""
     with broken(escrow=AddsGrants), pytest.raises((InvariantError, LedgerError)):
         scenario()
-    mutation_run = MutationRun(20)
-    with broken(escrow=TakesAnyAnswer):
-        mutation_run.run()
-    assert mutation_run.failures
-    assert all(failure.startswith("message ") for failure in mutation_run.failures)
+    forked_run = MutationRun(20)
+    with broken(escrow=AcceptsAnyAnswer):
+        forked_run.run()
+    assert forked_run.failures
+    assert all(failure.startswith("message ") for failure in forked_run.failures)
 
 
-def first_failure(messages, most_mutants=150):
-    """What finds a broken rule first: the scenario, a run with faults, or a changed message.
-
-    None: nothing.
-    """
+def first_failure(messages, max_mutants=150):
+    """Returns the first failure of the scenario, of runs with faults and with mutated messages, or None."""
     runs = [("the scenario", scenario)]
     runs += [(f"seed {seed}", lambda seed=seed: run_with_faults(seed)) for seed in range(6)]
     runs += [
         (f"restarts {seed}", lambda seed=seed: run_with_faults(seed, 15, RESTARTS, (0.5,)))
         for seed in range(12)
     ]
-    step = max(1, len(messages) * 18 // most_mutants)
+    step = max(1, len(messages) * 18 // max_mutants)
     sample = islice(mutants(messages), 0, None, step)
     runs += [(name, lambda mutate=mutate: scenario(mutate)) for name, mutate in sample]
     for name, run in runs:
@@ -237,8 +234,8 @@
 
 
 @pytest.mark.parametrize("rule", BROKEN_RULES)
-def test_a_broken_rule_is_found(rule):
-    """The messages are those of the scenario with all rules kept."""
-    messages, _ = record()
+def test_a_broken_rule_is_detected(rule):
+    """The mutated messages are those of the scenario with unbroken rules."""
+    messages, _ = record_scenario()
     with broken(**BROKEN_RULES[rule]):
         assert first_failure(messages)
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's state machine: conservation, snapshots, write-offs, loans."""
+"""The ledger's state machine: conservation of amounts, snapshots, write-offs, loans."""
 
 import pytest
 from hypothesis import given, settings
@@ -10,11 +10,11 @@
 from lichenquay.quota.ledger import Ledger
 from lichenquay.quota.ledger_state import MAX_EXPIRED_EPOCHS
 
-MS = 1000  # in microseconds
+MS = 1000  # microseconds per millisecond
 
 
 def ledger_of(*accounts):
-    """A ledger with these accounts, or with a and b."""
+    """Returns a ledger with these accounts, or by default with a and b."""
     ledger = Ledger()
     for terms in accounts or (tenant_terms("a"), tenant_terms("b")):
         ledger.apply_change(ledger.decide_account_terms(terms))
@@ -22,7 +22,7 @@
 
 
 def commit(ledger, change):
-    """Applies a record of this change, if there is one, and checks the invariants; returns the change."""
+    """Applies a record of the change unless it is None, checks the invariants, and returns the change."""
     if change is not None:
         ledger.apply(pb.Record(no=ledger.record_number + 1, changes=[change]))
         ledger.check()
@@ -30,7 +30,7 @@
 
 
 def reported_row(tenant, known, spent, returned=0, sealed=False, epoch=1):
-    """A row of a request, with amounts in microseconds."""
+    """Returns a row of a request, with amounts in microseconds."""
     return pb.Row(
         tenant=tenant, book=epoch, known_us=known, spent_us=spent, returned_us=returned, sealed=sealed
     )
@@ -53,7 +53,7 @@
 
 
 def decide(ledger, step):
-    """The change of a step, or None."""
+    """Returns the change of a step, or None."""
     kind, *arguments = step
     if kind == "usage":
         return decide_usage(ledger, *arguments)
@@ -65,7 +65,7 @@
 
 
 def decide_usage(ledger, gateway, incarnation, epoch, tenant, known, spent, returned, sealed):
-    """A report of these shares of what the gateway was granted."""
+    """Returns the change for a report of these shares of a gateway's granted amount, or None."""
     entry = ledger.epochs.get((gateway, incarnation, epoch), {}).get(tenant)
     if entry is None:
         return ledger.decide_usage(gateway, incarnation, reported_row(tenant, 0, 0, 0, sealed, epoch))
@@ -82,9 +82,9 @@
 @settings(max_examples=150, deadline=None)
 @given(st.lists(STEPS, max_size=60))
 def test_any_decisions_conserve_amounts_and_are_rebuilt_from_snapshot_and_records(steps):
-    """In any order.
+    """Decisions come in any order, and every record is applied twice.
 
-    Every record comes twice; a leader that reads a snapshot of any age has the same ledger.
+    A leader that reads a snapshot of any age, and the records after it, has the same ledger.
     """
     ledger = ledger_of(tenant_terms("a"), tenant_terms("b", limit=50), tenant_terms("c", rate=3))
     records = []
@@ -103,8 +103,8 @@
         assert Ledger.load(states[i], later).state() == ledger.state()
 
 
-def test_a_gap_in_the_records_and_a_newer_version_are_refused():
-    """And a change of a kind that is not known."""
+def test_a_gap_in_the_records_and_a_newer_version_are_rejected():
+    """So is a change of an unknown kind."""
     ledger = ledger_of()
     with pytest.raises(LedgerError, match="record 2 after 0"):
         ledger.apply(pb.Record(no=2))
@@ -114,8 +114,8 @@
         Ledger.load(pb.State(version=9).SerializeToString())
 
 
-def test_what_was_written_off_comes_back_once_whatever_is_reported_and_how_often():
-    """A report from before the expiry counts, the last one returns the rest."""
+def test_written_off_tokens_are_returned_once_whatever_is_reported_and_how_often():
+    """A report from before the expiry counts, and the last one returns the remaining tokens."""
     ledger = ledger_of()
     account = ledger.accounts["a"]
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 60 * MS))
@@ -131,8 +131,8 @@
     assert not ledger.epochs
 
 
-def test_a_written_off_rest_comes_back_no_higher_than_the_bucket():
-    """What does not fit is counted as overflow."""
+def test_returned_written_off_tokens_do_not_exceed_the_bucket():
+    """Tokens that do not fit count as overflow."""
     ledger = ledger_of()
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 60 * MS))
     commit(ledger, ledger.decide_expiry("f0", 1, 1))
@@ -142,8 +142,8 @@
     assert ledger.accounts["a"].overflowed_us == 50 * MS
 
 
-def test_entries_of_a_gateway_that_comes_and_goes_are_bounded():
-    """What the forgotten ones held is lost to the tenant."""
+def test_entries_of_a_gateway_that_restarts_often_are_bounded():
+    """Tokens of the deleted entries are lost to the tenant."""
     ledger = ledger_of()
     for incarnation in range(1, MAX_EXPIRED_EPOCHS + 20):
         commit(ledger, ledger.decide_accrual(1000))
@@ -153,16 +153,16 @@
     assert ledger.accounts["a"].lost_us == 19 * MS
 
 
-def test_loans_wait_for_an_empty_pool_stay_in_the_limit_and_are_repaid():
-    """The lender is who has the most unused tokens."""
+def test_loans_require_an_empty_pool_stay_within_the_limit_and_are_repaid():
+    """The lender is the tenant with the most unused tokens."""
     ledger = ledger_of(tenant_terms("a"), tenant_terms("b"), tenant_terms("c", bucket=1000))
-    assert ledger.decide_loan("a", MS) is None  # it has its own
+    assert ledger.decide_loan("a", MS) is None  # its pool is not empty
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 200 * MS))
     assert commit(ledger, ledger.decide_loan("a", 70 * MS)).loan.lender == "c"
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 70 * MS))
     assert commit(ledger, ledger.decide_loan("a", 70 * MS)).loan.amount_us == 30 * MS
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 30 * MS))
-    assert ledger.decide_loan("a", MS) is None  # the limit
+    assert ledger.decide_loan("a", MS) is None  # its debt has reached the limit
     account = ledger.accounts["a"]
     for _ in range(51):
         commit(ledger, ledger.decide_accrual(100))
@@ -170,11 +170,11 @@
         spent_us = account.spent_us + min(9 * MS, account.held_us)
         commit(ledger, ledger.decide_usage("f0", 1, reported_row("a", known_us, spent_us)))
         commit(ledger, ledger.decide_grant("a", "f0", 1, 1, account.pool_us))
-    assert not ledger.loans  # half of 100 ms a second for 5 s
+    assert not ledger.loans  # half of 100 ms per second over 5 s repays the limit
 
 
 def test_an_overdue_loan_bars_further_ones():
-    """It is older than its term."""
+    """A loan is overdue once it is older than its term."""
     ledger = ledger_of(tenant_terms("a", term_ms=50), tenant_terms("b"))
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 200 * MS))
     commit(ledger, ledger.decide_loan("a", 50 * MS))
@@ -184,8 +184,8 @@
     assert ledger.decide_loan("a", MS) is None
 
 
-def test_repayment_takes_its_share_of_what_accrues_oldest_first_and_no_more():
-    """The rest stays in the debtor's pool."""
+def test_repayment_takes_only_its_share_of_the_accrual_and_repays_the_oldest_loan_first():
+    """The remaining accrual stays in the debtor's pool."""
     ledger = ledger_of(tenant_terms("a", repay=300), tenant_terms("b"), tenant_terms("c"))
     commit(ledger, ledger.decide_grant("a", "f0", 1, 1, 200 * MS))
     for amount_ms in (20, 30):
@@ -202,7 +202,7 @@
 
 
 def test_a_lender_accrues_as_if_it_had_not_lent():
-    """Beside a ledger without the loan."""
+    """Its account accrues the same amount as in a ledger without the loan."""
     lending = ledger_of()
     without_loan = ledger_of()
     for ledger in (lending, without_loan):
