--- a/lichenquay/migration/__init__.py
+++ b/lichenquay/migration/__init__.py
@@ -1,1 +1,1 @@
-"""Session migration: the sessions of a gateway that shuts down go to other gateways, each to exactly one."""
+"""Session migration: a gateway that shuts down hands each of its sessions to exactly one other gateway."""
--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -1,8 +1,8 @@
 """The coordinator of one replica group: its sessions, handovers and messages. No I/O.
 
-`on_message(now_ms, sender, message)` brings messages of other replica groups, `tick(now_ms)` is to be
-called at `due_ms`, and `outbox` has messages for whoever leads another replica group. Requests of
-clients are handled in `session_service`.
+The host passes messages of other replica groups to `on_message(now_ms, sender, message)`, calls
+`tick(now_ms)` at `due_ms`, and delivers each message in `outbox` to the leader of the replica group that it
+is addressed to. Requests of clients are handled in `session_service`.
 """
 
 from typing import NamedTuple
@@ -16,11 +16,11 @@
 from lichenquay.migration.settings import MigrationSettings
 
 DEFAULT_SETTINGS = MigrationSettings()
-IDLE_TICKS = 10  # tick periods between two looks while it does not lead
+IDLE_TICK_PERIODS = 10  # tick periods between two checks for leadership while this process does not lead
 
 
 class SessionStatus(NamedTuple):
-    """Of one session, for operators. `replica_group`: the one to ask for it."""
+    """The status of one session, for operators. `replica_group`: the one that serves it."""
 
     session_id: str
     replica_group: str
@@ -29,13 +29,13 @@
 
 
 class Coordinator(SessionService):
-    """Acts for the sessions of a replica group while its process leads it."""
+    """Serves and hands over the sessions of a replica group while its process leads that group."""
 
     handover_source_type = HandoverSource
     handover_target_type = HandoverTarget
 
     def __init__(self, replica_group: str, group, settings: MigrationSettings = DEFAULT_SETTINGS):
-        """`group`: a `quota.ledger_records.PiecewiseGroup`."""
+        """Creates a coordinator that does not lead yet. `group`: a `quota.ledger_records.PiecewiseGroup`."""
         super().__init__(replica_group, group)
         self.settings = settings
         self.outbox: list[OutgoingMessage] = []
@@ -45,24 +45,24 @@
         self.handover_target = self.handover_target_type(self)
 
     def on_step_down(self) -> None:
-        """Forgets what is not on record."""
+        """Discards all state that is not in the log."""
         super().on_step_down()
         self.handover_source.forget_term()
         self.handover_target.forget_term()
 
     def on_write_ended(self, now_ms: float) -> None:
-        """Continues handovers."""
+        """Continues handovers with the committed changes."""
         self.handover_source.advance(now_ms)
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is to be called next."""
+        """The time at which `tick` is to be called next."""
         return self.handover_source.due_ms
 
     def tick(self, now_ms: float) -> None:
-        """Continues handovers, and sends again what was not answered."""
+        """Continues handovers and retries unanswered messages."""
         if not self.is_leading(now_ms):
-            self.handover_source.due_ms = now_ms + self.settings.tick_period_ms * IDLE_TICKS
+            self.handover_source.due_ms = now_ms + self.settings.tick_period_ms * IDLE_TICK_PERIODS
             return
         self.handover_source.tick(now_ms)
         self.flush(now_ms)
@@ -71,9 +71,9 @@
     # Messages between replica groups.
 
     def on_message(self, now_ms: float, sender, message: pb.Message) -> None:
-        """A message of another replica group.
+        """Handles a message of another replica group.
 
-        One that is damaged, or not for this one, is counted and ignored.
+        A message that is damaged or addressed to another replica group is counted and ignored.
         """
         kind = message.WhichOneof("body")
         is_for_here = message.to == self.replica_group and message.replica_group != self.replica_group
@@ -86,15 +86,15 @@
         if kind == "offer":
             self.handover_target.on_offer(now_ms, message, message.offer)
         elif kind == "room":
-            self.handover_source.on_room(now_ms, message, message.room)
+            self.handover_source.on_offer_answer(now_ms, message, message.room)
         elif kind == "handed":
-            self.handover_target.on_handed(now_ms, message, message.handed)
+            self.handover_target.on_handover(now_ms, message, message.handed)
         elif kind == "kept":
-            self.handover_source.on_kept(now_ms, message, message.kept)
+            self.handover_source.on_acknowledgement(now_ms, message, message.kept)
         self.flush(now_ms)
 
     def send(self, to: str, term: int | None = None, **body) -> None:
-        """A message to another replica group; an answer carries the term of its question."""
+        """Queues a message to another replica group; an answer carries the term of its request."""
         message = pb.Message(
             replica_group=self.replica_group,
             to=to,
@@ -106,7 +106,7 @@
     # For operators.
 
     def status(self) -> list[SessionStatus]:
-        """Of each session known here."""
+        """Returns the status of each session known here."""
         sessions = self.committed.live_sessions if self.committed else ()
         return [
             SessionStatus(
--- a/lichenquay/migration/errors.py
+++ b/lichenquay/migration/errors.py
@@ -6,4 +6,4 @@
 
 
 class StateMachineError(MigrationError):
-    """A record or state breaks an invariant of the state machine. A lost message never causes this."""
+    """A record or snapshot breaks an invariant of the state machine. A lost message never causes this."""
--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -1,19 +1,18 @@
-"""Handing sessions over when a replica group leaves: offers, and the point of no return. No I/O.
+"""The source's side of handovers, when a replica group leaves: offers, and the point of no return. No I/O.
 
     source                                             target
-    record Frozen, Offered (while it leaves)
-    Offer                              ->              reserves bytes for a time, not on record
+    commit Frozen, Offered (while it leaves)
+    Offer                              ->              reserve bytes for a time, in memory only
                                        <-              Room: yes or no
-    record Gone: the point of no return
-    Handed, until acknowledged         ->              record Accepted; from then on it acts,
-                                                       a generation higher
+    commit Gone: the point of no return
+    Handed, until acknowledged         ->              commit Accepted; from then on the target owns
+                                                       the session, with the next generation
                                        <-              Kept
-    record Told
+    commit Told
 
-Offer and Room are advice: an answer to an earlier term, or to another offer, counts for nothing. Handed and
-Kept say only what is committed, so that it stays true however late it arrives. A session that is frozen or
-offered without an attempt of this term (its source crashed, or leaving was cancelled) is offered anew, or
-resumed.
+Offer and Room are advisory: an answer to an earlier term, or to another offer, is ignored. Handed and Kept
+state only what is committed, so they stay true however late they arrive. A session that is frozen or offered
+without an attempt of this term (its source crashed, or leaving was cancelled) is offered again or resumed.
 """
 
 from collections.abc import Collection, Mapping
@@ -32,25 +31,25 @@
 )
 
 NEVER_MS = float("inf")
-IDLE_TICKS = 10  # tick periods between two ticks while nothing is to be handed over
+IDLE_TICK_PERIODS = 10  # tick periods between two ticks while nothing is to be handed over
 
 
 @dataclass
 class HandoverAttempt:
-    """Of one session in this term.
+    """The attempt of this term to hand over one session.
 
-    `target`: the present one; `offered_to`: all that were tried; `offers_sent`: to the present one.
+    `target`: the current one; `tried_targets`: all so far; `offers_sent`: to the current target.
     """
 
     started_ms: float
     target: str
     next_offer_ms: float
     offers_sent: int = 0
-    offered_to: set[str] = field(default_factory=set)
+    tried_targets: set[str] = field(default_factory=set)
 
 
-class Repetition(NamedTuple):
-    """When a handover is sent next, and the wait after that."""
+class HandoverRetry(NamedTuple):
+    """The time at which a handover is sent next, and the wait for its acknowledgement after that."""
 
     due_ms: float
     wait_ms: float
@@ -58,7 +57,7 @@
 
 @dataclass
 class SourceCounters:
-    """What the source did."""
+    """Counts of what the source did."""
 
     offered: int = 0
     handed_over: int = 0
@@ -70,7 +69,7 @@
     """The source's side of the handovers of one coordinator."""
 
     def __init__(self, coordinator):
-        """`coordinator`: of the replica group whose sessions are handed over."""
+        """Starts in phase STAYING. `coordinator`: of the replica group whose sessions are handed over."""
         self.coordinator = coordinator
         self.settings = coordinator.settings
         self.phase = LeavingPhase.STAYING
@@ -82,30 +81,27 @@
         self.forget_term()
 
     def forget_term(self) -> None:
-        """Forgets what is not on record and belongs to one term."""
+        """Discards the state of the term that has ended; none of it is in the log."""
         self.attempts: dict[str, HandoverAttempt] = {}  # by session id
-        self.repetitions: dict[str, Repetition] = {}  # by session id
+        self.handover_retries: dict[str, HandoverRetry] = {}  # by session id
         self.backoffs = Backoffs(self.settings)
         self.budget = ByteBudget(self.settings.bytes_per_s)
         self.due_ms = 0.0
 
-    # The host's calls.
+    # Called by the host.
 
     def update_members(
         self, members: Collection[Member], engine_zones: Mapping[str, str] | None = None
     ) -> None:
-        """Gateways as they are known here, this one included.
-
-        And the zone of each engine uid, if that changed.
-        """
+        """Updates the known gateways, this one included, and, unless None, the zone of each engine uid."""
         self.members = tuple(members)
         if engine_zones is not None:
             self.engine_zones = dict(engine_zones)
 
     def leave(self, now_ms: float, at_once: bool = False) -> None:
-        """Announces that its sessions are to be handed over.
+        """Announces that this replica group leaves, so that its sessions are to be handed over.
 
-        `at_once`: without waiting for its turn, as its gateway is gone and this one is the successor.
+        `at_once`: without waiting for its turn, because its own gateway is gone and this one succeeded it.
         """
         if self.phase is LeavingPhase.STAYING:
             self.phase = LeavingPhase.ANNOUNCED
@@ -114,7 +110,7 @@
         self.due_ms = now_ms
 
     def stay(self, now_ms: float) -> None:
-        """Leaving is cancelled: sessions that are not yet handed over stay."""
+        """Cancels leaving; sessions that are not handed over yet stay."""
         self.phase = LeavingPhase.STAYING
         self.at_once = False
         self.announced_ms = NEVER_MS
@@ -122,7 +118,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether no session and no change is left, so that the replica group may be given up."""
+        """Whether no session and no change is left, so that the replica group may be released."""
         coordinator = self.coordinator
         return (
             coordinator.committed is not None
@@ -131,22 +127,22 @@
             and not coordinator.pending_write
         )
 
-    # Time.
+    # Progress over time.
 
     def tick(self, now_ms: float) -> None:
         """Advances all handovers, and sets `due_ms`."""
         self.advance(now_ms)
-        self.due_ms = now_ms + self.settings.tick_period_ms * (1 if self._is_busy() else IDLE_TICKS)
+        self.due_ms = now_ms + self.settings.tick_period_ms * (1 if self._is_busy() else IDLE_TICK_PERIODS)
 
     def _is_busy(self) -> bool:
-        if self.phase is not LeavingPhase.STAYING or self.attempts or self.repetitions:
+        if self.phase is not LeavingPhase.STAYING or self.attempts or self.handover_retries:
             return True
-        return any(session.is_moving for session in self.coordinator.speculative.sessions.values())
+        return any(session.is_migrating for session in self.coordinator.speculative.sessions.values())
 
     def advance(self, now_ms: float) -> None:
-        """Does all that is due by now."""
+        """Advances the phase and all handovers as far as is due now."""
         self._advance_phase(now_ms)
-        self.adopt_unattended(now_ms)
+        self.recover_interrupted_handovers(now_ms)
         for session_id, attempt in list(self.attempts.items()):
             self._advance_attempt(now_ms, session_id, attempt)
         if self.phase is LeavingPhase.LEAVING:
@@ -168,12 +164,12 @@
             self.coordinator.replica_group, self.members, self.settings.max_leaving_share
         )
 
-    def adopt_unattended(self, now_ms: float) -> None:
-        """Offers or resumes sessions that an earlier term froze, or that are not to go any more."""
+    def recover_interrupted_handovers(self, now_ms: float) -> None:
+        """Offers sessions that an earlier term froze, or resumes those that cannot or need not go."""
         if self.phase is not LeavingPhase.LEAVING:
             self.attempts = {}
         for session in list(self.coordinator.speculative.sessions.values()):
-            if not session.is_moving or session.session_id in self.attempts:
+            if not session.is_migrating or session.session_id in self.attempts:
                 continue
             target = self._select_target(now_ms, session) if self.phase is LeavingPhase.LEAVING else None
             if target is None or not self._offer(now_ms, session.session_id, target):
@@ -187,23 +183,23 @@
             session.max_size_bytes,
             self.engine_zones.get(session.engine, ""),
             self.members,
-            self.backoffs.waiting(now_ms) | set(excluded) | {self.coordinator.replica_group},
+            self.backoffs.backed_off_names(now_ms) | set(excluded) | {self.coordinator.replica_group},
         )
 
     def _start_handovers(self, now_ms: float) -> None:
         self.budget.refill(now_ms)
         sessions = self.coordinator.speculative.sessions.values()
-        under_way = sum(
+        in_flight = sum(
             1 for session in sessions if session.state != SessionState.HELD and not session.is_tombstone
         )
         held = [session for session in sessions if session.state == SessionState.HELD]
         for session in handover_order(held):
-            if under_way >= self.settings.max_concurrent or self.budget.is_exhausted:
+            if in_flight >= self.settings.max_concurrent or self.budget.is_exhausted:
                 return
-            if self.backoffs.is_waiting(now_ms, session.session_id):
+            if self.backoffs.is_backing_off(now_ms, session.session_id):
                 continue
             if self._start_handover(now_ms, session):
-                under_way += 1
+                in_flight += 1
                 self.budget.spend(session.max_size_bytes)
 
     def _start_handover(self, now_ms: float, session: Session) -> bool:
@@ -227,7 +223,7 @@
         attempt.target = target
         attempt.offers_sent = 0
         attempt.next_offer_ms = now_ms
-        attempt.offered_to.add(target)
+        attempt.tried_targets.add(target)
         self.counters.offered += 1
         return True
 
@@ -258,7 +254,7 @@
     def _offer_elsewhere(self, now_ms: float, session_id: str, attempt: HandoverAttempt) -> None:
         self.backoffs.add_failure(now_ms, attempt.target)
         session = self.coordinator.speculative.sessions[session_id]
-        target = self._select_target(now_ms, session, attempt.offered_to)
+        target = self._select_target(now_ms, session, attempt.tried_targets)
         if target is None or not self._offer(now_ms, session_id, target):
             self.backoffs.add_failure(now_ms, session_id)
             self._resume(session_id)
@@ -270,51 +266,51 @@
 
     # Answers of targets.
 
-    def on_room(self, now_ms: float, message: pb.Message, room: pb.Room) -> None:
-        """The answer to an offer: if it has room the session is handed over, else offered elsewhere."""
-        attempt = self.attempts.get(room.id)
-        session = self.coordinator.speculative.sessions.get(room.id)
+    def on_offer_answer(self, now_ms: float, message: pb.Message, answer: pb.Room) -> None:
+        """Hands a session over if its offer was accepted, else offers it to another target."""
+        attempt = self.attempts.get(answer.id)
+        session = self.coordinator.speculative.sessions.get(answer.id)
         if attempt is None or session is None:
             return
         if (message.replica_group, message.term) != (attempt.target, self.coordinator.generation):
             return
-        if session.state != SessionState.OFFERED or room.generation != session.generation:
+        if session.state != SessionState.OFFERED or answer.generation != session.generation:
             return
         self.members = tuple(
-            member._replace(free_bytes=room.free) if member.name == attempt.target else member
+            member._replace(free_bytes=answer.free) if member.name == attempt.target else member
             for member in self.members
         )
-        if not room.yes:
-            self._offer_elsewhere(now_ms, room.id, attempt)
+        if not answer.yes:
+            self._offer_elsewhere(now_ms, answer.id, attempt)
             return
         self.backoffs.clear(attempt.target)
-        change = self.coordinator.speculative.decide_hand_over(room.id, attempt.target)
-        if self.coordinator.propose(change, self._handed_over):
-            del self.attempts[room.id]
+        change = self.coordinator.speculative.decide_hand_over(answer.id, attempt.target)
+        if self.coordinator.propose(change, self._on_handover_written):
+            del self.attempts[answer.id]
             self.counters.handed_over += 1
 
-    def _handed_over(self, now_ms: float, committed: bool) -> None:
+    def _on_handover_written(self, now_ms: float, committed: bool) -> None:
         if committed and self.coordinator.is_leading(now_ms):
             self.send_handovers(now_ms)
 
     def send_handovers(self, now_ms: float) -> None:
-        """Sends what is handed over, by the committed log, until it is acknowledged."""
-        repetitions = {}
+        """Sends each session that the committed log hands over, and retries until it is acknowledged."""
+        retries = {}
         for session in self.coordinator.committed.sessions.values():
             if session.is_owned or session.acknowledged:
                 continue
-            first = Repetition(now_ms, self.settings.answer_timeout_ms)
-            repetition = self.repetitions.get(session.session_id, first)
-            if now_ms >= repetition.due_ms:
-                self.coordinator.send(session.target, handed=self.handover_of(now_ms, session))
-                doubled_ms = min(2 * repetition.wait_ms, self.settings.max_backoff_ms)
-                repetition = Repetition(now_ms + repetition.wait_ms, doubled_ms)
-            repetitions[session.session_id] = repetition
-        self.repetitions = repetitions
-
-    def handover_of(self, now_ms: float, session: Session) -> pb.Handed:
-        """The message that hands a session over, as the target is to hold it."""
-        wire = session.wire()
+            first = HandoverRetry(now_ms, self.settings.answer_timeout_ms)
+            retry = self.handover_retries.get(session.session_id, first)
+            if now_ms >= retry.due_ms:
+                self.coordinator.send(session.target, handed=self.handover_message(now_ms, session))
+                doubled_ms = min(2 * retry.wait_ms, self.settings.max_backoff_ms)
+                retry = HandoverRetry(now_ms + retry.wait_ms, doubled_ms)
+            retries[session.session_id] = retry
+        self.handover_retries = retries
+
+    def handover_message(self, now_ms: float, session: Session) -> pb.Handed:
+        """Returns the message that hands a session over, with the session as the target is to store it."""
+        wire = session.to_proto()
         for query in wire.refs:
             query.left_ms = self.coordinator.remaining_ms(
                 now_ms, session.session_id, session.queries[query.ref]
@@ -328,12 +324,14 @@
         floor = self.coordinator.committed.acknowledged_floor(session.target)
         return pb.Handed(no=session.handover_number, floor=floor, session=wire)
 
-    def on_kept(self, now_ms: float, message: pb.Message, kept: pb.Kept) -> None:
-        """The answer to a handover: the target has it on record."""
-        session = self.coordinator.committed.sessions.get(kept.id)
-        if session is None or kept.generation != session.generation + 1:
+    def on_acknowledgement(self, now_ms: float, message: pb.Message, acknowledgement: pb.Kept) -> None:
+        """Records that the target has committed a handover."""
+        session = self.coordinator.committed.sessions.get(acknowledgement.id)
+        if session is None or acknowledgement.generation != session.generation + 1:
             return
-        change = self.coordinator.speculative.decide_acknowledge(kept.id, message.replica_group, kept.no)
+        change = self.coordinator.speculative.decide_acknowledge(
+            acknowledgement.id, message.replica_group, acknowledgement.no
+        )
         if self.coordinator.propose(change):
             self.counters.acknowledged += 1
             if self.phase is LeavingPhase.LEAVING:
--- a/lichenquay/migration/handover_target.py
+++ b/lichenquay/migration/handover_target.py
@@ -1,4 +1,4 @@
-"""Receiving sessions of replica groups that leave: reservations, and records of acceptance.
+"""The target's side of handovers: reservations for offered sessions, and acceptance of sessions.
 
 The protocol is described in `handover_source`. No I/O.
 """
@@ -13,21 +13,21 @@
 from lichenquay.migration.session_log_snapshot import HANDOVER_FIELDS_BYTES
 from lichenquay.migration.target_selection import LeavingPhase
 
-HEADROOM_BYTES = MAX_SESSIONS_BYTES // 5  # for handovers whose reservation was forgotten in a crash
+HEADROOM_BYTES = MAX_SESSIONS_BYTES // 5  # for handovers whose reservation was lost in a crash
 MAX_RESERVATIONS = 512
 MIN_RESERVATION_BYTES = 64
-MAX_EVICTIONS = 8  # for one handover
+MAX_EVICTIONS = 8  # of idle sessions, to make room for one handover
 
 
 class ReservationKey(NamedTuple):
-    """The session that is offered, and by which replica group."""
+    """An offered session and the replica group that offers it."""
 
     source: str
     session_id: str
 
 
 class HandoverKey(NamedTuple):
-    """One handover: the source, its number for it, the session and the generation that it has here."""
+    """One handover: its source, its number there, the session, and the session's generation here."""
 
     source: str
     number: int
@@ -36,7 +36,7 @@
 
 
 class Reservation(NamedTuple):
-    """Bytes reserved for an offered session, until that time."""
+    """Bytes reserved for an offered session until `until_ms`."""
 
     until_ms: float
     size_bytes: int
@@ -44,28 +44,28 @@
 
 @dataclass
 class TargetCounters:
-    """What the target did."""
+    """Counts of what the target did."""
 
     accepted: int = 0
-    rejected: int = 0  # offers and handovers that found no room
+    rejected: int = 0  # offers and handovers for which there was no room
 
 
 class HandoverTarget:
     """The target's side of the handovers to one coordinator."""
 
     def __init__(self, coordinator):
-        """`coordinator`: of the replica group that receives sessions."""
+        """Starts without reservations. `coordinator`: of the replica group that receives sessions."""
         self.coordinator = coordinator
         self.settings = coordinator.settings
         self.counters = TargetCounters()
         self.forget_term()
 
     def forget_term(self) -> None:
-        """Forgets reservations, which are not on record."""
+        """Discards reservations, which are not in the log."""
         self.reservations: dict[ReservationKey, Reservation] = {}
 
     def expire_reservations(self, now_ms: float) -> None:
-        """Forgets those whose time has ended."""
+        """Removes reservations whose time has ended."""
         self.reservations = {
             key: reservation
             for key, reservation in self.reservations.items()
@@ -74,36 +74,35 @@
 
     @property
     def free_bytes(self) -> int:
-        """For sessions that are offered."""
+        """Bytes that further offered sessions may take."""
         reserved_bytes = sum(reservation.size_bytes for reservation in self.reservations.values())
         return max(0, self.coordinator.speculative.free_bytes - HEADROOM_BYTES - reserved_bytes)
 
     def on_offer(self, now_ms: float, message: pb.Message, offer: pb.Offer) -> None:
-        """A session is offered: bytes are reserved for it for a time, or the offer is rejected."""
+        """Reserves bytes for an offered session for a time, or rejects the offer."""
         key = ReservationKey(message.replica_group, offer.id)
         self.reservations.pop(key, None)
         size_bytes = max(offer.bytes, MIN_RESERVATION_BYTES)
         is_staying = self.coordinator.handover_source.phase is LeavingPhase.STAYING
-        most_bytes = min(self.free_bytes, MAX_SESSION_BYTES + HANDOVER_FIELDS_BYTES)
-        accepts = is_staying and size_bytes <= most_bytes and len(self.reservations) < MAX_RESERVATIONS
+        max_size_bytes = min(self.free_bytes, MAX_SESSION_BYTES + HANDOVER_FIELDS_BYTES)
+        accepts = is_staying and size_bytes <= max_size_bytes and len(self.reservations) < MAX_RESERVATIONS
         if accepts:
             self.reservations[key] = Reservation(now_ms + self.settings.reservation_ms, size_bytes)
         else:
             self.counters.rejected += 1
-        room = pb.Room(id=offer.id, generation=offer.generation, yes=accepts, free=self.free_bytes)
-        self.coordinator.send(message.replica_group, term=message.term, room=room)
+        answer = pb.Room(id=offer.id, generation=offer.generation, yes=accepts, free=self.free_bytes)
+        self.coordinator.send(message.replica_group, term=message.term, room=answer)
 
-    def on_handed(self, now_ms: float, message: pb.Message, handed: pb.Handed) -> None:
-        """A session was handed over.
+    def on_handover(self, now_ms: float, message: pb.Message, handed: pb.Handed) -> None:
+        """Accepts a session that was handed over, if there is room for it.
 
-        Its source never acts for it again, so it is accepted whenever there is room, even while this replica
-        group leaves itself.
+        Its source never acts for it again, so it is accepted even while this replica group itself leaves.
         """
         coordinator = self.coordinator
         wire = handed.session
         handover = HandoverKey(message.replica_group, handed.no, wire.id, wire.generation)
         if coordinator.committed.has_received(handover.source, handover.number):
-            self.send_kept(handover)
+            self.send_acknowledgement(handover)
             return
         needed_bytes = Session(wire).max_size_bytes
         for _ in range(MAX_EVICTIONS):
@@ -122,10 +121,10 @@
         self.counters.accepted += 1
         session = self.coordinator.committed.sessions.get(handover.session_id)
         for query_id in session.queries if session else ():
-            self.coordinator.deadline_known_ms[handover.session_id, query_id] = received_ms
-        self.send_kept(handover)
+            self.coordinator.deadline_reference_ms[handover.session_id, query_id] = received_ms
+        self.send_acknowledgement(handover)
 
-    def send_kept(self, handover: HandoverKey) -> None:
-        """The answer to a handover that is on record here."""
-        kept = pb.Kept(no=handover.number, id=handover.session_id, generation=handover.generation)
-        self.coordinator.send(handover.source, kept=kept)
+    def send_acknowledgement(self, handover: HandoverKey) -> None:
+        """Acknowledges a handover that is committed here."""
+        acknowledgement = pb.Kept(no=handover.number, id=handover.session_id, generation=handover.generation)
+        self.coordinator.send(handover.source, kept=acknowledgement)
--- a/lichenquay/migration/replica_group_state.py
+++ b/lichenquay/migration/replica_group_state.py
@@ -1,7 +1,7 @@
-"""How the state of a replica group is stored in its replicated group. No I/O.
+"""Storage of a replica group's state in its replicated group of `lease`. No I/O.
 
-Records are stored in pieces like those of the quota's ledger. The group needs a `max_state_bytes` of
-MAX_STATE_BYTES. Errors: protobuf's DecodeError, and StateMachineError.
+Records are split into pieces like those of the quota ledger. The replicated group needs `max_state_bytes`
+of MAX_STATE_BYTES. Raises protobuf's DecodeError, and StateMachineError.
 """
 
 from collections.abc import Callable
@@ -9,13 +9,12 @@
 from lichenquay.migration.state_machine import StateMachine
 from lichenquay.quota.ledger_records import fold_with
 
-MAX_STATE_BYTES = (
-    120_000  # sessions, handovers that are not acknowledged, tombstones, and the records after them
-)
+# Sessions, unacknowledged handovers, tombstones, and the records after the snapshot.
+MAX_STATE_BYTES = 120_000
 
 
-def fold_of(replica_group: str) -> Callable[[bytes, list[bytes]], bytes]:
-    """The `fold` of that replica group."""
+def make_fold(replica_group: str) -> Callable[[bytes, list[bytes]], bytes]:
+    """Returns the `fold` function of that replica group."""
 
     def apply_records(state: bytes, records: list[bytes]) -> bytes:
         return StateMachine.load(replica_group, state, records).state()
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -1,4 +1,4 @@
-"""The log of one replica group: decided changes, and their writes, one record at a time. No I/O."""
+"""The log of one replica group: proposed changes, written one record at a time. No I/O."""
 
 from collections.abc import Callable
 from functools import partial
@@ -11,12 +11,12 @@
 from lichenquay.migration.errors import StateMachineError
 from lichenquay.migration.state_machine import StateMachine
 
-MAX_CHANGES_PER_RECORD = 16  # the rest waits for the next record
+MAX_CHANGES_PER_RECORD = 16  # further changes wait for the next record
 ChangeCallback = Callable[[float, bool], None]  # (now_ms, whether the change is certainly committed)
 
 
 class PendingChange(NamedTuple):
-    """A change that was decided and is not written yet."""
+    """A change that was proposed and is not written yet."""
 
     change: pb.Change
     done: ChangeCallback | None
@@ -32,40 +32,41 @@
 
 
 class SessionLogLeader(StateMachineLeader[StateMachine]):
-    """The log of a replica group at a process that may lead it. Subclasses act on it."""
+    """The log of a replica group at a process that may lead it. Subclasses propose changes."""
 
     state_machine_type = StateMachine
     load_errors = (StateMachineError, DecodeError)
 
     def __init__(self, replica_group: str, group: ReplicatedGroup):
-        """`replica_group`: its name."""
+        """Creates the log of the named replica group, stored in `group`."""
         super().__init__(group, f"the replicated log of {replica_group}")
         self.replica_group = replica_group
         self.writes = 0
         self.pending_changes: list[PendingChange] = []
 
     def load(self, state: bytes, records: list[bytes]) -> StateMachine:
-        """The state machine of a snapshot and the records after it."""
+        """Returns the state machine of a snapshot and the records after it."""
         return self.state_machine_type.load(self.replica_group, state, records)
 
     def on_step_down(self) -> None:
-        """Called when a term ends: forget what belongs to it."""
+        """Discards the state of a term that has ended; for subclasses."""
 
     def on_write_ended(self, now_ms: float) -> None:
-        """Called after the result of a write, while this process leads."""
+        """Continues after the result of a write, while this process leads; for subclasses."""
 
     def forget_term(self, now_ms: float) -> None:
-        """Changes that were not written yet are certainly not committed."""
-        waiting, self.pending_changes = self.pending_changes, []
+        """Discards the state of the term; changes that were not written yet are reported as not committed."""
+        dropped, self.pending_changes = self.pending_changes, []
         self.on_step_down()
-        for pending in waiting:
+        for pending in dropped:
             if pending.done is not None:
                 pending.done(now_ms, False)
 
     def propose(self, change: pb.Change | None, done: ChangeCallback | None = None) -> bool:
-        """Decides a change; False for None, where nothing was decided.
+        """Applies a change speculatively and queues it for writing; returns False if the change is None.
 
-        `done(now_ms, committed)` is called once it is committed, or certainly or possibly never is.
+        `done(now_ms, committed)` is called once. `committed` is False where the change is not committed, and
+        also where that is not known.
         """
         if change is None:
             return False
@@ -74,7 +75,7 @@
         return True
 
     def flush(self, now_ms: float) -> None:
-        """Writes what was decided, one record at a time."""
+        """Writes the next record of proposed changes, unless a write is pending."""
         if self.pending_write or not self.pending_changes or self.committed is None:
             return
         batch = self.pending_changes[:MAX_CHANGES_PER_RECORD]
--- a/lichenquay/migration/session_log.py
+++ b/lichenquay/migration/session_log.py
@@ -1,13 +1,13 @@
-"""The sessions of one replica group as its records have made them: a deterministic state machine without I/O.
+"""The sessions of one replica group, as defined by its records: a deterministic state machine without I/O.
 
-A session is
+The states of a session are
 
     held -> frozen -> offered(target) -> handed over(target)        resumed: frozen or offered -> held
 
-`handed over` is the point of no return: from that record on this replica group never acts for that generation
-of the session. Handovers from one replica group to another are numbered, and the target's log has the numbers
-that it received: a handover that comes twice, or late by any time, is not accepted again, even if all else
-about the session is forgotten. Design: docs/design/migration.md.
+`handed over` is the point of no return: from that record on, this replica group never serves that generation
+of the session. Handovers from one replica group to another are numbered, and the target's log records the
+numbers that it received: a handover that arrives again, however late, is not accepted twice, even if
+everything else about the session is forgotten. Design: docs/design/migration.md.
 """
 
 from typing import NamedTuple
@@ -16,65 +16,65 @@
 from lichenquay.migration.errors import StateMachineError
 from lichenquay.migration.session import Query, Session, SessionState, opening_group_of
 
-# The same in all processes of a fleet, as each folds the same records.
+# All processes of a fleet must have the same limits, because each applies the same records.
 MAX_SESSIONS = 256  # of a replica group, without tombstones
-MAX_SESSIONS_BYTES = 40_000  # of these
-MAX_TOMBSTONES = 64  # the oldest are forgotten
-MAX_SESSION_BYTES = 800  # whatever ends and is pinned later: a session fits in a datagram
+MAX_SESSIONS_BYTES = 40_000  # maximum sizes of all these sessions together
+MAX_TOMBSTONES = 64  # beyond, the oldest are forgotten
+MAX_SESSION_BYTES = 800  # of one session, with later outcomes and pins: a handover fits in a datagram
 
 
 class ReceivedHandovers(NamedTuple):
-    """Of one replica group: all numbers under `floor` are on record here, and those in `above`."""
+    """The accepted handovers of one source: all numbers below `floor`, and those in `above`."""
 
     floor: int = 1
     above: tuple[int, ...] = ()
 
 
 class SessionLocation(NamedTuple):
-    """State of a session, None where it is not known, and the replica group to ask for it."""
+    """The state of a session, None where it is not known, and the replica group to ask for it."""
 
     state: SessionState | None
     replica_group: str
 
 
 def require(condition: bool, message: str) -> None:
-    """Raises StateMachineError with this message where the condition does not hold."""
+    """Raises StateMachineError with this message if the condition does not hold."""
     if not condition:
         raise StateMachineError(message)
 
 
 class SessionLog:
-    """The state, and how each kind of change alters it."""
+    """The sessions of a replica group, and the transitions for each kind of change."""
 
     def __init__(self, replica_group: str):
-        """Without sessions."""
+        """Creates a log without sessions."""
         self.replica_group = replica_group
         self.record_number = 0
         self.last_session_number = 0
-        self.sessions: dict[str, Session] = {}  # by id, the longest unused first
-        self.sent_handovers: dict[str, int] = {}  # by target: number of the last one
+        self.sessions: dict[str, Session] = {}  # by id, the least recently used first
+        self.last_handover_numbers: dict[str, int] = {}  # of sent handovers, by target
         self.received_handovers: dict[str, ReceivedHandovers] = {}  # by source
 
-    # Queries.
+    # Reading.
 
     @property
     def live_sessions(self) -> list[Session]:
-        """All but tombstones."""
+        """All sessions but tombstones."""
         return [session for session in self.sessions.values() if not session.is_tombstone]
 
     @property
     def free_bytes(self) -> int:
-        """How many bytes further sessions may have; 0 where no further one fits by number."""
+        """Bytes that further sessions may take; 0 once there are MAX_SESSIONS."""
         return self.remaining_bytes if len(self.live_sessions) < MAX_SESSIONS else 0
 
     @property
     def remaining_bytes(self) -> int:
-        """How many bytes further sessions and queries may have together."""
+        """Bytes that further sessions and queries together may take."""
         used_bytes = sum(session.max_size_bytes for session in self.live_sessions)
         return max(0, MAX_SESSIONS_BYTES - used_bytes)
 
     def unacknowledged(self, target: str) -> list[Session]:
-        """Sessions that are handed over to that replica group, which has not acknowledged them."""
+        """Returns the sessions handed over to that replica group that it has not acknowledged."""
         return [
             session
             for session in self.sessions.values()
@@ -84,20 +84,20 @@
         ]
 
     def acknowledged_floor(self, target: str) -> int:
-        """All handovers to that replica group under this number are known to be on record there."""
-        next_number = self.sent_handovers.get(target, 0) + 1
+        """Returns the lowest handover number to that replica group that it has not acknowledged."""
+        next_number = self.last_handover_numbers.get(target, 0) + 1
         numbers = (session.handover_number for session in self.unacknowledged(target))
         return min(numbers, default=next_number)
 
     def has_received(self, source: str, handover_number: int) -> bool:
-        """Whether that handover is on record here."""
+        """Returns whether that handover was accepted here."""
         received = self.received_handovers.get(source, ReceivedHandovers())
         return handover_number < received.floor or handover_number in received.above
 
     def locate(self, session_id: str) -> SessionLocation:
-        """Where to ask for a session that a client names.
+        """Returns the state of a session that a client names, and the replica group to ask for it.
 
-        Where it is not known, the replica group that opened it.
+        For an unknown session this is the replica group that opened it.
         """
         session = self.sessions.get(session_id)
         if session is None:
@@ -105,30 +105,33 @@
         handed_over = session.state == SessionState.HANDED_OVER
         return SessionLocation(session.state, session.target if handed_over else self.replica_group)
 
-    # Records.
+    # Applying records.
 
     def apply(self, record: pb.Record) -> bool:
-        """Applies a record; False if it was applied before. Raises StateMachineError."""
+        """Applies a record; returns False if it was applied before. Raises StateMachineError."""
         if record.no <= self.record_number:
             return False
-        require(record.no == self.record_number + 1, f"record {record.no} after {self.record_number}")
+        require(
+            record.no == self.record_number + 1,
+            f"record {record.no} after {self.record_number}: records are missing",
+        )
         for change in record.changes:
             self.apply_change(change)
         self.record_number = record.no
         return True
 
     def apply_change(self, change: pb.Change) -> None:
-        """Applies one change. Raises StateMachineError where it breaks an invariant."""
+        """Applies one change. Raises StateMachineError if it breaks an invariant."""
         kind = change.WhichOneof("kind")
-        require(bool(kind), "a change of no known kind")
+        require(bool(kind), "change of unknown kind")
         getattr(self, APPLY_METHODS[kind])(getattr(change, kind))
 
-    def _session_in(self, session_id: str, *states: SessionState) -> Session:
+    def _require_session(self, session_id: str, *states: SessionState) -> Session:
         session = self.sessions.get(session_id)
         if session is None or session.state not in states:
             actual = SessionState(session.state).name if session else None
             expected = [state.name for state in states]
-            raise StateMachineError(f"{session_id} is {actual}, not {expected}")
+            raise StateMachineError(f"session {session_id} is {actual}, expected one of {expected}")
         return session
 
     def _mark_used(self, session: Session) -> None:
@@ -136,27 +139,31 @@
 
     def _apply_opened(self, opened: pb.Opened) -> None:
         is_next = opened.birth == self.last_session_number + 1
-        require(is_next and opened.id not in self.sessions, f"{opened.id} is opened twice")
+        require(is_next and opened.id not in self.sessions, f"session {opened.id} is opened twice")
         self.last_session_number = opened.birth
         self.sessions[opened.id] = Session(
             pb.Session(tenant=opened.tenant, id=opened.id, generation=1, state=SessionState.HELD)
         )
 
     def _apply_pinned(self, pinned: pb.Pinned) -> None:
-        session = self._session_in(pinned.id, SessionState.HELD, SessionState.FROZEN, SessionState.OFFERED)
-        require(pinned.order >= session.load_number, f"{pinned.id}: load number falls")
+        session = self._require_session(
+            pinned.id, SessionState.HELD, SessionState.FROZEN, SessionState.OFFERED
+        )
+        require(
+            pinned.order >= session.load_number, f"session {pinned.id}: load number falls to {pinned.order}"
+        )
         session.engine = pinned.engine
         session.load_number = pinned.order
         session.update_size()
         self._mark_used(session)
 
     def _apply_submitted(self, submitted: pb.Took) -> None:
-        """A query is submitted, a read-only one perhaps again."""
-        session = self._session_in(submitted.id, SessionState.HELD)
+        """Adds a submitted query; a read-only one may be submitted again."""
+        session = self._require_session(submitted.id, SessionState.HELD)
         query_id = submitted.ref.ref
         known = session.queries.pop(query_id, None)
         repeatable = known is None or not (known.mutating or submitted.ref.mutating)
-        require(repeatable, f"{submitted.id}: {query_id} is submitted twice")
+        require(repeatable, f"session {submitted.id}: query {query_id} is submitted twice")
         session.queries[query_id] = Query(submitted.ref)
         session.update_size()
         self._forget_ended_queries(session)
@@ -171,37 +178,40 @@
             session.update_size()
 
     def _apply_ended(self, ended: pb.Ended) -> None:
-        session = self._session_in(ended.id, SessionState.HELD, SessionState.FROZEN, SessionState.OFFERED)
-        require(ended.ref in session.queries, f"{ended.id}: {ended.ref} was not submitted")
+        session = self._require_session(
+            ended.id, SessionState.HELD, SessionState.FROZEN, SessionState.OFFERED
+        )
+        require(ended.ref in session.queries, f"session {ended.id}: query {ended.ref} was not submitted")
         session.queries[ended.ref].outcome = ended.outcome
         session.update_size()
         self._mark_used(session)
 
     def _apply_frozen(self, frozen: pb.Frozen) -> None:
-        self._session_in(frozen.id, SessionState.HELD).state = SessionState.FROZEN
+        self._require_session(frozen.id, SessionState.HELD).state = SessionState.FROZEN
 
     def _apply_offered(self, offered: pb.Offered) -> None:
-        session = self._session_in(offered.id, SessionState.FROZEN, SessionState.OFFERED)
+        session = self._require_session(offered.id, SessionState.FROZEN, SessionState.OFFERED)
         session.state = SessionState.OFFERED
         session.target = offered.to
 
     def _apply_handed_over(self, handed_over: pb.Gone) -> None:
-        """The point of no return."""
-        session = self._session_in(handed_over.id, SessionState.OFFERED)
+        """Hands a session over: the point of no return."""
+        session = self._require_session(handed_over.id, SessionState.OFFERED)
         target = handed_over.to
-        is_next = handed_over.no == self.sent_handovers.get(handed_over.to, 0) + 1
+        is_next = handed_over.no == self.last_handover_numbers.get(handed_over.to, 0) + 1
         require(
             session.target == target and is_next,
-            f"{handed_over.id}: handed over to {target} by {handed_over.no}",
+            f"session {handed_over.id} is offered to {session.target}: "
+            f"unexpected handover {handed_over.no} to {target}",
         )
         session.state = SessionState.HANDED_OVER
         session.handover_number = handed_over.no
         session.acknowledged = False
-        self.sent_handovers[handed_over.to] = handed_over.no
+        self.last_handover_numbers[handed_over.to] = handed_over.no
 
     def _apply_acknowledged(self, acknowledged: pb.Told) -> None:
-        """The target has the session on record."""
-        session = self._session_in(acknowledged.id, SessionState.HANDED_OVER)
+        """Makes a session a tombstone: its target has committed the handover."""
+        session = self._require_session(acknowledged.id, SessionState.HANDED_OVER)
         session.acknowledged = True
         session.queries.clear()
         session.update_size()
@@ -215,10 +225,10 @@
         known = self.sessions.pop(wire.id, None)
         require(
             not self.has_received(accepted.giver, accepted.no),
-            f"handover {accepted.no} of {accepted.giver} is accepted twice",
+            f"handover {accepted.no} from {accepted.giver} is accepted twice",
         )
         is_newer = known is None or (not known.is_owned and wire.generation > known.generation)
-        require(is_newer, f"{wire.id} of generation {wire.generation} is accepted over a newer one")
+        require(is_newer, f"session {wire.id}: generation {wire.generation} is not newer than the known one")
         session = Session(wire)
         session.state = SessionState.HELD
         session.target = ""
@@ -238,18 +248,18 @@
         self.received_handovers[accepted.giver] = ReceivedHandovers(floor, above)
 
     def _apply_resumed(self, resumed: pb.GivenBack) -> None:
-        """The session is held again."""
-        session = self._session_in(resumed.id, SessionState.FROZEN, SessionState.OFFERED)
+        """Returns a frozen or offered session to held."""
+        session = self._require_session(resumed.id, SessionState.FROZEN, SessionState.OFFERED)
         session.state = SessionState.HELD
         session.target = ""
 
     def _apply_evicted(self, evicted: pb.Dropped) -> None:
-        session = self._session_in(evicted.id, SessionState.HELD)
-        require(not session.open_queries, f"{evicted.id} is evicted with an open query")
+        session = self._require_session(evicted.id, SessionState.HELD)
+        require(not session.open_queries, f"session {evicted.id} is evicted with an open query")
         del self.sessions[evicted.id]
 
 
-# The kinds of migration.proto's Change, by the names of their fields.
+# The method for each kind of migration.proto's Change, by field name.
 APPLY_METHODS = {
     "opened": "_apply_opened",
     "pinned": "_apply_pinned",
--- a/lichenquay/migration/session_service.py
+++ b/lichenquay/migration/session_service.py
@@ -1,10 +1,11 @@
 """Requests of clients for the sessions of a replica group, and their answers. No I/O.
 
 The gateway calls `open_session`, `submit_query`, `attach_query`, `resubmit_query`, `record_outcome` and
-`pin_engine`; answers come by `done(now_ms, Answer)` or are returned.
+`pin_engine`; answers are returned or passed to `done(now_ms, Answer)`.
 
-A session is acted for only if it is held in both state machines: in the committed one, so that no act comes
-before its record, and in the speculative one, so that nothing begins after a freeze was decided.
+A query is submitted only if its session is held in both state machines: in the committed one, so that nothing
+is done before its record is committed, and in the speculative one, so that nothing starts after a freeze was
+decided.
 """
 
 from collections.abc import Callable
@@ -14,43 +15,46 @@
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.messages import NOT_LEADER, Answer, AnswerKind
 from lichenquay.migration.replicated_log import SessionLogLeader
-from lichenquay.migration.session import Query, Session, SessionState, are_valid_names, name_in
+from lichenquay.migration.session import Query, Session, SessionState, are_valid_names, session_name_of
 from lichenquay.migration.session_log import MAX_SESSIONS
 
 MAX_REMAINING_MS = 1 << 31
-MAX_KNOWN_DEADLINES = 2 * MAX_SESSIONS
+MAX_DEADLINE_REFERENCES = 2 * MAX_SESSIONS
 FAILED_OUTCOME = "failed"
 AnswerCallback = Callable[[float, Answer], None]
 
 
 class SessionService(SessionLogLeader):
-    """The sessions of a replica group, for its clients, while this process leads it."""
+    """Serves the sessions of a replica group to its clients while this process leads it."""
 
     def __init__(self, replica_group: str, group: ReplicatedGroup):
-        """`replica_group`: its name."""
+        """Creates the service of the named replica group, stored in `group`."""
         super().__init__(replica_group, group)
         self.evicted_sessions = 0
-        self.deadline_known_ms: dict[tuple[str, str], float] = {}  # by session and query id
+        # By session and query id: the time from which the query's `remaining_ms` counts.
+        self.deadline_reference_ms: dict[tuple[str, str], float] = {}
 
     def on_step_down(self) -> None:
-        """Forgets what is not on record."""
-        self.deadline_known_ms = {}
+        """Discards all state that is not in the log."""
+        self.deadline_reference_ms = {}
 
     def forget_ended_deadlines(self) -> None:
-        """Bounds the memory of queries that have ended."""
-        if len(self.deadline_known_ms) <= MAX_KNOWN_DEADLINES:
+        """Forgets the deadlines of queries that have ended, once too many are stored."""
+        if len(self.deadline_reference_ms) <= MAX_DEADLINE_REFERENCES:
             return
         open_queries = {
             (session.session_id, query.query_id)
             for session in self.speculative.live_sessions
             for query in session.open_queries
         }
-        self.deadline_known_ms = {
-            key: known_ms for key, known_ms in self.deadline_known_ms.items() if key in open_queries
+        self.deadline_reference_ms = {
+            key: reference_ms
+            for key, reference_ms in self.deadline_reference_ms.items()
+            if key in open_queries
         }
 
     def find_session(self, tenant: str, session_id: str) -> Session | Answer:
-        """The committed session, if this replica group acts for it for this tenant; else the answer."""
+        """Returns the committed session if this replica group serves it for this tenant, else the answer."""
         session = self.committed.sessions.get(session_id)
         if session is None:
             decided = self.speculative.sessions.get(session_id)
@@ -62,15 +66,15 @@
             return Answer(AnswerKind.PERMISSION_DENIED, session_id)
         if not session.is_owned:
             return Answer(AnswerKind.MOVED, session_id, replica_group=session.target)
-        if session_id not in self.speculative.sessions:  # evicted, but that is not committed yet
+        if session_id not in self.speculative.sessions:  # its eviction is not committed yet
             return Answer(AnswerKind.UNKNOWN, session_id, replica_group=self.replica_group)
         return session
 
     def open_session(self, now_ms: float, tenant: str, name: str, done: AnswerCallback) -> None:
-        """Opens a session; the client is to name it by the id in the answer.
+        """Opens a session; the client is to refer to it by the id in the answer.
 
-        A session that was opened here by that name, and is still owned, is answered again: the client may not
-        have received its id.
+        If this tenant opened a session by that name here and it is still owned, its id is answered again: the
+        client may not have received it.
         """
         if not self.is_leading(now_ms):
             done(now_ms, NOT_LEADER)
@@ -95,14 +99,14 @@
         return [
             session
             for session in self.committed.sessions.values()
-            if session.tenant == tenant and session.is_owned and name_in(session.session_id) == name
+            if session.tenant == tenant and session.is_owned and session_name_of(session.session_id) == name
         ]
 
     def _answer_opened(self, session_id: str, done: AnswerCallback, now_ms: float, committed: bool) -> None:
         done(now_ms, Answer(AnswerKind.SUBMIT, session_id) if committed else NOT_LEADER)
 
     def evict_idle_session(self) -> bool:
-        """Makes room by evicting the longest idle session; its client is answered UNKNOWN."""
+        """Evicts the longest idle session; returns whether there was one. Its client is answered UNKNOWN."""
         evicted = self.propose(self.speculative.decide_evict())
         self.evicted_sessions += evicted
         return evicted
@@ -118,9 +122,9 @@
         remaining_ms: float,
         done: AnswerCallback,
     ) -> None:
-        """A query that is to be submitted: a mutating one once it is committed, a read-only one at once.
+        """Answers SUBMIT for a new query: once it is committed if it is mutating, at once if it is read-only.
 
-        A query that is known is attached to, and not submitted again; see `resubmit_query`.
+        A known query is attached to and not submitted again; see `resubmit_query`.
         """
         if not self.is_leading(now_ms):
             done(now_ms, NOT_LEADER)
@@ -144,7 +148,7 @@
         remaining_ms: float,
         done: AnswerCallback,
     ) -> None:
-        """`submit_query` without its checks."""
+        """Does what `submit_query` does, without looking up the session and the query."""
         states = (self.committed.sessions[session_id].state, self.speculative.sessions[session_id].state)
         if states != (SessionState.HELD, SessionState.HELD):
             done(now_ms, Answer(AnswerKind.RETRY_LATER, session_id))
@@ -156,7 +160,7 @@
         if change is None:
             done(now_ms, Answer(AnswerKind.CAPACITY_EXCEEDED, session_id))
             return
-        self.deadline_known_ms[session_id, query_id] = now_ms
+        self.deadline_reference_ms[session_id, query_id] = now_ms
         answer = Answer(AnswerKind.SUBMIT, session_id, engine=engine, mutating=mutating)
         if mutating:
             self.propose(change, partial(self._answer_committed, answer, done))
@@ -166,7 +170,7 @@
         self.flush(now_ms)
 
     def _answer_committed(self, answer: Answer, done: AnswerCallback, now_ms: float, committed: bool) -> None:
-        # If the term has ended meanwhile, the next leader may be answering 'failed' already.
+        # If the term has ended meanwhile, the next leader may already have answered that the query failed.
         done(now_ms, answer if committed and self.is_leading(now_ms) else NOT_LEADER)
 
     def resubmit_query(
@@ -179,11 +183,11 @@
         remaining_ms: float,
         done: AnswerCallback,
     ) -> None:
-        """The engine of a query that was attached to does not know it.
+        """Handles an attached query that its engine does not know.
 
-        A read-only one is submitted again. A mutating one may have run, or may yet, by an earlier owner that
-        was paused: it ends here as failed, on record, and never runs by this call. One that this term
-        submitted stays as it is: whoever submitted it records its outcome.
+        A read-only query is submitted again. A mutating one may have run, or an earlier owner that was paused
+        may still submit it: it is recorded as failed, and never runs by this call. One that this term
+        submitted stays open, because its submitter records its outcome.
         """
         answer = self.attach_query(now_ms, tenant, session_id, query_id)
         if answer.kind is not AnswerKind.ATTACH:
@@ -198,12 +202,12 @@
         failed = Answer(AnswerKind.ENDED, session_id, outcome=FAILED_OUTCOME, mutating=True)
         change = self.speculative.decide_end(session_id, query_id, FAILED_OUTCOME)
         if not self.propose(change, partial(self._answer_committed, failed, done)):
-            done(now_ms, Answer(AnswerKind.RETRY_LATER, session_id))  # its handover was decided
+            done(now_ms, Answer(AnswerKind.RETRY_LATER, session_id))  # its session's handover was decided
             return
         self.flush(now_ms)
 
     def attach_query(self, now_ms: float, tenant: str, session_id: str, query_id: str) -> Answer:
-        """A client asks again for an earlier query of its session."""
+        """Answers a client that asks again for an earlier query of its session."""
         if not self.is_leading(now_ms):
             return NOT_LEADER
         found = self.find_session(tenant, session_id)
@@ -223,32 +227,32 @@
     def record_outcome(
         self, now_ms: float, tenant: str, session_id: str, query_id: str, outcome: str
     ) -> bool:
-        """A query ended. False: not for this replica group to record (any more); nothing is lost by that."""
-        return self._record(
+        """Records the outcome of a query; returns False, without any loss, if this replica group may not."""
+        return self._propose_if_owned(
             now_ms, tenant, session_id, lambda: self.speculative.decide_end(session_id, query_id, outcome)
         )
 
     def pin_engine(self, now_ms: float, tenant: str, session_id: str, engine: str, load_number: int) -> bool:
-        """The engine that has the session's tables, and the number of its last load that has completed."""
-        return self._record(
+        """Records the engine that has the session's tables, and the number of the last completed load."""
+        return self._propose_if_owned(
             now_ms, tenant, session_id, lambda: self.speculative.decide_pin(session_id, engine, load_number)
         )
 
-    def _record(
+    def _propose_if_owned(
         self, now_ms: float, tenant: str, session_id: str, decide: Callable[[], pb.Change | None]
     ) -> bool:
-        recorded = (
+        proposed = (
             self.is_leading(now_ms)
             and not isinstance(self.find_session(tenant, session_id), Answer)
             and self.propose(decide())
         )
         self.flush(now_ms)
-        return recorded
+        return proposed
 
     def remaining_ms(self, now_ms: float, session_id: str, query: Query) -> int:
-        """Of a query's time, by this process's clock.
+        """Returns the time until a query's deadline, by this process's clock.
 
-        Counted from the beginning of the term where the query was submitted or received before that.
+        For a query that an earlier term submitted or received, it is counted from the start of this term.
         """
-        known_ms = self.deadline_known_ms.get((session_id, query.query_id), self.term_started_ms)
-        return int(max(0, query.remaining_ms - (now_ms - known_ms)))
+        reference_ms = self.deadline_reference_ms.get((session_id, query.query_id), self.term_started_ms)
+        return int(max(0, query.remaining_ms - (now_ms - reference_ms)))
--- a/lichenquay/migration/settings.py
+++ b/lichenquay/migration/settings.py
@@ -1,4 +1,4 @@
-"""The settings of session migration. Times are milliseconds."""
+"""The settings of session migration. Times are in milliseconds."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 class MigrationSettings:
     """The settings of one replica group.
 
-    `max_concurrent`: sessions that are frozen, or handed over and not yet acknowledged, at a time.
-    `bytes_per_s`: size of the sessions that are handed over in a second.
-    `answer_timeout_ms`: until an offer or a handover is sent again; it doubles for a handover.
-    `max_offers`: of one session to one replica group, before another is tried.
-    `max_freeze_ms`: a session that is frozen for longer is resumed, and tried again later.
-    `backoff_ms`: after a failure, doubled with each further one, up to `max_backoff_ms`.
-    `reservation_ms`: how long memory is reserved for an offered session.
+    `max_concurrent`: sessions at a time that are frozen, or handed over and not yet acknowledged.
+    `bytes_per_s`: total size of the sessions that are handed over per second.
+    `answer_timeout_ms`: until an offer or a handover is retried; it doubles with each retry of a handover.
+    `max_offers`: offers of one session to one replica group before another is tried.
+    `max_freeze_ms`: a session that is frozen for longer is resumed, and handed over later.
+    `backoff_ms`: wait after a failure, doubled with each further one, up to `max_backoff_ms`.
+    `reservation_ms`: for which a target reserves room for an offered session.
     `tick_period_ms`: between ticks while there is something to hand over.
-    `announce_ms`: from announcing to leave to leaving, so that the other gateways know it.
-    `max_leaving_share`: of the fleet that leaves at a time; always at least one gateway.
+    `announce_ms`: between the announcement and leaving, so that the other gateways learn of it.
+    `max_leaving_share`: share of the fleet that leaves at a time; always at least one gateway.
     """
 
     max_concurrent: int = 8
--- a/lichenquay/migration/state_machine.py
+++ b/lichenquay/migration/state_machine.py
@@ -1,8 +1,8 @@
-"""The state machine of one replica group: what may change its sessions.
+"""The state machine of one replica group: decisions on its sessions.
 
-A replica group is a group of `lease` under the name of a gateway; whoever holds it acts for its sessions. The
-`decide_` methods look and return a `Change`, or None; they alter nothing. The group makes a `Record` of
-changes durable, and then `apply` brings it in.
+A replica group is a replicated group of `lease` with the name of a gateway; its holder serves its sessions.
+The `decide_` methods return a `Change`, or None if it is not allowed; they modify nothing. The replicated
+group makes a `Record` of changes durable, and `apply` then applies it.
 """
 
 from collections.abc import Iterable
@@ -24,15 +24,15 @@
     snapshot_of,
 )
 
-QUERY_FIELD_BYTES = 6  # that a query adds to its session besides its own size and outcome
-UNKNOWN_OUTCOME = "ended"
+QUERY_FIELD_BYTES = 6  # added to its session by a query, besides the query's own size and outcome
+UNKNOWN_OUTCOME = "ended"  # recorded for an outcome that is empty or too long
 
 
 class StateMachine(SessionLog):
-    """The sessions of a replica group."""
+    """The state machine of a replica group's sessions."""
 
     def decide_open(self, tenant: str, name: str) -> pb.Change | None:
-        """A new session; None where its names are not valid or there is no room."""
+        """Returns the change that opens a session; None if its names are not valid or there is no room."""
         if not are_valid_names(tenant, name) or self.free_bytes < 2 * MAX_SESSION_BYTES:
             return None
         session_number = self.last_session_number + 1
@@ -40,9 +40,9 @@
         return pb.Change(opened=pb.Opened(tenant=tenant, id=session_id, birth=session_number))
 
     def decide_pin(self, session_id: str, engine: str, load_number: int) -> pb.Change | None:
-        """A load has completed at this engine. Also while frozen; not once it is handed over.
+        """Returns the change that pins a session to the engine of its last completed load.
 
-        None where nothing changes, or the load number falls.
+        None if the session is handed over, nothing changes, or the load number falls.
         """
         session = self.sessions.get(session_id)
         if session is None or not session.is_owned or not are_valid_names(engine):
@@ -55,10 +55,10 @@
     def decide_submit(
         self, session_id: str, query_id: str, mutating: bool, engine: str, term: int, remaining_ms: int
     ) -> pb.Change | None:
-        """Before a mutating query may be submitted; a read-only one may be submitted again.
+        """Returns the change that adds a submitted query to a session; a read-only one may be added again.
 
-        None where the session is not held or has no room. Room is made by forgetting queries that ended,
-        never by forgetting one that may run.
+        None if the session is not held or has no room. Applying the change makes room by forgetting queries
+        that ended, never one that may still run.
         """
         session = self._held_session(session_id)
         if session is None or not are_valid_names(query_id, engine):
@@ -67,7 +67,7 @@
         if known and (known.mutating or mutating or known.outcome):
             return None
         query = pb.Ref(ref=query_id, mutating=mutating, engine=engine, term=term, left_ms=remaining_ms)
-        ended_bytes = sum(ended.wire().ByteSize() for ended in session.queries.values() if ended.outcome)
+        ended_bytes = sum(ended.to_proto().ByteSize() for ended in session.queries.values() if ended.outcome)
         query_bytes = query.ByteSize() + MAX_OUTCOME_BYTES + QUERY_FIELD_BYTES
         fits_in_session = session.max_size_bytes - ended_bytes + query_bytes <= MAX_SESSION_BYTES
         if not fits_in_session or query_bytes > self.remaining_bytes:
@@ -75,7 +75,7 @@
         return pb.Change(took=pb.Took(id=session_id, ref=query))
 
     def decide_end(self, session_id: str, query_id: str, outcome: str) -> pb.Change | None:
-        """A query ended; None where it is not open, or the session is not this replica group's."""
+        """Returns the change that ends a query; None if it is not open or its session is not owned."""
         session = self.sessions.get(session_id)
         if session is None or not session.is_owned:
             return None
@@ -86,33 +86,33 @@
         return pb.Change(ended=pb.Ended(id=session_id, ref=query_id, outcome=recorded))
 
     def decide_freeze(self, session_id: str) -> pb.Change | None:
-        """From here on the session accepts no further query; None where it is not held."""
+        """Returns the change that stops a session from accepting queries; None if it is not held."""
         if self._held_session(session_id) is None:
             return None
         return pb.Change(frozen=pb.Frozen(id=session_id))
 
     def decide_offer(self, session_id: str, target: str) -> pb.Change | None:
-        """A frozen session is offered, or one that was offered before to another target."""
+        """Returns the change that offers a session that is frozen, or offered before; None for any other."""
         session = self.sessions.get(session_id)
-        if session is None or not session.is_moving or target == self.replica_group:
+        if session is None or not session.is_migrating or target == self.replica_group:
             return None
         return pb.Change(offered=pb.Offered(id=session_id, to=target))
 
     def decide_hand_over(self, session_id: str, target: str) -> pb.Change | None:
-        """The point of no return.
+        """Returns the change that hands a session over, which is the point of no return.
 
-        None where it is not offered to `target`, or too much there is unacknowledged.
+        None if it is not offered to `target`, or too many handovers to `target` are unacknowledged.
         """
         session = self.sessions.get(session_id)
         if session is None or session.state != SessionState.OFFERED or session.target != target:
             return None
-        handover_number = self.sent_handovers.get(target, 0) + 1
+        handover_number = self.last_handover_numbers.get(target, 0) + 1
         if handover_number - self.acknowledged_floor(target) >= MAX_UNACKNOWLEDGED:
             return None
         return pb.Change(gone=pb.Gone(id=session_id, to=target, no=handover_number))
 
     def decide_acknowledge(self, session_id: str, target: str, handover_number: int) -> pb.Change | None:
-        """The target has that handover on record."""
+        """Returns the change that records the acknowledgement of a handover; None if it does not match."""
         session = self.sessions.get(session_id)
         if session is None or session.is_owned or session.acknowledged:
             return None
@@ -123,15 +123,15 @@
     def decide_accept(
         self, source: str, handover_number: int, floor: int, wire: pb.Session
     ) -> pb.Change | None:
-        """A session was handed over to this replica group.
+        """Returns the change that accepts a session handed over to this replica group.
 
-        None also for a handover that is on record already.
+        None if the handover is not valid or was accepted before.
         """
         if self.has_received(source, handover_number):
             return None
         known = self.sessions.get(wire.id)
-        # If it was handed over and comes back by a higher generation, that handover arrived, acknowledged or
-        # not.
+        # A session that was handed over may return with a higher generation: its target has received that
+        # handover, even if it has not acknowledged it.
         if known and (known.is_owned or wire.generation <= known.generation):
             return None
         is_in_window = 0 < floor <= handover_number < floor + MAX_UNACKNOWLEDGED
@@ -142,14 +142,14 @@
         return pb.Change(accepted=accepted)
 
     def decide_resume(self, session_id: str) -> pb.Change | None:
-        """A session that is frozen or offered is held again."""
+        """Returns the change that makes a frozen or offered session held again; None for any other."""
         session = self.sessions.get(session_id)
-        if session is None or not session.is_moving:
+        if session is None or not session.is_migrating:
             return None
         return pb.Change(given_back=pb.GivenBack(id=session_id))
 
     def decide_evict(self) -> pb.Change | None:
-        """The session without open queries that was unused for longest."""
+        """Returns the change that evicts the least recently used session without open queries, or None."""
         for session in self.sessions.values():
             if session.state == SessionState.HELD and not session.open_queries:
                 return pb.Change(dropped=pb.Dropped(id=session.session_id))
@@ -160,18 +160,19 @@
         return session if session is not None and session.state == SessionState.HELD else None
 
     def check(self) -> None:
-        """Raises StateMachineError where an invariant does not hold."""
+        """Raises StateMachineError if an invariant does not hold."""
         check_invariants(self)
 
     def state(self) -> bytes:
-        """The whole state as a snapshot; the same bytes for the same records."""
+        """Returns the whole state as a snapshot; equal records give equal bytes."""
         return snapshot_of(self).SerializeToString(deterministic=True)
 
     @classmethod
     def load(cls, replica_group: str, raw: bytes, records: Iterable[bytes] = ()) -> "StateMachine":
-        """From a snapshot (empty: none yet) and records, of which some may be in it.
+        """Returns the state machine of a snapshot (empty: none yet) and records.
 
-        Raises StateMachineError where it is not this replica group's, and protobuf's DecodeError.
+        Records that are already in the snapshot are skipped. Raises StateMachineError, also for the snapshot
+        of another replica group, and protobuf's DecodeError.
         """
         machine = cls(replica_group)
         if raw:
--- a/lichenquay/migration/target_selection.py
+++ b/lichenquay/migration/target_selection.py
@@ -1,14 +1,14 @@
-"""Which replica group receives a session, in which order sessions go, and which gateway may leave now.
+"""Selection of the target of a session, the order of handovers, and which gateway may leave now.
 
-Pure functions of what the gateways know of each other, which may be outdated: no result of these can break a
-rule; a wrong one costs a rejected offer. Eligible replica groups are ranked:
+These are pure functions of what the gateways know of each other. That may be outdated, but no result can
+break an invariant; a wrong one costs a rejected offer. Eligible replica groups are ranked:
 
-1. in the zone of the engine that the session is pinned to, as each of its queries goes there,
-2. new gateways, which stay for longer, so that the session moves less often,
+1. those in the zone of the engine that the session is pinned to, because each of its queries goes there,
+2. new gateways, which stay longer, so that the session migrates less often,
 3. by weighted rendezvous hashing, with the free bytes of each as its weight.
 
-The least loaded first would be worse: free bytes are known late, so that all who leave would pick the same
-one.
+Selecting the least loaded would be worse: free bytes are known late, so all leaving gateways would select the
+same target.
 """
 
 from collections.abc import Collection, Iterable
@@ -23,7 +23,7 @@
 
 
 class LeavingPhase(Enum):
-    """Whether a gateway is about to leave."""
+    """Whether a gateway stays, has announced to leave, or leaves."""
 
     STAYING = ""
     ANNOUNCED = "wants"
@@ -31,7 +31,7 @@
 
 
 class Member(NamedTuple):
-    """A gateway as it is known here. `is_new`: it came with the present rolling replacement."""
+    """A gateway as it is known here. `is_new`: it was started by the current rolling replacement."""
 
     name: str
     free_bytes: int
@@ -44,14 +44,17 @@
 
 
 def rendezvous_score(session_id: str, name: str, weight: float) -> float:
-    """Weighted rendezvous hashing: the chance of the highest score is in proportion to the weight."""
+    """Returns the score of a gateway in weighted rendezvous hashing.
+
+    The probability of the highest score is in proportion to the weight.
+    """
     digest = blake2b(f"{session_id}\0{name}".encode(), digest_size=HASH_BYTES).digest()
     draw = int.from_bytes(digest, "little")
     return -weight / log((draw + 1) / (2 ** (8 * HASH_BYTES) + 2))
 
 
 def is_eligible(member: Member, size_bytes: int) -> bool:
-    """Whether a session of this size may be offered to it."""
+    """Returns whether a session of this size may be offered to a gateway."""
     return (
         member.is_alive
         and member.phase is LeavingPhase.STAYING
@@ -64,7 +67,7 @@
 def select_target(
     session_id: str, size_bytes: int, zone: str, members: Iterable[Member], excluded: Collection[str] = ()
 ) -> str | None:
-    """Name of the replica group to offer a session to; None if there is none now."""
+    """Returns the name of the replica group to offer a session to; None if none is eligible now."""
     best = max(
         (member for member in members if is_eligible(member, size_bytes) and member.name not in excluded),
         default=None,
@@ -79,23 +82,23 @@
 
 
 def handover_order(sessions: Iterable[Session]) -> list[Session]:
-    """Idle ones first, then those with read-only queries open, then those with mutating ones.
+    """Returns idle sessions first, then those with open read-only queries, then those with mutating ones.
 
-    Else as given.
+    Within each class the order stays as given.
     """
     return sorted(sessions, key=lambda session: (session.has_open_mutation, bool(session.open_queries)))
 
 
 def may_start_leaving(name: str, members: Collection[Member], max_leaving_share: float) -> bool:
-    """Whether a gateway that has announced to leave may begin. `members`: with this one.
+    """Returns whether a gateway that has announced to leave may start to. `members`: including this one.
 
-    Those that leave go on; of those that announced it, the first names go first. Views may differ; then more
-    leave at a time, safely.
+    Gateways that already leave continue; of those that announced it, the first by name go first. Gateways may
+    differ in what they know of each other; then more leave at a time, which is safe.
     """
     alive = [member for member in members if member.is_alive]
     others = [member for member in alive if member.name != name]
-    most = max(1, int(max_leaving_share * len(alive)))
+    max_leaving = max(1, int(max_leaving_share * len(alive)))
     leaving = sum(1 for member in others if member.phase is LeavingPhase.LEAVING)
     ahead = sum(1 for member in alive if member.phase is LeavingPhase.ANNOUNCED and member.name < name)
-    someone_stays = any(member.phase is LeavingPhase.STAYING and member.is_ready for member in others)
-    return someone_stays and leaving + ahead < most
+    is_any_staying = any(member.phase is LeavingPhase.STAYING and member.is_ready for member in others)
+    return is_any_staying and leaving + ahead < max_leaving
--- a/tests/golden_migration_exchange.py
+++ b/tests/golden_migration_exchange.py
@@ -1,7 +1,7 @@
 """A scripted exchange of the migration protocol between three replica groups, as bytes.
 
-The clock and the network are deterministic, so that two revisions that behave the same produce the same
-transcript. `golden/migration/transcript.json` is the one of revision 0018238.
+The clock and the network are deterministic, so revisions with the same behaviour produce the same transcript.
+`golden/migration/transcript.json` was written by revision 0018238.
 """
 
 from replicated_group import StableGroup
@@ -19,7 +19,7 @@
 GROUPS = ("gateway-0", "gateway-1", "gateway-2")
 SETTINGS = MigrationSettings(announce_ms=300.0, max_leaving_share=0.5)
 ZONES = {"engine-1": "west", "engine-2": "east"}
-STATE_NAMES = {  # as revision 0018238 calls them
+STATE_NAMES = {  # the names in revision 0018238
     SessionState.HELD: "held",
     SessionState.FROZEN: "frozen",
     SessionState.OFFERED: "offered",
@@ -31,33 +31,33 @@
     """The coordinators, their messages in order, and the records of each replica group."""
 
     def __init__(self):
-        """At 0 ms, before the first session."""
+        """Starts at 0 ms, before the first session is opened."""
         self.groups = {name: StableGroup(GENERATION) for name in GROUPS}
         self.coordinators = {name: Coordinator(name, self.groups[name], SETTINGS) for name in GROUPS}
         self.messages = []
         self.answers = []
         self.ids = {}
-        self.deaf = set()
+        self.unreachable = set()
 
     def run(self):
-        """To the end of the script."""
+        """Runs the whole script and returns self."""
         for now_ms in range(0, END_MS, STEP_MS):
             for group in self.groups.values():
                 group.complete_writes(now_ms)
-            self._act(now_ms)
-            self._tell_members()
+            self._run_action(now_ms)
+            self._update_members()
             for name, coordinator in self.coordinators.items():
                 if now_ms >= coordinator.due_ms:
                     coordinator.tick(now_ms)
                 self._deliver(now_ms, name, coordinator)
         return self
 
-    def _act(self, now_ms):
+    def _run_action(self, now_ms):
         action = ACTIONS.get(now_ms)
         if action is not None:
             action(self, now_ms)
 
-    def _tell_members(self):
+    def _update_members(self):
         members = [
             Member(
                 name,
@@ -74,11 +74,11 @@
         outbox, coordinator.outbox[:] = list(coordinator.outbox), []
         for to, message in outbox:
             self.messages.append(message.SerializeToString())
-            if to not in self.deaf:
+            if to not in self.unreachable:
                 self.coordinators[to].on_message(now_ms, (sender, 1), message)
 
-    def answered(self, name=None):
-        """A callback that records an answer; the id of a session that was opened is kept under `name`."""
+    def answer_recorder(self, name=None):
+        """Returns a callback that records an answer, and stores the id of an opened session under `name`."""
 
         def record(now_ms, answer):
             self.answers.append([now_ms, answer.kind.value, *answer[1:]])
@@ -88,22 +88,22 @@
         return record
 
     def open(self, now_ms, group, tenant, name):
-        """A client opens a session."""
-        self.coordinators[group].open_session(now_ms, tenant, name, self.answered(name))
+        """Opens a session as a client does."""
+        self.coordinators[group].open_session(now_ms, tenant, name, self.answer_recorder(name))
 
-    def take(self, now_ms, group, tenant, name, ref, mutating):
-        """A client asks a query."""
+    def submit(self, now_ms, group, tenant, name, query_id, mutating):
+        """Submits a query as a client does."""
         self.coordinators[group].submit_query(
-            now_ms, tenant, self.ids[name], ref, mutating, "engine-1", 60_000, self.answered()
+            now_ms, tenant, self.ids[name], query_id, mutating, "engine-1", 60_000, self.answer_recorder()
         )
 
     def transcript(self):
-        """What is compared with the golden file: bytes as hexadecimal digits."""
+        """Returns what is compared with the golden file; bytes are hexadecimal digits."""
         bases = {}
         for name, group in self.groups.items():
             pieces = [piece for record in group.records for piece in ledger_records.split(record)]
             half = len(pieces) // 2
-            fold = replica_group_state.fold_of(name)
+            fold = replica_group_state.make_fold(name)
             base_after_half = fold(b"", pieces[:half])
             bases[name] = {
                 "records": [record.hex() for record in group.records],
@@ -127,10 +127,10 @@
     exchange.open(now_ms, "gateway-2", "south", "idle")
 
 
-def _take_queries(exchange, now_ms):
-    exchange.take(now_ms, "gateway-0", "north", "reports", "query-1", False)
-    exchange.take(now_ms, "gateway-0", "south", "loads", "load-1", True)
-    exchange.take(now_ms, "gateway-0", "south", "loads", "load-2", True)
+def _submit_queries(exchange, now_ms):
+    exchange.submit(now_ms, "gateway-0", "north", "reports", "query-1", False)
+    exchange.submit(now_ms, "gateway-0", "south", "loads", "load-1", True)
+    exchange.submit(now_ms, "gateway-0", "south", "loads", "load-2", True)
 
 
 def _end_queries(exchange, now_ms):
@@ -141,40 +141,40 @@
 
 
 def _attach(exchange, now_ms):
-    for tenant, name, ref in (
+    for tenant, name, query_id in (
         ("north", "reports", "query-1"),
         ("south", "loads", "load-2"),
         ("north", "loads", "load-2"),
     ):
-        answer = exchange.coordinators["gateway-0"].attach_query(now_ms, tenant, exchange.ids[name], ref)
-        exchange.answered()(now_ms, answer)
+        answer = exchange.coordinators["gateway-0"].attach_query(now_ms, tenant, exchange.ids[name], query_id)
+        exchange.answer_recorder()(now_ms, answer)
 
 
-def _leave_while_others_hear_nothing(exchange, now_ms):
-    exchange.deaf = {"gateway-1", "gateway-2"}
+def _leave_while_others_are_unreachable(exchange, now_ms):
+    exchange.unreachable = {"gateway-1", "gateway-2"}
     exchange.coordinators["gateway-0"].handover_source.leave(now_ms)
 
 
-def _others_hear_again(exchange, now_ms):
-    exchange.deaf = set()
+def _reconnect_others(exchange, now_ms):
+    exchange.unreachable = set()
 
 
 def _ask_the_old_owner(exchange, now_ms):
-    exchange.take(now_ms, "gateway-0", "north", "reports", "query-2", False)
-    exchange.take(now_ms, "gateway-0", "south", "loads", "load-3", True)
+    exchange.submit(now_ms, "gateway-0", "north", "reports", "query-2", False)
+    exchange.submit(now_ms, "gateway-0", "south", "loads", "load-3", True)
 
 
 def _ask_the_new_owner(exchange, now_ms):
     for group in ("gateway-1", "gateway-2"):
-        exchange.take(now_ms, group, "south", "loads", "load-2", True)
-        exchange.take(now_ms, group, "north", "reports", "query-1", False)
+        exchange.submit(now_ms, group, "south", "loads", "load-2", True)
+        exchange.submit(now_ms, group, "north", "reports", "query-1", False)
         coordinator = exchange.coordinators[group]
         coordinator.resubmit_query(
-            now_ms, "south", exchange.ids["loads"], "load-2", "engine-1", 50_000, exchange.answered()
+            now_ms, "south", exchange.ids["loads"], "load-2", "engine-1", 50_000, exchange.answer_recorder()
         )
 
 
-def _drop_the_idle(exchange, now_ms):
+def _evict_idle_session(exchange, now_ms):
     coordinator = exchange.coordinators["gateway-2"]
     exchange.answers.append([now_ms, str(coordinator.evict_idle_session())])
     coordinator.flush(now_ms)
@@ -182,12 +182,12 @@
 
 ACTIONS = {
     0: _open_sessions,
-    200: _take_queries,
+    200: _submit_queries,
     400: _end_queries,
     600: _attach,
-    1_000: _leave_while_others_hear_nothing,
-    4_000: _others_hear_again,
+    1_000: _leave_while_others_are_unreachable,
+    4_000: _reconnect_others,
     10_000: _ask_the_old_owner,
     11_000: _ask_the_new_owner,
-    12_000: _drop_the_idle,
+    12_000: _evict_idle_session,
 }
--- a/tests/migration_broken.py
+++ b/tests/migration_broken.py
@@ -1,8 +1,8 @@
-"""Rules broken on purpose: each must be found by the audits of `migration_world` or `migration_explore`."""
+"""Coordinators with one rule broken on purpose; `migration_world` or `migration_explore` must detect each."""
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
-from lichenquay.migration.handover_source import HandoverSource, Repetition
+from lichenquay.migration.handover_source import HandoverRetry, HandoverSource
 from lichenquay.migration.handover_target import HandoverKey, HandoverTarget
 from lichenquay.migration.messages import Answer, AnswerKind
 from lichenquay.migration.session import SessionState
@@ -12,36 +12,36 @@
 
 
 def ignore(now_ms, answer):
-    """An AnswerCallback."""
+    """Ignores an answer."""
 
 
 def submit_answer(session_id, engine, mutating):
-    """As if the query were allowed to run."""
+    """Returns an answer that allows the query to be submitted."""
     return Answer(AnswerKind.SUBMIT, session_id, engine=engine, mutating=mutating)
 
 
-class NoFence(Coordinator):
-    """A process that once held the replica group goes on acting."""
+class LeadsWithoutLease(Coordinator):
+    """Goes on leading after the process has lost the lease of the replica group."""
 
     def is_leading(self, now_ms):
-        """For ever."""
+        """Returns True once this process has led."""
         if self.committed is None or self.pending_write:
             return super().is_leading(now_ms)
         return True
 
 
-class ActsBeforeRecord(Coordinator):
-    """The target acts once it has decided to accept a session, before that is on record."""
+class ServesBeforeCommit(Coordinator):
+    """Serves a session that it has decided to accept, before that is committed."""
 
     def find_session(self, tenant, session_id):
-        """By what was decided."""
+        """Finds sessions in the speculative state."""
         session = self.speculative.sessions.get(session_id)
         if session is not None and session.tenant == tenant and session.state == SessionState.HELD:
             return session
         return super().find_session(tenant, session_id)
 
     def submit(self, now_ms, session_id, query_id, mutating, engine, remaining_ms, done):
-        """By what was decided."""
+        """Submits by the speculative state."""
         committed = self.committed.sessions.get(session_id)
         if mutating or (committed is not None and committed.state == SessionState.HELD):
             if committed is not None:
@@ -50,33 +50,35 @@
             done(now_ms, submit_answer(session_id, engine, mutating))
 
 
-class KeptTarget(HandoverTarget):
-    """Acknowledges at once."""
+class EagerlyAcknowledgingTarget(HandoverTarget):
+    """Acknowledges handovers before they are committed."""
 
-    def on_handed(self, now_ms, message, handed):
-        """Before the record."""
-        super().on_handed(now_ms, message, handed)
+    def on_handover(self, now_ms, message, handed):
+        """Acknowledges at once."""
+        super().on_handover(now_ms, message, handed)
         session = handed.session
-        self.send_kept(HandoverKey(message.replica_group, handed.no, session.id, session.generation))
+        self.send_acknowledgement(
+            HandoverKey(message.replica_group, handed.no, session.id, session.generation)
+        )
 
 
-class KeptBeforeRecord(Coordinator):
-    """The target says that a session is on record before it is."""
+class AcknowledgesBeforeCommit(Coordinator):
+    """Acknowledges handovers, as target, before they are committed."""
 
-    handover_target_type = KeptTarget
+    handover_target_type = EagerlyAcknowledgingTarget
 
 
-class HastySource(HandoverSource):
-    """Hands over at once."""
+class EagerSource(HandoverSource):
+    """Sends handovers before they are committed."""
 
-    def on_room(self, now_ms, message, room):
-        """Before the record."""
-        super().on_room(now_ms, message, room)
+    def on_offer_answer(self, now_ms, message, answer):
+        """Sends the handover at once."""
+        super().on_offer_answer(now_ms, message, answer)
         speculative = self.coordinator.speculative
-        session = speculative.sessions.get(room.id)
+        session = speculative.sessions.get(answer.id)
         if session is None or session.is_owned or session.acknowledged:
             return
-        wire = session.wire()
+        wire = session.to_proto()
         wire.generation = session.generation + 1
         wire.state = SessionState.HELD
         wire.to = ""
@@ -86,21 +88,21 @@
         self.coordinator.send(session.target, handed=handed)
 
 
-class CommitBeforeRecord(Coordinator):
-    """The source hands over what it decided to, before the point of no return is on record."""
+class HandsOverBeforeCommit(Coordinator):
+    """Sends handovers, as source, before the point of no return is committed."""
 
-    handover_source_type = HastySource
+    handover_source_type = EagerSource
 
 
-class ForgetfulStateMachine(StateMachine):
-    """Does not know which handovers it received."""
+class HandoverForgettingStateMachine(StateMachine):
+    """Forgets which handovers it received."""
 
     def has_received(self, source, handover_number):
-        """None."""
+        """Returns False for every handover."""
         return False
 
     def decide_accept(self, source, handover_number, floor, wire):
-        """Whatever the generation."""
+        """Accepts a handover whatever its generation."""
         known = self.sessions.get(wire.id)
         if known and known.is_owned:
             return None
@@ -108,17 +110,17 @@
         return pb.Change(accepted=accepted)
 
 
-class TakesOlder(Coordinator):
-    """A handover that was accepted, and whose session left again since, is accepted anew."""
+class AcceptsHandoversTwice(Coordinator):
+    """Accepts a handover twice if its session has left again in between."""
 
-    state_machine_type = ForgetfulStateMachine
+    state_machine_type = HandoverForgettingStateMachine
 
 
-class TookLater(Coordinator):
-    """A mutating query is submitted at once, its record follows."""
+class SubmitsBeforeCommit(Coordinator):
+    """Submits a mutating query before its record is committed."""
 
     def submit(self, now_ms, session_id, query_id, mutating, engine, remaining_ms, done):
-        """Without waiting."""
+        """Answers at once."""
         session = self.speculative.sessions[session_id]
         if mutating and query_id not in session.queries and session.state == SessionState.HELD:
             done(now_ms, submit_answer(session_id, engine, True))
@@ -127,103 +129,103 @@
 
 
 class ReclaimingSource(HandoverSource):
-    """Takes sessions back."""
+    """Takes back sessions whose handover is not acknowledged."""
 
     def send_handovers(self, now_ms):
-        """Those that were not acknowledged for a second."""
+        """Takes a session back once its handover has reached the longest retry interval."""
         super().send_handovers(now_ms)
-        for session_id, repetition in self.repetitions.items():
-            if repetition.wait_ms >= self.settings.max_backoff_ms:
+        for session_id, retry in self.handover_retries.items():
+            if retry.wait_ms >= self.settings.max_backoff_ms:
                 for machine in (self.coordinator.committed, self.coordinator.speculative):
                     machine.sessions[session_id].state = SessionState.HELD
 
 
-class ComesBack(Coordinator):
-    """A session that was handed over and not acknowledged for a second is held again."""
+class ReclaimsUnacknowledged(Coordinator):
+    """Takes back a session whose handover is not acknowledged in time."""
 
     handover_source_type = ReclaimingSource
 
 
-class RunsAgain(Coordinator):
-    """A mutating query that its engine does not know is taken for one that did not run."""
+class ResubmitsMutations(Coordinator):
+    """Submits a mutating query again if its engine does not know it, though it may have run."""
 
     def resubmit_query(self, now_ms, tenant, session_id, query_id, engine, remaining_ms, done):
-        """Whatever the query."""
+        """Allows every query to be submitted again."""
         answer = self.attach_query(now_ms, tenant, session_id, query_id)
         if answer.kind is AnswerKind.ATTACH:
             answer = submit_answer(session_id, engine, answer.mutating)
         done(now_ms, answer)
 
 
-class ForgetfulSource(HandoverSource):
-    """Forgets queries."""
+class QueryOmittingSource(HandoverSource):
+    """Omits queries from handovers."""
 
-    def handover_of(self, now_ms, session):
-        """Without queries."""
-        handed = super().handover_of(now_ms, session)
+    def handover_message(self, now_ms, session):
+        """Returns the handover without queries."""
+        handed = super().handover_message(now_ms, session)
         del handed.session.refs[:]
         return handed
 
 
-class ForgetsRefs(Coordinator):
-    """A session is handed over without its queries."""
+class OmitsQueries(Coordinator):
+    """Hands sessions over without their queries."""
 
-    handover_source_type = ForgetfulSource
+    handover_source_type = QueryOmittingSource
 
 
-class SilentSource(HandoverSource):
-    """Never repeats a message."""
+class NonRetryingSource(HandoverSource):
+    """Never retries a handover."""
 
     def send_handovers(self, now_ms):
-        """Once."""
-        before = set(self.repetitions)
+        """Sends each handover once."""
+        before = set(self.handover_retries)
         super().send_handovers(now_ms)
-        self.repetitions = {
-            session_id: Repetition(NEVER_MS, 0) for session_id in set(self.repetitions) | before
+        self.handover_retries = {
+            session_id: HandoverRetry(NEVER_MS, 0) for session_id in set(self.handover_retries) | before
         }
 
 
-class TellsOnce(Coordinator):
-    """A handover is sent once."""
+class SendsHandoversOnce(Coordinator):
+    """Sends each handover only once."""
 
-    handover_source_type = SilentSource
+    handover_source_type = NonRetryingSource
 
 
-class CarelessSource(HandoverSource):
-    """Looks at nothing of earlier terms."""
+class NonRecoveringSource(HandoverSource):
+    """Does not recover handovers that earlier terms started."""
 
-    def adopt_unattended(self, now_ms):
-        """Does nothing."""
+    def recover_interrupted_handovers(self, now_ms):
+        """Recovers nothing."""
 
 
-class ThawsNever(Coordinator):
-    """A session that an earlier term froze stays frozen."""
+class NeverResumesFrozen(Coordinator):
+    """Leaves a session frozen that an earlier term froze."""
 
-    handover_source_type = CarelessSource
+    handover_source_type = NonRecoveringSource
 
 
-class ActsWhileFrozen(Coordinator):
-    """A query is submitted while its session is offered: the handover does not have it."""
+class SubmitsWhileFrozen(Coordinator):
+    """Submits a query while its session is offered, so that the handover lacks the query."""
 
     def submit(self, now_ms, session_id, query_id, mutating, engine, remaining_ms, done):
-        """Whatever the state."""
+        """Submits whatever the state of the session."""
         if self.speculative.sessions[session_id].state == SessionState.HELD:
             super().submit(now_ms, session_id, query_id, mutating, engine, remaining_ms, done)
         else:
             done(now_ms, submit_answer(session_id, engine, mutating))
 
 
-BROKEN = (
-    NoFence,
-    ActsBeforeRecord,
-    KeptBeforeRecord,
-    CommitBeforeRecord,
-    TakesOlder,
-    TookLater,
-    ComesBack,
-    RunsAgain,
-    ForgetsRefs,
-    TellsOnce,
-    ThawsNever,
-    ActsWhileFrozen,
+BROKEN_COORDINATORS = (
+    LeadsWithoutLease,
+    ServesBeforeCommit,
+    AcknowledgesBeforeCommit,
+    HandsOverBeforeCommit,
+    AcceptsHandoversTwice,
+    SubmitsBeforeCommit,
+    ReclaimsUnacknowledged,
+    ResubmitsMutations,
+    OmitsQueries,
+    SendsHandoversOnce,
+    NeverResumesFrozen,
+    SubmitsWhileFrozen,
 )
--- a/tests/migration_client.py
+++ b/tests/migration_client.py
@@ -1,4 +1,4 @@
-"""A client of `migration_world`: it knows its session's id, where it was told to ask, and its query."""
+"""A client of `migration_world`: it knows its session's id, the replica group to ask, and its query."""
 
 from invariants import require
 
@@ -10,10 +10,10 @@
 
 
 class Client:
-    """One query at a time, asked for until it has ended, wherever its session is said to be."""
+    """Sends one query at a time, and retries it until it has ended, following redirects of its session."""
 
     def __init__(self, world, name, replica_group, pause_ms=120):
-        """`replica_group`: where it opens its session; `pause_ms`: the longest between two requests."""
+        """`replica_group`: where it opens its session; `pause_ms`: the longest pause between two requests."""
         self.world = world
         self.name = name
         self.tenant = name[0]
@@ -25,27 +25,27 @@
         self.load_number = 0
         self.is_mutating = False
         self.is_quiet = False  # sends no further query
-        self.last = None  # answer
-        self.ended = 0
+        self.last_answer = None
+        self.ended_queries = 0
         world.clients.append(self)
-        world.at(world.random.uniform(1, pause_ms), self.act)
+        world.at(world.random.uniform(1, pause_ms), self.send_request)
 
-    def act(self):
-        """Asks whoever leads the replica group."""
+    def send_request(self):
+        """Sends a request to the holder of the replica group, and schedules the next one."""
         world = self.world
-        world.at(world.random.uniform(self.pause_ms / 2, self.pause_ms), self.act)
+        world.at(world.random.uniform(self.pause_ms / 2, self.pause_ms), self.send_request)
         holder = world.groups[self.replica_group].holder
         process = world.processes[holder[0]] if holder else None
         if process is None or not process.up or self.replica_group not in process.coordinators:
             return
         process.call(
-            lambda now_ms: self.ask(
+            lambda now_ms: self.open_or_submit(
                 now_ms, process, process.coordinators.get(self.replica_group), self.replica_group
             )
         )
 
-    def ask(self, now_ms, process, coordinator, replica_group):
-        """Opens the session, or submits a query, perhaps again by the same id."""
+    def open_or_submit(self, now_ms, process, coordinator, replica_group):
+        """Opens the session, or submits a query; a retry has the same id."""
         if coordinator is None:
             return
         if self.session_id is None:
@@ -69,13 +69,13 @@
         )
 
     def on_opened(self, now_ms, answer):
-        """The session has an id."""
+        """Stores the id of the opened session."""
         if answer.kind is AnswerKind.SUBMIT:
             self.session_id = answer.session_id
 
     def on_answer(self, now_ms, process, coordinator, replica_group, query_id, answer):
-        """To a query."""
-        self.last = answer
+        """Handles the answer to a query."""
+        self.last_answer = answer
         if answer.kind is AnswerKind.SUBMIT:
             self.world.submit_later(
                 process, replica_group, self.tenant, self.session_id, query_id, self.is_mutating
@@ -92,8 +92,8 @@
             require(answer.kind in RETRY_KINDS, f"{self.name}: {answer}")
 
     def on_ended(self, now_ms, coordinator, answer):
-        """A load that has completed pins the session to its engine."""
-        self.ended += 1
+        """Ends the query; a completed load pins the session to its engine."""
+        self.ended_queries += 1
         self.query_id = None
         if answer.outcome == "done" and self.is_mutating:
             self.load_number += 1
@@ -101,11 +101,11 @@
             coordinator.pin_engine(now_ms, self.tenant, self.session_id, engine, self.load_number)
 
     def on_attached(self, now_ms, process, coordinator, replica_group, query_id, answer):
-        """The query was submitted before: its engine knows it, has ended it, or never received it."""
-        require(answer.mutating == self.is_mutating, "another query's run")
-        run_until = self.world.run_until.get(query_id)
-        if run_until is not None:
-            if self.world.now >= run_until:
+        """Asks the engine about a query that was submitted before; if it is unknown there, resubmits it."""
+        require(answer.mutating == self.is_mutating, f"{query_id} is attached to another query")
+        run_ends_ms = self.world.run_ends_ms.get(query_id)
+        if run_ends_ms is not None:
+            if self.world.now >= run_ends_ms:
                 coordinator.record_outcome(now_ms, self.tenant, self.session_id, query_id, "done")
             return
 
--- a/tests/migration_explore.py
+++ b/tests/migration_explore.py
@@ -1,4 +1,4 @@
-"""Every interleaving of `migration_small_world`, or random walks through it."""
+"""Exhaustive exploration of the interleavings of `migration_small_world`, and random walks through them."""
 
 import pickle
 from random import Random
@@ -8,18 +8,22 @@
 from lichenquay.migration.coordinator import Coordinator
 
 
-def failure(error, path):
-    """What was found, and the actions that lead to it."""
+def describe_failure(error, path):
+    """Returns (description, actions that lead to the failure)."""
     return f"{type(error).__name__}: {error}", path
 
 
-def explore(make_coordinator=Coordinator, most=10**9, rest_every=20, **budget):
-    """All that can be reached: {'states', 'whole', 'rests', 'found': (what, actions) or None}."""
+def explore(make_coordinator=Coordinator, max_states=10**9, quiesce_every=20, **budget):
+    """Visits all reachable states, up to `max_states`.
+
+    From every `quiesce_every`th state the world must also reach a quiescent state without further faults.
+    Returns {'states', 'complete', 'quiesced', 'failure': (description, actions) or None}.
+    """
     first = ExploredWorld(make_coordinator, **budget)
     stack = [(pickle.dumps(first), ())]
     seen = {first.fingerprint()}
-    rests = 0
-    while stack and len(seen) < most:
+    quiesced = 0
+    while stack and len(seen) < max_states:
         raw, path = stack.pop()
         for action in list(pickle.loads(raw).actions()):
             world = pickle.loads(raw)
@@ -30,18 +34,18 @@
                     continue
                 seen.add(fingerprint)
                 stack.append((pickle.dumps(world), (*path, action)))
-                if len(seen) % rest_every == 0:
-                    rests += 1
-                    world.rest()
+                if len(seen) % quiesce_every == 0:
+                    quiesced += 1
+                    world.run_until_quiescent()
             except Exception as error:
-                found = failure(error, (*path, action))
-                return {"states": len(seen), "whole": False, "rests": rests, "found": found}
-    return {"states": len(seen), "whole": not stack, "rests": rests, "found": None}
+                failure = describe_failure(error, (*path, action))
+                return {"states": len(seen), "complete": False, "quiesced": quiesced, "failure": failure}
+    return {"states": len(seen), "complete": not stack, "quiesced": quiesced, "failure": None}
 
 
 def random_walks(make_coordinator=Coordinator, seeds=range(100), steps=40, **budget):
-    """Random walks, each to its rest: (actions done, first found or None)."""
-    done = 0
+    """Takes random walks, each until quiescence; returns (actions taken, first failure or None)."""
+    action_count = 0
     for seed in seeds:
         random = Random(seed)
         path = ()
@@ -51,12 +55,12 @@
                 actions = list(world.actions())
                 if not actions:
                     break
-                # The kind is drawn first; otherwise the many ways to lose and to crash would hide all else.
+                # The kind is drawn first; otherwise the many losses and crashes would crowd out all else.
                 kind = random.choice(sorted({action[0] for action in actions}))
                 path = *path, random.choice([action for action in actions if action[0] == kind])
                 world.act(path[-1])
-                done += 1
-            world.rest()
+                action_count += 1
+            world.run_until_quiescent()
         except Exception as error:
-            return done, failure(error, path)
-    return done, None
+            return action_count, describe_failure(error, path)
+    return action_count, None
--- a/tests/migration_mutation.py
+++ b/tests/migration_mutation.py
@@ -1,7 +1,7 @@
 """Mutation of one message at a time.
 
-A scenario is recorded, then run again with one message lost, doubled, late, swapped with the next, sent
-elsewhere or changed; every audit of `migration_world` holds, and it comes to rest.
+A scenario is recorded, then run again with one message lost, duplicated, delayed, swapped with the next,
+misdelivered or changed. All audits of `migration_world` must hold, and it must reach a quiescent state.
 """
 
 from google.protobuf.message import DecodeError
@@ -11,14 +11,17 @@
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
 
-DELIVERY_MUTATIONS = ("lost", "doubled", "late", "late past a life", "swapped")
+DELIVERY_MUTATIONS = ("lost", "duplicated", "delayed", "delayed past a restart", "swapped")
 EDGE_VALUES = (0, 1, 2**31 - 1, 2**32 - 1, 2**63 - 1, 2**64 - 1)
-CUT_STEP_BYTES = 7
+TRUNCATION_STEP_BYTES = 7
 FLIP_STEP_BITS = 13
 
 
 def scenario(mutate=None, make_coordinator=Coordinator):
-    """f0 leaves and a target crashes; f2 leaves and, as source, crashes; f1 leaves and that is cancelled."""
+    """Runs the scenario and returns the quiescent world.
+
+    f0 leaves and a target crashes; f2 leaves and crashes as a source; f1 leaves and cancels that.
+    """
     world = World(7, 3, make_coordinator=make_coordinator)
     world.mutate = mutate
     for i in range(4):
@@ -47,12 +50,12 @@
     world.cancel_leaving("f1")
     world.run(200)
     world.mutate = None
-    world.rest()
+    world.run_until_quiescent()
     return world
 
 
 def run_until_sent(world, kind):
-    """Until the next message of a kind is under way, for half a second at most."""
+    """Runs until the next message of a kind is sent, for half a second at most."""
     known = len(world.sent_kinds)
     for _ in range(20):
         world.run(25)
@@ -61,54 +64,54 @@
 
 
 class Mutation:
-    """A `mutate` for one message; `hit` is the kind of message that it was."""
+    """A `World.mutate` that changes one message; `mutated_kind` is the kind of that message."""
 
-    def __init__(self, number, kind, instead=None):
-        """`kind`: of DELIVERY_MUTATIONS, 'to NAME', or 'changed', with what is delivered instead."""
+    def __init__(self, number, kind, replacement=None):
+        """`kind`: of DELIVERY_MUTATIONS, 'to NAME', or 'changed'; `replacement`: for 'changed', the bytes."""
         self.number = number
         self.kind = kind
-        self.instead = instead
-        self.hit = None
-        self._held = []
+        self.replacement = replacement
+        self.mutated_kind = None
+        self._withheld = []
 
     def __call__(self, world, sent, copies):
-        """What is delivered of the message with this number."""
-        if sent == self.number + 1 and self._held:
-            copies = copies + [(to, raw, 6.0) for to, raw, _ in self._held]
+        """Returns the copies to deliver of the message with the number `sent`."""
+        if sent == self.number + 1 and self._withheld:
+            copies = copies + [(to, raw, 6.0) for to, raw, _ in self._withheld]
         if sent != self.number:
             return copies
-        self.hit = world.sent_kinds[-1]
+        self.mutated_kind = world.sent_kinds[-1]
         to, raw, delay_ms = copies[0]
         if self.kind == "lost":
             return []
-        if self.kind == "doubled":
+        if self.kind == "duplicated":
             return [*copies, (to, raw, delay_ms + 40)]
-        if self.kind == "late":
+        if self.kind == "delayed":
             return [(to, raw, delay_ms + 120)]
-        if self.kind == "late past a life":
+        if self.kind == "delayed past a restart":
             return [*copies, (to, raw, delay_ms + 5000)]
         if self.kind == "swapped":
-            self._held = copies
+            self._withheld = copies
             return []
         if self.kind == "changed":
-            return [(to, self.instead, delay_ms)]
+            return [(to, self.replacement, delay_ms)]
         return [(self.kind.removeprefix("to "), raw, delay_ms)]
 
 
-def plain_fields(message, path=()):
-    """(path, value) of each plain field that is set, within others too."""
+def scalar_fields(message, path=()):
+    """Yields (path, value) of each scalar field that is set, in submessages too."""
     for field, value in message.ListFields():
         if field.message_type is None:
             yield (*path, field.name), value
         elif field.is_repeated:
             for i, one in enumerate(value):
-                yield from plain_fields(one, (*path, field.name, i))
+                yield from scalar_fields(one, (*path, field.name, i))
         else:
-            yield from plain_fields(value, (*path, field.name))
+            yield from scalar_fields(value, (*path, field.name))
 
 
 def other_values(value):
-    """Neighbours and edges."""
+    """Returns neighbouring values and edge values."""
     if isinstance(value, bool):
         return [not value]
     if isinstance(value, int):
@@ -116,9 +119,9 @@
     return [value[:-1], value + "x", ""] if value else ["x"]
 
 
-def changed(raw):
-    """(what, changed message) of all that one field's change, a cut or a flipped bit makes of a message."""
-    for path, value in plain_fields(pb.Message.FromString(raw)):
+def changed_messages(raw):
+    """Yields (change, changed message) for changes of one field, truncations and flipped bits."""
+    for path, value in scalar_fields(pb.Message.FromString(raw)):
         for other in other_values(value):
             message = pb.Message.FromString(raw)
             parent = message
@@ -127,10 +130,10 @@
             try:
                 setattr(parent, path[-1], other)
             except (ValueError, TypeError):
-                continue  # no such value in this field's type
+                continue  # not a value of this field's type
             yield ".".join(map(str, path)), message.SerializeToString()
-    for length in range(0, len(raw), CUT_STEP_BYTES):
-        yield "cut", raw[:length]
+    for length in range(0, len(raw), TRUNCATION_STEP_BYTES):
+        yield "truncated", raw[:length]
     for bit in range(0, 8 * len(raw), FLIP_STEP_BITS):
         flipped = bytearray(raw)
         flipped[bit // 8] ^= 1 << bit % 8
@@ -138,11 +141,11 @@
 
 
 def is_rejected(raw, changed_raw, coordinator):
-    """Whether a changed message counts for nothing at its coordinator, like a lost one, or says the same."""
+    """Returns whether a changed message is ignored by its coordinator, like a lost one, or is equal."""
     try:
         message = pb.Message.FromString(changed_raw)
     except DecodeError:
-        return True  # the host drops it
+        return True  # the host drops what it cannot decode
     if message == pb.Message.FromString(raw):
         return True
     before = coordinator.rejected_messages
--- a/tests/migration_small_world.py
+++ b/tests/migration_small_world.py
@@ -1,8 +1,8 @@
-"""The small world of `migration_explore`, on the real coordinators.
+"""The small world that `migration_explore` explores, with real coordinators.
 
-Three replica groups, one session whose replica group leaves, and in any order deliveries, committed records,
-time, crashes and false takeovers, losses, doubles, and a client that asks the same queries anywhere. States
-are compared, so that none is continued twice; the search is complete where `whole` is True.
+It has three replica groups and one session, whose replica group leaves. In any order, messages are delivered,
+lost or duplicated, records are committed, time passes, processes crash or lose their lease while they run,
+and a client sends the same queries to any process. Fingerprints of states avoid exploring a state twice.
 """
 
 import copyreg
@@ -19,7 +19,7 @@
 from lichenquay.migration.target_selection import Member
 
 NAMES = "abc"
-MUTATING = {"q": True, "r": True, "s": False}  # queries; q was submitted before the replica group leaves
+MUTATING = {"q": True, "r": True, "s": False}  # by query id; q is submitted before the replica group leaves
 SETTINGS = MigrationSettings(
     announce_ms=0.0,
     answer_timeout_ms=100.0,
@@ -29,60 +29,60 @@
     backoff_ms=100.0,
     tick_period_ms=100.0,
 )
-USUAL_BUDGET = {"crash": 2, "depose": 2, "lose": 1, "double": 1, "ask": 2, "tick": 5}
+DEFAULT_BUDGET = {"crash": 2, "depose": 2, "lose": 1, "duplicate": 1, "ask": 2, "tick": 5}
 FREE_BYTES = 30_000
 TICK_MS = 100
 QUERY_MS = 1000
-MAX_ROUNDS_TO_REST = 60
+MAX_ROUNDS_TO_QUIESCENCE = 60
 MAX_DELIVERIES_IN_A_ROUND = 40
 
 
-def change_of(raw):
-    """The Change of these bytes."""
+def parse_change(raw):
+    """Returns the Change of these bytes."""
     return pb.Change.FromString(raw)
 
 
-copyreg.pickle(pb.Change, lambda change: (change_of, (change.SerializeToString(),)))
+copyreg.pickle(pb.Change, lambda change: (parse_change, (change.SerializeToString(),)))
 
 
 class ExploredGroup:
     """One replica group: its holder, its log, and the write that is pending."""
 
     def __init__(self, replica_group):
-        """Held by its own process."""
+        """Starts held by its own process."""
         self.replica_group = replica_group
         self.generation = 1
         self.holder = (replica_group, 1)
         self.pending = None  # (record, done)
-        self.uncertain = []  # callbacks of writes whose result their writer was not told
+        self.uncertain = []  # callbacks of writes whose writer does not know their result
         self.state_machine = StateMachine(replica_group)
         self.log = []
 
 
 class GroupHandle:
-    """The group as one life of a process has it."""
+    """The access of one incarnation of a process to a group."""
 
     def __init__(self, world, replica_group, process):
-        """`process`: (name, life)."""
+        """`process`: (name, incarnation)."""
         self.world = world
         self.replica_group = replica_group
         self.process = process
 
     @property
     def generation(self):
-        """0 where it does not hold the group."""
+        """The generation of the group; 0 if this incarnation does not hold it."""
         return self.world.groups[self.replica_group].generation if self.holds(0) else 0
 
     def holds(self, now_ms):
-        """Whether it is the holder."""
+        """Returns whether this incarnation is the holder."""
         return self.world.groups[self.replica_group].holder == self.process
 
     def snapshot(self):
-        """All records."""
+        """Returns an empty state and all records."""
         return b"", list(self.world.groups[self.replica_group].log)
 
     def append(self, now_ms, record, done):
-        """Pending until the world commits it."""
+        """Writes a record, which is pending until the world commits it."""
         group = self.world.groups[self.replica_group]
         if group.holder != self.process:
             done(now_ms, False)
@@ -92,21 +92,22 @@
 
 
 class ExploredWorld:
-    """A small world; its state can be pickled. An action is (kind, arguments...)."""
+    """A small world that can be pickled. An action is (name of a method, arguments...)."""
 
     def __init__(self, make_coordinator=Coordinator, crashing=NAMES, **budget):
-        """`budget`: how often what may happen in a run.
+        """Starts with a session whose replica group leaves.
 
-        `crashing`: which processes crash or lose their group.
+        `budget`: by kind of action, how often it may happen in a run. `crashing`: the processes that may
+        crash or lose their group.
         """
         self.crashing = crashing
-        self.budget = USUAL_BUDGET | budget
+        self.budget = DEFAULT_BUDGET | budget
         self.make_coordinator = make_coordinator
         self.now = 0.0
         self.network = []  # (replica group, message)
         self.submitted = []
         self.session_id = None
-        self.lives = dict.fromkeys(NAMES, 1)
+        self.incarnations = dict.fromkeys(NAMES, 1)
         self.checked = {}
         self.groups = {name: ExploredGroup(name) for name in NAMES}
         self.coordinators = {}  # by (process, replica group)
@@ -123,11 +124,11 @@
         self.send_outboxes()
 
     def ignore(self, now_ms, answer):
-        """An AnswerCallback."""
+        """Ignores an answer."""
 
     def start_coordinator(self, process, replica_group):
-        """Of a process that may lead that replica group."""
-        handle = GroupHandle(self, replica_group, (process, self.lives[process]))
+        """Starts the coordinator of a process that may lead that replica group."""
+        handle = GroupHandle(self, replica_group, (process, self.incarnations[process]))
         coordinator = self.make_coordinator(replica_group, handle, SETTINGS)
         coordinator.handover_source.update_members([Member(name, FREE_BYTES) for name in NAMES])
         self.checked[process, replica_group] = -1
@@ -135,7 +136,7 @@
         return coordinator
 
     def send_outboxes(self):
-        """To the network, where equal messages are one; then the audit."""
+        """Moves messages to the network, where equal ones are merged; then checks the invariants."""
         for coordinator in self.coordinators.values():
             for to, message in coordinator.outbox:
                 raw = message.SerializeToString(deterministic=True)
@@ -144,12 +145,12 @@
             coordinator.outbox[:] = []
         self.check()
 
-    # What may happen next.
+    # Possible actions.
 
     def actions(self):
-        """All actions that are possible now."""
+        """Yields all actions that are possible now."""
         yield from (("deliver", i) for i in range(len(self.network)))
-        for kind in ("lose", "double"):
+        for kind in ("lose", "duplicate"):
             if self.budget[kind]:
                 yield from ((kind, i) for i in range(len(self.network)))
         yield from (("persist", name) for name, group in self.groups.items() if group.pending)
@@ -170,14 +171,14 @@
             yield ("tick",)
 
     def _crash_results(self, name):
-        """Whether pending writes of a process may be committed when it crashes."""
+        """Returns the possible values of `committed` for a crash: both only if a write is pending."""
         is_pending = any(
             group.pending and group.holder and group.holder[0] == name for group in self.groups.values()
         )
         return (True, False) if is_pending else (False,)
 
     def act(self, action):
-        """Does an action."""
+        """Runs an action, charges it to the budget, and checks the invariants."""
         kind, *arguments = action
         if kind in self.budget:
             self.budget[kind] -= 1
@@ -185,7 +186,7 @@
         self.send_outboxes()
 
     def deliver(self, i):
-        """A message arrives."""
+        """Delivers a message."""
         self._deliver(*self.network.pop(i))
 
     def _deliver(self, to, raw):
@@ -194,15 +195,15 @@
                 coordinator.on_message(self.now, ("x", 1), pb.Message.FromString(raw))
 
     def lose(self, i):
-        """A message is lost."""
+        """Loses a message."""
         self.network.pop(i)
 
-    def double(self, i):
-        """A message arrives and is still under way."""
+    def duplicate(self, i):
+        """Delivers a message that stays in flight."""
         self._deliver(*self.network[i])
 
     def persist(self, replica_group):
-        """The pending write is committed, and its writer is told."""
+        """Commits the pending write and notifies its writer."""
         group = self.groups[replica_group]
         (record, done), group.pending = group.pending, None
         self._apply(group, record)
@@ -211,22 +212,22 @@
 
     def _apply(self, group, record):
         applied = group.state_machine.apply(pb.Record.FromString(record))
-        require(applied, "a record that was committed before")
+        require(applied, f"a record of {group.replica_group} is committed twice")
         group.state_machine.check()
         group.log.append(record)
 
     def crash(self, name, committed):
-        """A process crashes, and is started at once; it holds nothing then."""
+        """Crashes a process and restarts it at once; it holds no group then."""
         for key in [key for key in self.coordinators if key[0] == name]:
             del self.coordinators[key]
-        self.lives[name] += 1
+        self.incarnations[name] += 1
         for group in self.groups.values():
             if group.holder and group.holder[0] == name:
                 self._vacate(group, committed)
         self.start_coordinator(name, name)
 
     def depose(self, replica_group, committed):
-        """The holder is alive, but slow: it loses the group and does not know it yet."""
+        """Takes the group from a holder that is alive but slow and does not know it yet."""
         self._vacate(self.groups[replica_group], committed)
 
     def _vacate(self, group, committed):
@@ -239,14 +240,14 @@
                 self._apply(group, record)
 
     def elect(self, replica_group):
-        """The process after the last holder, in a ring."""
+        """Makes the process after the last holder, in a ring, the holder."""
         group = self.groups[replica_group]
         uncertain, group.uncertain = group.uncertain, []
-        for done in uncertain:  # where its process has crashed, this has no effect
+        for done in uncertain:  # no effect on a coordinator whose process has crashed
             done(self.now, None)
         group.generation += 1
         process = NAMES[(NAMES.index(replica_group) + group.generation - 1) % len(NAMES)]
-        group.holder = process, self.lives[process]
+        group.holder = process, self.incarnations[process]
         coordinator = self.coordinators.get((process, replica_group))
         if coordinator is None:
             coordinator = self.start_coordinator(process, replica_group)
@@ -255,14 +256,14 @@
         coordinator.tick(self.now)
 
     def ask(self, process, replica_group, query_id):
-        """The client asks a query at a process."""
+        """Sends a query of the client to a process."""
         done = partial(self.on_answer, process, replica_group, query_id)
         self.coordinators[process, replica_group].submit_query(
             self.now, "t", self.session_id, query_id, MUTATING[query_id], "e", QUERY_MS, done
         )
 
     def on_answer(self, process, replica_group, query_id, now_ms, answer):
-        """A query may be submitted, or was before."""
+        """Submits the query, or handles one that was submitted before."""
         if answer.kind is AnswerKind.SUBMIT:
             self._submit(process, replica_group, query_id)
         elif answer.kind is AnswerKind.ATTACH:
@@ -272,47 +273,50 @@
             )
 
     def on_resubmit_answer(self, process, replica_group, query_id, now_ms, answer):
-        """Attached again, or submitted."""
+        """Submits the query again if that is allowed."""
         if answer.kind is AnswerKind.SUBMIT:
             self._submit(process, replica_group, query_id)
 
     def _submit(self, process, replica_group, query_id):
         group = self.groups[replica_group]
         require(
-            group.holder == (process, self.lives[process]),
+            group.holder == (process, self.incarnations[process]),
             f"{process} acts for {replica_group}, which it does not hold",
         )
         session = group.state_machine.sessions.get(self.session_id)
         is_owner = session is not None and session.is_owned
-        require(is_owner, f"{replica_group} acts for what is not its own")
+        require(is_owner, f"{replica_group} acts for a session that it does not own")
         if MUTATING[query_id]:
-            require(query_id in session.queries, "a mutating query is submitted before it is on record")
-            require(query_id not in self.submitted, "a mutating query is submitted twice")
+            require(
+                query_id in session.queries,
+                f"{query_id}, which is mutating, is submitted before it is committed",
+            )
+            require(query_id not in self.submitted, f"{query_id}, which is mutating, is submitted twice")
             self.submitted.append(query_id)
 
     def tick(self):
-        """Time passes."""
+        """Advances time."""
         self.now += TICK_MS
         for key in list(self.coordinators):
             if self.coordinators[key].due_ms <= self.now:
                 self.coordinators[key].tick(self.now)
 
-    # What must hold.
+    # Invariants.
 
     def copies(self):
-        """The session at each replica group that has it on record."""
+        """Returns the session at each replica group that has committed it."""
         sessions = (group.state_machine.sessions.get(self.session_id) for group in self.groups.values())
         return [session for session in sessions if session]
 
     def check(self):
-        """One owner at most, the newest generation; and each leader has the committed state."""
+        """Checks for one owner at most, of the newest generation, and for the committed state at leaders."""
         known = self.copies()
         owned = [session.generation for session in known if session.is_owned]
-        require(len(owned) <= 1, "two owners")
+        require(len(owned) <= 1, f"the session has {len(owned)} owners")
         newest = max((session.generation for session in known), default=0)
-        require(not owned or owned[0] == newest, "an older generation acts")
-        is_under_way = any(not session.is_owned and not session.acknowledged for session in known)
-        require(not known or owned or is_under_way, "lost: nobody has it")
+        require(not owned or owned[0] == newest, "the owner has an older generation")
+        is_in_flight = any(not session.is_owned and not session.acknowledged for session in known)
+        require(not known or owned or is_in_flight, "the session is lost")
         for key, coordinator in self.coordinators.items():
             self._check_coordinator(key, coordinator)
 
@@ -325,12 +329,14 @@
         self.checked[key] = committed.record_number
         process, replica_group = key
         expected = self.groups[replica_group].state_machine.state()
-        require(committed.state() == expected, f"{process} has another state of {replica_group}")
+        require(
+            committed.state() == expected, f"{process} differs from the committed state of {replica_group}"
+        )
 
-    def rest(self):
-        """With no more faults, nobody leaving, all comes to one owner."""
+    def run_until_quiescent(self):
+        """Runs without faults until the session stays with one owner, or raises InvariantError."""
         self.budget = dict.fromkeys(self.budget, 0)
-        for _ in range(MAX_ROUNDS_TO_REST):
+        for _ in range(MAX_ROUNDS_TO_QUIESCENCE):
             for name, group in self.groups.items():
                 if group.holder is None:
                     self.elect(name)
@@ -345,12 +351,12 @@
             acknowledged = all(session.acknowledged for session in self.copies() if not session.is_owned)
             if owned == [SessionState.HELD] and acknowledged:
                 return
-        raise InvariantError("no owner")
+        raise InvariantError("the session does not get one owner with all handovers acknowledged")
 
     def fingerprint(self):
-        """Two states with one fingerprint continue alike.
+        """Returns a hash of the state; states with equal fingerprints have the same future.
 
-        A coordinator's state machines follow from the log, and from what is pending.
+        A coordinator's state machines are left out, because the log and the pending changes determine them.
         """
         coordinators = tuple(
             (key, *self._state_of(coordinator)) for key, coordinator in sorted(self.coordinators.items())
@@ -365,7 +371,7 @@
             )
             for group in self.groups.values()
         )
-        world = (sorted(self.network), sorted(self.submitted), self.now, self.budget, self.lives)
+        world = (sorted(self.network), sorted(self.submitted), self.now, self.budget, self.incarnations)
         return hash(repr((coordinators, groups, world)))
 
     @staticmethod
@@ -380,7 +386,7 @@
             [pending.change.SerializeToString() for pending in coordinator.pending_changes],
             source.phase,
             [(session_id, vars(attempt)) for session_id, attempt in source.attempts.items()],
-            source.repetitions,
+            source.handover_retries,
             coordinator.handover_target.reservations,
             source.backoffs.by_name,
             source.due_ms,
--- a/tests/migration_world.py
+++ b/tests/migration_world.py
@@ -1,7 +1,7 @@
-"""Virtual time for session migration.
+"""A simulation of session migration in virtual time.
 
-Replica groups in memory, processes that stop, pause and start, a network with every fault, engines and
-clients, and an audit after every step.
+It has in-memory replica groups, processes that crash, pause and start, a network that loses, duplicates,
+delays and cuts off messages, engines and clients, and an audit after every step.
 """
 
 from heapq import heappop, heappush
@@ -18,10 +18,10 @@
 
 STEP_MS = 25.0
 LEASE_MS = 3500.0
-REST_MS = 12_000.0
+QUIESCENCE_TIMEOUT_MS = 12_000.0
 HOST_PERIOD_MS = 100
 POLL_PERIOD_MS = 100
-LATE_MS = 2000.0  # mean further delay of a late message
+MEAN_EXTRA_DELAY_MS = 2000.0  # of a delayed message
 ENGINE_ZONES = {"e1": "a", "e2": "b"}
 SETTINGS = MigrationSettings(announce_ms=300.0, max_leaving_share=0.34)
 
@@ -30,26 +30,26 @@
     """A gateway's process, with a coordinator of each replica group that it may lead."""
 
     def __init__(self, world, name, clock_rate):
-        """`clock_rate`: how fast its clock runs."""
+        """Creates a process that does not run yet. `clock_rate`: of its clock, relative to true time."""
         self.world = world
         self.name = name
         self.clock_rate = clock_rate
-        self.life = 0
+        self.incarnation = 0
         self.up = False
         self.paused = False
         self.is_ending = False
         self.coordinators = {}
-        self.checked = {}  # replica group: record number that the audit has seen
+        self.checked = {}  # by replica group: the last record number that the audit has checked
         self.inbox = []
 
     @property
     def now_ms(self):
-        """By its own clock."""
+        """The time by its own clock."""
         return self.world.now * self.clock_rate + 1000.0 * len(self.name)
 
     def start(self):
-        """The next life."""
-        self.life += 1
+        """Starts the next incarnation."""
+        self.incarnation += 1
         self.up = True
         self.paused = False
         self.is_ending = False
@@ -59,7 +59,7 @@
         self.coordinator_of(self.name)
 
     def coordinator_of(self, replica_group):
-        """Its coordinator of that replica group, made where there is none."""
+        """Returns its coordinator of that replica group, and creates one if there is none."""
         if replica_group not in self.coordinators:
             handle = GroupHandle(self.world.groups[replica_group], self)
             coordinator = self.world.make_coordinator(replica_group, handle, self.world.settings)
@@ -68,20 +68,20 @@
         return self.coordinators[replica_group]
 
     def kill(self):
-        """Ends without warning."""
+        """Crashes the process."""
         self.up = False
         self.coordinators = {}
         self.inbox = []
 
     def resume(self):
-        """Ends a pause."""
+        """Ends a pause, and handles what happened meanwhile."""
         self.paused = False
         inbox, self.inbox = self.inbox, []
         for action in inbox:
             self.call(action)
 
     def call(self, action):
-        """Something happens to the process: now, or when it runs again."""
+        """Calls `action(now_ms)` now, or when a pause ends; drops it if the process does not run."""
         if self.up and self.paused:
             self.inbox.append(action)
         elif self.up:
@@ -89,7 +89,7 @@
             self.send_outboxes()
 
     def step(self):
-        """Ticks what is due."""
+        """Ticks the coordinators that are due."""
         if not self.up or self.paused:
             return
         for coordinator in list(self.coordinators.values()):
@@ -98,7 +98,7 @@
         self.send_outboxes()
 
     def send_outboxes(self):
-        """Sends what its coordinators have to send."""
+        """Sends the messages of its coordinators."""
         for coordinator in list(self.coordinators.values()):
             outbox, coordinator.outbox[:] = list(coordinator.outbox), []
             for to, message in outbox:
@@ -106,26 +106,26 @@
 
 
 class World:
-    """Processes, replica groups, network, engines and clients; time is in milliseconds."""
+    """Processes, replica groups, a network, engines and clients; time is in milliseconds."""
 
     def __init__(self, seed=0, replica_groups=3, make_coordinator=Coordinator, settings=SETTINGS):
-        """`replica_groups`: how many, each under the name of a process."""
+        """Starts all processes. `replica_groups`: their number; each has the name of a process."""
         self.random = Random(seed)
         self.now = 0.0
         self.events = []
         self.event_number = 0
         self.make_coordinator = make_coordinator
         self.settings = settings
-        self.loss = 0.0
-        self.duplication = 0.0
-        self.lateness = 0.0
-        self.misjudgement = 0.0  # share of members whose liveness is seen wrongly
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.delay_rate = 0.0
+        self.misjudgement_rate = 0.0  # share of members whose liveness is judged wrongly
         self.cut_links = set()
         self.sent = 0
         self.sent_kinds = []
         self.mutate = None
         self.audit = Audit(self)
-        self.run_until = {}  # query id: when its engine has finished it
+        self.run_ends_ms = {}  # by query id: when its engine has finished it
         self.clients = []
         names = [f"f{i}" for i in range(replica_groups)]
         self.groups = {name: SimulatedGroup(self, name) for name in names}
@@ -135,17 +135,17 @@
         for name, process in self.processes.items():
             process.start()
             self.groups[name].elect(process)
-        self.at(10, self.act_as_host)
+        self.at(10, self.run_hosts)
 
     # Time and network.
 
     def at(self, after_ms, action):
-        """Calls `action()` that much later."""
+        """Calls `action()` after that time."""
         self.event_number += 1
         heappush(self.events, (self.now + after_ms, self.event_number, action))
 
     def run(self, for_ms):
-        """Steps for that long, with an audit after everything that happens."""
+        """Runs for that time, with an audit after every event."""
         until_ms = self.now + for_ms
         while self.now < until_ms:
             step_ms = self.now + STEP_MS
@@ -159,25 +159,25 @@
             self.audit.check()
 
     def send(self, sender, to, message):
-        """Each message has a number, so that a run can be repeated with one of them changed."""
+        """Sends a message; messages are numbered, so that a run can be repeated with one of them mutated."""
         self.sent += 1
         self.sent_kinds.append(message.WhichOneof("body"))
         copies = [(to, message.SerializeToString(), 1 + 4 * self.random.random())]
         if self.mutate:
             copies = self.mutate(self, self.sent, copies)
         for copy_to, raw, delay_ms in copies:
-            if (sender, copy_to) in self.cut_links or self.random.random() < self.loss:
+            if (sender, copy_to) in self.cut_links or self.random.random() < self.loss_rate:
                 continue
-            for _ in range(1 + (self.random.random() < self.duplication)):
-                late = self.random.random() < self.lateness
-                late_ms = self.random.expovariate(1 / LATE_MS) if late else 0.0
+            for _ in range(1 + (self.random.random() < self.duplication_rate)):
+                is_delayed = self.random.random() < self.delay_rate
+                extra_ms = self.random.expovariate(1 / MEAN_EXTRA_DELAY_MS) if is_delayed else 0.0
                 self.at(
-                    delay_ms + late_ms,
+                    delay_ms + extra_ms,
                     lambda copy_to=copy_to, raw=raw: self.deliver(sender, copy_to, raw),
                 )
 
     def deliver(self, sender, to, raw):
-        """To all that may lead that replica group: which one does is not known for sure."""
+        """Delivers a message to all processes that may lead its replica group; the leader is uncertain."""
         for process in self.processes.values():
             if process.up and to in process.coordinators:
                 coordinator = process.coordinators[to]
@@ -187,14 +187,14 @@
                     )
                 )
 
-    # What a host does: election, leaving, the view of the members.
+    # Tasks of the hosts: election, leaving, the view of the members.
 
-    def act_as_host(self):
-        """Elects a holder where a lease has lapsed, and lets replica groups go that are empty."""
-        self.at(HOST_PERIOD_MS, self.act_as_host)
+    def run_hosts(self):
+        """Elects holders where a lease has expired, and releases replica groups that are empty."""
+        self.at(HOST_PERIOD_MS, self.run_hosts)
         for group in self.groups.values():
             holder = self.processes[group.holder[0]] if group.holder else None
-            is_running = holder and holder.up and not holder.paused and holder.life == group.holder[1]
+            is_running = holder and holder.up and not holder.paused and holder.incarnation == group.holder[1]
             if is_running:
                 group.without_holder_since = None
                 self._yield_group(group, holder)
@@ -217,9 +217,9 @@
             successor.call(lambda now_ms: source.leave(now_ms, at_once=True))
 
     def _yield_group(self, group, holder):
-        """An ending process ends once all is handed over.
+        """Ends a process that shuts down once all its sessions are handed over.
 
-        A successor gives the group back to its own process.
+        A successor hands its sessions over, and then returns the group to the process of that name.
         """
         own = self.processes[group.replica_group]
         coordinator = holder.coordinators.get(group.replica_group)
@@ -253,20 +253,20 @@
             )
         for process in self.processes.values():
             seen = [
-                member._replace(is_alive=member.is_alive != (self.random.random() < self.misjudgement))
+                member._replace(is_alive=member.is_alive != (self.random.random() < self.misjudgement_rate))
                 for member in members
             ]
             for coordinator in process.coordinators.values():
                 coordinator.handover_source.update_members(seen, ENGINE_ZONES)
 
     def leave(self, name):
-        """A process is asked to end."""
+        """Starts the graceful shutdown of a process."""
         process = self.processes[name]
         process.is_ending = True
         process.call(lambda now_ms: process.coordinators[name].handover_source.leave(now_ms))
 
     def cancel_leaving(self, name):
-        """It is to stay after all."""
+        """Cancels the graceful shutdown of a process."""
         process = self.processes[name]
         process.is_ending = False
         process.call(lambda now_ms: process.coordinators[name].handover_source.stay(now_ms))
@@ -274,34 +274,34 @@
     # Engines.
 
     def submit_later(self, process, replica_group, tenant, session_id, query_id, mutating):
-        """A process was answered SUBMIT, and submits some time later; a pause may lie between."""
+        """Submits a query some time after the answer SUBMIT; the process may pause in between."""
         self.audit.check_submit(process, replica_group, tenant, session_id, query_id, mutating)
-        life = process.life
+        incarnation = process.incarnation
         self.at(
             self.random.choice([0, 1, 15]),
             lambda: process.call(
                 lambda now_ms: self.submit(
-                    process, life, replica_group, tenant, session_id, query_id, mutating
+                    process, incarnation, replica_group, tenant, session_id, query_id, mutating
                 )
             ),
         )
 
-    def submit(self, process, life, replica_group, tenant, session_id, query_id, mutating):
-        """The query reaches its engine."""
-        if process.life != life or not process.up:
+    def submit(self, process, incarnation, replica_group, tenant, session_id, query_id, mutating):
+        """Runs the query on its engine."""
+        if process.incarnation != incarnation or not process.up:
             return
         self.audit.count_submission(query_id, mutating)
-        self.run_until[query_id] = self.now + self.random.choice([30, 100, 400, 2500])
-        self.poll(process, life, replica_group, tenant, session_id, query_id)
+        self.run_ends_ms[query_id] = self.now + self.random.choice([30, 100, 400, 2500])
+        self.poll(process, incarnation, replica_group, tenant, session_id, query_id)
 
-    def poll(self, process, life, replica_group, tenant, session_id, query_id):
-        """The process that submitted a query asks its engine until it has ended."""
-        if process.life != life or not process.up:
+    def poll(self, process, incarnation, replica_group, tenant, session_id, query_id):
+        """Polls the engine of a query, for the process that submitted it, until the query has ended."""
+        if process.incarnation != incarnation or not process.up:
             return
-        if self.now < self.run_until[query_id]:
+        if self.now < self.run_ends_ms[query_id]:
             self.at(
                 POLL_PERIOD_MS,
-                lambda: self.poll(process, life, replica_group, tenant, session_id, query_id),
+                lambda: self.poll(process, incarnation, replica_group, tenant, session_id, query_id),
             )
             return
 
@@ -312,14 +312,14 @@
 
         process.call(record_outcome)
 
-    # The end.
+    # The end of a run.
 
-    def rest(self):
-        """No more faults: within REST_MS each session has one owner that acts, and no client waits."""
-        self.loss = 0.0
-        self.duplication = 0.0
-        self.lateness = 0.0
-        self.misjudgement = 0.0
+    def run_until_quiescent(self):
+        """Ends all faults and runs until the world is quiescent; raises InvariantError after the timeout."""
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.delay_rate = 0.0
+        self.misjudgement_rate = 0.0
         self.cut_links = set()
         self.mutate = None
         for group in self.groups.values():
@@ -333,11 +333,11 @@
                 self.cancel_leaving(process.name)
         for client in self.clients:
             client.is_quiet = True
-        until_ms = self.now + REST_MS
+        until_ms = self.now + QUIESCENCE_TIMEOUT_MS
         while True:
             self.run(500)
             try:
-                return self.audit.check_rest()
+                return self.audit.check_quiescent()
             except InvariantError:
                 if self.now >= until_ms:
                     raise
--- a/tests/test_golden_migration.py
+++ b/tests/test_golden_migration.py
@@ -1,8 +1,8 @@
-"""The migration's messages and logs are the same bytes as those of revision 0018238.
+"""Messages and logs of the migration are byte for byte those of revision 0018238.
 
 A fleet is upgraded one gateway at a time: coordinators of both revisions hand sessions over to each other,
-and each reads the log that the other wrote. `golden/migration/transcript.json` was written by that revision
-from the same script.
+and each reads the log that the other wrote. Revision 0018238 wrote `golden/migration/transcript.json` from
+the same script.
 """
 
 import json
@@ -26,31 +26,31 @@
 
 @pytest.fixture(scope="module")
 def transcript():
-    """The same script, played by this revision."""
+    """Returns the transcript of the script, run by this revision."""
     return Exchange().run().transcript()
 
 
 @pytest.mark.parametrize("part", ("messages", "answers"))
 def test_the_same_script_gives_the_same_messages_and_answers(transcript, part):
-    """Byte for byte, and at the same times."""
+    """They are equal byte for byte, in the same order, and answers come at the same times."""
     assert transcript[part] == GOLDEN[part]
 
 
 @pytest.mark.parametrize("group", GROUPS)
 def test_the_same_script_gives_the_same_log(transcript, group):
-    """Records, the snapshot amid and at the end, and what is known of the sessions."""
+    """Records, the snapshots at half and at the end, and the states of the sessions are equal."""
     assert transcript["replica_groups"][group] == GOLDEN["replica_groups"][group]
 
 
 def test_the_golden_file_has_every_kind():
-    """Of message, of change, and a state."""
+    """It has every kind of message, every kind of change, and a state."""
     expected = {f"message {kind}" for kind in MESSAGE_KINDS} | {f"change {kind}" for kind in CHANGE_KINDS}
     assert GOLDEN["kinds"].keys() == expected | {"state"}
 
 
 @pytest.mark.parametrize("kind", sorted(GOLDEN["kinds"]))
 def test_each_kind_of_message_and_change_is_read_as_before(kind):
-    """Each field has the name and value that it had, and is written to the same bytes again."""
+    """Each field has its former name and value, and the message is encoded to the same bytes."""
     golden = GOLDEN["kinds"][kind]
     message = TYPES[kind.split()[0]].FromString(bytes.fromhex(golden["bytes"]))
     assert MessageToDict(message, preserving_proto_field_name=True) == golden["fields"]
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("group", GROUPS)
 def test_a_stored_log_is_loaded_as_before(group):
-    """From the last snapshot, from the one amid with the records after it, and from the records alone."""
+    """The last snapshot, the one at half with all records, and the records alone give the same state."""
     golden = GOLDEN["replica_groups"][group]
     records = [bytes.fromhex(record) for record in golden["records"]]
     state, none_left = ledger_records.read(bytes.fromhex(golden["base_at_end"]), [])
--- a/tests/test_migration_coordinator.py
+++ b/tests/test_migration_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: answers to clients, leadership, and its limits."""
+"""The coordinator: its answers to clients, its leadership, and its limits."""
 
 from random import Random
 
@@ -10,7 +10,7 @@
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.messages import AnswerKind, with_checksum
-from lichenquay.migration.replica_group_state import MAX_STATE_BYTES, fold_of
+from lichenquay.migration.replica_group_state import MAX_STATE_BYTES, make_fold
 from lichenquay.migration.session import MAX_NAME_BYTES
 from lichenquay.migration.session_log import MAX_SESSION_BYTES, MAX_SESSIONS, MAX_SESSIONS_BYTES
 from lichenquay.migration.state_machine import StateMachine
@@ -19,14 +19,14 @@
 
 MAX_DATAGRAM_BYTES = 1100
 GROUP_RECORD_BYTES = 800
-GROUP_RECORDS = 64  # after the base, before the group folds
+GROUP_RECORDS = 64  # stored after the base before the group folds them
 
 
-class RealGroupLife:
-    """A coordinator on a real group with one voter, whose disk answers at once; one life of its process."""
+class RealGroupProcess:
+    """One incarnation of a process: a coordinator on a real group with one voter and a disk without delay."""
 
     def __init__(self, stored, incarnation, now_ms):
-        """`stored`: what is on the disk, the same for all lives."""
+        """Starts as a candidate. `stored`: the content of the disk, shared by all incarnations."""
         self.stored = stored
         self.now_ms = now_ms
         self.group = LeaseGroup(
@@ -39,13 +39,13 @@
             now_ms,
             dict(stored),
             is_new_disk=not stored,
-            fold=fold_of("f0"),
+            fold=make_fold("f0"),
         )
         self.coordinator = Coordinator("f0", PiecewiseGroup(self.group))
         self.group.set_candidate(now_ms, True)
 
     def run_until(self, condition):
-        """Lets time pass until the condition holds."""
+        """Advances time until the condition holds."""
         for _ in range(20_000):
             stores, self.group.store_requests[:] = list(self.group.store_requests), []
             for number, changes in stores:
@@ -57,7 +57,7 @@
             for part in (self.group, self.coordinator):
                 if self.now_ms >= part.due_ms:
                     part.tick(self.now_ms)
-        raise AssertionError("the condition does not come to hold")
+        raise AssertionError(f"the condition does not hold by {self.now_ms} ms")
 
     def _store(self, number, changes):
         self.stored.update(changes)
@@ -66,7 +66,7 @@
         self.group.on_stored(self.now_ms, number, True)
 
     def call(self, method, *arguments):
-        """The answer, once it comes."""
+        """Calls a method and returns its answer once it arrives."""
         answers = []
         method(self.now_ms, *arguments, lambda now_ms, answer: answers.append(answer))
         self.run_until(lambda: answers)
@@ -74,30 +74,32 @@
 
 
 def test_a_real_group_keeps_sessions_over_a_restart():
-    """Past several folds; a mutating query whose run is not known ends as failed in the next life."""
+    """The group folds several times; after the restart, a mutating query that may have run ends as failed."""
     stored = {}
-    life = RealGroupLife(stored, 1, 0.0)
-    coordinator = life.coordinator
-    life.run_until(lambda: life.group.holds(life.now_ms))
-    session_id = life.call(coordinator.open_session, "t", "s").session_id
+    process = RealGroupProcess(stored, 1, 0.0)
+    coordinator = process.coordinator
+    process.run_until(lambda: process.group.holds(process.now_ms))
+    session_id = process.call(coordinator.open_session, "t", "s").session_id
     for i in range(150):
-        answer = life.call(coordinator.submit_query, "t", session_id, f"m{i}", True, "e", 500)
+        answer = process.call(coordinator.submit_query, "t", session_id, f"m{i}", True, "e", 500)
         assert answer.kind is AnswerKind.SUBMIT
-        assert coordinator.record_outcome(life.now_ms, "t", session_id, f"m{i}", "done")
-        life.run_until(lambda: coordinator.pending_write is None)
-    life.call(coordinator.submit_query, "t", session_id, "last", True, "e", 500)
-    later = RealGroupLife(stored, 2, life.now_ms)
-    restarted = later.coordinator
-    later.run_until(lambda: later.group.holds(later.now_ms) and restarted.is_leading(later.now_ms))
-    attached = restarted.attach_query(later.now_ms, "t", session_id, "last")
+        assert coordinator.record_outcome(process.now_ms, "t", session_id, f"m{i}", "done")
+        process.run_until(lambda: coordinator.pending_write is None)
+    process.call(coordinator.submit_query, "t", session_id, "last", True, "e", 500)
+    next_process = RealGroupProcess(stored, 2, process.now_ms)
+    restarted = next_process.coordinator
+    next_process.run_until(
+        lambda: next_process.group.holds(next_process.now_ms) and restarted.is_leading(next_process.now_ms)
+    )
+    attached = restarted.attach_query(next_process.now_ms, "t", session_id, "last")
     assert attached.kind is AnswerKind.ATTACH
-    assert restarted.attach_query(later.now_ms, "t", session_id, "m148").outcome == "done"
-    resubmitted = later.call(restarted.resubmit_query, "t", session_id, "last", "e", 500)
+    assert restarted.attach_query(next_process.now_ms, "t", session_id, "m148").outcome == "done"
+    resubmitted = next_process.call(restarted.resubmit_query, "t", session_id, "last", "e", 500)
     assert resubmitted.outcome == "failed"
 
 
-def test_an_earlier_query_is_attached_to_by_its_own_session_alone():
-    """And is not submitted again."""
+def test_an_earlier_query_can_only_be_attached_to_through_its_own_session():
+    """It is not submitted again, and other tenants are denied."""
     coordinator = coordinator_of()
     session_id = open_session(coordinator)
     other = open_session(coordinator, "u", "s")
@@ -120,7 +122,7 @@
 
 
 def test_a_query_that_its_engine_does_not_know_is_submitted_again_only_if_read_only():
-    """A mutating one of this term is not given up; the next leader does not know whether it ran."""
+    """A mutating one of this term stays open; the next leader cannot know whether it ran, and fails it."""
     coordinator = coordinator_of()
     session_id = open_session(coordinator)
     call(coordinator.submit_query, "t", session_id, "m", True, "e1", 500)
@@ -135,8 +137,8 @@
     assert call(resubmit, "t", session_id, "m", "e1", 500).kind is AnswerKind.ENDED
 
 
-def test_a_process_that_does_not_lead_does_not_act():
-    """Nor one whose write had an uncertain result, until the next generation."""
+def test_a_process_that_does_not_lead_rejects_requests():
+    """So does one whose write had an uncertain result, until the next generation."""
     coordinator = coordinator_of()
     group = coordinator.group.group
     session_id = open_session(coordinator)
@@ -160,12 +162,12 @@
     "tenant, name", [("t", ""), ("", "s"), ("t", "s" * (MAX_NAME_BYTES + 1)), ("t", "é" * 33)]
 )
 def test_names_that_are_empty_or_too_long_are_rejected(tenant, name):
-    """By their bytes."""
+    """Their length is counted in bytes."""
     assert call(coordinator_of().open_session, tenant, name).kind is AnswerKind.PERMISSION_DENIED
 
 
-def test_the_longest_idle_session_is_evicted_where_there_are_too_many():
-    """One with an open query stays."""
+def test_the_longest_idle_session_is_evicted_when_there_are_too_many():
+    """A session with an open query stays."""
     coordinator = coordinator_of()
     first = open_session(coordinator, name="first")
     busy = open_session(coordinator, name="busy")
@@ -178,8 +180,8 @@
     assert coordinator.attach_query(0.0, "t", busy, "m").kind is AnswerKind.ATTACH
 
 
-def test_a_full_session_forgets_queries_that_ended_and_never_one_that_may_run():
-    """Without one that ended, a further query is rejected."""
+def test_a_full_session_forgets_queries_that_ended_but_never_one_that_may_run():
+    """If no query has ended, a further one is rejected."""
     coordinator = coordinator_of()
     session_id = open_session(coordinator)
 
@@ -198,8 +200,8 @@
     assert coordinator.committed.sessions[session_id].size_bytes <= MAX_SESSION_BYTES
 
 
-def test_a_log_of_a_newer_version_is_left_alone():
-    """The coordinator says why it does not lead."""
+def test_a_log_of_a_newer_version_is_not_loaded():
+    """The coordinator does not lead, and reports why."""
     newer = pb.State.FromString(StateMachine("f0").state())
     newer.version = 9
     coordinator = coordinator_of()
@@ -209,7 +211,7 @@
 
 
 def test_idle_sessions_are_handed_over_first_and_those_with_open_mutations_last():
-    """Read-only queries may run again elsewhere."""
+    """Sessions with open read-only queries are in between, because those may run again elsewhere."""
     coordinator = coordinator_of()
     writing, reading, idle = (open_session(coordinator, name=name) for name in ("w", "r", "i"))
     call(coordinator.submit_query, "t", writing, "m", True, "e", 1)
@@ -219,7 +221,7 @@
 
 
 def fill_with_largest_sessions(coordinator):
-    """As many and as large sessions as the limits allow, with every query ended."""
+    """Opens as many and as large sessions as the limits allow, and ends all their queries."""
     tenant = "t" * MAX_NAME_BYTES
     engine = "e" * MAX_NAME_BYTES
     session_ids = [open_session(coordinator, tenant, f"{i:064}") for i in range(MAX_SESSIONS)]
@@ -233,7 +235,7 @@
 
 
 def test_the_largest_session_fits_in_a_datagram_and_the_largest_state_in_its_group():
-    """Names of full length, and as many queries as fit."""
+    """Names have the maximum length, and sessions as many queries as fit."""
     coordinator = coordinator_of()
     fill_with_largest_sessions(coordinator)
     coordinator.committed.check()
--- a/tests/test_migration_mutation.py
+++ b/tests/test_migration_mutation.py
@@ -1,46 +1,48 @@
-"""One message of a recorded scenario lost, doubled, late, swapped, sent elsewhere or changed."""
+"""A recorded scenario with one message lost, duplicated, delayed, swapped, misdelivered or changed."""
 
 from random import Random
 
 import pytest
 from google.protobuf.message import DecodeError
-from migration_broken import BROKEN
-from migration_mutation import DELIVERY_MUTATIONS, Mutation, changed, is_rejected, scenario
+from migration_broken import BROKEN_COORDINATORS
+from migration_mutation import DELIVERY_MUTATIONS, Mutation, changed_messages, is_rejected, scenario
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.errors import StateMachineError
 
-ELSEWHERE = tuple(f"to f{i}" for i in range(3))
+MISDELIVERIES = tuple(f"to f{i}" for i in range(3))
 SAMPLE_SIZE = 50
 
 
-def recorded():
-    """The scenario without mutations, and (replica group, message) of all that was sent."""
+def record_scenario():
+    """Runs the scenario without mutations; returns its world and (replica group, message) of all messages."""
     sent = []
 
-    def note(world, number, copies):
+    def record_message(world, number, copies):
         sent.append(copies[0][:2])
         return copies
 
-    return scenario(note), sent
+    return scenario(record_message), sent
 
 
-def test_the_scenario_has_what_it_is_for():
-    """Every kind of message, and handovers under load."""
-    world, _ = recorded()
+def test_the_scenario_covers_all_kinds_of_messages_and_handovers_under_load():
+    """Otherwise its mutations would prove little."""
+    world, _ = record_scenario()
     assert {"offer", "room", "handed", "kept"} <= set(world.sent_kinds)
-    assert world.audit.moved >= 4
-    assert sum(client.ended for client in world.clients) > 30
+    assert world.audit.handovers_accepted >= 4
+    assert sum(client.ended_queries for client in world.clients) > 30
     records = [pb.Record.FromString(raw) for group in world.groups.values() for raw in group.log]
     kinds = {change.WhichOneof("kind") for record in records for change in record.changes}
     assert {"opened", "pinned", "took", "ended", "frozen", "offered", "gone", "told", "accepted"} <= kinds
 
 
-def test_a_message_delivered_otherwise_breaks_nothing(request):
-    """A sample of 50; all with --runs 2."""
-    _, sent = recorded()
-    todo = [(number, kind) for number in range(1, len(sent) + 1) for kind in DELIVERY_MUTATIONS + ELSEWHERE]
+def test_one_faulty_delivery_breaks_no_invariant(request):
+    """Runs a sample of 50 mutations; all with --runs 2."""
+    _, sent = record_scenario()
+    todo = [
+        (number, kind) for number in range(1, len(sent) + 1) for kind in DELIVERY_MUTATIONS + MISDELIVERIES
+    ]
     if request.config.getoption("--runs") == 1:
         todo = Random(request.config.getoption("--seed")).sample(todo, SAMPLE_SIZE)
     for number, kind in todo:
@@ -48,20 +50,20 @@
         try:
             scenario(mutation)
         except Exception as error:
-            raise AssertionError(f"message {number} ({mutation.hit}) {kind}: {error}") from error
-        assert mutation.hit
+            raise AssertionError(f"message {number} ({mutation.mutated_kind}) {kind}: {error}") from error
+        assert mutation.mutated_kind
 
 
-def test_a_changed_message_counts_as_lost(request):
-    """Each field's neighbours and edges, cuts and flipped bits: none has the right checksum.
+def test_a_changed_message_is_rejected_by_its_checksum(request):
+    """Fields have neighbouring and edge values, messages are truncated, bits are flipped.
 
-    Some are replayed whole.
+    For a sample, the whole scenario is run with the changed message.
     """
-    _, sent = recorded()
+    _, sent = record_scenario()
     mutants = [
         (number, to, raw, changed_raw)
         for number, (to, raw) in enumerate(sent, 1)
-        for _, changed_raw in changed(raw)
+        for _, changed_raw in changed_messages(raw)
     ]
     assert len(mutants) > 2000
     for number, to, raw, changed_raw in mutants:
@@ -72,7 +74,7 @@
 
 
 def is_readable(raw):
-    """Whether it is a message that says something."""
+    """Returns whether these bytes are a message that is not empty."""
     try:
         return bool(pb.Message.FromString(raw).ByteSize())
     except DecodeError:
@@ -82,23 +84,23 @@
 @pytest.mark.parametrize(
     "name, kind",
     [
-        ("TellsOnce", "handed"),
-        ("ThawsNever", "offer"),
-        ("CommitBeforeRecord", None),
-        ("ForgetsRefs", None),
-        ("TakesOlder", None),
+        ("SendsHandoversOnce", "handed"),
+        ("NeverResumesFrozen", "offer"),
+        ("HandsOverBeforeCommit", None),
+        ("OmitsQueries", None),
+        ("AcceptsHandoversTwice", None),
     ],
 )
-def test_a_broken_rule_is_found_by_a_lost_message(name, kind):
-    """Which kind of message it is; None: the scenario as it was recorded."""
-    broken = next(rule for rule in BROKEN if rule.__name__ == name)
-    found = {}
+def test_a_lost_message_detects_a_broken_rule(name, kind):
+    """`kind`: of the lost message; None: the scenario detects the rule without a loss."""
+    broken = next(rule for rule in BROKEN_COORDINATORS if rule.__name__ == name)
+    failures = {}
     for number in range(1, 25) if kind else [0]:
         mutation = Mutation(number, "lost")
         try:
             scenario(mutation, broken)
         except (AssertionError, StateMachineError) as error:
-            found[number] = mutation.hit, str(error)
+            failures[number] = mutation.mutated_kind, str(error)
             break
-    print(name, found)
-    assert found and (kind is None or next(iter(found.values()))[0] == kind)
+    print(name, failures)
+    assert failures and (kind is None or next(iter(failures.values()))[0] == kind)
--- a/tests/test_migration_state_machine.py
+++ b/tests/test_migration_state_machine.py
@@ -1,4 +1,4 @@
-"""The invariants of the state machine: any decisions, handovers that come twice, folds, limits."""
+"""The invariants of the state machine: any decisions, repeated handovers, folds, limits."""
 
 import pytest
 from hypothesis import given, settings
@@ -6,21 +6,21 @@
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.errors import StateMachineError
-from lichenquay.migration.replica_group_state import fold_of
+from lichenquay.migration.replica_group_state import make_fold
 from lichenquay.migration.session import SessionState
 from lichenquay.migration.session_log import MAX_SESSIONS_BYTES, MAX_TOMBSTONES
 from lichenquay.migration.state_machine import StateMachine
 from lichenquay.quota.ledger_records import read, split
 
 
-def test_the_state_of_another_replica_group_is_refused():
-    """Sessions of one would be two."""
+def test_the_state_of_another_replica_group_is_rejected():
+    """Otherwise its sessions would have two owners."""
     with pytest.raises(StateMachineError, match="the state of f0, not of f1"):
         StateMachine.load("f1", StateMachine("f0").state())
 
 
-def test_a_handover_is_accepted_once_even_if_all_about_its_session_is_forgotten():
-    """The number alone tells, also after a restart."""
+def test_a_handover_is_accepted_once_even_if_its_session_is_forgotten():
+    """Its number is enough to recognize it, also after a restart."""
     machine = StateMachine("f1")
     wire = pb.Session(tenant="t", id="s@f0.1", generation=2, state=SessionState.HELD)
     change = machine.decide_accept("f0", 1, 1, wire)
@@ -36,7 +36,7 @@
 
 
 def decide(machine, kind, number, other_group):
-    """The change that a step decides, or None. `number` selects the session, and more."""
+    """Returns the change that a step decides, or None. `number` selects the session and other arguments."""
     session_ids = list(machine.sessions)
     session_id = session_ids[number % len(session_ids)] if session_ids else "x@f0.9"
     session = machine.sessions.get(session_id)
@@ -66,7 +66,7 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(STEPS, max_size=120))
 def test_any_decisions_keep_the_invariants(steps):
-    """In any order; also from any snapshot and the records after it."""
+    """Decisions come in any order; a snapshot and the records after it give the same state."""
     machine = StateMachine("f0")
     records = []
     states = []
@@ -86,22 +86,22 @@
             assert restored.state() == machine.state()
 
 
-def test_a_fold_keeps_the_state():
-    """Whatever the pieces that it folds at a time."""
+def test_a_fold_preserves_the_state():
+    """It does so for any number of pieces at a time."""
     machine = StateMachine("f0")
     pieces = []
     for number in range(1, 60):
         record = pb.Record(no=number, changes=[machine.decide_open("t", "n" * 60)])
         machine.apply(record)
         pieces += split(record.SerializeToString())
-    fold = fold_of("f0")
+    fold = make_fold("f0")
     base = fold(fold(b"", pieces[:13]), pieces[13:40])
     state, records = read(base, pieces[40:])
     assert StateMachine.load("f0", state, records).state() == machine.state()
 
 
 def test_tombstones_are_bounded():
-    """The oldest are forgotten; then the replica group that opened the session is asked."""
+    """The oldest are forgotten; then clients are redirected to the replica group that opened the session."""
     machine = StateMachine("f0")
     for _ in range(MAX_TOMBSTONES + 9):
         session_id = machine.decide_open("t", "s").opened.id
@@ -117,7 +117,7 @@
     assert machine.locate(f"s@f0.{MAX_TOMBSTONES + 9}") == (SessionState.HANDED_OVER, "f1")
 
 
-def test_a_session_takes_little_of_the_free_bytes():
+def test_an_empty_session_reduces_the_free_bytes_by_less_than_200():
     """Its maximum size is counted."""
     machine = StateMachine("f0")
     assert machine.free_bytes == MAX_SESSIONS_BYTES
--- a/tests/test_migration_target_selection.py
+++ b/tests/test_migration_target_selection.py
@@ -1,4 +1,4 @@
-"""Which replica group receives a session, and which gateway may leave."""
+"""Selection of the replica group that receives a session, and of the gateways that may leave."""
 
 from lichenquay.migration.target_selection import LeavingPhase, Member, may_start_leaving, select_target
 
@@ -14,7 +14,7 @@
 
 
 def test_the_zone_of_the_engine_comes_first_then_new_gateways():
-    """Those that are full, leave, are not ready or not alive are never selected."""
+    """Gateways that are full, leave, are not ready or not alive are never selected."""
     assert select_target("s", 100, "x", MEMBERS) == "a"
     assert select_target("s", 100, "y", MEMBERS) == "c"
     assert select_target("s", 100, "", MEMBERS) == "c"
@@ -23,7 +23,7 @@
 
 
 def test_sessions_are_spread_by_weight_and_free_bytes():
-    """A member that goes away moves only its own sessions."""
+    """A member that is removed changes the targets of its own sessions only."""
     members = [Member("a", 1000), Member("b", 1000, weight=3.0), Member("c", 2000)]
     targets = [select_target(f"s{i}", 10, "", members) for i in range(3000)]
     shares = {name: targets.count(name) / 3000 for name in "abc"}
@@ -34,8 +34,8 @@
     assert all(new == old for new, old in zip(without_last, targets, strict=True) if old != "c")
 
 
-def test_a_share_of_the_fleet_leaves_at_a_time():
-    """By name; those that leave already count; one that is ready must stay."""
+def test_only_a_share_of_the_fleet_leaves_at_a_time():
+    """The first by name may leave, gateways that already leave count, and a ready one must stay."""
     fleet = [Member(f"f{i}", 1000) for i in range(8)]
     announced = [
         member._replace(phase=LeavingPhase.ANNOUNCED) if member.name in ("f1", "f4", "f6") else member
