--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -111,18 +111,18 @@
         amount_us = max(1, round(estimate_ms * 1000))
         demand.record_query(now_ms, amount_us)
         holding = self.holdings.get(tenant)
-        covered = (
+        is_covered = (
             holding is not None
             and now_ms < self.expires_at_ms
             and not self.overruns_us.get(tenant)
             and holding.free_us >= amount_us
         )
-        if covered:
+        if is_covered:
             holding.reserved_us += amount_us
             self.reservations[ticket] = QueryReservation(tenant, holding, amount_us)
-        if not covered or holding.free_us < demand.low_water_us:
+        if not is_covered or holding.free_us < demand.low_water_us:
             self._request_soon(now_ms)
-        return covered
+        return is_covered
 
     def settle(self, now_ms: float, ticket: Hashable, work_ms: float) -> None:
         """Charges the work of a query that ended; 0 if no engine can have run it.
@@ -203,22 +203,22 @@
         if not self._is_plausible(answer):
             self.implausible_answers += 1
             return
-        current = answer.book == self.epoch
-        if current and answer.closed:
+        is_current = answer.book == self.epoch
+        if is_current and answer.closed:
             self.seal_epoch()
-            current = False
-        elif current:
+            is_current = False
+        elif is_current:
             sent_ms = self.request_sent_ms.get(answer.no, LONG_AGO_MS)
             self.expires_at_ms = max(self.expires_at_ms, sent_ms + self.term_ms)
         for granted in answer.rows:
-            if granted.book == self.epoch and current:
+            if granted.book == self.epoch and is_current:
                 self.apply_grant(now_ms, answer.no, granted)
             elif granted.book < self.epoch:
                 self._apply_sealed(answer.no, granted)
         self.expire_if_due(now_ms)
         if self.leaving and self.holdings and not any(self.overruns_us.values()):
             self.seal_epoch()
-        if current and self.due_ms > now_ms + self._jittered_period_ms():
+        if is_current and self.due_ms > now_ms + self._jittered_period_ms():
             self.due_ms = now_ms + self._jittered_period_ms()
 
     def _is_plausible(self, answer: pb.Answer) -> bool:
--- a/tests/migration_audit.py
+++ b/tests/migration_audit.py
@@ -59,19 +59,19 @@
         group = self.world.groups[replica_group]
         require(
             group.holder == (process.name, process.incarnation),
-            f"{process.name} acts for {replica_group}, which it does not hold",
+            f"{process.name} serves {replica_group}, which it does not hold",
         )
         session = group.state_machine.sessions.get(session_id)
         is_owner = session is not None and session.is_owned
-        require(is_owner, f"{replica_group} acts for {session_id}, which is not its own")
+        require(is_owner, f"{replica_group} serves {session_id}, which it does not own")
         others = [copy for other, copy in self.copies_of(session_id) if other is not group]
         require(
             all(copy.generation < session.generation for copy in others),
-            f"{replica_group} acts for {session_id} by an older generation",
+            f"{replica_group} serves an older generation of {session_id}",
         )
         is_committed = query_id in session.queries
         require(not mutating or is_committed, f"{query_id} is submitted before it is committed")
-        require(session.tenant == tenant, f"{session_id} is not of {tenant}")
+        require(session.tenant == tenant, f"{session_id} belongs to {session.tenant}, not to {tenant}")
         self.submissions_allowed += 1
 
     def count_submission(self, query_id, mutating):
--- a/tests/migration_small_world.py
+++ b/tests/migration_small_world.py
@@ -281,11 +281,11 @@
         group = self.groups[replica_group]
         require(
             group.holder == (process, self.incarnations[process]),
-            f"{process} acts for {replica_group}, which it does not hold",
+            f"{process} serves {replica_group}, which it does not hold",
         )
         session = group.state_machine.sessions.get(self.session_id)
         is_owner = session is not None and session.is_owned
-        require(is_owner, f"{replica_group} acts for a session that it does not own")
+        require(is_owner, f"{replica_group} serves a session that it does not own")
         if MUTATING[query_id]:
             require(
                 query_id in session.queries,
--- a/tests/quota_audit.py
+++ b/tests/quota_audit.py
@@ -67,18 +67,19 @@
         for (epoch, tenant), holding in holdings_of(escrow):
             holding_used_us = holding.spent_us + holding.reserved_us
             free_us = holding.granted_us - holding_used_us - holding.returned_us
-            least_us = min(free_us, holding.spent_us, holding.reserved_us, holding.returned_us)
-            require(least_us >= 0, f"{gateway.name} spends what it does not have")
+            min_amount_us = min(free_us, holding.spent_us, holding.reserved_us, holding.returned_us)
+            require(min_amount_us >= 0, f"{gateway.name} spends tokens that it does not have")
             entry = self.world.group.entries.get((gateway.name, escrow.incarnation, epoch, tenant))
             if holding_used_us:
                 used_us[tenant] += holding_used_us
             if entry is not None:
                 require(
-                    holding.granted_us <= entry.granted_us, f"{gateway.name} holds what no record granted"
+                    holding.granted_us <= entry.granted_us,
+                    f"{gateway.name} holds tokens that no record granted",
                 )
                 require(
                     holding_used_us <= entry.granted_us - entry.returned_us,
-                    f"{gateway.name} spends what it returned",
+                    f"{gateway.name} spends tokens that it returned",
                 )
 
     def _check_leader(self, gateway):
@@ -88,17 +89,20 @@
         gateway.checked = id(ledger), ledger.record_number
         require(
             ledger.state() == self.world.group.states.get(ledger.record_number),
-            f"the leader at {gateway.name} has another ledger",
+            f"the leader at {gateway.name} differs from the committed ledger",
         )
 
     def _check_account(self, tenant, account, used_us):
         """`used_us`: spent and reserved by all incarnations of all gateways; no ledger knows it in time."""
         counted_us = account.spent_us + account.held_us + account.written_off_us + account.lost_us
-        require(used_us <= counted_us, f"{tenant}: spent what was not granted")
+        require(used_us <= counted_us, f"{tenant}: spent tokens that were not granted")
         accrued_us = account.terms.rate_us * self.world.now * FASTEST_CLOCK / 1000
-        most_us = account.terms.bucket_us + accrued_us
-        require(account.issued_us <= most_us, f"{tenant}: more issued than its rate and bucket")
-        require(used_us <= most_us + account.debt_us, f"{tenant}: spent more than its rate, bucket and loans")
+        max_issued_us = account.terms.bucket_us + accrued_us
+        require(account.issued_us <= max_issued_us, f"{tenant}: more issued than its rate and bucket")
+        require(
+            used_us <= max_issued_us + account.debt_us,
+            f"{tenant}: spent more than its rate, bucket and loans",
+        )
 
     def check_quiescent(self):
         """Checks that no message is in flight, no loan open, and gateways and ledger agree on all amounts."""
@@ -107,7 +111,7 @@
             at_ms < self.world.now + MESSAGE_HORIZON_MS for at_ms, _, _ in self.world.events
         )
         require(is_network_idle, "a message is still in flight")
-        require(not ledger.loans, "loans are not repaid in time")
+        require(not ledger.loans, f"loans are not repaid: {list(ledger.loans)}")
         for gateway in self.world.gateways.values():
             for escrow in gateway.incarnations:
                 self._check_deleted(gateway, escrow)
