--- a/lichenquay/quota/pending_requests.py
+++ b/lichenquay/quota/pending_requests.py
@@ -12,7 +12,7 @@
 
 
 class RequestOrder(NamedTuple):
-    """The position of a request among those of its gateway; it sorts by time of sending."""
+    """The position of a request among those of its gateway; sorts in the order of sending."""
 
     incarnation: int
     epoch: int
--- a/tests/migration_world.py
+++ b/tests/migration_world.py
@@ -197,7 +197,7 @@
             is_running = holder and holder.up and not holder.paused and holder.incarnation == group.holder[1]
             if is_running:
                 group.without_holder_since = None
-                self._yield_group(group, holder)
+                self._finish_leaving(group, holder)
             else:
                 self._elect_successor(group)
         self._update_members()
@@ -216,7 +216,7 @@
         if successor is not own:
             successor.call(lambda now_ms: source.leave(now_ms, at_once=True))
 
-    def _yield_group(self, group, holder):
+    def _finish_leaving(self, group, holder):
         """Ends a process that shuts down once all its sessions are handed over.
 
         A successor hands its sessions over, and then returns the group to the process of that name.
