--- a/lichenquay/membership/__init__.py
+++ b/lichenquay/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: SWIM with Lifeguard's extensions, over datagrams that may be lost or reordered. No I/O."""
+"""Group membership: SWIM with Lifeguard's extensions, over unreliable datagrams. No I/O."""
--- a/lichenquay/membership/anti_entropy.py
+++ b/lichenquay/membership/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Anti-entropy: the table is compared with one member's at a time and the differences are exchanged.
+"""Anti-entropy: compares the member table with that of one other member and exchanges the differences.
 
-A comparison sends one digest for each partition. Partitions that differ are sent in at most
+A comparison sends one digest per partition. Partitions whose digests differ are sent in at most
 `MAX_SYNC_MESSAGES` messages each way.
 """
 
@@ -22,14 +22,14 @@
 
 INF = float("inf")
 MAX_SYNC_MESSAGES = 16
-MAX_PARTITIONS_AT_ONCE = 8
-PARTITIONS_OVERHEAD_BYTES = 120  # Of a message with whole partitions, beside its rows.
-RANGE_OVERHEAD_BYTES = 220  # Of a message with a range of names, which holds two names.
+MAX_PARTITIONS_PER_ANSWER = 8
+PARTITIONS_OVERHEAD_BYTES = 120  # Size of a message with whole partitions, without its rows.
+RANGE_OVERHEAD_BYTES = 220  # Size of a message with a name range (two names), without its rows.
 
 
 @dataclass
 class _Batch:
-    """Whole partitions that go into one message."""
+    """Whole partitions that are sent in one message."""
 
     partitions: list[int] = field(default_factory=list)
     rows: list[pb.Row] = field(default_factory=list)
@@ -37,34 +37,34 @@
 
 
 class AntiEntropy:
-    """Periodic comparison of this member's table with that of another member."""
+    """Periodic comparison of this member's table with the tables of other members."""
 
     def __init__(self, detector: "FailureDetector"):
-        """Start without a comparison planned."""
+        """Starts with no comparison scheduled."""
         self.detector = detector
         self.table = detector.table
         self.rng = detector.rng
         self.next_sync_ms = INF
 
-    def sync(self, now_ms: float) -> None:
-        """Begin a comparison with one live member."""
+    def start_sync(self, now_ms: float) -> None:
+        """Starts a comparison with one random live member and schedules the next one."""
         messenger = self.detector.messenger
         for name in messenger.sample_live(1):
             self.send_digests(name)
         self.next_sync_ms = now_ms + messenger.jitter(self.detector.settings.sync_interval_ms)
 
     def schedule_soon(self) -> None:
-        """Compare again within a probe period, as tables differed."""
+        """Schedules another comparison within about a probe period, because tables differed."""
         delay_ms = self.detector.messenger.jitter(self.detector.settings.probe_period_ms)
         self.next_sync_ms = min(self.next_sync_ms, self.detector.now_ms + delay_ms)
 
     def send_digests(self, receiver: str) -> None:
-        """Send the digest of each partition."""
+        """Sends the digest of each partition."""
         sync = pb.Sync(digests=self.table.partition_digests)
         self.detector.messenger.send(receiver, pb.Message(sync=sync), with_gossip=False)
 
     def on_digests(self, sender: str, digests: Sequence[int]) -> None:
-        """Answer with the rows of some partitions that differ."""
+        """Answers with the rows of some of the partitions whose digests differ."""
         differing = [
             partition
             for partition in range(PARTITION_COUNT)
@@ -73,11 +73,11 @@
         if not differing:
             return
         self.schedule_soon()
-        count = min(len(differing), MAX_PARTITIONS_AT_ONCE)
+        count = min(len(differing), MAX_PARTITIONS_PER_ANSWER)
         self._send_partitions(sender, sorted(self.rng.sample(differing, count)))
 
     def _send_partitions(self, receiver: str, partitions: Iterable[int]) -> None:
-        """Send all rows of the partitions, several to a message where they fit, else ranges of one."""
+        """Sends all rows of the partitions: several partitions per message if they fit, or ranges of one."""
         messages_sent = 0
         batch = _Batch()
         for partition in partitions:
@@ -94,8 +94,8 @@
                 batch.rows += rows
                 batch.free_bytes -= size
             else:
-                most = MAX_SYNC_MESSAGES - messages_sent
-                messages_sent += self._send_ranges(receiver, partition, rows, most)
+                max_messages = MAX_SYNC_MESSAGES - messages_sent
+                messages_sent += self._send_ranges(receiver, partition, rows, max_messages)
         if batch.partitions and messages_sent < MAX_SYNC_MESSAGES:
             self._send_rows(receiver, batch.partitions, batch.rows)
 
@@ -105,12 +105,12 @@
             messenger.row(member, with_suspicion=False) for member in self.table.in_partitions((partition,))
         ]
 
-    def _send_ranges(self, receiver: str, partition: int, rows: list[pb.Row], most: int) -> int:
-        """Send one partition as ranges of names; return the number of messages."""
+    def _send_ranges(self, receiver: str, partition: int, rows: list[pb.Row], max_messages: int) -> int:
+        """Sends one partition as ranges of names; returns the number of messages sent."""
         after = ""
         start = 0
         messages_sent = 0
-        while start < len(rows) and messages_sent < most:
+        while start < len(rows) and messages_sent < max_messages:
             free_bytes = MAX_BODY_BYTES - RANGE_OVERHEAD_BYTES
             end = start
             while end < len(rows) and free_bytes >= rows[end].ByteSize() + ROW_OVERHEAD_BYTES:
@@ -136,7 +136,7 @@
         self.detector.messenger.send(receiver, message, with_gossip=False)
 
     def on_partition_rows(self, sender: str, piece: pb.Piece, rows: Iterable[pb.Row]) -> None:
-        """Send back what the sender lacks or holds older; an answer is not answered again."""
+        """Sends back the rows that the sender lacks or holds in an older version; answers get no answer."""
         if piece.back:
             return
         received = {row.name: precedence(row.incarnation, row.word, row.state) for row in rows}
--- a/lichenquay/membership/errors.py
+++ b/lichenquay/membership/errors.py
@@ -6,8 +6,8 @@
 
 
 class InvalidMemberError(MembershipError):
-    """A member was to be made with a name or an incarnation out of range."""
+    """The name or the incarnation of a new member is out of range."""
 
 
 class MessageTooLargeError(MembershipError):
-    """A message exceeds the size limit: a defect of this program, not of the network."""
+    """An outgoing message exceeds the size limit, which is a programming error."""
--- a/lichenquay/membership/failure_detector.py
+++ b/lichenquay/membership/failure_detector.py
@@ -2,8 +2,8 @@
 
 No I/O: the host calls `on_message` for each message and `tick` at `due_ms` or later, and after each call
 sends and empties `outbox` and applies `changes`. Times are milliseconds of the host's monotonic clock.
-Safety never rests on a state here; it says only whom to try first. docs/design/membership.md has the
-protocol, the reasons and the measurements.
+No safety property depends on the states here; they only determine which members are contacted first.
+docs/design/membership.md describes the protocol, its rationale and the measurements.
 """
 
 from collections import Counter
@@ -31,17 +31,17 @@
 LEAVE_ROUNDS_PER_PERIOD = 4
 JOIN_FANOUT = 3
 PROBES_AFTER_PAUSE = 8
-ISOLATION_FACTOR = 2  # Suspicion timeouts without any ack, after which this member itself is faulty.
+ISOLATION_TIMEOUTS = 2  # Suspicion timeouts without any ack until this member declares itself faulty.
 MAX_REMOVAL_JITTER = 1.1
-FIRST_PROBES_PER_PERIOD = 5  # The first probe comes within a fifth of a period.
+FIRST_PROBE_DELAY_DIVISOR = 5  # The first probe is sent within a fifth of a probe period.
 MIN_REACHABLE_PERIODS = 10
-REACHABLE_ROUNDS = 3  # Rounds of probes without a direct ack after which a member is not reachable.
-FAULTY_PROBES_PER_INTERVAL = 4  # Of each absent member, by all members together.
+REACHABLE_ROUNDS = 3  # Probe rounds without a direct ack until a member counts as unreachable.
+ABSENT_PROBES_PER_INTERVAL = 4  # Probes that each absent member receives from all members together.
 MAX_MISSED_PROBES = 3
 
 
 class FailureDetector:
-    """One process's membership: its table, its probes, and the messages that it sends."""
+    """The membership protocol of one process: member table, probes and outgoing messages."""
 
     def __init__(
         self,
@@ -52,12 +52,15 @@
         settings: Settings,
         now_ms: float,
     ):
-        """Start as the only known member; `seeds` are names to join by.
+        """Starts as the only known member; `seeds` are names of members to join through.
 
         Raises InvalidMemberError.
         """
         if not is_valid_name(name) or not 0 < incarnation < MAX_INCARNATION:
-            raise InvalidMemberError(f"member {name!r} with incarnation {incarnation}: out of range")
+            raise InvalidMemberError(
+                f"member name {name!r}, incarnation {incarnation}: expected a valid name and an incarnation "
+                f"from 1 to {MAX_INCARNATION - 1}"
+            )
         self.name = name
         self.incarnation = incarnation
         self.rng = rng
@@ -66,8 +69,8 @@
         self.now_ms = now_ms
         self.due_ms = INF
         self.counts = Counter()
-        # How this incarnation ended: LEFT, REMOVED, or None while it runs; and once it was removed, the
-        # incarnation that the next one must exceed.
+        # How this incarnation ended: LEFT or REMOVED; None while it runs. After a removal,
+        # `ended_incarnation` is the incarnation that the next one must exceed.
         self.end_reason: MemberState | None = None
         self.ended_incarnation: int | None = None
         self._leave_rounds_left = 0
@@ -75,7 +78,7 @@
         self.table.apply(now_ms, MemberRecord(name, incarnation, 0, MemberState.ALIVE))
         self.own = self.table.get(name)
         self._make_components(now_ms)
-        self._plan_first(now_ms)
+        self._schedule_first_work(now_ms)
         self._update_due()
 
     def _make_components(self, now_ms: float) -> None:
@@ -88,52 +91,52 @@
         self.own_membership = OwnMembership(self)
         self.message_handler = MessageHandler(self)
 
-    def _plan_first(self, now_ms: float) -> None:
-        """Spread the periodic work of members that start at the same time."""
+    def _schedule_first_work(self, now_ms: float) -> None:
+        """Spreads the periodic work of members that start at the same time."""
         settings, rng = self.settings, self.rng
         self.removal_timeout_ms = settings.removal_timeout_ms * rng.uniform(1, MAX_REMOVAL_JITTER)
-        self._next_probe_ms = now_ms + rng.uniform(0, settings.probe_period_ms / FIRST_PROBES_PER_PERIOD)
-        self._next_faulty_probe_ms = now_ms + rng.uniform(0, settings.faulty_probe_interval_ms)
+        self._next_probe_ms = now_ms + rng.uniform(0, settings.probe_period_ms / FIRST_PROBE_DELAY_DIVISOR)
+        self._next_absent_probe_ms = now_ms + rng.uniform(0, settings.faulty_probe_interval_ms)
         self.anti_entropy.next_sync_ms = now_ms + rng.uniform(0, settings.sync_interval_ms)
 
-    # Queries.
+    # State for the host.
 
     @property
     def outbox(self) -> list[tuple[str, pb.Message]]:
-        """Messages that the host is to send and remove, each with its receiver's name."""
+        """Messages that the host sends and removes, each with its receiver's name."""
         return self.messenger.outbox
 
     @property
     def changes(self) -> list[StateChange]:
-        """State changes (StateChange) that the host is to apply, in the order of the view's numbers."""
+        """State changes that the host applies and removes, in the order of their view numbers."""
         return self.table.changes
 
     @property
     def view(self) -> View:
-        """The present view."""
+        """The current view."""
         return self.table.view
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this member is leaving, and still informs the others."""
+        """Whether this member is leaving and still notifies the others."""
         return self._leave_rounds_left > 0
 
     def members(self) -> list[MemberSummary]:
-        """Return every member ever known, by name."""
+        """Returns every member ever known, sorted by name."""
         return self.table.summaries()
 
     def state_of(self, name: str) -> MemberState | None:
-        """Return a member's state, None if it is unknown."""
+        """Returns a member's state, or None if the member is unknown."""
         member = self.table.get(name)
         return None if member is None else member.state
 
     def other_live_count(self) -> int:
-        """Return the number of other members that are alive or suspect."""
+        """Returns the number of other members that are alive or suspect."""
         return len(self.table.live_names()) - self.own.state.is_live
 
     @property
     def reachable(self) -> list[str]:
-        """Names of the members that acked this process itself lately, sorted."""
+        """Names of the members that recently acked this process directly, sorted."""
         periods = max(MIN_REACHABLE_PERIODS, REACHABLE_ROUNDS * len(self.table.live_names()))
         since_ms = self.now_ms - self.settings.probe_period_ms * periods
         return sorted(
@@ -144,10 +147,10 @@
             and not member.state.is_final
         )
 
-    # Calls of the host.
+    # Calls by the host.
 
     def leave(self, now_ms: float) -> None:
-        """Leave the group: the others are informed several times, then `end_reason` is LEFT."""
+        """Leaves the group: notifies the others several times, then sets `end_reason` to LEFT."""
         self._begin_call(now_ms)
         if not self.end_reason and not self.is_leaving:
             self.table.apply(self.now_ms, self.own.with_state(MemberState.LEFT))
@@ -156,19 +159,19 @@
         self._update_due()
 
     def tick(self, now_ms: float) -> None:
-        """Do all periodic work that is due."""
+        """Runs all periodic work that is due."""
         self._begin_call(now_ms)
         if self.is_leaving:
             if self.now_ms >= self._next_probe_ms:
                 self._send_leave_round()
         elif not self.end_reason:
-            self._do_due_work()
+            self._run_due_work()
         self._update_due()
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
-        """Handle a message; `sender` is the name and incarnation of its envelope.
+        """Handles a message; `sender` is the name and incarnation from its envelope.
 
-        Never raises on what a message holds; what is dropped is counted.
+        Never raises on message content; dropped messages are counted.
         """
         self._begin_call(now_ms)
         if not self.end_reason:
@@ -190,7 +193,7 @@
         else:
             self.due_ms = min(
                 self._next_probe_ms,
-                self._next_faulty_probe_ms,
+                self._next_absent_probe_ms,
                 self.suspicion.next_evaluation_ms,
                 self.gossip.next_round_ms,
                 self.anti_entropy.next_sync_ms,
@@ -199,32 +202,32 @@
             )
 
     def _on_pause(self, late_ms: float) -> None:
-        """Start observing afresh after this process was paused.
+        """Restarts observation after this process was paused.
 
-        All deadlines have passed and all acks are late, so probes under way say nothing about others.
+        All deadlines have passed and all acks are late, so probes in flight say nothing about other members.
         """
         self.counts["local_pause"] += 1
         self.health.record_pause(self.now_ms)
         self.prober.discard_all()
         self.suspicion.on_pause(late_ms)
         if not self.is_leaving:
-            self.probe_some(PROBES_AFTER_PAUSE)
+            self.probe_random_members(PROBES_AFTER_PAUSE)
 
     # Periodic work.
 
-    def _do_due_work(self) -> None:
+    def _run_due_work(self) -> None:
         now_ms = self.now_ms
         for probe in self.prober.advance(now_ms):
             self.suspicion.on_probe_failed(probe)
         if now_ms >= self._next_probe_ms:
             self._run_probe_period()
-        if now_ms >= self._next_faulty_probe_ms:
-            self._probe_one_faulty()
+        if now_ms >= self._next_absent_probe_ms:
+            self._probe_one_absent()
         if now_ms >= self.suspicion.next_evaluation_ms:
             self.suspicion.evaluate()
         self.own_membership.rejoin_if_due()
         if now_ms >= self.anti_entropy.next_sync_ms:
-            self.anti_entropy.sync(now_ms)
+            self.anti_entropy.start_sync(now_ms)
         if now_ms >= self.gossip.next_round_ms:
             self.gossip.send_round(now_ms)
 
@@ -235,7 +238,7 @@
             self._send_joins()
         else:
             self.prober.probe(target, period_ms)
-        if self.table.suspects and self.suspicion.is_sampled():
+        if self.table.suspects and self.suspicion.sample_confirming_probe():
             self.prober.probe(self.rng.choice(list(self.table.suspects)), period_ms)
         if self._is_isolated():
             self.counts["isolated"] += 1
@@ -243,16 +246,16 @@
         self._next_probe_ms = self.now_ms + self.messenger.jitter(period_ms)
 
     def _is_isolated(self) -> bool:
-        """Return whether nobody has answered for so long that the fault must be on this side."""
+        """Returns whether no member has answered for so long that the fault must be on this side."""
         if self.other_live_count() < 2 or self.own.state is not MemberState.ALIVE:
             return False
-        return self.health.silence_ms(self.now_ms) > ISOLATION_FACTOR * self.suspicion.timeout_ms()
+        return self.health.silence_ms(self.now_ms) > ISOLATION_TIMEOUTS * self.suspicion.timeout_ms()
 
-    def _probe_one_faulty(self) -> None:
-        """Probe one faulty member or join by one unknown seed.
+    def _probe_one_absent(self) -> None:
+        """Probes one faulty member or sends a join to one unknown seed.
 
-        Without this, two parts of a group that consider each other faulty would never meet again, and members
-        that each consider themselves faulty would wait for an ack that none of them asks for.
+        Without this, two parts of a group that consider each other faulty would never merge again, and
+        members that each consider themselves faulty would wait for an ack that none of them requests.
         """
         faulty = [name for name in self.table.faulty if name != self.name]
         absent = faulty + [name for name in self.seeds if self.table.get(name) is None]
@@ -262,10 +265,10 @@
                 self.messenger.send(name, pb.Message(join=pb.Join()))
             else:
                 self.prober.probe(name, self.settings.probe_period_ms, single_ping=True)
-        probes_per_interval = FAULTY_PROBES_PER_INTERVAL * max(1, len(absent))
+        probes_per_interval = ABSENT_PROBES_PER_INTERVAL * max(1, len(absent))
         factor = max(1, len(self.table.live_names()) / probes_per_interval)
         interval_ms = self.messenger.jitter(self.settings.faulty_probe_interval_ms) * factor
-        self._next_faulty_probe_ms = self.now_ms + interval_ms
+        self._next_absent_probe_ms = self.now_ms + interval_ms
 
     def _send_joins(self) -> None:
         for name in self.rng.sample(self.seeds, min(JOIN_FANOUT, len(self.seeds))):
@@ -280,7 +283,7 @@
         if not self._leave_rounds_left:
             self.end_reason = MemberState.LEFT
 
-    def probe_some(self, count: int) -> None:
-        """Probe some random members at once."""
+    def probe_random_members(self, count: int) -> None:
+        """Probes up to `count` random live members immediately."""
         for name in self.messenger.sample_live(count):
             self.prober.probe(name, self.settings.probe_period_ms)
--- a/lichenquay/membership/gossip.py
+++ b/lichenquay/membership/gossip.py
@@ -1,7 +1,7 @@
-"""Dissemination of updates: piggybacked on every message, and in rounds of their own while there are any.
+"""Dissemination of updates: piggybacked on every message, and in gossip rounds while there are any.
 
-An update is sent at most `3 log2(members)` times from here; a round is sent to `FANOUT` members each fifth
-of a probe period while there are updates, and no round is sent without one.
+This process sends an update at most `3 log2(members)` times. A round is sent to `FANOUT` members every fifth
+of a probe period while there are updates, and not at all otherwise.
 """
 
 from collections.abc import Sequence
@@ -18,29 +18,29 @@
 
 INF = float("inf")
 FANOUT = 3
-MAX_ROWS = 40  # A row is at least 25 bytes of a message.
+MAX_ROWS = 40  # A row takes at least 25 bytes of a message.
 ROUNDS_PER_PERIOD = 5
 RETRANSMISSION_FACTOR = 3
 
 
 class Gossip:
-    """The updates that still are to be passed on, with the number of times that each was sent."""
+    """The updates that are still to be disseminated, with the number of times each was sent."""
 
     def __init__(self, detector: "FailureDetector"):
-        """Start without updates."""
+        """Starts without updates."""
         self.detector = detector
         self.table = detector.table
         self.times_sent: dict[str, int] = {}
         self.next_round_ms = INF
 
     def add_update(self, name: str, immediately: bool = True) -> None:
-        """Pass on the entry of a name, from now or from the next round on."""
+        """Disseminates the entry of a name, starting immediately or with the next round."""
         self.times_sent[name] = 0
         delay_ms = 0 if immediately else self._round_interval_ms()
         self.next_round_ms = min(self.next_round_ms, self.detector.now_ms + delay_ms)
 
     def piggyback(self, message: pb.Message, required: Sequence[Member], with_updates: bool) -> None:
-        """Add the sender's own state, the rows of `required` and as many updates as fit.
+        """Adds the sender's own state, the rows of `required` and as many updates as fit.
 
         Raises MessageTooLargeError.
         """
@@ -68,11 +68,11 @@
         return self.detector.settings.probe_period_ms / ROUNDS_PER_PERIOD
 
     def send_round(self, now_ms: float) -> None:
-        """Send the updates to some members."""
+        """Sends the updates to some random live members and schedules the next round."""
         messenger, own_name = self.detector.messenger, self.detector.name
         for name in messenger.sample_live(FANOUT):
             messenger.send(name, pb.Message(gossip=pb.Gossip()))
-        # The own state is on every message, so it is counted by round and not by message.
+        # Every message carries this member's own state, so its transmissions are counted per round.
         if own_name in self.times_sent:
             self._count_sent([own_name], FANOUT)
         if self.times_sent:
--- a/lichenquay/membership/local_health.py
+++ b/lichenquay/membership/local_health.py
@@ -1,48 +1,48 @@
-"""Lifeguard's local health: whether this process is in a state to judge others.
+"""Lifeguard's local health: whether this process's own observations are reliable.
 
-The score lengthens the probe period (the local health multiplier); a process that received no ack lately, or
-was paused, accuses nobody.
+The score lengthens the probe period (the local health multiplier). A process that received no ack recently,
+or was paused, accuses no other member.
 """
 
-MAX_SCORE = 4  # A period is at most five times as long.
+MAX_SCORE = 4  # A probe period becomes at most five times as long.
 
 
 class LocalHealth:
-    """The local health score, and when this process last was paused and last received an ack."""
+    """The local health score, and the times of the last pause and the last received ack."""
 
     def __init__(self, now_ms: float):
-        """Start healthy."""
+        """Starts healthy."""
         self.score = 0
-        self.observing_since_ms = now_ms  # No pause since then.
+        self.observing_since_ms = now_ms  # This process was not paused after this time.
         self.last_ack_ms = now_ms
 
     @property
     def multiplier(self) -> int:
-        """How many times as long a probe period is."""
+        """The factor by which the probe period is lengthened."""
         return 1 + self.score
 
     def worsen(self) -> None:
-        """Raise the score by one step."""
+        """Raises the score by one step."""
         self.score = min(self.score + 1, MAX_SCORE)
 
     def improve(self) -> None:
-        """Lower the score by one step."""
+        """Lowers the score by one step."""
         self.score = max(0, self.score - 1)
 
     def record_pause(self, now_ms: float) -> None:
-        """Record that this process did not run until now."""
+        """Records that this process did not run until now."""
         self.observing_since_ms = now_ms
         self.worsen()
 
     def record_ack(self, now_ms: float) -> None:
-        """Record that some member answered."""
+        """Records that some member answered."""
         self.last_ack_ms = now_ms
 
     def silence_ms(self, now_ms: float) -> float:
-        """Return for how long this process, while it ran, has received no ack."""
+        """Returns for how long this process, while running, has received no ack."""
         return now_ms - max(self.last_ack_ms, self.observing_since_ms)
 
     @property
     def has_ack_since_pause(self) -> bool:
-        """Whether an ack came after the last pause."""
+        """Whether an ack arrived after the last pause."""
         return self.last_ack_ms > self.observing_since_ms
--- a/lichenquay/membership/member_state.py
+++ b/lichenquay/membership/member_state.py
@@ -1,4 +1,4 @@
-"""States of a member, and which of two claims about a member is the newer one."""
+"""States of a member, and the precedence of claims about a member."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -8,14 +8,14 @@
 
 
 class MemberState(StrEnum):
-    """A member's state; the value is what logs show, `number` what messages hold (members.proto)."""
+    """A member's state; the value appears in logs, `number` in messages (members.proto)."""
 
     number: int
     is_live: bool  # Alive or suspect.
-    is_final: bool  # Left or removed: only another incarnation of the name comes after it.
+    is_final: bool  # Left or removed: only a higher incarnation of the name can follow.
 
     def __new__(cls, label: str, number: int) -> "MemberState":
-        """Make a member of the enumeration with its number in messages."""
+        """Creates a state with its label and its number in messages."""
         state = str.__new__(cls, label)
         state._value_ = label
         state.number = number
@@ -35,7 +35,7 @@
 
 
 class Precedence(NamedTuple):
-    """Total order of claims about one member: the larger one wins."""
+    """Total order of claims about one member: the greater one takes precedence."""
 
     incarnation: int
     is_final: bool
@@ -44,9 +44,10 @@
 
 
 def precedence(incarnation: int, refutation: int, state_number: int) -> Precedence:
-    """Return the precedence of a claim, by the number of its state.
+    """Returns the precedence of a claim, given the number of its state.
 
-    Left and removed are final for their incarnation whatever the refutation counter; removed wins over left.
+    Left and removed are final for their incarnation, regardless of the refutation counter; removed takes
+    precedence over left.
     """
     if state_number >= FIRST_FINAL_NUMBER:
         return Precedence(incarnation, True, 0, state_number)
@@ -54,9 +55,9 @@
 
 
 class MemberRecord(NamedTuple):
-    """What is claimed of a member.
+    """A claim about a member.
 
-    The refutation counter rises each time that the member refutes a suspicion.
+    The refutation counter increases each time that the member refutes a suspicion.
     """
 
     name: str
@@ -66,12 +67,12 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The place of this claim in the order of claims about the name."""
+        """The precedence of this claim among all claims about the name."""
         return precedence(self.incarnation, self.refutation, self.state.number)
 
 
 class MemberSummary(NamedTuple):
-    """A member as others see it."""
+    """The name, incarnation and state of a known member."""
 
     name: str
     incarnation: int
@@ -79,7 +80,7 @@
 
 
 class StateChange(NamedTuple):
-    """One step of the view; `old_state` is None for an incarnation that was not known before."""
+    """One change of the view; `old_state` is None for an incarnation that was not known before."""
 
     name: str
     incarnation: int
@@ -91,8 +92,9 @@
 class View(NamedTuple):
     """Identifies a member's view of the group.
 
-    `number` rises with every change in this process. `digest` is equal wherever the same members have the
-    same states; suspect counts as alive there, as a suspicion is temporary and not agreed upon.
+    `number` increases with every change in this process. `digest` is equal in all processes that hold the
+    same members in the same states; suspect counts as alive in it, because a suspicion is temporary and not
+    agreed upon.
     """
 
     number: int
--- a/lichenquay/membership/member_table.py
+++ b/lichenquay/membership/member_table.py
@@ -1,8 +1,8 @@
-"""The membership table: for each name the newest claim, and the view that follows from them.
+"""The member table: for each name the claim with the highest precedence, and the resulting view.
 
-The order of claims is total, so all processes that received the same claims hold the same table, whatever
-was duplicated, late or reordered. A member needs about 0.5 KB; a name keeps its entry after it left or was
-removed, so that an older message cannot bring it back.
+Claims are totally ordered, so all processes that received the same claims hold the same table, regardless of
+duplicates, delays and reordering. An entry takes about 0.5 KB. A name keeps its entry after it left or was
+removed, so that an older message cannot revive it.
 """
 
 from collections.abc import Iterable
@@ -20,22 +20,22 @@
 from lichenquay.membership.message_format import PARTITION_COUNT
 
 MAX_MEMBERS = 1_024
-NEVER = float("-inf")
+LONG_AGO_MS = float("-inf")
 DIGEST_BYTES = 8
 
 
 def digest_of(*values) -> int:
-    """Return a 64-bit digest of plain values."""
+    """Returns a 64-bit digest of plain values."""
     return int.from_bytes(blake2b(repr(values).encode(), digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def partition_of(name: str) -> int:
-    """Return the partition of the table that a name belongs to."""
+    """Returns the partition of the table that a name belongs to."""
     return blake2b(name.encode(), digest_size=1).digest()[0] % PARTITION_COUNT
 
 
 class Member:
-    """The entry of a name, and what this process itself observed of it (not part of its state)."""
+    """The entry of a name, and this process's own observations of it, which are not part of its state."""
 
     __slots__ = (
         "name",
@@ -50,11 +50,11 @@
         "last_response_ms",
         "last_direct_response_ms",
         "missed_probes",
-        "verdict_not_before_ms",
+        "declare_not_before_ms",
     )
 
     def __init__(self, name: str):
-        """Make an entry without any claim."""
+        """Creates an entry without a claim."""
         self.name = name
         self.partition = partition_of(name)
         self.incarnation = 0
@@ -62,17 +62,17 @@
         self.state: MemberState | None = None
         self.entry_digest = 0
         self.view_digest = 0
-        self.reset_observations(NEVER)
+        self.reset_observations(LONG_AGO_MS)
 
     def reset_observations(self, now_ms: float) -> None:
-        """Forget what was observed of the previous incarnation."""
-        # Names of the members whose own probes failed, in the order in which they became known.
+        """Discards what was observed of the previous incarnation."""
+        # Names of the members whose own probes failed, in the order in which this process learned of them.
         self.accusers: dict[str, None] = {}
         self.state_since_ms = now_ms
-        self.last_response_ms = NEVER  # The last response to anybody that this process knows of.
-        self.last_direct_response_ms = NEVER
+        self.last_response_ms = LONG_AGO_MS  # The last response to any member that this process knows of.
+        self.last_direct_response_ms = LONG_AGO_MS
         self.missed_probes = 0  # Consecutive direct pings without an ack.
-        self.verdict_not_before_ms = NEVER
+        self.declare_not_before_ms = LONG_AGO_MS
 
     @property
     def precedence(self) -> Precedence:
@@ -80,15 +80,15 @@
         return precedence(self.incarnation, self.refutation, self.state.number)
 
     def with_state(self, state: MemberState) -> MemberRecord:
-        """Return a claim that gives this incarnation another state."""
+        """Returns a claim that gives this incarnation another state."""
         return MemberRecord(self.name, self.incarnation, self.refutation, state)
 
 
 class MemberTable:
-    """All known members by name, with the changes that the host has not yet applied."""
+    """All known members by name, and the changes that the host has not yet applied."""
 
     def __init__(self):
-        """Make an empty table."""
+        """Creates an empty table."""
         self.members: dict[str, Member] = {}
         self.changes: list[StateChange] = []
         self.suspects: dict[str, Member] = {}
@@ -99,30 +99,30 @@
         self._live_names: list[str] | None = None
 
     def get(self, name: str) -> Member | None:
-        """Return the entry of a name, None if it is unknown."""
+        """Returns the entry of a name, or None if it is unknown."""
         return self.members.get(name)
 
     @property
     def view(self) -> View:
-        """The present view."""
+        """The current view."""
         return View(self._view_number, self._view_digest)
 
     def live_names(self) -> list[str]:
-        """Return the names that are alive or suspect, sorted; the same list until one is added or removed."""
+        """Returns the sorted names that are alive or suspect; the same list object until that set changes."""
         if self._live_names is None:
             self._live_names = sorted(m.name for m in self.members.values() if m.state.is_live)
         return self._live_names
 
     def summaries(self) -> list[MemberSummary]:
-        """Return all members ever known, by name."""
+        """Returns all members ever known, sorted by name."""
         return [MemberSummary(m.name, m.incarnation, m.state) for _, m in sorted(self.members.items())]
 
     def has_no_room_for(self, name: str) -> bool:
-        """Return whether a name is new and the table is full."""
+        """Returns whether a name is new and the table is full."""
         return name not in self.members and len(self.members) >= MAX_MEMBERS
 
     def apply(self, now_ms: float, record: MemberRecord) -> bool:
-        """Adopt a claim if it wins over the one that is held; return whether it did."""
+        """Adopts a claim if it takes precedence over the one that is held; returns whether it did."""
         member = self.members.get(record.name)
         if member is None:
             member = self.members[record.name] = Member(record.name)
@@ -163,7 +163,7 @@
             self._update_indexes(member, old_state)
             self._record_change(member, old_state, member.state)
         elif member.state is MemberState.SUSPECT:
-            # A suspicion of a higher refutation counter starts afresh.
+            # A suspicion with a higher refutation counter replaces the previous one.
             member.accusers = {}
             member.state_since_ms = now_ms
 
@@ -182,9 +182,9 @@
         self.changes.append(change)
 
     def in_partitions(self, partitions: Iterable[int], after: str = "", until: str = "") -> list[Member]:
-        """Return the members of partitions, by partition and name.
+        """Returns the members of the partitions, sorted by partition and name.
 
-        Only names over `after` and, unless `until` is empty, up to `until`.
+        Includes only names greater than `after` and, unless `until` is empty, up to and including `until`.
         """
         wanted = set(partitions)
         found = [
--- a/lichenquay/membership/message_format.py
+++ b/lichenquay/membership/message_format.py
@@ -1,8 +1,8 @@
-"""Limits of membership messages, and the translation between protobuf rows and claims about members.
+"""Limits of membership messages, and the conversion between protobuf rows and claims about members.
 
-A body fits into a datagram of 1,200 bytes with its envelope. Incarnations from other members are under 2^48
-(Unix milliseconds up to the year 10889) and from the member itself under 2^53, so that a member can always
-restart above whatever was believed of it by mistake.
+A body fits into a datagram of 1,200 bytes with its envelope. Incarnations reported by other members are below
+2^48 (Unix milliseconds until the year 10889), those reported by the member itself below 2^53, so that a
+member can always restart above any incarnation that was attributed to it by mistake.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 )
 
 MAX_BODY_BYTES = 1_090
-MAX_NAME_BYTES = 64  # Of UTF-8.
+MAX_NAME_BYTES = 64  # Encoded as UTF-8.
 MAX_ACCUSERS = 4
 MAX_RELAYED_INCARNATION = 2**48
 MAX_INCARNATION = 2**53
@@ -28,14 +28,14 @@
 
 
 def is_valid_name(name: object) -> bool:
-    """Return whether a name is a string that is neither empty nor too long."""
+    """Returns whether a name is a string that is neither empty nor too long."""
     return isinstance(name, str) and name != "" and len(name.encode("utf-8", "replace")) <= MAX_NAME_BYTES
 
 
 def is_valid_row(row: pb.Row, known_incarnation: int = 0) -> bool:
-    """Return whether a received row is within the limits.
+    """Returns whether a received row is within the limits.
 
-    `known_incarnation` is one that is known of the member by better evidence than this row.
+    `known_incarnation` is an incarnation of the member that is known from better evidence than this row.
     """
     return (
         is_valid_name(row.name)
@@ -48,12 +48,12 @@
 
 
 def record_of(row: pb.Row) -> MemberRecord:
-    """Return the claim that a valid row makes."""
+    """Returns the claim that a valid row makes."""
     return MemberRecord(row.name, row.incarnation, row.word, STATE_BY_NUMBER[row.state])
 
 
 def row_of(member, silent_ms: float = 0) -> pb.Row:
-    """Return the row of a table's member; `silent_ms`, the time since its last response, is for a suspect."""
+    """Returns the row of a table entry; `silent_ms`, the time since its last response, is for a suspect."""
     row = pb.Row(
         name=member.name,
         incarnation=member.incarnation,
@@ -67,7 +67,7 @@
 
 
 def append_rows(message: pb.Message, rows: Iterable[pb.Row]) -> int:
-    """Append rows in their order as long as they fit; return how many did."""
+    """Appends rows in order while they fit; returns how many were appended."""
     free_bytes = MAX_BODY_BYTES - message.ByteSize()
     appended = 0
     for row in rows:
@@ -80,9 +80,9 @@
 
 
 def check_size(message: pb.Message) -> pb.Message:
-    """Return the message; raise MessageTooLargeError if it exceeds MAX_BODY_BYTES."""
+    """Returns the message; raises MessageTooLargeError if it exceeds MAX_BODY_BYTES."""
     if message.ByteSize() > MAX_BODY_BYTES:
         raise MessageTooLargeError(
-            f"membership message: {message.ByteSize()} bytes, at most {MAX_BODY_BYTES} are allowed"
+            f"membership message: {message.ByteSize()} bytes, expected at most {MAX_BODY_BYTES}"
         )
     return message
--- a/lichenquay/membership/message_handling.py
+++ b/lichenquay/membership/message_handling.py
@@ -1,8 +1,8 @@
-"""Received messages: the claims in them first, then what they ask for.
+"""Handling of received messages: first the claims in them, then the request that they make.
 
-What is dropped is counted by its cause: `malformed` (no kind, or fields that cannot be), `out_of_range` (a
+Dropped messages and rows are counted by cause: `malformed` (no kind, or impossible fields), `out_of_range` (a
 row or sender out of bounds), `own_name` (sent under this member's name), `old_incarnation` and `final_state`
-(of an incarnation that has ended; its sender is informed), `table_full`, `misrouted` (for another member),
+(from an incarnation that has ended; its sender is notified), `table_full`, `misrouted` (for another member),
 `unexpected_ack`, `too_many_relayed` (pings for other members).
 """
 
@@ -23,14 +23,14 @@
 if TYPE_CHECKING:
     from lichenquay.membership.failure_detector import FailureDetector
 
-RELAYED_PINGS_PER_PERIOD = 3  # A relayed ping may run for a third of a probe period.
+RELAYED_PING_PERIOD_DIVISOR = 3  # A relayed ping may take a third of a probe period.
 
 
 class MessageHandler:
     """Handles received messages for one failure detector."""
 
     def __init__(self, detector: "FailureDetector"):
-        """Handle messages of a detector."""
+        """Creates the handler of a detector."""
         self.detector = detector
         self.name = detector.name
         self.table = detector.table
@@ -47,7 +47,7 @@
         }
 
     def handle(self, sender: str, incarnation: int, message: pb.Message) -> None:
-        """Handle one message. Never raises on what a message holds."""
+        """Handles one message. Never raises on message content."""
         kind = message.WhichOneof("kind")
         if kind is None:
             self.counts["malformed"] += 1
@@ -59,27 +59,27 @@
         if sender == self.name:
             self._on_own_name(sender_row)
             return
-        if self._is_over(sender, incarnation):
-            self._inform_ended_sender(sender, kind, message)
+        if self._count_if_ended(sender, incarnation):
+            self._notify_ended_sender(sender, kind, message)
             return
         if not self._apply_row(sender_row, True, incarnation):
             return
         for row in message.rows:
-            self._apply_row(row, is_news=kind != "piece")
+            self._apply_row(row, should_gossip=kind != "piece")
             if self.detector.end_reason:
                 return
         self._handlers[kind](sender, getattr(message, kind), message)
 
     def _on_own_name(self, sender_row: pb.Row) -> None:
-        """Another process runs under this member's name; the higher incarnation is the valid one."""
+        """Handles a message of another process with this member's name; the higher incarnation is valid."""
         self.counts["own_name"] += 1
         if sender_row.incarnation > self.detector.incarnation and is_valid_row(
             sender_row, sender_row.incarnation
         ):
             self.detector.own_membership.on_claim(record_of(sender_row))
 
-    def _is_over(self, sender: str, incarnation: int) -> bool:
-        """Return whether the sender's incarnation has ended, and count why."""
+    def _count_if_ended(self, sender: str, incarnation: int) -> bool:
+        """Returns whether the sender's incarnation has ended, and counts the cause."""
         member = self.table.get(sender)
         if member is None or incarnation > member.incarnation:
             return False
@@ -91,14 +91,14 @@
             return True
         return False
 
-    def _inform_ended_sender(self, sender: str, kind: str, message: pb.Message) -> None:
+    def _notify_ended_sender(self, sender: str, kind: str, message: pb.Message) -> None:
         if kind != "leave" and message.state < MemberState.LEFT.number:
             required = [self.table.get(sender)]
             notice = pb.Message(gossip=pb.Gossip())
             self.detector.messenger.send(sender, notice, required, with_gossip=False)
 
-    def _apply_row(self, row: pb.Row, is_news: bool, known_incarnation: int = 0) -> bool:
-        """Apply one row; return False if it is out of bounds or there is no room for its name."""
+    def _apply_row(self, row: pb.Row, should_gossip: bool, known_incarnation: int = 0) -> bool:
+        """Applies one row; returns False if it is out of bounds or there is no room for its name."""
         member = self.table.get(row.name)
         if not is_valid_row(row, known_incarnation or (member.incarnation if member else 0)):
             self.counts["out_of_range"] += 1
@@ -113,18 +113,18 @@
         is_newer = self.table.apply(self.detector.now_ms, record)
         member = self.table.get(record.name)
         if is_newer:
-            self._on_newer_record(member, is_news)
+            self._on_newer_record(member, should_gossip)
         is_suspicion = record.state is MemberState.SUSPECT
         if is_suspicion and record.precedence == member.precedence:
             self.detector.suspicion.on_accusation(member, row, is_first=is_newer)
         return True
 
-    def _on_newer_record(self, member: Member, is_news: bool) -> None:
-        is_bad = member.state in (MemberState.SUSPECT, MemberState.FAULTY)
-        if is_bad:
+    def _on_newer_record(self, member: Member, should_gossip: bool) -> None:
+        is_suspect_or_faulty = member.state in (MemberState.SUSPECT, MemberState.FAULTY)
+        if is_suspect_or_faulty:
             self.detector.suspicion.schedule_for(member)
-        if is_news:
-            self.detector.gossip.add_update(member.name, immediately=is_bad)
+        if should_gossip:
+            self.detector.gossip.add_update(member.name, immediately=is_suspect_or_faulty)
         else:
             self.detector.anti_entropy.schedule_soon()
 
@@ -140,8 +140,8 @@
         if target is None or target.state.is_final or request.name in (self.name, sender):
             self.counts["misrouted"] += 1
             return
-        length_ms = self.detector.settings.probe_period_ms / RELAYED_PINGS_PER_PERIOD
-        if not self.detector.prober.relay_ping(sender, request.no, request.name, length_ms):
+        duration_ms = self.detector.settings.probe_period_ms / RELAYED_PING_PERIOD_DIVISOR
+        if not self.detector.prober.relay_ping(sender, request.no, request.name, duration_ms):
             self.counts["too_many_relayed"] += 1
 
     def _on_ack(self, sender: str, ack: pb.Ack, _: pb.Message) -> None:
@@ -176,7 +176,7 @@
         self.detector.anti_entropy.send_digests(sender)
 
     def _on_rows_only(self, _sender: str, _body: pb.Leave | pb.Gossip, _: pb.Message) -> None:
-        """Leave and gossip ask for nothing beside their rows."""
+        """Does nothing: leave and gossip messages carry only rows."""
 
     def _on_sync(self, sender: str, sync: pb.Sync, _: pb.Message) -> None:
         if len(sync.digests) != PARTITION_COUNT:
--- a/lichenquay/membership/own_membership.py
+++ b/lichenquay/membership/own_membership.py
@@ -1,4 +1,4 @@
-"""This member's own state: refutation, being faulty and the rejoin, the end of an incarnation."""
+"""This member's own state: refutation, being declared faulty, rejoining, and the end of an incarnation."""
 
 from typing import TYPE_CHECKING
 
@@ -10,23 +10,23 @@
 
 INF = float("inf")
 MAX_REJOIN_DELAY_FACTOR = 64
-REJOIN_MEMORY_MS = 600_000
-MAX_REMEMBERED_REJOINS = 16
+REJOIN_WINDOW_MS = 600_000
+MAX_RECORDED_REJOINS = 16
 PROBES_WHEN_FAULTY = 8
 
 
 class OwnMembership:
-    """What is claimed of this member, and what it answers."""
+    """This member's own state, and its reactions to claims about it."""
 
     def __init__(self, detector: "FailureDetector"):
-        """Start as a member that was never faulty."""
+        """Starts as a member that was never faulty."""
         self.detector = detector
         self._faulty_since_ms = -INF
         self._rejoin_not_before_ms = -INF
         self._rejoin_times_ms: list[float] = []
 
     def on_claim(self, record: MemberRecord) -> None:
-        """React to a claim about this member: refute a suspicion, accept to be faulty, or end."""
+        """Reacts to a claim about this member: refutes a suspicion, accepts being faulty, or ends."""
         detector, own = self.detector, self.detector.own
         if record.incarnation < detector.incarnation or detector.is_leaving:
             return
@@ -54,19 +54,19 @@
         detector.gossip.add_update(detector.name)
 
     def declare_faulty(self, refutation: int) -> None:
-        """Accept a faulty verdict of the group, or adopt it when nobody answers.
+        """Accepts the group's claim that this member is faulty, or makes it itself when no member answers.
 
         The first rejoin is immediate. Each further one within ten minutes waits twice as long, so that a
-        member on a link that is bad throughout does not change every view again and again.
+        member on a persistently bad link does not change every view over and over.
         """
         detector = self.detector
         if detector.own.state is not MemberState.FAULTY:
             now_ms = detector.now_ms
             self._faulty_since_ms = now_ms
-            recent = [at_ms for at_ms in self._rejoin_times_ms if at_ms > now_ms - REJOIN_MEMORY_MS]
-            self._rejoin_times_ms = recent[-MAX_REMEMBERED_REJOINS:]
+            recent = [at_ms for at_ms in self._rejoin_times_ms if at_ms > now_ms - REJOIN_WINDOW_MS]
+            self._rejoin_times_ms = recent[-MAX_RECORDED_REJOINS:]
             self._rejoin_not_before_ms = now_ms + detector.messenger.jitter(self._rejoin_delay_ms())
-            detector.probe_some(PROBES_WHEN_FAULTY)
+            detector.probe_random_members(PROBES_WHEN_FAULTY)
         self._set_state(refutation, MemberState.FAULTY)
 
     def _rejoin_delay_ms(self) -> float:
@@ -77,24 +77,24 @@
 
     @property
     def rejoin_due_ms(self) -> float:
-        """When this member rejoins; infinite while it is not faulty or nobody has answered it since."""
+        """When this member rejoins; infinite unless it is faulty and a member has answered it since."""
         detector = self.detector
         is_faulty = detector.own.state is MemberState.FAULTY
-        # A member that receives but is not received must not consider itself alive while all others consider
-        # it faulty, so it waits for an ack.
+        # A member that receives messages, but whose own messages are lost, must not consider itself alive
+        # while all others consider it faulty, so it waits for an ack.
         if is_faulty and detector.health.last_ack_ms > self._faulty_since_ms:
             return self._rejoin_not_before_ms
         return INF
 
     def rejoin_if_due(self) -> None:
-        """Become alive again if it is time."""
+        """Becomes alive again if the rejoin is due."""
         detector = self.detector
         if detector.now_ms >= self.rejoin_due_ms:
             self._rejoin_times_ms.append(detector.now_ms)
             self._set_state(detector.own.refutation + 1, MemberState.ALIVE)
 
     def _end(self, incarnation: int) -> None:
-        """End this incarnation, as it was removed or replaced by `incarnation`."""
+        """Ends this incarnation, because it was removed or replaced by `incarnation`."""
         detector = self.detector
         if incarnation > detector.incarnation:
             record = MemberRecord(detector.name, incarnation, 0, MemberState.ALIVE)
--- a/lichenquay/membership/probing.py
+++ b/lichenquay/membership/probing.py
@@ -1,8 +1,9 @@
-"""Probes: direct pings, indirect probes by other members, and pings that are relayed for others.
+"""Probes: direct pings, indirect probes by other members, and pings relayed for other members.
 
-A probe runs for one period (longer while the local health is bad): a ping; after a quarter another one and
-`indirect_probes` members asked to ping; at half the same by other members; at the end it failed. At most
-`MAX_EXTRA_PROBES` beside the periodic one and `MAX_RELAYED_PINGS` for others are under way.
+A probe takes one period (longer while the local health is bad) and starts with a ping. After a quarter, a
+second ping is sent and `indirect_probes` members are asked to ping the target; after half, the same with
+other members; at the end the probe has failed. At most `MAX_EXTRA_PROBES` probes beside the periodic one and
+`MAX_RELAYED_PINGS` relayed pings are in flight.
 """
 
 from enum import Enum
@@ -16,40 +17,40 @@
 INF = float("inf")
 MAX_EXTRA_PROBES = 8
 MAX_RELAYED_PINGS = 32
-STAGE_ENDS = (0.25, 0.5, 1.0)  # Of a probe's length.
-LAST_STAGE = len(STAGE_ENDS) - 1
-SEQUENCE_NUMBERS = 2**32
-FIRST_SEQUENCE_BITS = 31
+STAGE_END_FRACTIONS = (0.25, 0.5, 1.0)  # Of a probe's duration.
+LAST_STAGE = len(STAGE_END_FRACTIONS) - 1
+SEQUENCE_NUMBER_MODULUS = 2**32
+FIRST_SEQUENCE_NUMBER_BITS = 31
 
 
 class Probe:
-    """A ping that has not been acked, with what followed from it."""
+    """A ping that has not been acked, with the state of its indirect probes."""
 
     __slots__ = (
         "sequence_number",
         "target",
         "sent_ms",
-        "length_ms",
+        "duration_ms",
         "stage",
         "stage_ends_ms",
         "helpers",
         "negative_acks",
     )
 
-    def __init__(self, sequence_number: int, target: str, now_ms: float, length_ms: float, stage: int):
-        """Begin at a stage, an index of STAGE_ENDS."""
+    def __init__(self, sequence_number: int, target: str, now_ms: float, duration_ms: float, stage: int):
+        """Starts at a stage, an index of STAGE_END_FRACTIONS."""
         self.sequence_number = sequence_number
         self.target = target
         self.sent_ms = now_ms
-        self.length_ms = length_ms
+        self.duration_ms = duration_ms
         self.helpers: dict[str, None] = {}  # Members asked for an indirect probe.
         self.negative_acks = 0
         self.enter_stage(stage)
 
     def enter_stage(self, stage: int) -> None:
-        """Go on to a stage, and plan its end."""
+        """Enters a stage and computes its end."""
         self.stage = stage
-        self.stage_ends_ms = self.sent_ms + self.length_ms * STAGE_ENDS[stage]
+        self.stage_ends_ms = self.sent_ms + self.duration_ms * STAGE_END_FRACTIONS[stage]
 
 
 class RelayedPing(NamedTuple):
@@ -63,33 +64,33 @@
 
 
 class AckKind(Enum):
-    """What an ack means here."""
+    """The meaning of an ack for this process."""
 
     UNEXPECTED = "unexpected"
-    DIRECT = "direct"  # The target of a probe answered itself.
+    DIRECT = "direct"  # The target of a probe answered.
     INDIRECT = "indirect"  # A helper reports that the target answered it.
     RELAYED = "relayed"  # The target of a relayed ping answered.
-    NEGATIVE = "negative"  # A helper had no answer.
+    NEGATIVE = "negative"  # A helper received no answer from the target.
 
 
 class AckResult(NamedTuple):
-    """The meaning of an ack, and the relayed ping that it ends, if it does."""
+    """The meaning of an ack, and the relayed ping that it completes, if any."""
 
     kind: AckKind
     relayed_ping: RelayedPing | None = None
 
 
 class Prober:
-    """All probes and relayed pings under way, and the order in which members are probed."""
+    """All probes and relayed pings in flight, and the order in which members are probed."""
 
     def __init__(self, detector: "FailureDetector"):
-        """Start without a probe, at a random sequence number."""
+        """Starts without probes, at a random sequence number."""
         self.detector = detector
         self.table = detector.table
         self.rng = detector.rng
         self.probes: dict[int, Probe] = {}
         self.relayed_pings: dict[int, RelayedPing] = {}
-        self._sequence_number = self.rng.getrandbits(FIRST_SEQUENCE_BITS)
+        self._sequence_number = self.rng.getrandbits(FIRST_SEQUENCE_NUMBER_BITS)
         self._order: list[str] = []
         self._position = 0
         self._live_names: list[str] | None = None
@@ -102,15 +103,15 @@
         return min(next_stage_ms, next_relayed_ms)
 
     def discard_all(self) -> None:
-        """Forget everything under way: after a pause, acks that arrived meanwhile were not read in time."""
+        """Discards everything in flight: after a pause, acks that arrived meanwhile were not read in time."""
         self.probes.clear()
         self.relayed_pings.clear()
 
     def next_target(self) -> str | None:
-        """Return the member to be probed in this period, None if there is no other.
+        """Returns the member to be probed in this period, or None if there is no other member.
 
         The random order is kept from round to round, so that two probes of a member are at most one round
-        apart (two if it were drawn afresh); a new member is inserted at a random place.
+        apart (two if each round had its own order); a new member is inserted at a random position.
         """
         live_names = self.table.live_names()
         if live_names is not self._live_names:
@@ -129,32 +130,32 @@
             if name not in known and name != self.detector.name:
                 self._order.insert(self.rng.randrange(len(self._order) + 1), name)
 
-    def probe(self, target: str, length_ms: float, single_ping: bool = False) -> None:
-        """Begin a probe unless one of this target is under way or there are too many.
+    def probe(self, target: str, duration_ms: float, single_ping: bool = False) -> None:
+        """Starts a probe unless one of this target is in flight or there are too many.
 
-        `single_ping` leaves out the second ping and the indirect probes.
+        `single_ping` omits the second ping and the indirect probes.
         """
         if any(probe.target == target for probe in self.probes.values()):
             return
         if len(self.probes) > MAX_EXTRA_PROBES:
             return
         stage = LAST_STAGE if single_ping else 0
-        probe = Probe(self._next_sequence_number(), target, self.detector.now_ms, length_ms, stage)
+        probe = Probe(self._next_sequence_number(), target, self.detector.now_ms, duration_ms, stage)
         self.probes[probe.sequence_number] = probe
         self._ping(probe.sequence_number, target)
 
-    def relay_ping(self, requester: str, requested_number: int, target: str, length_ms: float) -> bool:
-        """Ping a target for another member; return False if too many are under way."""
+    def relay_ping(self, requester: str, requested_number: int, target: str, duration_ms: float) -> bool:
+        """Pings a target for another member; returns False if too many relayed pings are in flight."""
         if len(self.relayed_pings) >= MAX_RELAYED_PINGS:
             return False
         number = self._next_sequence_number()
-        ends_ms = self.detector.now_ms + length_ms
+        ends_ms = self.detector.now_ms + duration_ms
         self.relayed_pings[number] = RelayedPing(number, target, ends_ms, requester, requested_number)
         self._ping(number, target)
         return True
 
     def _next_sequence_number(self) -> int:
-        self._sequence_number = (self._sequence_number + 1) % SEQUENCE_NUMBERS
+        self._sequence_number = (self._sequence_number + 1) % SEQUENCE_NUMBER_MODULUS
         return self._sequence_number
 
     def _ping(self, sequence_number: int, target: str) -> None:
@@ -162,7 +163,7 @@
         self.detector.messenger.send_with_status(target, pb.Message(ping=ping))
 
     def advance(self, now_ms: float) -> list[Probe]:
-        """End relayed pings and stages that are due; return the probes that failed."""
+        """Ends relayed pings and stages that are due; returns the probes that failed."""
         self._end_relayed_pings(now_ms)
         failed = []
         for probe in [probe for probe in self.probes.values() if probe.stage_ends_ms <= now_ms]:
@@ -190,7 +191,7 @@
             messenger.send_with_status(helper, pb.Message(ping_ask=request), subject=probe.target)
 
     def on_ack(self, sender: str, ack: pb.Ack) -> AckResult:
-        """End what an ack answers; return what it means."""
+        """Completes what an ack answers; returns the meaning of the ack."""
         relayed = self.relayed_pings.get(ack.no)
         if relayed and relayed.target == sender == ack.name and ack.ok:
             del self.relayed_pings[ack.no]
--- a/lichenquay/membership/suspicion.py
+++ b/lichenquay/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: from a failed probe to the verdicts `faulty` and `removed`."""
+"""Suspicion: from a failed probe to declaring a member faulty and later removing it."""
 
 from math import log, log10
 from typing import TYPE_CHECKING
@@ -14,29 +14,32 @@
 
 INF = float("inf")
 MAX_CONFIRMATIONS = 3  # More independent accusers do not shorten a suspicion further.
-MIN_SUSPICION_SHARE = 0.76  # Of the suspicion timeout, from the first accusation on.
-UNCONFIRMED_FACTOR = 3  # A suspicion with a single accuser ends after so many timeouts.
-EXPECTED_CONFIRMING_PROBES = 16  # About so many members probe a new suspect at once, and each period.
+MIN_SUSPICION_SHARE = 0.76  # Least duration, from the first accusation, as a share of the timeout.
+UNCONFIRMED_TIMEOUTS = 3  # Suspicion timeouts until a suspect with a single accuser is faulty.
+EXPECTED_CONFIRMING_PROBES = 16  # Members expected to probe a new suspect immediately, and each period.
 REMOVAL_RETRY_PERIODS = 10
 
 
 class Suspicion:
-    """Plans and applies the verdicts on suspect and faulty members."""
+    """Schedules and applies the declarations that suspects are faulty and faulty members removed."""
 
     def __init__(self, detector: "FailureDetector"):
-        """Start with nothing to evaluate."""
+        """Starts with nothing to evaluate."""
         self.detector = detector
         self.table = detector.table
         self.health = detector.health
         self.next_evaluation_ms = INF
 
     def timeout_ms(self) -> float:
-        """Return the suspicion timeout, which grows with the logarithm of the group from ten members on."""
+        """Returns the suspicion timeout, which grows with the logarithm of the group size above ten."""
         live_count = max(1, len(self.table.live_names()))
         return self.detector.settings.suspicion_timeout_ms * max(1, log10(live_count))
 
     def may_accuse(self) -> bool:
-        """Return whether this process is fit to judge others. Of two members each is the only witness."""
+        """Returns whether this process's own state allows it to accuse others.
+
+        In a group of two, each member is the only observer of the other.
+        """
         if self.detector.own.state is not MemberState.ALIVE:
             return False
         if self.detector.other_live_count() < 2:
@@ -44,13 +47,13 @@
         silence_ms = self.health.silence_ms(self.detector.now_ms)
         return self.health.has_ack_since_pause and silence_ms < self.timeout_ms()
 
-    def is_sampled(self) -> bool:
-        """Decide at random whether this member is one of those that probe a suspect at once."""
+    def sample_confirming_probe(self) -> bool:
+        """Draws at random whether this member is one of those that probe a suspect immediately."""
         member_count = self.detector.other_live_count() + 1
         return self.detector.rng.random() * member_count < EXPECTED_CONFIRMING_PROBES
 
     def on_probe_failed(self, probe: Probe) -> None:
-        """Accuse the target of a probe that nobody answered."""
+        """Accuses the target of a probe that received no answer."""
         detector = self.detector
         member = self.table.get(probe.target)
         member.missed_probes += 1
@@ -70,9 +73,9 @@
         self.schedule(self._deadline_ms(member))
 
     def on_accusation(self, member: Member, row: pb.Row, is_first: bool) -> None:
-        """Count another member's accusation, and probe the suspect here too.
+        """Counts another member's accusation, and probes the suspect from here too.
 
-        One that reaches the suspect informs it, and one that does not is a further accuser.
+        A probe that reaches the suspect informs it; one that does not makes this member a further accuser.
         """
         detector = self.detector
         free_places = MAX_ACCUSERS - len(member.accusers)
@@ -82,41 +85,44 @@
         if new_accusers:
             detector.gossip.add_update(member.name)
             self.schedule(self._deadline_ms(member))
-        if is_first and not detector.is_leaving and self.is_sampled():
+        if is_first and not detector.is_leaving and self.sample_confirming_probe():
             detector.prober.probe(member.name, detector.settings.probe_period_ms)
 
     def schedule_for(self, member: Member) -> None:
-        """Plan the evaluation of a member that became suspect or faulty."""
+        """Schedules the evaluation of a member that became suspect or faulty."""
         if member.state is MemberState.SUSPECT:
             self.schedule(self._deadline_ms(member))
         else:
             self.schedule(member.state_since_ms + self.detector.removal_timeout_ms)
 
     def schedule(self, at_ms: float) -> None:
-        """Evaluate at a time, or earlier."""
+        """Schedules an evaluation at `at_ms` unless an earlier one is scheduled."""
         self.next_evaluation_ms = min(self.next_evaluation_ms, at_ms)
 
     def _deadline_ms(self, member: Member) -> float:
-        """Return when a suspect is faulty.
+        """Returns when a suspect becomes faulty.
 
-        The more accusers, the earlier; at the earliest the timeout after the last response known to anybody.
+        The more accusers, the earlier, but not before one timeout after the suspect's last known response to
+        any member.
         """
         timeout_ms = self.timeout_ms()
-        last_sign_ms = max(member.last_response_ms, self.health.observing_since_ms)
-        earliest_ms = max(member.state_since_ms + MIN_SUSPICION_SHARE * timeout_ms, last_sign_ms + timeout_ms)
-        latest_ms = max(earliest_ms, member.state_since_ms + UNCONFIRMED_FACTOR * timeout_ms)
+        last_evidence_ms = max(member.last_response_ms, self.health.observing_since_ms)
+        earliest_ms = max(
+            member.state_since_ms + MIN_SUSPICION_SHARE * timeout_ms, last_evidence_ms + timeout_ms
+        )
+        latest_ms = max(earliest_ms, member.state_since_ms + UNCONFIRMED_TIMEOUTS * timeout_ms)
         deadline_ms = latest_ms - (latest_ms - earliest_ms) * self._confirmed_share(member)
-        return max(deadline_ms, member.verdict_not_before_ms)
+        return max(deadline_ms, member.declare_not_before_ms)
 
     def _confirmed_share(self, member: Member) -> float:
-        """Return how well a suspicion is confirmed: 0 with one accuser, 1 with all that are expected."""
+        """Returns how far a suspicion is confirmed: 0 with one accuser, 1 with all that are expected."""
         expected = min(MAX_CONFIRMATIONS, self.detector.other_live_count())
         if expected < 2:
             return 1
         return min(1, log(max(1, len(member.accusers))) / log(expected))
 
     def evaluate(self) -> None:
-        """Apply all verdicts that are due, and plan the next evaluation."""
+        """Applies all declarations that are due, and schedules the next evaluation."""
         self.next_evaluation_ms = INF
         for member in list(self.table.suspects.values()):
             self._evaluate_suspect(member)
@@ -132,19 +138,19 @@
             if self.may_accuse():
                 self._declare(member, MemberState.FAULTY)
                 return
-            member.verdict_not_before_ms = now_ms + self.detector.settings.probe_period_ms
+            member.declare_not_before_ms = now_ms + self.detector.settings.probe_period_ms
         self.schedule(self._deadline_ms(member))
 
     def _evaluate_faulty(self, member: Member, has_majority: bool) -> None:
         now_ms = self.detector.now_ms
         removal_ms = member.state_since_ms + self.detector.removal_timeout_ms
-        due_ms = max(removal_ms, member.verdict_not_before_ms)
+        due_ms = max(removal_ms, member.declare_not_before_ms)
         if due_ms <= now_ms:
             if has_majority and self.may_accuse():
                 self._declare(member, MemberState.REMOVED)
                 return
             due_ms = now_ms + REMOVAL_RETRY_PERIODS * self.detector.settings.probe_period_ms
-            member.verdict_not_before_ms = due_ms
+            member.declare_not_before_ms = due_ms
         self.schedule(due_ms)
 
     def _declare(self, member: Member, state: MemberState) -> None:
@@ -152,7 +158,7 @@
         self.detector.gossip.add_update(member.name)
 
     def on_pause(self, late_ms: float) -> None:
-        """Start every suspicion afresh, and leave the time of a pause out of the removal timeouts."""
+        """Restarts every suspicion, and leaves the duration of a pause out of the removal timeouts."""
         for member in self.table.suspects.values():
             member.state_since_ms = self.detector.now_ms
         for member in self.table.faulty.values():
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -1,4 +1,4 @@
-"""Fleets of failure detectors in virtual time, with the rules that hold after every call of any of them."""
+"""Fleets of failure detectors in virtual time, with invariants that are checked after every call."""
 
 from lichenquay.membership.member_state import MemberState
 from lichenquay.membership.member_table import MAX_MEMBERS
@@ -13,9 +13,9 @@
 LEFT = MemberState.LEFT
 REMOVED = MemberState.REMOVED
 MAX_OUTBOX = 200
-JOIN_MS = 20_000
-QUIET_MS = 3_000
-GOOD_WEATHER = Weather()
+MAX_JOIN_MS = 20_000
+SETTLING_MS = 3_000
+LOSSLESS_NETWORK = Weather()
 DEFAULT_SETTINGS = Settings()
 QUICK = Settings(
     probe_period_ms=100,
@@ -28,18 +28,18 @@
 )
 
 
-class MembershipRules:
-    """Checked after every call: claims only gain precedence, changes are complete, bounds hold."""
+class MembershipInvariants:
+    """Checks after every call: claims only gain precedence, changes are complete, bounds hold."""
 
     def __init__(self, fleet):
-        """Check a fleet from now on."""
-        self.steps = 0
-        self.observed = {}  # {(host, start): (view number, precedences, states by the changes)}
+        """Checks a fleet from now on."""
+        self.check_count = 0
+        self.observed = {}  # {(host, start): (view number, precedences, states after the changes)}
         fleet.looks.append(self)
 
     def __call__(self, host, detector, changes):
-        """Check one detector after a call that made `changes`."""
-        self.steps += 1
+        """Checks one detector after a call that made `changes`."""
+        self.check_count += 1
         key = host.name, host.life
         view_number, precedences, states = self.observed.setdefault(key, (0, {}, {}))
         for change in changes:
@@ -54,8 +54,8 @@
 
     @staticmethod
     def check_change(change, view_number, states):
-        """Changes are numbered without a gap, name the state before, and follow an allowed transition."""
-        assert change.view_number == view_number, f"view {change.view_number} after {view_number - 1}"
+        """Checks that changes are numbered without gaps, name the old state and are allowed transitions."""
+        assert change.view_number == view_number, f"view number {change.view_number}, expected {view_number}"
         incarnation, state = states.get(change.name, (None, None))
         assert change.old_state == (state if incarnation == change.incarnation else None)
         if incarnation not in (None, change.incarnation):
@@ -66,18 +66,18 @@
 
     @staticmethod
     def check_precedence(member, precedences):
-        """What is held of a member never loses precedence, and removed is the last state."""
+        """Checks that a member's entry never loses precedence, and that removed is the last state."""
         now, before = member.precedence, precedences.get(member.name)
         precedences[member.name] = now
         if before is None or now == before:
             return
-        assert now > before, f"{member.name} went back from {before} to {now}"
+        assert now > before, f"{member.name}: precedence fell from {before} to {now}"
         may_change = not before.is_final or before.state_number == LEFT.number
         assert now.incarnation > before.incarnation or may_change
 
     @staticmethod
     def check_bounds(host, detector):
-        """Memory, messages and the next call are bounded."""
+        """Checks that memory, messages and the time of the next call are bounded."""
         assert len(detector.table.members) <= MAX_MEMBERS
         assert host.longest <= MAX_BODY_BYTES
         assert len(detector.prober.probes) <= MAX_EXTRA_PROBES + 1
@@ -89,19 +89,19 @@
         assert set(detector.table.live_names()) == live
 
 
-def make_fleet(count, seed, weather=GOOD_WEATHER, settings=DEFAULT_SETTINGS, joined=True, **options):
-    """A fleet f0, f1, ... under the rules; `joined`: once all know each other and some time has passed."""
-    fleet = Watched([f"f{number}" for number in range(count)], seed, weather, settings, **options)
-    fleet.rules = MembershipRules(fleet)
+def make_fleet(count, seed, impairment=LOSSLESS_NETWORK, settings=DEFAULT_SETTINGS, joined=True, **options):
+    """Returns a fleet f0, f1, ... with invariants; `joined`: once all know each other and have settled."""
+    fleet = Watched([f"f{number}" for number in range(count)], seed, impairment, settings, **options)
+    fleet.invariants = MembershipInvariants(fleet)
     if joined:
-        assert fleet.until(fleet.agree, JOIN_MS) is not None
-        fleet.run(QUIET_MS)
+        assert fleet.until(fleet.agree, MAX_JOIN_MS) is not None
+        fleet.run(SETTLING_MS)
         fleet.log.clear()
     return fleet
 
 
-def verdicts(fleet, *states):
-    """(time, host, member, state) of all changes to one of `states`, by default to faulty or removed."""
+def failure_changes(fleet, *states):
+    """Returns (time, host, member, state) of all changes to one of `states`, by default faulty or removed."""
     return [
         (at_ms, host, change.name, change.new_state)
         for at_ms, host, change in fleet.log
@@ -110,5 +110,5 @@
 
 
 def states_at(fleet, name):
-    """The states of all members in one member's table, in the order of the fleet."""
+    """Returns the states of all members in one member's table, in the order of the fleet."""
     return [fleet.watch(name).state_of(member) for member in fleet.names]
--- a/tests/test_golden_membership.py
+++ b/tests/test_golden_membership.py
@@ -1,8 +1,8 @@
 """Membership reads and writes the messages of revision 0018238: same bytes, same meaning.
 
-`golden/membership/exchange.json` holds a scripted exchange of four members as that revision played it (one
-message of each kind in full, a digest over all of them, the view of each member in the end), and what each of
-the messages did to a member that received it alone. States are the numbers of `members.proto`.
+`golden/membership/exchange.json` holds a scripted exchange of four members as that revision ran it (one
+message of each kind in full, a digest of all of them, each member's view at the end), and the effect of each
+of these messages on a member that received it alone. States are the numbers of `members.proto`.
 """
 
 import heapq
@@ -23,7 +23,7 @@
 GOLDEN = Path(__file__).parent / "golden" / "membership" / "exchange.json"
 NAMES = ("a", "b", "c", "d")
 DELAY_MS = 1.0
-SECOND_DELAY_MS = 160.0  # So late that a probe's helpers are asked first.
+SLOW_DELAY_MS = 160.0  # So long that a probe's helpers are asked before the ack arrives.
 SHORT_TIMES = Settings(
     probe_period_ms=100,
     suspicion_timeout_ms=600,
@@ -36,83 +36,87 @@
 
 
 def make_member(name, incarnation, now_ms):
-    """A member as its host makes it, with a random source of its own."""
+    """Returns a member as its host creates it, with its own random source."""
     return FailureDetector(name, incarnation, NAMES, Random(f"{name}/{incarnation}"), SHORT_TIMES, now_ms)
 
 
 def entries_of(member):
-    """[name, incarnation, number of the state] of all members known to one."""
+    """Returns [name, incarnation, number of the state] of all members that one member knows."""
     return [[entry.name, entry.incarnation, entry.state.number] for entry in member.members()]
 
 
 class Exchange:
-    """Four members on a network whose every delay is known; all that they send is recorded."""
+    """Four members on a network with fixed delays; all messages that they send are recorded."""
 
     def __init__(self):
-        """Nobody runs yet."""
+        """Starts without running members."""
         self.now_ms = 0.0
         self.order = count()
         self.events = []
         self.members = {}
         self.starts = dict.fromkeys(NAMES, 0)
-        # Pairs (sender, receiver).
+        # Links as pairs (sender, receiver).
         self.lost = set()
         self.slow = set()
         self.sent = []
         self.sends = []
 
     def at(self, at_ms, action, *arguments):
-        """Calls an action at a time of the script."""
+        """Schedules an action at a time of the script."""
         heapq.heappush(self.events, (at_ms, next(self.order), action, arguments))
 
     def start(self, name, incarnation):
-        """A process begins."""
+        """Starts a process."""
         self.starts[name] += 1
         self.members[name] = make_member(name, incarnation, self.now_ms)
         self.flush(name)
 
     def stop(self, name):
-        """A process ends without a word."""
+        """Ends a process without notifying the others."""
         self.starts[name] += 1
         del self.members[name]
 
     def call(self, name, method, *arguments):
-        """A call of a member by its host."""
+        """Calls a method of a member as its host does."""
         getattr(self.members[name], method)(self.now_ms, *arguments)
         self.flush(name)
 
     def flush(self, name):
-        """Sends what a member has in its outbox, and plans its next tick."""
+        """Sends what a member has in its outbox, and schedules its next tick."""
         member, starts = self.members[name], self.starts[name]
         for receiver, message in member.outbox:
             data = message.SerializeToString()
             self.sent.append((self.now_ms, name, member.incarnation, receiver, data))
             if (name, receiver) not in self.lost:
-                delay_ms = SECOND_DELAY_MS if (name, receiver) in self.slow else DELAY_MS
+                delay_ms = SLOW_DELAY_MS if (name, receiver) in self.slow else DELAY_MS
                 sender = name, member.incarnation
                 self.at(self.now_ms + delay_ms, self.deliver, receiver, sender, data)
         member.outbox.clear()
         self.at(max(member.due_ms, self.now_ms), self.tick, name, starts)
 
     def deliver(self, receiver, sender, data):
-        """A message arrives."""
+        """Delivers a message."""
         if receiver in self.members:
             self.call(receiver, "on_message", sender, pb.Message.FromString(data))
 
     def tick(self, name, starts):
-        """A tick that is still wanted."""
+        """Ticks a member unless it was restarted or is no longer due."""
         if self.starts[name] == starts and self.members[name].due_ms <= self.now_ms:
             self.call(name, "tick")
 
     def run(self, until_ms):
-        """Plays all that is planned up to a time."""
+        """Runs all events up to a time."""
         while self.events and self.events[0][0] <= until_ms:
             self.now_ms, _, action, arguments = heapq.heappop(self.events)
             action(*arguments)
 
 
-def play():
-    """Three join, one more joins; a link is slow; one is killed and comes back; a split; one leaves."""
+def run_script():
+    """Runs the script and returns the exchange.
+
+    Three members join, then a fourth; a link is slow; one member is killed and restarted; the network is
+    partitioned; one member leaves.
+    """
     exchange = Exchange()
     for name in "abc":
         exchange.at(0, exchange.start, name, 1)
@@ -130,7 +134,7 @@
 
 
 def digest_of(exchange):
-    """A digest over all that was sent, when, by whom and to whom."""
+    """Returns a digest of all messages, with time, sender and receiver."""
     hashed = blake2b(digest_size=16)
     for sent in exchange.sent:
         hashed.update(repr(sent).encode())
@@ -138,7 +142,7 @@
 
 
 def kind_of(data):
-    """What a message is: its kind, the states in it, and what makes two of the kind different."""
+    """Returns a message's kind, with what distinguishes messages of that kind and the states in it."""
     message = pb.Message.FromString(data)
     kind = message.WhichOneof("kind")
     body = getattr(message, kind)
@@ -151,7 +155,7 @@
 
 
 def examples(exchange):
-    """The first message of each kind."""
+    """Returns the first message of each kind."""
     found = {}
     for sent_ms, sender, incarnation, receiver, data in exchange.sent:
         found.setdefault(
@@ -167,7 +171,7 @@
 
 
 def effect_of(example):
-    """What a message does to a member that knows all others, and what that one sends at once."""
+    """Returns the effect of a message on a member that knows all others, and what that member sends."""
     receiver = make_member(example["receiver"], 1, 0.0)
     for name in NAMES:
         if name != receiver.name:
@@ -183,9 +187,9 @@
     }
 
 
-def recorded():
-    """All that the golden file holds."""
-    exchange = play()
+def record_exchange():
+    """Returns everything that the golden file holds."""
+    exchange = run_script()
     found = examples(exchange)
     for example in found.values():
         example["effect"] = effect_of(example)
@@ -200,20 +204,20 @@
 
 @pytest.fixture(scope="module")
 def golden():
-    """The file of revision 0018238."""
+    """Returns the record of revision 0018238."""
     return json.loads(GOLDEN.read_text(encoding="utf-8"))
 
 
 @pytest.fixture(scope="module")
-def played():
-    """The same script with this tree's code."""
-    return recorded()
+def current():
+    """Returns the record of the same script with the current code."""
+    return record_exchange()
 
 
-def test_a_scripted_exchange_is_the_same_bytes_at_the_same_times(golden, played):
+def test_a_scripted_exchange_is_the_same_bytes_at_the_same_times(golden, current):
     """Given the same clocks and random draws, all messages are the same."""
-    assert played["messages"] == golden["messages"]
-    assert played["digest"] == golden["digest"]
+    assert current["messages"] == golden["messages"]
+    assert current["digest"] == golden["digest"]
 
 
 def test_every_kind_of_message_is_in_the_golden_file(golden):
@@ -224,21 +228,21 @@
     assert {"positive", "negative", "back", "alive", "suspect", "cut", "left", "gone"} <= words
 
 
-def test_each_kind_of_message_is_written_as_before(golden, played):
-    """The first of each kind is sent at the same time by the same member."""
-    assert played["examples"].keys() == golden["examples"].keys()
+def test_each_kind_of_message_is_written_as_before(golden, current):
+    """The first message of each kind is sent at the same time with the same bytes."""
+    assert current["examples"].keys() == golden["examples"].keys()
     for name, example in golden["examples"].items():
-        assert played["examples"][name]["bytes"] == example["bytes"], name
-        assert played["examples"][name]["sent_ms"] == example["sent_ms"], name
+        assert current["examples"][name]["bytes"] == example["bytes"], name
+        assert current["examples"][name]["sent_ms"] == example["sent_ms"], name
 
 
 def test_each_kind_of_message_is_understood_as_before(golden):
-    """What an old member's message changes here, and what is answered to it."""
+    """A message of the earlier revision has the same effect and gets the same answer."""
     for name, example in golden["examples"].items():
         assert effect_of(example) == example["effect"], name
 
 
-def test_all_members_hold_the_same_view_as_before(golden, played):
+def test_all_members_hold_the_same_view_as_before(golden, current):
     """Names, incarnations, states and the digest that members compare."""
-    assert played["entries"] == golden["entries"]
-    assert played["view_digests"] == golden["view_digests"]
+    assert current["entries"] == golden["entries"]
+    assert current["view_digests"] == golden["view_digests"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,9 +12,9 @@
     LEFT,
     REMOVED,
     SUSPECT,
+    failure_changes,
     make_fleet,
     states_at,
-    verdicts,
 )
 
 from lichenquay.membership import members_pb2 as pb
@@ -26,7 +26,7 @@
 
 
 def test_the_failure_detector_imports_neither_network_nor_other_packages():
-    """Decisions are free of I/O and of what is above them."""
+    """Guards against I/O and dependencies on higher layers in the protocol code."""
     code = (
         "import sys, lichenquay.membership.failure_detector;"
         "print([m for m in sys.modules if m.split('.')[0] == 'twisted' or "
@@ -37,16 +37,16 @@
 
 
 def test_members_join_by_a_seed():
-    """All find each other though only one name is known at the start."""
+    """All members find each other although they know only one name at the start."""
     fleet = make_fleet(5, 1, joined=False, seeds=["f0"])
     assert fleet.until(fleet.agree, 5_000) is not None
     assert fleet.until(lambda: all(len(d.reachable) == 4 for d in fleet.up()), 5_000) is not None
     assert len(fleet.watch("f3").members()) == 5
-    assert not verdicts(fleet)
+    assert not failure_changes(fleet)
 
 
 def test_groups_of_one_and_two_members_work():
-    """A single member considers itself alive; of two, one detects the other's failure."""
+    """A single member considers itself alive; in a group of two, one detects the failure of the other."""
     fleet = make_fleet(2, 1, joined=False, start=False)
     fleet.net.start("f0")
     fleet.run(20_000)
@@ -60,12 +60,12 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_killed_member_is_faulty_then_removed_and_returns_with_a_new_incarnation(seed):
-    """It returns before it is removed (even seeds) or after (odd seeds)."""
+    """The member returns before it is removed (even seeds) or after (odd seeds)."""
     fleet = make_fleet(5, seed, Weather(loss=0.1), Settings(removal_timeout_ms=5_000))
     fleet.net.kill("f2")
     detection_ms = fleet.until(lambda: fleet.all_hold("f2", FAULTY), 10_000)
     assert 1_500 < detection_ms < 3_500
-    assert {name for _, _, name, _ in verdicts(fleet)} == {"f2"}
+    assert {name for _, _, name, _ in failure_changes(fleet)} == {"f2"}
     returns_after_removal = seed % 2 == 1
     if returns_after_removal:
         assert fleet.until(lambda: fleet.all_hold("f2", REMOVED), 10_000) is not None
@@ -81,8 +81,8 @@
     assert changes == [*removal, (2, None, ALIVE)]
 
 
-def test_a_leaving_member_tells_all_others_and_is_then_silent():
-    """No suspicion follows, and the name can come back."""
+def test_a_leaving_member_notifies_all_others_and_then_sends_nothing():
+    """No suspicion follows, and the name can join again."""
     fleet = make_fleet(5, 3, Weather(loss=0.1))
     fleet.net.call("f1", "members", "leave")
     assert fleet.until(lambda: fleet.all_hold("f1", LEFT), 2_000) is not None
@@ -94,14 +94,14 @@
     fleet.run(10_000)
     assert fleet.net.hosts["f1"].sent == sent
     assert fleet.all_hold("f1", LEFT)
-    assert not verdicts(fleet, FAULTY, REMOVED, SUSPECT)
+    assert not failure_changes(fleet, FAULTY, REMOVED, SUSPECT)
     fleet.net.start("f1")
     assert fleet.until(fleet.agree, 5_000) is not None
     assert fleet.watch("f1").incarnation == 2
 
 
 def test_a_message_of_an_older_incarnation_is_dropped_and_counted():
-    """Nothing that it claims is taken."""
+    """No claim in it is adopted."""
     fleet = make_fleet(3, 5)
     row = pb.Row(name="f2", incarnation=1, word=7, state=pb.CUT)
     late = pb.Message(word=9, gossip=pb.Gossip(), rows=[row])
@@ -115,30 +115,30 @@
     assert detector.counts["old_incarnation"] >= 1
 
 
-@pytest.mark.parametrize("count, deaf", [(5, 1), (5, 2), (5, 3), (3, 1), (8, 6)])
-def test_a_member_that_some_cannot_receive_stays_alive_for_all(count, deaf):
-    """f0 does not reach `deaf` of the others for 20 s; indirect probes keep it alive without flapping."""
-    fleet = make_fleet(count, 100 * count + deaf, Weather(loss=0.02))
-    unreached = fleet.names[1 : 1 + deaf]
+@pytest.mark.parametrize("count, unreached_count", [(5, 1), (5, 2), (5, 3), (3, 1), (8, 6)])
+def test_a_member_whose_messages_some_do_not_receive_stays_alive_for_all(count, unreached_count):
+    """Indirect probes keep f0 alive without flapping while, for 20 s, some others do not receive it."""
+    fleet = make_fleet(count, 100 * count + unreached_count, Weather(loss=0.02))
+    unreached = fleet.names[1 : 1 + unreached_count]
     fleet.net.between(["f0"], unreached, cut=True)
     fleet.run(20_000)
-    assert not verdicts(fleet)
+    assert not failure_changes(fleet)
     assert fleet.all_hold("f0", ALIVE)
     assert all("f0" not in fleet.watch(name).reachable for name in unreached)
     assert "f0" in fleet.watch(fleet.names[-1]).reachable
     fleet.net.mend()
     assert fleet.until(fleet.agree, 10_000) is not None
-    assert not verdicts(fleet)
+    assert not failure_changes(fleet)
 
 
-@pytest.mark.parametrize("side", ["sends in vain", "receives nothing", "both"])
+@pytest.mark.parametrize("side", ["is not received", "receives nothing", "both"])
 def test_an_isolated_member_is_faulty_in_every_view_and_rejoins_once(side):
-    """Its own view has it too, whichever direction of its links fails, and it accuses nobody."""
+    """This includes its own view, whichever direction of its links fails, and it accuses no other member."""
     fleet = make_fleet(5, 7, Weather(loss=0.05))
     others = fleet.names[1:]
     if side != "receives nothing":
         fleet.net.between(["f0"], fleet.names, cut=True)
-    if side != "sends in vain":
+    if side != "is not received":
         fleet.net.between(fleet.names, ["f0"], cut=True)
     fleet.run(20_000)
     assert fleet.all_hold("f0", FAULTY)
@@ -160,7 +160,7 @@
 
 
 def test_each_further_rejoin_waits_longer():
-    """A member on a bad link does not change every view again and again."""
+    """Otherwise a member on a bad link would change every view over and over."""
     fleet = make_fleet(4, 8, settings=Settings(rejoin_delay_ms=4_000))
     rejoins_ms = []
     for _ in range(3):
@@ -175,20 +175,20 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_paused_member_accuses_nobody_and_rejoins(seed):
-    """After 30 s of a pause all its deadlines have passed; none of them is a verdict."""
+def test_a_paused_member_accuses_no_other_and_rejoins(seed):
+    """After a pause of 30 s all its deadlines have passed; none of them may make another member faulty."""
     fleet = make_fleet(5, seed, Weather(loss=0.05))
     fleet.net.pause("f4", 30_000)
     fleet.run(40_000)
-    faulty = verdicts(fleet, FAULTY)
+    faulty = failure_changes(fleet, FAULTY)
     assert {name for _, _, name, _ in faulty} == {"f4"}
     assert not [name for _, host, name, _ in faulty if host == "f4" and name != "f4"]
     assert fleet.watch("f4").counts["local_pause"] >= 1
     assert fleet.agree()
 
 
-def test_a_pause_of_all_members_leads_to_no_verdict():
-    """Not even on a member whose suspicion was running."""
+def test_a_pause_of_all_members_makes_none_faulty():
+    """Not even a member that was suspect when the pause began."""
     for seed in range(3):
         fleet = make_fleet(5, seed)
         fleet.run(500)
@@ -198,13 +198,13 @@
         for name in fleet.names:
             fleet.net.pause(name, 30_000)
         fleet.run(40_000)
-        unexpected = [(name, state) for _, _, name, state in verdicts(fleet)]
-        assert not [verdict for verdict in unexpected if verdict != ("f4", REMOVED)]
+        changes = [(name, state) for _, _, name, state in failure_changes(fleet)]
+        assert not [change for change in changes if change != ("f4", REMOVED)]
         assert fleet.agree()
 
 
-def test_a_probe_from_before_a_pause_accuses_nobody():
-    """The target is probed again, though all others answer at once."""
+def test_a_probe_sent_before_a_pause_leads_to_no_accusation():
+    """The target is probed again, although all other members answer immediately."""
     detector = FailureDetector("me", 1, ["a", "b", "c"], random.Random(4), Settings(), 0.0)
     now_ms = 1.0
     for name in "abc":
@@ -229,15 +229,15 @@
     assert detector.state_of(silent) == ALIVE
 
 
-def test_pauses_of_two_seconds_with_a_fifth_of_messages_lost_lead_to_no_verdict():
-    """Three pauses of random members in 18 s."""
+def test_pauses_of_two_seconds_with_a_fifth_of_messages_lost_make_no_member_faulty():
+    """Pauses random members three times in 18 s."""
     for seed in range(4):
         fleet = make_fleet(5, seed, Weather(loss=0.2))
         for number in range(3):
             at_ms = fleet.net.now_ms + 1_000 + 5_000 * number
             fleet.net.at(at_ms, fleet.net.pause, fleet.net.rng.choice(fleet.names), 2_000)
         fleet.run(18_000)
-        assert not verdicts(fleet)
+        assert not failure_changes(fleet)
 
 
 def test_after_a_partition_only_the_majority_removes_and_both_sides_merge():
@@ -253,8 +253,8 @@
     assert fleet.watch("f3").incarnation == 1
 
 
-def test_members_that_each_consider_themselves_faulty_find_each_other_again():
-    """All links fail for a while."""
+def test_members_that_each_consider_themselves_faulty_rejoin():
+    """All links fail for a while, so that no member receives an ack."""
     fleet = make_fleet(4, 11)
     fleet.net.split(*[[name] for name in fleet.names])
     assert fleet.until(lambda: all(d.state_of(d.name) == FAULTY for d in fleet.up()), 10_000) is not None
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Random faults and single changed messages under the rules of membership_world: one view in the end."""
+"""Random faults and single mutated messages: the group converges to one view, and all invariants hold."""
 
 import random
 from typing import NamedTuple
@@ -12,12 +12,12 @@
 from lichenquay.membership.settings import Settings
 from lichenquay.testbed.fleetnet import Weather
 
-STORM = Weather(loss=0.15, delay_ms=(0.2, 20), doubled=0.1, late=0.05, late_ms=2_000)
+LOSSY_NETWORK = Weather(loss=0.15, delay_ms=(0.2, 20), doubled=0.1, late=0.05, late_ms=2_000)
 CONVERGENCE_MS = 40_000
 
 
 def check_converges(fleet, settling_ms):
-    """All that run are alive in one view within 40 s of the last fault's end, and stay so.
+    """Checks that all running members are alive in one view within 40 s of the last fault's end, and stay so.
 
     The last fault's pauses and late messages last up to `settling_ms` more.
     """
@@ -33,7 +33,7 @@
 
 
 def inject(fleet, fault, first, second):
-    """Inject one fault at members of a fleet, by their numbers."""
+    """Injects one fault at members of a fleet, given by their numbers."""
     net, names = fleet.net, fleet.names
     first, second = names[first % len(names)], names[second % len(names)]
     faults = {
@@ -45,12 +45,12 @@
         "one way": lambda: net.between([first], [second], cut=True),
         "not received": lambda: net.between([first], names, cut=True),
         "partition": lambda: net.split(names[:2], names[2:]),
-        "mend": net.mend,
+        "heal": net.mend,
     }
     faults[fault]()
 
 
-# Starting and mending twice as often as the others.
+# Starting and healing are drawn twice as often as the others.
 FAULTS = [
     "kill",
     "start",
@@ -61,8 +61,8 @@
     "one way",
     "not received",
     "partition",
-    "mend",
-    "mend",
+    "heal",
+    "heal",
 ]
 schedules = st.lists(
     st.tuples(st.sampled_from(FAULTS), st.integers(0, 4), st.integers(0, 4), st.integers(0, 3_000)),
@@ -71,7 +71,7 @@
 )
 
 
-# A failing schedule would take minutes to shrink, so it is only generated.
+# Shrinking a failing schedule would take minutes, so schedules are only generated.
 @settings(
     max_examples=30,
     deadline=None,
@@ -81,8 +81,8 @@
 )
 @given(st.integers(0, 2**32), schedules)
 def test_the_group_converges_to_one_view_after_any_faults(seed, schedule):
-    """Kills, pauses, leaves, one-sided links and partitions, in a network that loses and reorders."""
-    fleet = make_fleet(4, seed, STORM, QUICK, joined=False)
+    """Kills, pauses, leaves, one-way links and partitions, in a network that loses and reorders messages."""
+    fleet = make_fleet(4, seed, LOSSY_NETWORK, QUICK, joined=False)
     fleet.run(500)
     for fault, first, second, wait_ms in schedule:
         inject(fleet, fault, first, second)
@@ -92,12 +92,12 @@
         if not fleet.net.hosts[name].up or fleet.watch(name).end_reason:
             fleet.net.start(name)
     check_converges(fleet, 6_000)
-    assert fleet.rules.steps > 100
+    assert fleet.invariants.check_count > 100
 
 
-# One message changed at a time.
+# Runs in which one message is mutated.
 
-SHORT = Settings(
+SCENARIO_SETTINGS = Settings(
     probe_period_ms=200,
     suspicion_timeout_ms=900,
     removal_timeout_ms=1_500,
@@ -106,13 +106,19 @@
     max_tick_delay_ms=200,
 )
 MEMBERS = ("f0", "f1", "f2")
-TESTS_PER_SEED = 30
-EDGES = {"uint32": (0, 1, 2**31, 2**32 - 1), "uint64": (0, 1, 2**40 - 1, 2**48 - 1, 2**63, 2**64 - 1)}
+MUTATIONS_PER_SEED = 30
+BOUNDARY_VALUES = {
+    "uint32": (0, 1, 2**31, 2**32 - 1),
+    "uint64": (0, 1, 2**40 - 1, 2**48 - 1, 2**63, 2**64 - 1),
+}
 
 
-def play_scenario(seed, replace_message=None):
-    """Three join; one is killed, removed and comes back; one leaves and comes back; one is paused."""
-    fleet = make_fleet(3, seed, settings=SHORT, joined=False)
+def run_scenario(seed, replace_message=None):
+    """Runs a scenario with three members.
+
+    One is killed, removed and restarted; one leaves and rejoins; one is paused.
+    """
+    fleet = make_fleet(3, seed, settings=SCENARIO_SETTINGS, joined=False)
     fleet.net.meddle = replace_message
     net = fleet.net
     for at_ms, action, *arguments in (
@@ -128,7 +134,7 @@
 
 
 class ScalarField(NamedTuple):
-    """A field that can be changed: `index` into a repeated one, else None."""
+    """A field that can be changed; `index` is its position in a repeated field, else None."""
 
     holder: object
     descriptor: object
@@ -136,12 +142,12 @@
 
     @property
     def value(self):
-        """The present value."""
+        """The current value."""
         value = getattr(self.holder, self.descriptor.name)
         return value if self.index is None else value[self.index]
 
     def set(self, value):
-        """Change the value."""
+        """Changes the value."""
         if self.index is None:
             setattr(self.holder, self.descriptor.name, value)
         else:
@@ -149,7 +155,7 @@
 
 
 def scalar_fields(message):
-    """All scalar fields of a message and of those in it."""
+    """Yields all scalar fields of a message and of its nested messages."""
     for descriptor in message.DESCRIPTOR.fields:
         value = getattr(message, descriptor.name)
         if descriptor.message_type is None:
@@ -164,7 +170,7 @@
 
 
 def other_value(rng, field):
-    """A neighbour of a field's value, or one at the edge of its range."""
+    """Returns a neighbour of a field's value, or a value at the boundary of its range."""
     old = field.value
     if isinstance(old, bool):
         return not old
@@ -174,12 +180,12 @@
         return rng.randrange(7)
     is_short = field.descriptor.cpp_type == field.descriptor.CPPTYPE_UINT32
     modulus = 2**32 if is_short else 2**64
-    edges = EDGES["uint32" if is_short else "uint64"]
-    return rng.choice([(old + 1) % modulus, (old - 1) % modulus, *edges])
+    boundary_values = BOUNDARY_VALUES["uint32" if is_short else "uint64"]
+    return rng.choice([(old + 1) % modulus, (old - 1) % modulus, *boundary_values])
 
 
 def with_one_field_changed(rng, message):
-    """A copy of a message in which one field has another value."""
+    """Returns a copy of a message in which one field has another value."""
     copy = copy_of(message)
     field = rng.choice(list(scalar_fields(copy)))
     field.set(other_value(rng, field))
@@ -187,14 +193,14 @@
 
 
 def without_rows(message):
-    """A copy of a message that carries no rows."""
+    """Returns a copy of a message that carries no rows."""
     copy = copy_of(message)
     del copy.rows[:]
     return copy
 
 
 def copy_of(message):
-    """A message of its own with the same content."""
+    """Returns a copy of a message."""
     copy = pb.Message()
     copy.CopyFrom(message)
     return copy
@@ -203,61 +209,61 @@
 # A changed field is three times as likely as any other mutation.
 MUTATIONS = [
     "lost",
-    "doubled",
-    "late",
-    "later than the incarnation",
-    "past the next",
-    "another's",
+    "duplicated",
+    "delayed",
+    "delayed past the incarnation",
+    "reordered",
+    "misrouted",
     "rows lost",
-    "field",
-    "field",
-    "field",
+    "field changed",
+    "field changed",
+    "field changed",
 ]
 
 
 def mutate(rng, receiver, message):
-    """(mutation, [(receiver, delay in ms, message)]) in place of a message."""
+    """Returns (mutation, [(receiver, delay in ms, message)]) to be delivered in place of a message."""
     mutation = rng.choice(MUTATIONS)
     other_receiver = rng.choice([name for name in MEMBERS if name != receiver])
     changed = with_one_field_changed(rng, message)
     deliveries = {
         "lost": [],
-        "doubled": [(receiver, 1, message), (receiver, 30, message)],
-        "late": [(receiver, 700, message)],
-        "later than the incarnation": [(receiver, 5_600, message)],
-        "past the next": [(receiver, 3, message)],
-        "another's": [(other_receiver, 1, message)],
-        "field": [(receiver, 1, changed)],
+        "duplicated": [(receiver, 1, message), (receiver, 30, message)],
+        "delayed": [(receiver, 700, message)],
+        "delayed past the incarnation": [(receiver, 5_600, message)],
+        "reordered": [(receiver, 3, message)],
+        "misrouted": [(other_receiver, 1, message)],
+        "field changed": [(receiver, 1, changed)],
         "rows lost": [(receiver, 1, without_rows(message))],
     }
     return mutation, deliveries[mutation]
 
 
-def mutate_message(number, rng, found):
-    """What replaces the message of a number in a run, and adds the mutation to `found`."""
+def mutate_message(number, rng, applied_mutations):
+    """Returns a function that mutates the message with a number in a run, and records the mutation."""
 
     def replace_message(message_number, _sender, receiver, _layer, message):
         if message_number != number:
             return None
         mutation, deliveries = mutate(rng, receiver, message)
-        found.add(mutation)
+        applied_mutations.add(mutation)
         return deliveries
 
     return replace_message
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_group_converges_after_one_message_was_changed(seed):
-    """Thirty random messages of the scenario, each lost, doubled, delayed, misrouted or changed in a run."""
-    unchanged = play_scenario(seed)
-    assert unchanged.agree()
-    message_count = unchanged.net.messages
+def test_the_group_converges_after_one_message_was_mutated(seed):
+    """Mutates one random message of the scenario per run: lost, duplicated, delayed, misrouted or changed."""
+    unmutated = run_scenario(seed)
+    assert unmutated.agree()
+    message_count = unmutated.net.messages
     assert message_count > 300
-    found = set()
-    for test in range(TESTS_PER_SEED):
+    applied_mutations = set()
+    for test in range(MUTATIONS_PER_SEED):
         rng = random.Random(f"{seed}/{test}")
         number = rng.randrange(1, message_count + 1)
-        fleet = play_scenario(seed, mutate_message(number, rng, found))
+        fleet = run_scenario(seed, mutate_message(number, rng, applied_mutations))
         fleet.net.meddle = None
         check_converges(fleet, 200)
-    assert len(found) > 5
+    assert len(applied_mutations) > 5
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages and the table of membership: order does not matter, bounds hold, no message raises."""
+"""Messages and the member table: order does not matter, bounds hold, and no message raises an exception."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 def test_the_table_takes_no_more_than_its_limit_and_is_exchanged_whole():
-    """1,100 names of the longest kind; another member gets all that fit by anti-entropy."""
+    """Receives 1,100 names of maximum length; another member gets all that fit by anti-entropy."""
     full = FailureDetector("me", 1, ["a"], random.Random(1), Settings(), 0.0)
     full.on_message(1.0, ("b", 1), pb.Message(join=pb.Join()))
     for number in range(TOO_MANY_MEMBERS):
@@ -36,11 +36,11 @@
     for _ in range(SYNC_ROUNDS):
         full.outbox.clear()
         full.anti_entropy.send_digests("b")
-        exchange(full, other)
+        exchange_sync_messages(full, other)
     assert {member.name for member in other.members()} == {member.name for member in full.members()}
 
 
-def exchange(first, second):
+def exchange_sync_messages(first, second):
     """Delivers all sync messages between two members until none is left."""
     pending = [(first, second, message) for _, message in first.outbox]
     for sender, receiver, message in pending:
@@ -113,7 +113,7 @@
 
 
 def precedences_of(detector):
-    """{name: precedence} of all members."""
+    """Returns {name: precedence} of all members."""
     return {member.name: member.precedence for member in detector.table.members.values()}
 
 
