--- a/lichenquay/control_plane/__init__.py
+++ b/lichenquay/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""Processes that distribute configuration to the gateways: voters, one of them the publisher, and relays."""
+"""Processes that distribute configuration to the gateways: voters, one of which publishes, and relays."""
--- a/lichenquay/control_plane/__main__.py
+++ b/lichenquay/control_plane/__main__.py
@@ -1,4 +1,4 @@
-"""One control process, from its start to its exit: `python -m lichenquay.control_plane FILE`."""
+"""Runs one control process: `python -m lichenquay.control_plane FILE`."""
 
 from lichenquay.process import block_signals, run_service
 
@@ -11,7 +11,7 @@
 
 from lichenquay.control_plane.service import CannotStartError, Service  # noqa: E402
 
-# The reactor uses the wall clock by default; a step back of an hour would delay all timers by an hour.
+# The reactor uses the wall clock by default; setting it back by an hour would delay all timers by an hour.
 reactor.seconds = time.monotonic
 sys.exit(
     run_service("lichenquay.control_plane", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError)
--- a/lichenquay/control_plane/client.py
+++ b/lichenquay/control_plane/client.py
@@ -1,4 +1,4 @@
-"""Asks the voters, whichever of them publishes, over one blocking socket: for the command line and tests."""
+"""Client that finds the publishing voter over one blocking socket, for the command line and tests."""
 
 import random
 import socket
@@ -15,11 +15,11 @@
 from lichenquay.fleet.message_envelope import MAX_DATAGRAM_BYTES, Layer, MessageEnvelope
 
 DEFAULT_TIMEOUT_S = 10.0
-ANSWER_TIMEOUT_S = 0.4  # For one voter; then the next one is asked.
-REDIRECT_DELAY_S = 0.05  # After an answer that is not final: an election may be under way.
+ANSWER_TIMEOUT_S = 0.4  # For one voter, after which the next one is asked.
+REDIRECT_DELAY_S = 0.05  # After an answer that is not final: an election may be in progress.
 REQUEST_NUMBER_BITS = 63
 CLIENT_NUMBER_BITS = 48
-ANY_RECEIVER = ""  # Only the address of the receiver is known.
+ANY_RECEIVER = ""  # The receiver is known by its address only, not by its name.
 NO_ANSWER = "no voter answered"
 FINAL_OUTCOMES = (pb.Proposed.ACCEPTED, pb.Proposed.REFUSED)
 
@@ -27,9 +27,9 @@
 
 
 class Request(NamedTuple):
-    """A message to the voters, and which part of an answer is final.
+    """A message to the voters, and how to read the final answer to it.
 
-    `read_final(message)` returns the final answer, or None where the message has none.
+    `read_final(message)` returns the final answer, or None if the message has none.
     """
 
     number: int
@@ -38,7 +38,7 @@
 
 
 class Client:
-    """A context manager; on leaving it, the socket is closed."""
+    """Context manager that sends requests to the voters; leaving the context closes the socket."""
 
     def __init__(
         self,
@@ -47,10 +47,10 @@
         timeout_s: float = DEFAULT_TIMEOUT_S,
         rng: random.Random | None = None,
     ):
-        """Open a socket.
+        """Opens a socket.
 
         fleet: the fleet's name. voters: the (host, port) of some voters or all. timeout_s: for each call, in
-        seconds.
+        seconds. rng: source of the client's name and of request numbers.
         """
         self.voters = list(voters)
         self.timeout_s = timeout_s
@@ -59,29 +59,29 @@
         layers = {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
         self.envelope = MessageEnvelope(fleet, 0, name, (), layers)
         self.incarnation = int(time.time() * 1000)
-        self.address_by_voter: dict[str, Address] = {}  # Learned from answers.
+        self.address_by_voter: dict[str, Address] = {}  # Learned from received datagrams.
         self.socket = socket.socket(_address_family(self.voters), socket.SOCK_DGRAM)
 
     def __enter__(self) -> Self:
-        """Return the client itself."""
+        """Returns the client itself."""
         return self
 
     def __exit__(self, *_) -> None:
-        """Close the socket."""
+        """Closes the socket."""
         self.socket.close()
 
     def propose(self, entries: Sequence[pb.Entry], request: int | None = None) -> pb.Proposed:
-        """Return the publisher's answer to a change, ACCEPTED or REFUSED.
+        """Proposes a change; returns the publisher's answer, ACCEPTED or REFUSED.
 
-        A repeat has the same `request` number, so that the change is made once. Errors: NoAnswerError; the
-        change may have been made or not.
+        A retry has the same `request` number, the idempotency key, so that the change is made once. Raises
+        NoAnswerError; the change may then have been made or not.
         """
         number = request or self._new_request_number()
         message = pb.Message(propose=pb.Propose(request=number, entries=entries))
         return self._call(Request(number, message, _read_final_outcome))
 
     def status(self) -> pb.Status:
-        """Return the publisher's status. Errors: NoAnswerError."""
+        """Returns the publisher's status. Raises NoAnswerError."""
         number = self._new_request_number()
         message = pb.Message(status_request=pb.StatusRequest(request=number))
         return self._call(Request(number, message, _read_status))
@@ -90,7 +90,7 @@
         return self.rng.getrandbits(REQUEST_NUMBER_BITS) + 1
 
     def _call(self, request):
-        """Ask one voter after the other until an answer is final."""
+        """Asks one voter after the other until an answer is final."""
         deadline_s = time.monotonic() + self.timeout_s
         attempts = 0
         target = self.voters[0]
@@ -109,7 +109,7 @@
         raise NoAnswerError(f"no final answer within {self.timeout_s:g} s: {last_problem}")
 
     def _leader_address(self, message):
-        """The address of the leader that an answer names, if it is known by now."""
+        """Returns the address of the leader that an answer names, or None if it is not known."""
         if message is None or message.WhichOneof("kind") != "not_leader":
             return None
         return self.address_by_voter.get(message.not_leader.leader)
@@ -121,10 +121,10 @@
         try:
             self.socket.sendto(data, address)
         except OSError:
-            return  # The same as a lost datagram: the next voter is asked.
+            return  # Treated as a lost datagram: the next voter is asked.
 
     def _receive(self, request_number, deadline_s):
-        """The next answer to a request, None if there is none in time."""
+        """Returns the next answer to a request, or None if there is none before the deadline."""
         while (left_s := deadline_s - time.monotonic()) > 0:
             self.socket.settimeout(left_s)
             try:
@@ -145,7 +145,7 @@
 
 
 def _request_numbers_of(message):
-    """The request numbers that a message may answer; `not_leader` has the number in `session`."""
+    """Returns the request numbers that a message may answer; `not_leader` has the number in `session`."""
     body = getattr(message, message.WhichOneof("kind") or "unknown")
     return {getattr(body, "request", 0), getattr(body, "session", 0)} - {0}
 
@@ -160,7 +160,7 @@
 
 
 def _describe_problem(message):
-    """Why an answer is not final."""
+    """Returns why an answer is not final."""
     if message.HasField("not_leader"):
         return f"the leader is {message.not_leader.leader or 'not known'}"
     return message.proposed.reason or "no outcome yet"
--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -1,8 +1,8 @@
 """Publishes the endpoint list: what discovery announces becomes entries under `engine/`. No I/O.
 
-Each voter follows discovery; the one that holds the publisher's lease proposes what differs from what is
-published. So a new publisher continues where the last one stopped, and one that lost its lease proposes
-nothing.
+Each voter follows discovery; the one that holds the publisher's lease proposes the differences between what
+is announced and what is published. A new publisher therefore continues where the last one stopped, and one
+that lost its lease proposes nothing.
 """
 
 from collections import Counter
@@ -20,7 +20,7 @@
 
 LEASE_CHECK_INTERVAL_MS = 250.0
 RETRY_DELAY_MS = 1000.0  # After a change that was not accepted.
-MAX_PENDING_CHANGES = 64  # A quarter of what the publisher holds; the rest is for operators.
+MAX_PENDING_CHANGES = 64  # A quarter of the publisher's limit; the rest is left to operators.
 REQUEST_NUMBER_BITS = 63
 
 
@@ -28,7 +28,7 @@
     """Proposes the changes that bring the published endpoint list to the announced one."""
 
     def __init__(self, publisher: Publisher, rng: Random, now_ms: float, log):
-        """Start without an announcement: nothing is proposed until discovery has answered.
+        """Starts without an announcement: nothing is proposed until discovery has answered.
 
         publisher: this voter's. log: a structlog logger; it gets the first invalid record and the first
         change that was not accepted.
@@ -44,34 +44,34 @@
         self._key_by_uid: dict[str, str] = {}
         # Keys that may differ from what is published or proposed, in the order in which they changed.
         self._changed_keys: dict[str, bool] = {}
-        self._generation = 0  # Of the lease; 0 while it is not held.
+        self._generation = 0  # Generation of the lease; 0 while it is not held.
         self._pending_changes = 0
-        self._is_compared = False  # With all that is published, under this lease.
+        self._is_compared = False  # Whether everything published was compared under this lease.
         self._retry_ms = now_ms
 
-    # What discovery announces.
+    # Announcements of discovery.
 
     def on_endpoints(self, now_ms: float, is_whole: bool, records: Sequence[EndpointRecord]) -> None:
-        """Record an announcement: the whole list, or the records that changed. now_ms: milliseconds."""
+        """Records an announcement: the whole list, or the records that changed. now_ms: milliseconds."""
         if is_whole:
-            self._forget_all_but({record.uid for record in records})
+            self._remove_all_except({record.uid for record in records})
         for record in records:
             self._record_endpoint(record)
         self._has_whole_list = self._has_whole_list or is_whole
         self.due_ms = now_ms
 
-    def _forget_all_but(self, uids):
+    def _remove_all_except(self, uids):
         missing = [uid for uid in self._key_by_uid if uid not in uids]
         for uid in missing:
-            self._forget(uid)
+            self._remove(uid)
 
     def _record_endpoint(self, record):
         key = key_of(record)
         if self._key_by_uid.get(record.uid, key) != key:
-            # The engine is in another zone now; it is published under one key at a time.
-            self._forget(record.uid)
+            # The engine has moved to another zone; it is published under one key at a time.
+            self._remove(record.uid)
         if record.state == domain.EndpointState.REMOVED:
-            self._forget(record.uid)
+            self._remove(record.uid)
             return
         value = value_of(record)
         error = find_entry_error(pb.Entry(key=key, value=value), CHECKS_BY_PREFIX)
@@ -88,19 +88,19 @@
             self.log.warning("engines", reason=error)
         self.counts["invalid"] += 1
 
-    def _forget(self, uid):
+    def _remove(self, uid):
         key = self._key_by_uid.pop(uid, None)
         if key is not None:
             del self._announced_values[key]
             self._changed_keys[key] = True
 
-    # What the runtime calls.
+    # Calls by the runtime.
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message) -> None:
-        """Ignore a message: no process sends any to the importer."""
+        """Ignores a message: no process sends any to the importer."""
 
     def tick(self, now_ms: float) -> None:
-        """Propose what differs while the lease is held. now_ms: milliseconds."""
+        """Proposes the differences while the lease is held. now_ms: milliseconds."""
         self.due_ms = now_ms + LEASE_CHECK_INTERVAL_MS
         self._update_generation(now_ms)
         if not self._generation:
@@ -109,7 +109,7 @@
             self._compare_all()
         self._propose_changes(now_ms)
         if self._is_compared and not self._changed_keys and not self._pending_changes:
-            self._propose_completeness(now_ms)
+            self._propose_completeness_marker(now_ms)
 
     def _update_generation(self, now_ms):
         group = self.publisher.group
@@ -120,7 +120,7 @@
             self._is_compared = False
 
     def _compare_all(self):
-        """Under a new lease, what earlier publishers published counts, too."""
+        """Marks all keys for comparison, including those that earlier publishers published."""
         published = self.publisher.speculative_state.entries
         unannounced = [
             key for key in published if key.startswith(ENGINE_PREFIX) and key not in self._announced_values
@@ -140,19 +140,22 @@
             return False
         return bool(self._changed_keys) and self._pending_changes < MAX_PENDING_CHANGES
 
-    def _propose_completeness(self, now_ms):
-        """Gateways wait for this marker; without it they take the first published engines for all."""
+    def _propose_completeness_marker(self, now_ms):
+        """Proposes the marker of a complete list unless it is published.
+
+        Gateways wait for this marker; without it, they would take the first published engines for all.
+        """
         is_published = COMPLETE_KEY in self.publisher.speculative_state.entries
         if not is_published and now_ms >= self._retry_ms:
             self._propose(now_ms, [pb.Entry(key=COMPLETE_KEY, value=COMPLETE)])
 
     def _take_next_entries(self):
-        """The entries of the next change: as many as fit, in the order in which they changed."""
+        """Takes the next change: as many entries as fit, in the order in which they changed."""
         entries = []
         compared_keys = []
         size_bytes = 0
         for key in self._changed_keys:
-            entry = self._difference(key)
+            entry = self._entry_to_propose(key)
             if entry is not None:
                 size_bytes += size_of(entry)
             if size_bytes > self.publisher.settings.most_change_bytes:
@@ -164,8 +167,8 @@
             del self._changed_keys[key]
         return entries
 
-    def _difference(self, key):
-        """The entry that brings a key to what is announced; None where the two agree."""
+    def _entry_to_propose(self, key):
+        """Returns the entry that gives a key its announced value, or None if that is published."""
         published = self.publisher.speculative_state.entries.get(key)
         announced_value = self._announced_values.get(key)
         if announced_value is None:
@@ -198,7 +201,7 @@
         self._retry_ms = now_ms + RETRY_DELAY_MS
 
     def lines(self) -> list[str]:
-        """Counters for SIGUSR1, one a line."""
+        """Returns counters for SIGUSR1, one per line."""
         return [
             f"engines announced {len(self._announced_values)} to be published {len(self._changed_keys)}",
             *(f"engine changes {outcome}: {count}" for outcome, count in sorted(self.counts.items())),
--- a/lichenquay/control_plane/errors.py
+++ b/lichenquay/control_plane/errors.py
@@ -6,7 +6,7 @@
 
 
 class CannotStartError(ControlPlaneError):
-    """A process lacks something that it needs to start; the text names it."""
+    """A process cannot start; the text names what is missing or wrong."""
 
 
 class NoAnswerError(ControlPlaneError):
--- a/lichenquay/control_plane/report.py
+++ b/lichenquay/control_plane/report.py
@@ -1,4 +1,4 @@
-"""The state of a control process as lines of text, for SIGUSR1."""
+"""The state of a control process as status lines, for SIGUSR1."""
 
 from collections.abc import Mapping
 
@@ -10,7 +10,7 @@
 
 
 def voter_lines(group: LeaseGroup, publisher: Publisher, now_ms: float) -> list[str]:
-    """Return a voter's lines: its part in the group, and what it publishes while it holds the lease."""
+    """Returns a voter's lines: its state in the lease group, and what it publishes while it leads."""
     lines = [
         _lease_line(group, now_ms),
         _group_line(group, now_ms),
@@ -23,7 +23,7 @@
 
 
 def relay_lines(relay: Relay, now_ms: float) -> list[str]:
-    """Return a relay's lines: what it holds, and what its subscribers have in force."""
+    """Returns a relay's lines: what it holds, and what its subscribers have in force."""
     coverage = relay.source.coverage(now_ms)
     return [
         *subscriber_lines(relay.subscriber, now_ms),
@@ -49,7 +49,7 @@
 
 
 def _status_lines(status: pb.Status) -> list[str]:
-    """What is accepted, and what is in force where."""
+    """Returns what is accepted, and what of it is in force at the subscribers."""
     return [
         f"published newest {status.newest} generation {status.generation} digest {status.digest:016x}",
         f"published in force {status.in_force} subscribers {status.subscribers} "
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -1,4 +1,4 @@
-"""What voter and relay processes have in common: socket, disk, timer and log around parts without I/O."""
+"""Runtime that voters and relays share: socket, store, timer and log around state machines without I/O."""
 
 import random
 import socket
@@ -8,34 +8,34 @@
 from lichenquay.config.distribution_settings import distribution_fingerprint, distribution_settings
 from lichenquay.config.process_entries import parse_address
 from lichenquay.distribution import distribution_pb2
-from lichenquay.fleet.addresses import EXPIRE_MS, Addresses
+from lichenquay.fleet.addresses import ADDRESS_EXPIRY_MS, Addresses
 from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 from lichenquay.fleet.runtime import Environment, Identity, Runtime, boot_ms, json_logger
 
-# Two states, and eight times that: the store's shares of the folder for them.
+# The store divides its capacity into eight shares; one share holds two states of the lease group.
 MAX_FOLDER_BYTES = 256 << 20
-# Answers of all subscribers to one delta, while this process is busy; the system may allow less.
+# Holds the answers of all subscribers to one delta while this process is busy; the system may allow less.
 RECEIVE_BUFFER_BYTES = 4 << 20
-MAX_LEAVE_MS = 1500.0  # For the lease to be released, and the other voters to be notified.
-MIN_LOG_INTERVAL_MS = 1000.0  # Between two log lines on the version, or on discovery.
+MAX_LEAVE_MS = 1500.0  # Time to release the lease and to notify the other voters.
+MIN_LOG_INTERVAL_MS = 1000.0  # Between two log lines about the version, or about discovery.
 RNG_SEED_BITS = 128
 
 
 class ControlRuntime(Runtime, ABC):
-    """A control process. A subclass sets `role`, and makes the parts of its role."""
+    """Base class of control processes. A subclass sets `role`, and creates the components of its role."""
 
     role: str
-    kinds = {Layer.DISTRIBUTION: distribution_pb2.Message}
+    message_types = {Layer.DISTRIBUTION: distribution_pb2.Message}
 
     def __init__(self, reactor, process_settings, log=None):
-        """Open nothing yet.
+        """Opens nothing yet.
 
         process_settings: the checked settings file of one control process. log: a structlog logger; by
         default JSON lines on standard error.
         """
         self.settings = process_settings.control
-        self.figures = distribution_settings(self.settings.figures)
+        self.protocol_settings = distribution_settings(self.settings.figures)
         self.warnings = warnings_of(process_settings)
         self.rng = random.Random(random.SystemRandom().getrandbits(RNG_SEED_BITS))
         self.addresses = self._make_addresses()
@@ -43,7 +43,11 @@
         self.logged_version = 0
         self.version_logged_ms = float("-inf")
         datagrams = DatagramTransport(
-            _make_envelope(self.settings), self.addresses, self.kinds, self.on_message, self.addresses.learn
+            _make_envelope(self.settings),
+            self.addresses,
+            self.message_types,
+            self.on_message,
+            self.addresses.learn,
         )
         process_log = (log or json_logger()).bind(process=self.settings.name)
         super().__init__(Environment(reactor), self._make_identity(), datagrams, process_log)
@@ -53,34 +57,37 @@
         return Identity(settings.fleet, settings.name, settings.listen, settings.folder, MAX_FOLDER_BYTES)
 
     def _make_addresses(self):
-        """Room for all sessions, and as many clients and earlier starts; none expires before its session."""
-        expire_ms = max(EXPIRE_MS, self.figures.expire_ms)
+        """Returns a table with room for all sessions, and as many clients and earlier starts.
+
+        No address expires before its session.
+        """
+        expire_ms = max(ADDRESS_EXPIRY_MS, self.protocol_settings.expire_ms)
         return Addresses(
-            _addresses_of_others(self.settings), boot_ms, 2 * self.figures.most_sessions, expire_ms
+            _addresses_of_others(self.settings), boot_ms, 2 * self.protocol_settings.most_sessions, expire_ms
         )
 
-    # What a role adds.
+    # Implemented by each role.
 
     @abstractmethod
-    def make_parts(self, now_ms: float) -> None:
-        """Set `parts`, by layer. now_ms: milliseconds of CLOCK_BOOTTIME, as everywhere here."""
+    def make_components(self, now_ms: float) -> None:
+        """Sets `components`, by layer. now_ms: milliseconds of CLOCK_BOOTTIME, as everywhere here."""
 
     @abstractmethod
-    def start_leaving(self, now_ms: float) -> None:
-        """Release what other processes wait for."""
+    def release_all(self, now_ms: float) -> None:
+        """Releases what other processes wait for."""
 
     @abstractmethod
-    def has_left(self) -> bool:
-        """Whether nothing is left to be released or sent."""
+    def has_released_all(self) -> bool:
+        """Returns whether nothing is left to be released or sent."""
 
     @abstractmethod
-    def part_lines(self, now_ms: float) -> list[str]:
-        """Return the lines of the parts for SIGUSR1."""
+    def component_lines(self, now_ms: float) -> list[str]:
+        """Returns the status lines of the components for SIGUSR1."""
 
-    # From start to end.
+    # Lifecycle.
 
     def open(self) -> str | None:
-        """Open folder and socket, with room for more waiting datagrams than a gateway has.
+        """Opens folder and socket, with room for more waiting datagrams than a gateway has.
 
         Returns None, or a line that says which cannot be opened.
         """
@@ -90,11 +97,11 @@
         return problem
 
     def begin(self) -> None:
-        """Make the parts and take part from now on."""
+        """Creates the components and starts serving."""
         self.start_writer()
         for line in self.warnings:
             self.log.warning("settings", reason=line)
-        self.make_parts(self.now_ms())
+        self.make_components(self.now_ms())
         self.log.info(
             "control",
             role=self.role,
@@ -102,24 +109,24 @@
             region=region_of(self.settings),
             incarnation=self.incarnation,
         )
-        self.run_due_parts()
+        self.tick_due_components()
 
     def leave(self) -> None:
-        """Start to leave in order; `is_over` says when the process may end. Later calls change nothing."""
+        """Starts a graceful shutdown; the process may end once `is_over`. Later calls change nothing."""
         if self.leave_deadline_ms is not None:
             return
         self.leave_deadline_ms = self.now_ms() + MAX_LEAVE_MS
-        self.start_leaving(self.now_ms())
-        self.run_due_parts()
+        self.release_all(self.now_ms())
+        self.tick_due_components()
 
     def is_over(self) -> bool:
-        """Whether, after `leave`, everything is released, or the time for it is up."""
-        return self.has_left() or self.now_ms() >= self.leave_deadline_ms
+        """Returns whether, after `leave`, everything is released or the time for it has passed."""
+        return self.has_released_all() or self.now_ms() >= self.leave_deadline_ms
 
-    # What is logged.
+    # Log and status.
 
     def log_version(self, version: int, generation: int, **fields) -> None:
-        """Log the newest version if it is a new one, at most once in `MIN_LOG_INTERVAL_MS`."""
+        """Logs the newest version if it is a new one, at most once in `MIN_LOG_INTERVAL_MS`."""
         now_ms = self.now_ms()
         if version != self.logged_version and now_ms - self.version_logged_ms >= MIN_LOG_INTERVAL_MS:
             self.logged_version = version
@@ -127,12 +134,12 @@
             self.log.info("version", version=version, generation=generation, **fields)
 
     def lines(self) -> list[str]:
-        """Return what is in force and all counters, for SIGUSR1."""
-        if not self.parts:
+        """Returns what is in force and all counters, for SIGUSR1."""
+        if not self.components:
             return ["control: not started"]
         return [
             f"control {self.settings.name} {self.role} incarnation {self.incarnation}",
-            *self.part_lines(self.now_ms()),
+            *self.component_lines(self.now_ms()),
             *self.addresses.lines(),
             *self.datagram_lines(),
             *self.store_lines(),
@@ -140,7 +147,7 @@
 
 
 def _addresses_of_others(settings):
-    """{name: address} of all other processes that the settings name."""
+    """Returns {name: address} of all other processes that the settings name."""
     processes = [*settings.voters, *settings.relays]
     return {
         process.name: parse_address(process.address) for process in processes if process.name != settings.name
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -18,7 +18,7 @@
 
 
 class ServicePhase(StrEnum):
-    """Where a control process is between its start and its exit."""
+    """The phase of a control process between its start and its exit."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -27,7 +27,7 @@
 
 
 def make_runtime(reactor, process_settings) -> ControlRuntime:
-    """Return the runtime of the role that a checked settings file names."""
+    """Returns the runtime of the role that a checked settings file names."""
     runtime_type = VoterRuntime if process_settings.control.role == VOTER else RelayRuntime
     return runtime_type(reactor, process_settings)
 
@@ -36,7 +36,7 @@
     """Reads the settings, and runs the process that they describe."""
 
     def __init__(self, reactor, arguments: Sequence[str]):
-        """Read the settings. arguments: the path of the settings file alone. Errors: CannotStartError."""
+        """Reads the settings. arguments: only the path of the settings file. Raises CannotStartError."""
         if len(arguments) != 1:
             raise CannotStartError(f"expected one argument, the settings file, not {len(arguments)}")
         try:
@@ -48,14 +48,14 @@
         self.runtime = make_runtime(reactor, process_settings)
 
     def start(self) -> None:
-        """Open folder and socket; serve once the reactor runs. Errors: CannotStartError."""
+        """Opens folder and socket; schedules `run` for when the reactor runs. Raises CannotStartError."""
         problem = self.runtime.open()
         if problem:
             raise CannotStartError(problem)
         self.reactor.callWhenRunning(self.run)
 
     def run(self) -> None:
-        """Serve, and handle signals."""
+        """Starts to serve and to handle signals."""
         handlers = {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
@@ -67,26 +67,28 @@
         self.phase = ServicePhase.SERVING
 
     def leave(self) -> None:
-        """Leave in order (SIGTERM, SIGINT); a second signal changes nothing."""
+        """Starts a graceful shutdown (SIGTERM, SIGINT); a second signal changes nothing."""
         if self.phase == ServicePhase.SERVING:
             self.phase = ServicePhase.LEAVING
             self.runtime.leave()
-            self.end_when_over()
+            self.stop_when_over()
 
-    def end_when_over(self) -> None:
-        """End the process once the runtime has left; check again a little later until then."""
+    def stop_when_over(self) -> None:
+        """Ends the process once the runtime has released everything; until then, checks repeatedly."""
         if not self.runtime.is_over():
-            self.reactor.callLater(LEAVE_CHECK_INTERVAL_S, self.end_when_over)
+            self.reactor.callLater(LEAVE_CHECK_INTERVAL_S, self.stop_when_over)
             return
         self.phase = ServicePhase.ENDED
         self.runtime.close()
         self.reactor.stop()
 
     def log_counters(self) -> None:
-        """Print counters and what is in force on standard error, one a line (SIGUSR1)."""
+        """Prints counters and what is in force to standard error, one per line (SIGUSR1)."""
         for line in [*self.runtime.lines(), f"state: {self.phase}"]:
             print(line, file=sys.stderr, flush=True)
 
     def log_settings_unchanged(self) -> None:
-        """Log that settings apply from the next start only (SIGHUP)."""
-        self.runtime.log.warning("settings", reason="read at the start only")
+        """Logs that settings apply from the next start only (SIGHUP)."""
+        self.runtime.log.warning(
+            "settings", reason="settings are read at startup only; restart the process to apply changes"
+        )
--- a/lichenquay/fleet/__init__.py
+++ b/lichenquay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime of the processes of a fleet: one UDP socket, timer and store around decisions without I/O."""
+"""Runtime of fleet processes: one UDP socket, one timer and one store that drive code without I/O."""
--- a/lichenquay/fleet/addresses.py
+++ b/lichenquay/fleet/addresses.py
@@ -1,18 +1,18 @@
-"""Addresses of other processes: from the settings, or discovered from the datagrams that they send."""
+"""Addresses of other processes: from the settings, or learned from the datagrams that they send."""
 
 from collections import Counter, OrderedDict
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-MAX_DISCOVERED = 8192
-EXPIRE_MS = 60_000.0  # without a datagram, after which an address may give way to a new one
+MAX_LEARNED_ADDRESSES = 8192
+ADDRESS_EXPIRY_MS = 60_000.0  # time without a datagram after which an address may be replaced
 
 Address = tuple  # (host, port)
 
 
 @dataclass(frozen=True)
-class DiscoveredAddress:
-    """Where the last datagram of a sender came from."""
+class LearnedAddress:
+    """The source address of a sender's latest datagram."""
 
     address: Address
     incarnation: int
@@ -20,60 +20,63 @@
 
 
 class Addresses:
-    """Finds a process by its name. An address in the settings is never replaced by a discovered one.
+    """Maps names of processes to addresses. An address in the settings is never replaced by a learned one.
 
-    The table of discovered addresses is bounded, as any number of senders may appear. If it is full of recent
-    ones, a new sender is counted and not added.
+    The table of learned addresses is bounded, because any number of senders may appear. While it is full of
+    recent ones, a new sender is counted and not added.
     """
 
     def __init__(
         self,
-        named: Mapping[str, Address],
+        configured: Mapping[str, Address],
         now_ms: Callable[[], float],
-        max_discovered: int = MAX_DISCOVERED,
-        expire_ms: float = EXPIRE_MS,
+        max_learned: int = MAX_LEARNED_ADDRESSES,
+        expire_ms: float = ADDRESS_EXPIRY_MS,
     ):
-        """named: addresses from the settings, by name."""
-        self.named = named
+        """Starts without learned addresses.
+
+        configured: addresses from the settings, by name. now_ms: the clock. max_learned: bound of the table.
+        """
+        self.configured = configured
         self.now_ms = now_ms
-        self.max_discovered = max_discovered
+        self.max_learned = max_learned
         self.expire_ms = expire_ms
-        self.discovered: OrderedDict[str, DiscoveredAddress] = OrderedDict()  # least recent first
+        self.learned: OrderedDict[str, LearnedAddress] = OrderedDict()  # least recent first
         self.counts: Counter[str] = Counter()
 
     def get(self, name: str) -> Address | None:
-        """(host, port), or None if it is not known."""
-        address = self.named.get(name)
-        if address is None and name in self.discovered:
-            address = self.discovered[name].address
+        """Returns (host, port), or None if it is not known."""
+        address = self.configured.get(name)
+        if address is None and name in self.learned:
+            address = self.learned[name].address
         return address
 
     def learn(self, name: str, incarnation: int, address: Address) -> None:
-        """Records the source address of a datagram. Those of earlier incarnations are ignored."""
-        if name in self.named:
+        """Records the source address of a datagram. Datagrams of earlier incarnations are ignored."""
+        if name in self.configured:
             return
         now_ms = self.now_ms()
-        known = self.discovered.get(name)
+        known = self.learned.get(name)
         if known is not None and incarnation < known.incarnation:
             self.counts["addresses out of date"] += 1
             return
         if known is None and not self._make_room(now_ms):
             self.counts["addresses without room"] += 1
             return
-        self.discovered[name] = DiscoveredAddress(address, incarnation, now_ms)
-        self.discovered.move_to_end(name)
+        self.learned[name] = LearnedAddress(address, incarnation, now_ms)
+        self.learned.move_to_end(name)
 
     def _make_room(self, now_ms):
         """Removes expired addresses; returns whether one more fits."""
-        while self.discovered:
-            name, oldest = next(iter(self.discovered.items()))
+        while self.learned:
+            name, oldest = next(iter(self.learned.items()))
             if now_ms - oldest.received_ms < self.expire_ms:
                 break
-            del self.discovered[name]
+            del self.learned[name]
             self.counts["addresses expired"] += 1
-        return len(self.discovered) < self.max_discovered
+        return len(self.learned) < self.max_learned
 
     def lines(self) -> list[str]:
-        """Status lines: the size of the table, and counts."""
+        """Returns status lines: the size of the table, and counters."""
         counts = [f"{name}: {count}" for name, count in sorted(self.counts.items())]
-        return [f"addresses learned: {len(self.discovered)}", *counts]
+        return [f"addresses learned: {len(self.learned)}", *counts]
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -1,4 +1,4 @@
-"""The distributed configuration that a gateway follows, and what of it is in force. No I/O."""
+"""The distributed configuration that a gateway follows, and which of it is in force. No I/O."""
 
 from collections.abc import Mapping
 from random import Random
@@ -28,27 +28,27 @@
     """The port through which a gateway puts distributed configuration in force."""
 
     def apply_connection_rules(self, rules) -> None:
-        """Connection admission follows these rules; None: those of the settings file."""
+        """Applies connection admission rules; None restores those of the settings file."""
 
     def apply_endpoints(self, is_whole: bool, records: list[EndpointRecord]) -> None:
-        """All engines (`is_whole`), or those that changed."""
+        """Applies all engines (`is_whole`), or those that changed."""
 
 
 def relay_addresses(settings) -> dict[str, tuple[str, int]]:
-    """The addresses of the relays that a gateway may follow, by name."""
+    """Returns the addresses of the relays that a gateway may follow, by name."""
     return {relay.name: parse_address(relay.address) for relay in settings.relays}
 
 
 def open_layers(fleet: str) -> dict[int, int]:
-    """The layer of the relays, with its fingerprint."""
+    """Returns the distribution layer with its fingerprint."""
     return {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
 
 
 class AppliedConfiguration:
-    """Follows a relay and applies each change as a whole, or rejects it and keeps the last valid values."""
+    """Follows a relay; applies each change as a whole, or rejects it and keeps the last valid values."""
 
     def __init__(self, settings, name: str, rng: Random, now_ms: float, target: ConfigurationTarget, log):
-        """Sends nothing before the first tick.
+        """Creates a subscriber that sends nothing before its first tick.
 
         settings: the `distribution` section. name: of this gateway.
         """
@@ -70,9 +70,9 @@
         )
 
     def apply(self, now_ms: float, changed: Mapping[str, bytes | None], is_whole: bool) -> str | None:
-        """Puts all changes in force, or none of them and returns a line that says why.
+        """Puts all changes in force, or none of them and returns one line with the reason.
 
-        changed: values by key, None for a deleted key. is_whole: these are all values there are.
+        changed: values by key, None for a deleted key. is_whole: whether `changed` holds all existing values.
         """
         self.fault = None
         try:
@@ -90,7 +90,7 @@
         return None
 
     def apply_first_list(self) -> None:
-        """Called after each tick or message: applies the first endpoint list once it is complete.
+        """Applies the first endpoint list once it is complete; called after each tick and message.
 
         While a gateway starts or the first list is published, engines arrive in several steps. If each step
         were applied, the first few engines would receive all queries.
@@ -105,7 +105,7 @@
         return is_current and COMPLETE_KEY in subscriber.applied_values
 
     def _endpoint_records(self, changed):
-        """The engines that changed, removed ones first. Raises InvalidEndpointError."""
+        """Returns the engines that changed, removed ones first. Raises InvalidEndpointError."""
         applied_values = self.subscriber.applied_values
         removed = []
         listed = []
@@ -125,12 +125,12 @@
         self.log.warning("distribution", why=line, source=self.subscriber.source)
 
     def lines(self, now_ms: float) -> list[str]:
-        """Status lines: versions, source, counts and the last fault."""
+        """Returns status lines: versions, source, counters and the last fault."""
         return [*subscriber_lines(self.subscriber, now_ms), f"distribution fault: {self.fault or 'none'}"]
 
 
 def subscriber_lines(subscriber: Subscriber, now_ms: float) -> list[str]:
-    """Status lines of a subscriber, the same for gateways and relays."""
+    """Returns status lines of a subscriber, the same for gateways and relays."""
     age_ms = subscriber.age_ms(now_ms)
     age = "-" if age_ms == NEVER_MS else f"{age_ms:.0f}"
     freshness = "stale" if subscriber.is_stale(now_ms) else "fresh"
--- a/lichenquay/fleet/datagram_transport.py
+++ b/lichenquay/fleet/datagram_transport.py
@@ -1,4 +1,4 @@
-"""The one UDP socket of a process: seals, sends, receives, opens and counts datagrams."""
+"""The UDP socket of a process: seals, sends, receives, opens and counts datagrams."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -13,7 +13,7 @@
 class DatagramTransport(DatagramProtocol):
     """Messages of several layers over one UDP socket.
 
-    `counters` counts datagrams by what became of them; `bytes_out` is the number of bytes sent.
+    `counters` counts datagrams by outcome; `bytes_out` is the number of bytes sent.
     """
 
     noisy = False
@@ -26,9 +26,9 @@
         on_message: Callable[[int, Sender, Message], None],
         on_address: Callable[[str, int, tuple], None] | None = None,
     ):
-        """Parameters.
+        """Creates a transport that Twisted connects to a socket later.
 
-        addresses: its `get(name)` gives (host, port) or None. message_types: {layer: protobuf class}.
+        addresses: its `get(name)` returns (host, port) or None. message_types: {layer: protobuf class}.
         on_message: called with layer, sender and message. on_address: called with name, incarnation and
         address of each sender in an open layer.
         """
@@ -41,7 +41,7 @@
         self.bytes_out = 0
 
     def send(self, incarnation: int, name: str, layer: int, message: Message) -> None:
-        """Sends a message once. It may be lost; nothing is reported. Raises MessageTooLargeError."""
+        """Sends a message once. It may be lost without notice. Raises MessageTooLargeError."""
         address = self.addresses.get(name)
         if address is None or self.transport is None:
             self.counters["datagrams for nobody"] += 1
@@ -49,7 +49,7 @@
         data = self.envelope.seal(incarnation, name, layer, message.SerializeToString())
         try:
             self.transport.write(data, address)
-        except OSError:  # A network link that is down is reported here; the datagram counts as lost.
+        except OSError:  # Raised while a network link is down, for example; the datagram counts as lost.
             self.counters["datagrams not sent"] += 1
         else:
             self.counters["datagrams sent"] += 1
@@ -78,5 +78,5 @@
             raise DroppedDatagramError(DropReason.UNREADABLE) from None
 
     def lines(self) -> list[str]:
-        """Status lines: the counters by name."""
+        """Returns status lines: the counters by name."""
         return [f"{name}: {count}" for name, count in sorted(self.counters.items())]
--- a/lichenquay/fleet/errors.py
+++ b/lichenquay/fleet/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the fleet's runtime."""
+"""Errors of the fleet runtime."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram is dropped. Operators see the texts as names of counters."""
+    """Why a datagram is dropped. The texts are part of the names of counters."""
 
     UNREADABLE = "unreadable"
     WRONG_VERSION = "another version"
@@ -24,10 +24,10 @@
     """A received datagram is dropped; the message is the text of its `reason`."""
 
     def __init__(self, reason: DropReason):
-        """Keeps the reason, by which datagrams are counted."""
+        """Stores the reason, by which dropped datagrams are counted."""
         super().__init__(str(reason))
         self.reason = reason
 
 
 class MessageTooLargeError(FleetError):
-    """A message to be sent does not fit into one datagram."""
+    """An outgoing message does not fit into one datagram."""
--- a/lichenquay/fleet/follower_runtime.py
+++ b/lichenquay/fleet/follower_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a gateway that only follows distributed configuration, without membership and quota."""
+"""Runtime of a gateway that only follows distributed configuration, without membership and quota."""
 
 import random
 
@@ -13,16 +13,20 @@
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
 from lichenquay.fleet.runtime import Environment, Identity, Runtime, json_logger
 
-NO_FINGERPRINT = 0  # there are no other layers than the open one
+NO_FINGERPRINT = 0  # the only layer is open and has its own fingerprint
 
 
 class FollowerRuntime(Runtime):
-    """It has the interface of `GatewayRuntime` that the gateway uses."""
+    """Runs without membership and quota; has the interface of `GatewayRuntime` that the gateway uses."""
 
     tenant_usage = None
 
     def __init__(self, reactor, settings, seed, apply_to: ConfigurationTarget):
-        """settings: the `distribution` section, which has fleet, name and address itself."""
+        """Opens nothing yet.
+
+        settings: the `distribution` section, including fleet, name and listen address. seed: of the random
+        source.
+        """
         envelope = MessageEnvelope(
             settings.fleet, NO_FINGERPRINT, settings.name, (), open_layers(settings.fleet)
         )
@@ -38,14 +42,14 @@
         self.rng = random.Random(f"{seed}:{settings.name}")
 
     def begin(self) -> None:
-        """Starts to follow; called once the gateway serves."""
+        """Starts following; called once the gateway serves."""
         settings = self.settings
         self.applied_configuration = AppliedConfiguration(
             settings, settings.name, self.rng, self.now_ms(), self.apply_to, self.log
         )
-        self.parts[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
+        self.components[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
         self.log.info("following", incarnation=self.incarnation, fleet=settings.fleet, zone=settings.zone)
-        self.run_due_parts()
+        self.tick_due_components()
 
     def after_flush(self) -> None:
         """Applies the first endpoint list once it is complete."""
@@ -58,11 +62,11 @@
             self.applied_configuration.subscriber.stop()
 
     def is_over(self) -> bool:
-        """After `leave`: always, as no other process has to be told."""
+        """Returns True: after `leave`, no other process has to be notified."""
         return True
 
     def lines(self) -> list[str]:
-        """Status lines for SIGUSR1."""
+        """Returns status lines for SIGUSR1."""
         if self.applied_configuration is None:
-            return ["distribution: not begun"]
+            return ["distribution: not started"]
         return [*self.applied_configuration.lines(self.now_ms()), *self.datagram_lines()]
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a gateway that is a member of a fleet: membership, quota and distributed configuration.
+"""Runtime of a gateway that is a member of a fleet: membership, quota and distributed configuration.
 
 It is used only if the settings name a fleet. Times are milliseconds of CLOCK_BOOTTIME, which also counts
 while the machine is suspended.
@@ -11,7 +11,7 @@
 from lichenquay.config.process_entries import parse_address
 from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
-from lichenquay.fleet.quota_part import SECTION_PREFIX, QuotaPart
+from lichenquay.fleet.quota_part import SECTION_PREFIX, QuotaParticipant
 from lichenquay.fleet.runtime import (
     Environment,
     Identity,
@@ -40,7 +40,7 @@
 
 
 class GatewayRuntime(Runtime):
-    """Membership, and where the settings say so quota and distributed configuration, of one gateway."""
+    """Membership and, where configured, quota and distributed configuration of one gateway."""
 
     section_prefix = SECTION_PREFIX
 
@@ -58,11 +58,11 @@
         distribution=None,
         apply_to=None,
     ):
-        """Parameters.
+        """Opens nothing yet.
 
-        settings: the `fleet` section. is_under_pressure: whether the controller has no room beyond quota.
-        distribution: the `distribution` section, or None. apply_to: puts distributed configuration in force
-        (`ConfigurationTarget`). Clocks and store classes are as in `Environment`.
+        settings: the `fleet` section. is_under_pressure: returns whether the controller has no capacity
+        beyond quota. distribution: the `distribution` section, or None. apply_to: puts distributed
+        configuration in force (`ConfigurationTarget`). Clocks and store classes are as in `Environment`.
         """
         self.settings = settings
         self.is_under_pressure = is_under_pressure
@@ -72,10 +72,10 @@
         self.names = gateway_names(settings)
         self.has_left = False
         self.detector: FailureDetector | None = None
-        self.quota_part: QuotaPart | None = None
+        self.quota_part: QuotaParticipant | None = None
         self.tenant_usage: TenantUsage | None = None
         self.applied_configuration = None
-        self.next_incarnation: int | None = None  # while it is being stored
+        self.next_incarnation: int | None = None  # set while it is being stored
         super().__init__(
             Environment(reactor, now_ms, unix_ms, new_store, new_writer),
             Identity(settings.fleet, settings.name, settings.listen, settings.folder, STORE_MAX_BYTES),
@@ -88,7 +88,7 @@
         message_types = MESSAGE_TYPES
         open_layers = {}
         if self.distribution is not None:
-            # Imported here: a gateway that follows nothing does not load these modules.
+            # Imported here, so that a gateway without distributed configuration does not load these modules.
             from lichenquay.fleet import applied_configuration
 
             addresses |= applied_configuration.relay_addresses(self.distribution)
@@ -112,21 +112,21 @@
         self.log.info(
             "fleet", incarnation=self.incarnation, fleet=self.settings.fleet, peers=len(self.names) - 1
         )
-        self.run_due_parts()
+        self.tick_due_components()
 
     def _start_detector(self):
         self.detector = self.new_detector()
-        self.parts[Layer.MEMBERS] = self.detector
+        self.components[Layer.MEMBERS] = self.detector
 
     def new_detector(self) -> FailureDetector:
-        """A failure detector for the current incarnation."""
+        """Returns a failure detector for the current incarnation."""
         peers = [name for name in self.names if name != self.settings.name]
         return FailureDetector(
             self.settings.name, self.incarnation, peers, self.rng, MembershipSettings(), self.now_ms()
         )
 
     def _start_quota(self):
-        self.quota_part = QuotaPart(
+        self.quota_part = QuotaParticipant(
             self.settings,
             self.incarnation,
             self.rng,
@@ -136,23 +136,23 @@
             self.is_under_pressure,
             self.log,
         )
-        self.parts[Layer.QUOTA] = self.quota_part
+        self.components[Layer.QUOTA] = self.quota_part
         if self.quota_part.group is not None:
-            self.parts[Layer.OWNER] = self.quota_part.group
+            self.components[Layer.OWNER] = self.quota_part.group
         self.tenant_usage = TenantUsage(self.quota_part, self.now_ms, self.set_timer)
 
     def _start_following(self):
-        # Imported here, as above.
+        # Imported here for the same reason as in `_new_transport`.
         from lichenquay.fleet.applied_configuration import AppliedConfiguration
 
         self.applied_configuration = AppliedConfiguration(
             self.distribution, self.settings.name, self.rng, self.now_ms(), self.apply_to, self.log
         )
-        self.parts[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
+        self.components[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
 
     def leave(self) -> None:
-        """Tells the other members; `close` follows once `is_over`."""
-        if not self.parts or self.has_left:
+        """Notifies the other members that this gateway leaves; `close` follows once `is_over`."""
+        if not self.components or self.has_left:
             return
         self.has_left = True
         self.detector.leave(self.now_ms())
@@ -160,12 +160,12 @@
             self.quota_part.leave(self.now_ms())
         if self.applied_configuration is not None:
             self.applied_configuration.subscriber.stop()
-        self.run_due_parts()
+        self.tick_due_components()
 
     def is_over(self) -> bool:
-        """After `leave`: whether all has been sent that others have to know."""
-        has_quota_left = self.quota_part is None or self.quota_part.has_left
-        return self.detector.end_reason is not None and has_quota_left
+        """Returns whether, after `leave`, everything that other members must know has been sent."""
+        is_quota_returned = self.quota_part is None or self.quota_part.is_leave_complete
+        return self.detector.end_reason is not None and is_quota_returned
 
     # events
 
@@ -212,15 +212,15 @@
         self.log.warning("rejoined after removal", incarnation=self.incarnation, stored=is_stored)
         self._start_detector()
         if self.quota_part is not None:
-            self.quota_part.restart_as(self.incarnation)
-        self.run_due_parts()
+            self.quota_part.restart_with_incarnation(self.incarnation)
+        self.tick_due_components()
 
     # status
 
     def lines(self) -> list[str]:
-        """Status lines for SIGUSR1."""
-        if not self.parts:
-            return ["fleet: not begun"]
+        """Returns status lines for SIGUSR1."""
+        if not self.components:
+            return ["fleet: not started"]
         lines = [
             *self._member_lines(),
             *self.datagram_lines(),
--- a/lichenquay/fleet/message_envelope.py
+++ b/lichenquay/fleet/message_envelope.py
@@ -1,10 +1,11 @@
 """The envelope of a datagram between processes of a fleet: sender, receiver, fleet, layer, checksum. No I/O.
 
-Most layers accept only the processes that the settings name. An *open* layer accepts any sender with a
-well-formed name and the layer's own fingerprint, as thousands of gateways that no settings list follow
-distributed configuration. In an open layer a client that knows only addresses may leave the receiver empty.
+Most layers accept only processes that the settings name. An *open* layer accepts any sender with a
+well-formed name and the layer's own fingerprint, because distributed configuration is followed by thousands
+of gateways that are listed in no settings. In an open layer, a client that knows only addresses may omit the
+receiver.
 
-The checksum (CRC32C) turns a truncated or altered datagram into a lost one. It does not protect against
+The checksum (CRC32C) turns a truncated or corrupted datagram into a lost one. It does not protect against
 attackers.
 """
 
@@ -36,7 +37,7 @@
 
 
 class Sender(NamedTuple):
-    """One start of a process: its name and the incarnation that it drew at that start."""
+    """One start of a process: its name and the incarnation that it chose at that start."""
 
     name: str
     incarnation: int
@@ -52,7 +53,7 @@
 
     @property
     def sender(self) -> Sender:
-        """Who sent it."""
+        """The process that sent the datagram."""
         return Sender(self.name, self.incarnation)
 
 
@@ -67,7 +68,7 @@
         names: Iterable[str],
         open_layers: Mapping[int, int] | None = None,
     ):
-        """Parameters.
+        """Stores what identifies this process and its fleet.
 
         fleet: the fleet's name. fingerprint: of the settings that all named processes share. name: of this
         process. names: all named processes, this one included. open_layers: {layer: its fingerprint}.
@@ -79,10 +80,10 @@
         self.open_layers = open_layers or {}
 
     def seal(self, incarnation: int, receiver: str, layer: int, body: bytes) -> bytes:
-        """The datagram with its checksum. Raises MessageTooLargeError."""
+        """Returns the datagram with its checksum. Raises MessageTooLargeError."""
         if len(body) > MAX_BODY_BYTES:
             raise MessageTooLargeError(
-                f"a message of {len(body)} bytes for layer {layer}, at most {MAX_BODY_BYTES} fit"
+                f"message body for layer {layer}: {len(body)} bytes, expected at most {MAX_BODY_BYTES}"
             )
         data = fleet_pb2.Datagram(
             version=WIRE_VERSION,
@@ -97,7 +98,7 @@
         return CHECKSUM.pack(google_crc32c.value(data)) + data
 
     def open(self, data: bytes) -> OpenedDatagram:
-        """Checks a received datagram. Raises DroppedDatagramError."""
+        """Checks a received datagram and returns its content. Raises DroppedDatagramError."""
         datagram = _parse(data)
         self._check_fleet(datagram)
         self._check_processes(datagram)
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -1,7 +1,7 @@
-"""A gateway's part in the fleet's quota: its escrow, and on a voter the ledger's group and leader. No I/O.
+"""A gateway's participation in the fleet's quota: its escrow and, on a voter, the ledger's group and leader.
 
-The runtime has two parts of it: `group` (messages of the lease group) and `QuotaPart` itself (token requests
-and answers). The runtime supplies time, messages and stored sections.
+No I/O. The runtime has two components of it: `group` (messages of the lease group) and `QuotaParticipant`
+itself (token requests and answers). The runtime supplies time, messages and stored sections.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,12 +26,12 @@
 LEDGER_GROUP = "ledger"
 SECTION_PREFIX = "owner/ledger/"  # of the group's sections in the store
 MAX_LEDGER_BYTES = 1 << 20
-# One part in so many of a bucket is held at gateways that have no queries, split evenly among all gateways.
+# While they have no queries, all gateways together hold 1/8 of a bucket, each an equal share.
 IDLE_STOCK_DIVISOR = 8
-LEADER_CHECK_MS = 250.0  # between two checks of who leads the ledger
+LEADER_CHECK_INTERVAL_MS = 250.0  # between two checks of which process leads the ledger
 ANSWER_TIMEOUT_MS = 1000.0  # after which requests go to another voter
-SILENT_LEASES = 3.0  # lease durations without a heartbeat after which others try to acquire the lease
-MAX_LOCAL_ROUNDS = 64  # of messages between the escrow and the leader of one process, in one call
+MAX_SILENT_LEASES = 3.0  # lease durations without a heartbeat after which others try to acquire the lease
+MAX_LOCAL_ROUNDS = 64  # of messages per call between the escrow and the leader of the same process
 HEARTBEATS_PER_LEASE = 6
 RETRIES_PER_LEASE = 15
 BACKOFFS_PER_LEASE = 10
@@ -40,7 +40,7 @@
 NO_HOLDER = LeaseHolder(None, 0)
 
 
-class QuotaPart:
+class QuotaParticipant:
     """Reserves tokens for queries, requests more, and leads the ledger while this process holds its lease."""
 
     def __init__(
@@ -54,11 +54,11 @@
         is_under_pressure: Callable[[], bool],
         log,
     ):
-        """Parameters.
+        """Creates the escrow and, on a voter, the lease group and the leader of the ledger.
 
         settings: the `fleet` section. stored_sections: of the ledger's group, without prefix. member_state:
-        what membership knows of a gateway. is_under_pressure: whether the controller has no room beyond
-        quota.
+        returns what membership knows of a gateway. is_under_pressure: returns whether the controller has no
+        capacity beyond quota.
         """
         self.name = settings.name
         self.incarnation = incarnation
@@ -82,7 +82,7 @@
         self.next_leader_check_ms = now_ms
         self.asked_voter = rng.choice(self.voters)
         self.unanswered_since_ms: float | None = None
-        self.answering_leader = NO_HOLDER  # the latest generation that answered a request of this gateway
+        self.answering_leader = NO_HOLDER  # of the latest generation that answered this gateway
 
     def _new_group(self, lease_ms, now_ms, stored_sections):
         lease_settings = LeaseSettings(
@@ -113,8 +113,8 @@
         }
         return TokenEscrow(self.name, self.incarnation, idle_stocks_us, self.term_ms, random=self.rng)
 
-    def restart_as(self, incarnation: int) -> None:
-        """Continues under a new incarnation: nothing that the old one held is spent any more, debts stay."""
+    def restart_with_incarnation(self, incarnation: int) -> None:
+        """Continues under a new incarnation: tokens of the old one are no longer spent, its overruns stay."""
         overruns_us = self.escrow.overruns_us
         self.incarnation = incarnation
         self.escrow = self._new_escrow()
@@ -128,11 +128,14 @@
     # queries
 
     def reserve(self, now_ms: float, query, work_ms: float) -> bool:
-        """Whether the query is within its tenant's quota, credit included; if so, its work is reserved."""
+        """Reserves the work of a query that is within its tenant's quota, credit included.
+
+        Returns whether it is.
+        """
         self.escrow.under_pressure = self.is_under_pressure()
         return self.escrow.reserve(now_ms, query.tenant.name, work_ms, query)
 
-    # part of the runtime
+    # component of the runtime
 
     @property
     def due_ms(self) -> float:
@@ -146,7 +149,7 @@
         return bool(self.leader and self.group.generation)
 
     def tick(self, now_ms: float) -> None:
-        """Does what is due."""
+        """Runs all work that is due."""
         if now_ms >= self.next_leader_check_ms:
             self._check_leader(now_ms)
         if self.is_leading and now_ms >= self.leader.due_ms:
@@ -175,7 +178,7 @@
         self.escrow.on_message(now_ms, sender, answer)
 
     def _exchange_messages(self, now_ms):
-        """Delivers messages from escrow to leader and back within this process; others go to the outbox."""
+        """Delivers messages between escrow and leader of this process; others go to the outbox."""
         own_sender = Sender(self.name, self.incarnation)
         for _ in range(MAX_LOCAL_ROUNDS):
             local_messages = []
@@ -206,7 +209,7 @@
 
     def _check_leader(self, now_ms):
         """Updates where requests go, and whether this process tries to acquire the lease."""
-        self.next_leader_check_ms = now_ms + LEADER_CHECK_MS
+        self.next_leader_check_ms = now_ms + LEADER_CHECK_INTERVAL_MS
         holder = NO_HOLDER
         if self.group is not None:
             holder = self.group.holder
@@ -216,20 +219,24 @@
                 and self.member_state(self.name) == MemberState.ALIVE
             )
             self.group.set_candidate(now_ms, is_candidate)
-        self.escrow.leader = self._current_leader(now_ms, holder)
+        self.escrow.leader = self._select_leader(now_ms, holder)
 
     def _is_holder_gone(self, now_ms, holder):
-        # A member that is alive but holds the lease no more sends no heartbeats. Membership alone would make
-        # all others wait for it.
+        # A member that is alive but no longer holds the lease sends no heartbeats. If membership alone
+        # decided, all others would wait for it.
         silence_ms = now_ms - self.group.last_heartbeat_ms
         return (
-            silence_ms > SILENT_LEASES * self.group.settings.lease_ms
+            silence_ms > MAX_SILENT_LEASES * self.group.settings.lease_ms
             or holder.name in (None, self.name)
             or self.member_state(holder.name) in UNREACHABLE_STATES
         )
 
-    def _current_leader(self, now_ms, holder):
-        """A voter knows the holder. Any other gateway asks one voter after the other until one answers."""
+    def _select_leader(self, now_ms, holder):
+        """Returns the process to which requests go.
+
+        A voter knows the holder of the lease. Any other gateway asks one voter after the other until one
+        answers.
+        """
         if holder.name is not None and holder.generation >= self.answering_leader.generation:
             return holder
         if self._is_answer_overdue(now_ms):
@@ -254,7 +261,7 @@
             self.group.release(now_ms)
 
     @property
-    def has_left(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """Whether all tokens are returned and the lease is released."""
         is_holding = self.group is not None and self.group.generation
         return self.is_leaving and self.escrow.is_returned and not is_holding
@@ -262,5 +269,5 @@
     # status
 
     def lines(self, now_ms: float) -> list[str]:
-        """Status lines of escrow, group and ledger."""
+        """Returns status lines of escrow, group and ledger."""
         return quota_lines(self, now_ms)
--- a/lichenquay/fleet/quota_status.py
+++ b/lichenquay/fleet/quota_status.py
@@ -1,4 +1,4 @@
-"""Status lines of a gateway's part in the quota. No I/O."""
+"""Status lines of a gateway's participation in the quota. No I/O."""
 
 from lichenquay.lease.group import LeaseGroup
 from lichenquay.quota.errors import LedgerError
@@ -7,7 +7,7 @@
 
 
 def quota_lines(quota_part, now_ms: float) -> list[str]:
-    """Status lines of a `QuotaPart`. Amounts are milliseconds of engine work."""
+    """Returns the status lines of a `QuotaParticipant`. Amounts are milliseconds of engine work."""
     lines = _escrow_lines(quota_part.escrow, now_ms)
     if quota_part.group is not None:
         lines.append(_group_line(quota_part.group, now_ms))
@@ -52,14 +52,17 @@
         *accounts,
         f"ledger records: {leader.records_committed}",
         f"ledger writes uncertain: {leader.uncertain_writes}",
-        f"ledger conserved: {_conservation(leader)}",
+        f"ledger conserved: {_conservation_status(leader)}",
         f"loans barred: {leader.loans_barred}",
         f"ledger last error: {leader.last_error or 'none'}",
     ]
 
 
-def _conservation(leader):
-    """Whether the ledger's amounts add up; a program fault that creates tokens from nothing shows here."""
+def _conservation_status(leader):
+    """Returns whether the ledger's amounts add up.
+
+    A programming error that creates tokens from nothing is reported here.
+    """
     if leader.committed is None:
         return "not in office"
     try:
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -1,7 +1,7 @@
-"""Runs state machines without I/O ("parts") on one UDP socket, one store and one timer.
+"""Runs components, which are state machines without I/O, on one UDP socket, one store and one timer.
 
-A part has `on_message(now_ms, sender, message)`, `tick(now_ms)`, `due_ms` (when it is to be ticked next) and
-`outbox` (messages to send, as (receiver, message)). Times are milliseconds of CLOCK_BOOTTIME, which also
+A component has `on_message(now_ms, sender, message)`, `tick(now_ms)`, `due_ms` (when it is to be ticked next)
+and `outbox` (messages to send, as (receiver, message)). Times are milliseconds of CLOCK_BOOTTIME, which also
 counts while the machine is suspended.
 """
 
@@ -24,24 +24,24 @@
 from lichenquay.storage.store import DurableStore
 from lichenquay.storage.writer import StoreWriter
 
-CLOSE_TIMEOUT_MS = 500.0  # for writes that are still queued at the end
-# Without a least wait, a part that is always due would leave the reactor no time for anything else.
+CLOSE_TIMEOUT_MS = 500.0  # for writes that are still queued at shutdown
+# Without a minimum wait, a component that is always due would starve everything else in the reactor.
 MIN_TIMER_MS = 1.0
 NEVER_MS = float("inf")
 
 
 def boot_ms() -> float:
-    """Milliseconds since boot, time in suspension included."""
+    """Returns milliseconds since boot, time in suspension included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 def unix_now_ms() -> float:
-    """Milliseconds of the wall clock. It is only used to choose an incarnation."""
+    """Returns milliseconds of the wall clock, which are only used to choose an incarnation."""
     return time.time() * 1000
 
 
 def json_logger():
-    """A logger that writes JSON lines to standard error."""
+    """Returns a logger that writes JSON lines to standard error."""
     return structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
         processors=[
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """Which process of which fleet this is, where it listens (address:port, UDP) and its store.
+    """The fleet and name of a process, its UDP listen address (address:port) and its store.
 
     An empty `store_directory` means that the process stores nothing.
     """
@@ -87,9 +87,9 @@
 
 
 class Runtime:
-    """Base class of the processes of a fleet. Subclasses fill `parts` and override `after_flush`.
+    """Base class of the processes of a fleet. Subclasses fill `components` and override `after_flush`.
 
-    `parts` is {layer: part}; a key that is no layer is allowed for a part that sends no messages.
+    `components` is {layer: component}; a component that sends no messages may have a key that is not a layer.
     `section_prefix` starts the names of the lease group's sections in the store.
     """
 
@@ -111,10 +111,10 @@
         self.port = None
         self.timer = None
         self.timer_ms = 0.0  # when the timer fires
-        self.parts: dict[Any, Any] = {}
+        self.components: dict[Any, Any] = {}
         self.is_closed = False
 
-    # start and end
+    # lifecycle
 
     def open(self) -> str | None:
         """Opens store and socket, and sends nothing. Returns None, or one line that says what failed."""
@@ -138,7 +138,7 @@
         return None
 
     def _choose_incarnation(self):
-        """Larger than every earlier one in the store, and not below the wall clock."""
+        """Chooses an incarnation above every earlier one in the store and not below the wall clock."""
         unix_ms = int(self.unix_ms())
         if self.store is None:
             self.incarnation = unix_ms
@@ -158,7 +158,7 @@
             self.writer = self.new_writer(self.store, self.reactor.callFromThread, self.now_ms, log=self.log)
 
     def stored_sections(self) -> Mapping[str, bytes]:
-        """The lease group's sections as they were in the store at the start, without their prefix.
+        """Returns the lease group's sections as stored at startup, without their prefix.
 
         Empty if the store could not be read: a voter without its promises recovers them from the others.
         """
@@ -186,37 +186,37 @@
     # events
 
     def on_message(self, layer: int, sender: Sender, message) -> None:
-        """Passes a received message to the part of its layer, and sends what follows from it."""
-        part = self.parts.get(layer)
-        if part is not None and not self.is_closed:
-            part.on_message(self.now_ms(), sender, message)
+        """Passes a received message to the component of its layer, and sends the resulting messages."""
+        component = self.components.get(layer)
+        if component is not None and not self.is_closed:
+            component.on_message(self.now_ms(), sender, message)
             self.flush()
 
-    def run_due_parts(self) -> None:
-        """Ticks every part that is due, and sends what follows from it."""
+    def tick_due_components(self) -> None:
+        """Ticks every component that is due, and sends the resulting messages."""
         now_ms = self.now_ms()
-        for part in list(self.parts.values()):
-            if part.due_ms <= now_ms:
-                part.tick(now_ms)
+        for component in list(self.components.values()):
+            if component.due_ms <= now_ms:
+                component.tick(now_ms)
         self.flush()
 
     def flush(self) -> None:
-        """Sends the messages of all parts, submits the lease group's writes and sets the timer."""
-        for layer, part in list(self.parts.items()):
-            messages = list(part.outbox)
-            part.outbox.clear()  # In place: the members of a composite part may share one list.
+        """Sends the messages of all components, submits the lease group's writes and sets the timer."""
+        for layer, component in list(self.components.items()):
+            messages = list(component.outbox)
+            component.outbox.clear()  # In place: the members of a composite component may share one list.
             for receiver, message in messages:
                 self.datagrams.send(self.incarnation, receiver, layer, message)
-        if Layer.OWNER in self.parts:
+        if Layer.OWNER in self.components:
             self._submit_writes()
         self.after_flush()
         self.set_timer()
 
     def after_flush(self) -> None:
-        """Called after each `flush`. Subclasses override it."""
+        """Does nothing; called after each `flush`, and overridden by subclasses."""
 
     def _submit_writes(self):
-        group = self.parts[Layer.OWNER]
+        group = self.components[Layer.OWNER]
         requests = group.store_requests
         group.store_requests = []
         for number, changes in requests:
@@ -225,14 +225,14 @@
 
     def _on_stored(self, number, is_stored):
         if not self.is_closed:
-            self.parts[Layer.OWNER].on_stored(self.now_ms(), number, is_stored)
+            self.components[Layer.OWNER].on_stored(self.now_ms(), number, is_stored)
             self.flush()
 
     def set_timer(self) -> None:
-        """Sets the one timer to the part that is due first."""
+        """Sets the timer to the component that is due first."""
         if self.is_closed:
             return
-        due_ms = min(part.due_ms for part in self.parts.values())
+        due_ms = min(component.due_ms for component in self.components.values())
         is_active = self.timer is not None and self.timer.active()
         if due_ms == NEVER_MS:
             if is_active:
@@ -240,23 +240,23 @@
             return
         now_ms = self.now_ms()
         wait_ms = max(MIN_TIMER_MS, due_ms - now_ms)
-        # If each message postponed a part that is already due, the timer would never fire under load.
+        # If each message postponed a component that is already due, the timer would never fire under load.
         if is_active and due_ms <= now_ms and self.timer_ms <= now_ms + wait_ms:
             return
         self.timer_ms = now_ms + wait_ms
         if is_active:
             self.timer.reset(wait_ms / 1000)
         else:
-            self.timer = self.reactor.callLater(wait_ms / 1000, self.run_due_parts)
+            self.timer = self.reactor.callLater(wait_ms / 1000, self.tick_due_components)
 
     # status
 
     def datagram_lines(self) -> list[str]:
-        """Status lines: datagrams by what became of them."""
+        """Returns status lines: datagrams by outcome."""
         return [*self.datagrams.lines(), f"datagram bytes sent: {self.datagrams.bytes_out}"]
 
     def store_lines(self) -> list[str]:
-        """Status lines: writes by what became of them, and the last error of the store."""
+        """Returns status lines: writes by outcome, and the last error of the store."""
         if self.writer is None:
             return []
         counts = [f"folder {name}: {count:.0f}" for name, count in self.writer.counts.items()]
--- a/lichenquay/fleet/source_ranking.py
+++ b/lichenquay/fleet/source_ranking.py
@@ -6,14 +6,15 @@
 WEIGHT_BYTES = 8
 SAME_ZONE = 0
 SAME_REGION = 1
-ELSEWHERE = 2
+OTHER_REGION = 2
 
 
 def ranked(sources: Iterable, name: str, zone: str = "", region: str = "") -> list[str]:
-    """Names of the sources: first those of the same zone, then of the same region, then all others.
+    """Returns the names of the sources: those of the same zone, then of the same region, then all others.
+
+    Within each of these the order is by rendezvous hash of both names. It is therefore the same at each
+    start, the followers of a source that fails spread over all others, and no other follower moves.
 
-    Within each of these the order is by rendezvous hash of both names. So it is the same at each start, the
-    followers of a source that fails spread over all others, and no other follower moves.
     sources: with `name`, `zone` and `region`. name, zone, region: of the process that follows.
     """
 
@@ -28,7 +29,7 @@
         return SAME_ZONE
     if region and source.region == region:
         return SAME_REGION
-    return ELSEWHERE
+    return OTHER_REGION
 
 
 def _weight(source_name, name):
--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -9,7 +9,7 @@
 
 @dataclass
 class TenantTotals:
-    """Queries of one tenant since the start."""
+    """Counts and work of one tenant's queries, within and beyond quota, since the process started."""
 
     within_count: int = 0
     within_ms: float = 0.0
@@ -20,16 +20,20 @@
     """Quota decisions on queries, and totals of each tenant that has an account."""
 
     def __init__(self, quota_part, now_ms: Callable[[], float], set_timer: Callable[[], None]):
-        """set_timer: called after each decision, as the quota part may be due earlier then."""
+        """Starts with empty totals.
+
+        set_timer: called after each decision, because the quota participant may then be due earlier.
+        """
         self.quota_part = quota_part
         self.now_ms = now_ms
         self.set_timer = set_timer
         self.totals = {terms.tenant: TenantTotals() for terms in quota_part.account_terms}
 
     def is_over_quota(self, query: domain.Query) -> bool | None:
-        """Whether the query is over its tenant's quota; None if the tenant has no account.
+        """Reserves a query's expected work unless the query is over its tenant's quota.
 
-        The expected work of a query within quota is reserved until it is settled.
+        Returns whether it is over quota, or None if the tenant has no account. The work stays reserved until
+        the query is settled.
         """
         if query.tenant is None or query.tenant.name not in self.totals:
             return None
@@ -45,7 +49,10 @@
         return not is_within
 
     def settle_completed(self, query: domain.Query, cost: tuple[float, float] | None) -> None:
-        """cost: work in ms and memory in MB; None if engines do not report it."""
+        """Settles a query that completed.
+
+        cost: work in ms and memory in MB; None if engines do not report it: the query costs its estimate.
+        """
         if cost is None:
             self.quota_part.escrow.settle_at_estimate(self.now_ms(), query)
             return
@@ -53,14 +60,14 @@
         self.quota_part.escrow.settle(self.now_ms(), query, work_ms)
 
     def settle_not_completed(self, query: domain.Query) -> None:
-        """A query that was certainly never executed costs nothing, any other its estimate."""
+        """Settles a query that did not complete: at 0 if it certainly never ran, else at its estimate."""
         if all(attempt.outcome in domain.NEVER_EXECUTED for attempt in query.attempts):
             self.quota_part.escrow.settle(self.now_ms(), query, 0.0)
         else:
             self.quota_part.escrow.settle_at_estimate(self.now_ms(), query)
 
     def lines(self) -> list[str]:
-        """Status lines, one for each tenant, by name."""
+        """Returns status lines, one for each tenant, sorted by name."""
         return [
             f"taken {tenant} within {totals.within_count} of {totals.within_ms:.1f} ms, "
             f"beyond {totals.beyond_count}"
--- a/tests/test_endpoint_importer.py
+++ b/tests/test_endpoint_importer.py
@@ -1,4 +1,4 @@
-"""The endpoint list on its way from discovery to the publisher, in virtual time; and its entries."""
+"""The endpoint list from discovery to the publisher, in virtual time, and the format of its entries."""
 
 import random
 from types import SimpleNamespace
@@ -21,37 +21,37 @@
 
 
 def make_record(uid, state=domain.EndpointState.SERVING, zone="z1", port=80):
-    """An engine."""
+    """Returns the record of an engine."""
     return EndpointRecord(uid, f"10.0.0.1:{port}", zone, "std", 2, state, 1.0, 0.0)
 
 
-class StandInPublisher:
+class FakePublisher:
     """Accepts every change that passes the check; outcomes follow with `answer`."""
 
     def __init__(self):
-        """Holds the lease, of generation 1."""
+        """Starts with the lease, of generation 1."""
         self.settings = Settings()
         self.speculative_state = KeyStore()
-        self.waiting = []
-        self.proposed = 0
+        self.unanswered = []
+        self.proposal_count = 0
         self.group = SimpleNamespace(generation=1, holds=lambda now_ms: self.is_held)
         self.is_held = True
         self.is_full = False
 
     def set_lease(self, generation):
-        """Holds the lease of a generation, or none where it is 0."""
+        """Gives the publisher the lease of a generation, or none if it is 0."""
         self.is_held = generation > 0
         self.group.generation = generation
 
     def propose(self, now_ms, entries, request, on_outcome):
-        """Like `Publisher.propose`."""
+        """Behaves like `Publisher.propose`."""
         error = self._find_error(entries)
         if error is not None:
             on_outcome(now_ms, pb.Proposed(request=request, outcome=pb.Proposed.REFUSED, reason=error))
             return
-        self.proposed += 1
+        self.proposal_count += 1
         self.speculative_state.apply(self.speculative_state.version + 1, entries)
-        self.waiting.append((request, on_outcome))
+        self.unanswered.append((request, on_outcome))
 
     def _find_error(self, entries):
         if self.is_full:
@@ -59,139 +59,143 @@
         return find_change_error(entries, self.speculative_state, self.settings, CHECKS_BY_PREFIX)
 
     def answer(self, now_ms, outcome=pb.Proposed.ACCEPTED):
-        """Gives all pending changes an outcome."""
-        waiting, self.waiting = self.waiting, []
-        for request, on_outcome in waiting:
+        """Gives all unanswered changes an outcome."""
+        unanswered, self.unanswered = self.unanswered, []
+        for request, on_outcome in unanswered:
             on_outcome(now_ms, pb.Proposed(request=request, outcome=outcome, reason="in doubt"))
 
     def published(self):
-        """{uid: state} by the entries."""
+        """Returns {uid: state} of the published entries."""
         entries = self.speculative_state.entries.items()
         records = (record_of(key, value) for key, (value, _) in entries if key != COMPLETE_KEY)
         return {record.uid: record.state for record in records}
 
 
-class World:
-    """One importer and its publisher."""
+class ImporterHarness:
+    """An importer and its publisher."""
 
     def __init__(self):
-        """Discovery has not answered yet."""
-        self.now = 0.0
+        """Starts before discovery has answered."""
+        self.now_ms = 0.0
         self.warnings = []
-        self.publisher = StandInPublisher()
+        self.publisher = FakePublisher()
         log = SimpleNamespace(warning=lambda event, reason: self.warnings.append(reason))
-        self.importer = EndpointImporter(self.publisher, random.Random(1), self.now, log)
+        self.importer = EndpointImporter(self.publisher, random.Random(1), self.now_ms, log)
 
     def announce(self, *records, is_whole=False):
-        """What discovery announces, and all that follows."""
-        self.importer.on_endpoints(self.now, is_whole, records)
+        """Announces records as discovery does, and runs until they are published."""
+        self.importer.on_endpoints(self.now_ms, is_whole, records)
         self.settle()
 
     def settle(self, steps=400):
-        """Ticks whenever one is due; each change is accepted before the next tick."""
+        """Ticks whenever a tick is due; each change is accepted before the next tick."""
         for _ in range(steps):
-            if self.importer.due_ms <= self.now:
-                self.importer.tick(self.now)
-                self.publisher.answer(self.now)
-            self.now += 10.0
+            if self.importer.due_ms <= self.now_ms:
+                self.importer.tick(self.now_ms)
+                self.publisher.answer(self.now_ms)
+            self.now_ms += 10.0
 
 
-def test_what_is_announced_is_published_and_no_more():
+def test_exactly_the_announced_engines_are_published():
     """Unchanged engines cause no change; removed ones are deleted."""
-    world = World()
-    world.announce(make_record("e1"), make_record("e2"), is_whole=True)
-    assert world.publisher.published() == {
+    harness = ImporterHarness()
+    harness.announce(make_record("e1"), make_record("e2"), is_whole=True)
+    assert harness.publisher.published() == {
         "e1": domain.EndpointState.SERVING,
         "e2": domain.EndpointState.SERVING,
     }
-    world.announce(make_record("e1", domain.EndpointState.DRAINING), make_record("e2"))
-    assert world.publisher.published() == {
+    harness.announce(make_record("e1", domain.EndpointState.DRAINING), make_record("e2"))
+    assert harness.publisher.published() == {
         "e1": domain.EndpointState.DRAINING,
         "e2": domain.EndpointState.SERVING,
     }
-    proposed = world.publisher.proposed
-    world.announce(make_record("e1", domain.EndpointState.DRAINING), make_record("e2"), is_whole=True)
-    assert world.publisher.proposed == proposed
-    world.announce(make_record("e1", domain.EndpointState.REMOVED))
-    world.announce(make_record("e3"), is_whole=True)
-    assert world.publisher.published() == {"e3": domain.EndpointState.SERVING}
-
-
-def test_many_engines_go_in_changes_that_fit_and_not_all_at_once():
-    """Thousands at a start; operators' own changes find room between them."""
-    world = World()
-    world.importer.on_endpoints(0.0, True, [make_record(f"e{n:05d}") for n in range(3000)])
-    world.importer.tick(0.0)
+    proposal_count = harness.publisher.proposal_count
+    harness.announce(make_record("e1", domain.EndpointState.DRAINING), make_record("e2"), is_whole=True)
+    assert harness.publisher.proposal_count == proposal_count
+    harness.announce(make_record("e1", domain.EndpointState.REMOVED))
+    harness.announce(make_record("e3"), is_whole=True)
+    assert harness.publisher.published() == {"e3": domain.EndpointState.SERVING}
+
+
+def test_many_engines_are_published_in_bounded_changes_of_which_few_are_pending():
+    """Thousands of engines may come at a start; changes by operators must still be accepted in between."""
+    harness = ImporterHarness()
+    harness.importer.on_endpoints(0.0, True, [make_record(f"e{n:05d}") for n in range(3000)])
+    harness.importer.tick(0.0)
     assert (
-        len(world.publisher.waiting) == MAX_PENDING_CHANGES
-        and COMPLETE_KEY not in world.publisher.speculative_state.entries
+        len(harness.publisher.unanswered) == MAX_PENDING_CHANGES
+        and COMPLETE_KEY not in harness.publisher.speculative_state.entries
     )
-    world.settle(20_000)
-    assert COMPLETE_KEY in world.publisher.speculative_state.entries
-    assert len(world.publisher.published()) == 3000 and world.publisher.proposed < 1000
+    harness.settle(20_000)
+    assert COMPLETE_KEY in harness.publisher.speculative_state.entries
+    assert len(harness.publisher.published()) == 3000 and harness.publisher.proposal_count < 1000
 
 
 def test_nothing_is_proposed_before_the_whole_list_is_announced_or_without_the_lease():
     """Otherwise a voter without an announcement would delete all engines."""
-    world = World()
-    world.announce(make_record("e1"), is_whole=True)
-    world.publisher.set_lease(0)
-    world.announce(make_record("e2"))
-    assert world.publisher.published() == {"e1": domain.EndpointState.SERVING}
-    world.publisher.set_lease(3)
-    world.settle()
-    assert world.publisher.published() == {
+    harness = ImporterHarness()
+    harness.announce(make_record("e1"), is_whole=True)
+    harness.publisher.set_lease(0)
+    harness.announce(make_record("e2"))
+    assert harness.publisher.published() == {"e1": domain.EndpointState.SERVING}
+    harness.publisher.set_lease(3)
+    harness.settle()
+    assert harness.publisher.published() == {
         "e1": domain.EndpointState.SERVING,
         "e2": domain.EndpointState.SERVING,
     }
-    other = World()
-    other.publisher.speculative_state = world.publisher.speculative_state
+    other = ImporterHarness()
+    other.publisher.speculative_state = harness.publisher.speculative_state
     other.announce(make_record("e9"))  # Some records, before the whole list.
-    assert other.publisher.proposed == 0
+    assert other.publisher.proposal_count == 0
     other.announce(make_record("e2"), is_whole=True)
     assert other.publisher.published() == {"e2": domain.EndpointState.SERVING}
 
 
-def test_a_lost_lease_in_the_middle_leaves_nothing_out():
-    """What was in doubt is compared again under the next lease."""
-    world = World()
-    world.importer.on_endpoints(0.0, True, [make_record("e1")])
-    world.importer.tick(0.0)
-    world.publisher.set_lease(0)
-    world.publisher.answer(0.0, pb.Proposed.UNKNOWN)
-    world.publisher.speculative_state = KeyStore()  # The change was not committed.
-    world.settle()
-    world.publisher.set_lease(5)
-    world.settle()
-    assert world.publisher.published() == {"e1": domain.EndpointState.SERVING}
-
-
-def test_a_refusal_is_retried_later_and_logged_once():
-    """The publisher may have room later; until then there is a delay between two attempts."""
-    world = World()
-    world.publisher.is_full = True
-    world.announce(make_record("e1"), is_whole=True)
-    tries = world.importer.counts["refused"]
-    assert 1 <= tries <= 400 * 10.0 / RETRY_DELAY_MS + 1 and world.warnings == ["no room"]
-    world.publisher.is_full = False
-    world.settle()
-    assert world.publisher.published() == {"e1": domain.EndpointState.SERVING}
-
-
-def test_an_engine_in_another_zone_has_one_key():
-    """The old one goes first."""
-    world = World()
-    world.announce(make_record("e1"), make_record("e2"), is_whole=True)
-    world.announce(make_record("e1", zone="z2"))
-    assert sorted(world.publisher.speculative_state.entries) == [COMPLETE_KEY, "engine/z1/e2", "engine/z2/e1"]
-
-
-def test_an_invalid_record_leaves_the_others():
-    """It is counted, and logged once."""
-    world = World()
-    world.announce(make_record("e 1"), make_record("e2"), make_record("e" * 80), is_whole=True)
-    assert world.publisher.published() == {"e2": domain.EndpointState.SERVING}
-    assert world.importer.counts["invalid"] == 2 and len(world.warnings) == 1
+def test_a_lease_lost_while_a_change_is_pending_omits_no_engine():
+    """A change with an unknown outcome is compared again under the next lease."""
+    harness = ImporterHarness()
+    harness.importer.on_endpoints(0.0, True, [make_record("e1")])
+    harness.importer.tick(0.0)
+    harness.publisher.set_lease(0)
+    harness.publisher.answer(0.0, pb.Proposed.UNKNOWN)
+    harness.publisher.speculative_state = KeyStore()  # The change was not committed.
+    harness.settle()
+    harness.publisher.set_lease(5)
+    harness.settle()
+    assert harness.publisher.published() == {"e1": domain.EndpointState.SERVING}
+
+
+def test_a_rejected_change_is_retried_later_and_logged_once():
+    """The publisher may have room later; there is a delay between two attempts."""
+    harness = ImporterHarness()
+    harness.publisher.is_full = True
+    harness.announce(make_record("e1"), is_whole=True)
+    rejections = harness.importer.counts["refused"]
+    assert 1 <= rejections <= 400 * 10.0 / RETRY_DELAY_MS + 1 and harness.warnings == ["no room"]
+    harness.publisher.is_full = False
+    harness.settle()
+    assert harness.publisher.published() == {"e1": domain.EndpointState.SERVING}
+
+
+def test_an_engine_that_changes_its_zone_has_one_key():
+    """The old key is deleted first."""
+    harness = ImporterHarness()
+    harness.announce(make_record("e1"), make_record("e2"), is_whole=True)
+    harness.announce(make_record("e1", zone="z2"))
+    assert sorted(harness.publisher.speculative_state.entries) == [
+        COMPLETE_KEY,
+        "engine/z1/e2",
+        "engine/z2/e1",
+    ]
+
+
+def test_an_invalid_record_does_not_affect_the_others():
+    """Invalid records are counted, and logged once."""
+    harness = ImporterHarness()
+    harness.announce(make_record("e 1"), make_record("e2"), make_record("e" * 80), is_whole=True)
+    assert harness.publisher.published() == {"e2": domain.EndpointState.SERVING}
+    assert harness.importer.counts["invalid"] == 2 and len(harness.warnings) == 1
 
 
 @pytest.mark.parametrize(
@@ -209,16 +213,16 @@
         ),
     ],
 )
-def test_an_entry_that_names_no_engine_is_refused(key, value, reason):
-    """In one line; by the publisher's check too."""
+def test_an_entry_that_describes_no_engine_is_rejected(key, value, reason):
+    """The reason is one line, and the publisher's check gives it too."""
     with pytest.raises(InvalidEndpointError, match=reason):
         record_of(key, value)
     assert reason in CHECKS_BY_PREFIX["engine/"](key, value)
 
 
 @given(st.binary(max_size=120))
-def test_no_bytes_break_the_reader(value):
-    """They name an engine or are refused."""
+def test_any_bytes_are_parsed_or_rejected(value):
+    """Bytes either describe an engine or raise InvalidEndpointError."""
     try:
         record = record_of("engine/z/e", value)
     except InvalidEndpointError:
--- a/tests/test_fleet_applied_configuration.py
+++ b/tests/test_fleet_applied_configuration.py
@@ -21,28 +21,28 @@
     f'relays {{ name: "r{i}" address: "127.0.0.1:{i}" region: "g{region}" zone: "z{i}" }}'
     for i, region in ((1, 1), (2, 1), (3, 2))
 )
-SETTINGS = f'distribution {{ fleet: "yard" name: "a" listen: "127.0.0.1:9" zone: "z1" {RELAYS} }}'
+SETTINGS = f'distribution {{ fleet: "fleet-a" name: "a" listen: "127.0.0.1:9" zone: "z1" {RELAYS} }}'
 
 
 class RecordingLog:
-    """Keeps all lines."""
+    """Records all log lines."""
 
     def __init__(self):
-        """Empty."""
+        """Starts empty."""
         self.lines = []
 
     def info(self, event, **more):
-        """One line."""
+        """Records one line."""
         self.lines.append((event, more))
 
     warning = info
 
 
 class FollowingGateway:
-    """Follows a source in the same process; `rules` and `lists` are all that it has applied, in order."""
+    """Follows a source in the same process; `rules` and `lists` record all that it applied, in order."""
 
     def __init__(self, settings=SETTINGS):
-        """It follows; only an empty configuration is published."""
+        """Starts following; only an empty configuration is published."""
         self.now_ms = 0.0
         self.rules = []
         self.lists = []
@@ -55,19 +55,19 @@
         self.publish()
 
     def apply_connection_rules(self, rules):
-        """As a gateway's."""
+        """Records the rules."""
         self.rules.append(rules)
 
     def apply_endpoints(self, is_whole, records):
-        """As a gateway's."""
+        """Records the engines."""
         self.lists.append((is_whole, records))
 
     def publish(self, **values):
-        """A change of these keys under config/; None deletes one. All messages are delivered."""
+        """Publishes a change of these keys under config/; None deletes one. All messages are delivered."""
         self.change({f"config/{key}": value for key, value in values.items()})
 
     def change(self, values):
-        """A change of these keys; None deletes one. All messages are delivered."""
+        """Publishes a change of these keys; None deletes one. All messages are delivered."""
         self.accept(values)
         self.source.confirm(self.now_ms, 1, self.version, 0.0)
         for _ in range(100):
@@ -75,7 +75,7 @@
             self._deliver_messages()
 
     def accept(self, values):
-        """A change of which no message is delivered yet."""
+        """Makes a change of which no message is delivered yet."""
         entries = [
             wire.Entry(key=key, value=value or b"", deleted=value is None) for key, value in values.items()
         ]
@@ -87,9 +87,9 @@
 
     def _deliver_messages(self):
         subscriber = self.configuration.subscriber
-        for part in (subscriber, self.source):
-            if part.due_ms <= self.now_ms:
-                part.tick(self.now_ms)
+        for component in (subscriber, self.source):
+            if component.due_ms <= self.now_ms:
+                component.tick(self.now_ms)
         for _ in range(10):
             requests = list(subscriber.outbox)
             answers = list(self.source.outbox)
@@ -113,7 +113,7 @@
 
 
 def test_invalid_connection_rules_leave_the_last_valid_ones_in_force_and_are_reported():
-    """Each is counted and tried again; the log has one line for all, the status lines have the last cause."""
+    """Each is counted and retried; the log has one line for all, the status lines have the last cause."""
     gateway = FollowingGateway()
     gateway.publish(gate=b"prefix4: 20")
     for value in (b"prefix4: 99", b"gat: 1", b"\xff\xfe", b"reserve: 1"):
@@ -137,12 +137,12 @@
 
 
 def record(uid, state=domain.EndpointState.SERVING, zone="z1", port=80):
-    """An engine."""
+    """Returns the record of an engine."""
     return EndpointRecord(uid, f"10.0.0.1:{port}", zone, "std", 2, state, 1.0, 0.0)
 
 
 def entries_of(*records):
-    """As they are published; a removed engine is a deleted key."""
+    """Returns the published entries of engines; a removed engine is a deleted key."""
     return {
         key_of(record): None if record.state == domain.EndpointState.REMOVED else value_of(record)
         for record in records
@@ -152,8 +152,8 @@
 ALL = {COMPLETE_KEY: COMPLETE}
 
 
-def test_engines_are_applied_as_they_change():
-    """All of them once the list is complete; removed ones come with their last values, before new ones."""
+def test_engine_changes_are_applied_once_the_first_list_is_complete():
+    """Removed engines come with their last values, before new ones."""
     gateway = FollowingGateway(FOLLOWS_ENGINES)
     gateway.change(entries_of(record("e1")))
     gateway.change(entries_of(record("e2")))
@@ -169,13 +169,13 @@
 
 
 def test_a_first_list_that_arrives_in_steps_is_applied_whole():
-    """Otherwise a gateway would start with a few of its engines."""
+    """Otherwise a gateway would start with only a few of its engines."""
     gateway = FollowingGateway(FOLLOWS_ENGINES)
     many = [record(f"e{n:02d}") for n in range(60)]
     gateway.accept(ALL)
     for first in range(0, 60, 5):
         gateway.accept(entries_of(*many[first : first + 5]))
-    gateway.source.outbox.clear()  # The first push, made before the other changes.
+    gateway.source.outbox.clear()  # Drops the first push, made before the other changes.
     gateway.publish(other=b"1")
     ((is_whole, records),) = gateway.lists
     assert is_whole and sorted(records) == many and gateway.configuration.subscriber.counts["deltas"] > 3
@@ -191,8 +191,8 @@
     assert gateway.lists[-1] == (False, [record("e1", zone="z2")])
 
 
-def test_a_list_that_was_never_published_leaves_the_known_one():
-    """Once engines were applied, an empty list counts."""
+def test_an_empty_configuration_is_no_endpoint_list_before_the_first_one():
+    """Once engines were applied, an empty list is applied too."""
     gateway = FollowingGateway(FOLLOWS_ENGINES)
     gateway.configuration.apply(gateway.now_ms, {}, True)
     assert gateway.lists == []
@@ -213,21 +213,21 @@
 
 
 def test_a_gateway_applies_no_engines_unless_the_settings_say_so():
-    """They are held as any other key, and not parsed."""
+    """Their entries are held like any other key, and not parsed."""
     gateway = FollowingGateway(SETTINGS.replace('zone: "z1"', 'zone: "z1" prefixes: "engine/"', 1))
     gateway.change({"engine/z1/e2": b"\xff"})
     assert gateway.lists == [] and gateway.configuration.subscriber.applied_version == 1
 
 
 def test_relays_of_the_same_zone_come_first_then_of_the_region():
-    """Then all others."""
+    """All other relays follow."""
     relays = read_settings(SETTINGS).distribution.relays
     assert ranked(relays, "a", "z1", "g1") == ["r1", "r2", "r3"]
     assert ranked(relays, "a", "z3", "g2")[0] == "r3"
 
 
-def test_gateways_of_a_zone_spread_over_its_relays_and_those_of_a_failed_one_over_the_rest():
-    """The same at each start; no other gateway moves."""
+def test_gateways_spread_over_the_relays_of_their_zone_and_those_of_a_failed_relay_over_the_rest():
+    """The order is the same at each start, and no other gateway moves."""
     relays = [pb.ZoneRelay(name=f"r{i}", region="g", zone="z") for i in range(4)]
     first = {f"s{i}": ranked(relays, f"s{i}", "z", "g") for i in range(400)}
     assert first == {name: ranked(relays[::-1], name, "z", "g") for name in first}
@@ -239,8 +239,8 @@
     assert len(set(moved)) == 3
 
 
-def test_a_gateway_that_follows_nothing_does_not_import_the_modules():
-    """Settings with `fleet` alone: only the settings module is loaded, as all settings are checked."""
+def test_a_gateway_without_distributed_configuration_does_not_import_its_modules():
+    """With `fleet` alone, only the settings module is loaded, because all settings are checked."""
     code = (
         "import sys, lichenquay.config.reader, lichenquay.fleet.gateway_runtime; "
         "parts = ('lichenquay.distribution', 'lichenquay.control_plane'); "
--- a/tests/test_fleet_envelope.py
+++ b/tests/test_fleet_envelope.py
@@ -1,4 +1,4 @@
-"""Which datagrams the envelope accepts, and how addresses of unlisted senders are discovered."""
+"""Which datagrams the envelope accepts, and how addresses of unlisted senders are learned."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 OPEN_LAYERS = {Layer.DISTRIBUTION: 7}
 
 
-def envelope(name="v1", fleet="yard", fingerprint=1, names=("v1", "v2"), layers=None):
-    """Of one process."""
+def envelope(name="v1", fleet="fleet-a", fingerprint=1, names=("v1", "v2"), layers=None):
+    """Returns the envelope of one process."""
     return MessageEnvelope(fleet, fingerprint, name, names, OPEN_LAYERS if layers is None else layers)
 
 
 def opened(sender, receiver="v1", layer=Layer.DISTRIBUTION, by=None):
-    """The opened datagram at v1, or the reason why it was dropped."""
+    """Returns the datagram as opened at v1, or the reason why it was dropped."""
     try:
         return (by or envelope()).open(sender.seal(5, receiver, layer, b"body"))
     except DroppedDatagramError as error:
@@ -23,15 +23,15 @@
 
 
 def test_an_open_layer_accepts_any_well_formed_name_of_the_fleet():
-    """Thousands of followers are listed in no settings."""
-    follower = envelope("front-4399", fingerprint=99, names=())
-    assert opened(follower) == ("front-4399", 5, Layer.DISTRIBUTION, b"body")
+    """Thousands of followers are not listed in any settings."""
+    follower = envelope("gateway-4399", fingerprint=99, names=())
+    assert opened(follower) == ("gateway-4399", 5, Layer.DISTRIBUTION, b"body")
 
 
 @pytest.mark.parametrize("layer", [Layer.MEMBERS, Layer.OWNER])
 def test_other_layers_accept_only_named_processes(layer):
-    """Name, fingerprint and receiver are checked."""
-    assert opened(envelope("stranger"), layer=layer) == "a stranger"
+    """Checks name, fingerprint and receiver."""
+    assert opened(envelope("unlisted"), layer=layer) == "a stranger"
     assert opened(envelope("v2"), layer=layer)[0] == "v2"
     assert opened(envelope("v2", fingerprint=2), layer=layer) == "other settings"
     assert opened(envelope("v2"), receiver="", layer=layer) == "for another"
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     "sender, reason",
     [
-        (envelope("a", fleet="moor"), "another fleet"),
+        (envelope("a", fleet="fleet-b"), "another fleet"),
         (envelope("a", layers={Layer.DISTRIBUTION: 8}), "other settings"),
         (envelope("no name"), "a stranger"),
         (envelope("x" * 25), "a stranger"),
@@ -49,7 +49,7 @@
     ],
 )
 def test_an_open_layer_still_checks_fleet_fingerprint_and_name(sender, reason):
-    """Each has its own reason."""
+    """Each check has its own reason."""
     assert opened(sender) == reason
 
 
@@ -61,34 +61,36 @@
 
 
 def test_a_process_without_open_layers_accepts_no_unlisted_sender():
-    """On a gateway that follows nothing, the layer is as any other."""
+    """On a gateway without distributed configuration, the layer is like any other."""
     closed = envelope(layers={})
-    assert opened(envelope("front-1", layers={}), by=closed) == "a stranger"
+    assert opened(envelope("gateway-1", layers={}), by=closed) == "a stranger"
 
 
-class Table:
-    """Addresses with a clock under control."""
+class AddressesWithClock:
+    """Addresses with a clock that the test controls."""
 
-    def __init__(self, most=3):
-        """One process is named by the settings."""
+    def __init__(self, max_learned=3):
+        """Starts with one process that the settings name."""
         self.now_ms = 0.0
-        self.addresses = Addresses({"v1": ("127.0.0.1", 1)}, lambda: self.now_ms, most, expire_ms=1000.0)
+        self.addresses = Addresses(
+            {"v1": ("127.0.0.1", 1)}, lambda: self.now_ms, max_learned, expire_ms=1000.0
+        )
 
     def learn(self, name, port, incarnation=1):
-        """A datagram came."""
+        """Learns the source address of a datagram."""
         self.addresses.learn(name, incarnation, ("127.0.0.1", port))
 
 
-def test_a_named_process_keeps_the_address_in_the_settings():
-    """Whatever the source of its datagrams is."""
-    table = Table()
+def test_a_configured_address_is_not_replaced_by_a_learned_one():
+    """The source address of the process's datagrams is ignored."""
+    table = AddressesWithClock()
     table.learn("v1", 99)
-    assert table.addresses.get("v1") == ("127.0.0.1", 1) and not table.addresses.discovered
+    assert table.addresses.get("v1") == ("127.0.0.1", 1) and not table.addresses.learned
 
 
 def test_a_sender_has_the_address_of_its_last_datagram():
     """A late datagram of an earlier incarnation changes nothing."""
-    table = Table()
+    table = AddressesWithClock()
     table.learn("a", 10, incarnation=1)
     table.learn("a", 11, incarnation=2)
     table.learn("a", 10, incarnation=1)
@@ -96,9 +98,9 @@
     assert table.addresses.counts["addresses out of date"] == 1
 
 
-def test_the_table_is_bounded_and_expired_addresses_give_way():
-    """A recent one is never replaced by a new sender."""
-    table = Table(most=2)
+def test_the_table_is_bounded_and_only_expired_addresses_are_replaced():
+    """A recent address is never replaced by that of a new sender."""
+    table = AddressesWithClock(max_learned=2)
     table.learn("a", 1)
     table.now_ms = 900.0
     table.learn("b", 2)
--- a/tests/test_fleet_increments.py
+++ b/tests/test_fleet_increments.py
@@ -1,4 +1,4 @@
-"""What the controller keeps of the fleet is what a pass over all engines would give, without that pass."""
+"""The fleet state that the controller updates incrementally equals that of a full scan, without the scan."""
 
 from random import Random
 from zlib import crc32
@@ -15,33 +15,33 @@
 TABLE_GROUPS = ("t1", "t2", "t3")
 
 
-class CountingStates(dict):
-    """The controller's engine states, with a count of those that were passed over."""
+class VisitCountingStates(dict):
+    """The controller's engine states, with a count of those that were visited."""
 
     visited = 0
 
     def values(self):
-        """Each one that is taken counts."""
+        """Yields the states and counts each."""
         for state in super().values():
             self.visited += 1
             yield state
 
     def __iter__(self):
-        """As `values`, by the keys."""
+        """Yields the keys and counts each."""
         for key in super().__iter__():
             self.visited += 1
             yield key
 
 
 def count_visits(gateway):
-    """Lets the controller of this gateway use engine states that count."""
-    states = CountingStates(gateway.controller.fleet.states)
+    """Makes the controller of this gateway use states that count visits, and returns them."""
+    states = VisitCountingStates(gateway.controller.fleet.states)
     gateway.controller.fleet.states = states
     return states
 
 
-def play_queries(gateway, count, group_):
-    """Queries that are answered, with some errors and reports."""
+def run_queries(gateway, count, group_):
+    """Runs queries to their answers, with some errors and load reports."""
     for number in range(count):
         gateway.admit(group_, work_ms=20.0, table_group=TABLE_GROUPS[number % len(TABLE_GROUPS)])
         gateway.run_for(25)
@@ -50,14 +50,14 @@
             gateway.end_attempt(attempt, outcome, {"active": float(number % 5)} if number % 3 else None)
 
 
-def test_ticks_queries_and_list_events_pass_over_few_engines():
-    """At 25,000 engines a pass over all of them at each tick would take more than a core."""
+def test_ticks_queries_and_list_events_visit_few_engines():
+    """At 25,000 engines, visiting all of them at each tick would take more than a core."""
     status = interactive_group()
     engines = [engine(f"e{number}") for number in range(ENGINE_COUNT)]
     gateway = FakeGateway([status], engines, gateway_count=200)
-    play_queries(gateway, 40, status)
+    run_queries(gateway, 40, status)
     states = count_visits(gateway)
-    play_queries(gateway, 40, status)
+    run_queries(gateway, 40, status)
     assert states.visited < ENGINE_COUNT / 4
     states.visited = 0
     for number in range(10):
@@ -66,20 +66,20 @@
 
 
 def rank_of(fleet, state):
-    """An engine's rank in this gateway's own order, by the gateway's seed."""
+    """Returns an engine's rank in this gateway's own order, by the gateway's seed."""
     return crc32(f"{fleet.seed}:{state.engine.id}".encode())
 
 
-def preferred_by_a_pass(fleet, table_group):
-    """The first two and the last two of all engines, ranked for a table group."""
+def preferred_by_full_scan(fleet, table_group):
+    """Returns the first two and the last two of all engines, ranked for a table group."""
     ranked = sorted(
         fleet.states.values(), key=lambda state: crc32(f"{table_group}:{state.engine.id}".encode())
     )
     return PreferredEngines(ranked[:2], ranked[-2:])
 
 
-def warming_by_a_pass(controller, now_ms):
-    """Engines that warm up and that this gateway may send to, in its own order."""
+def warming_by_full_scan(controller, now_ms):
+    """Returns engines that warm up and that this gateway may send to, in its own order."""
     fleet, slow_start, found = controller.fleet, controller.slow_start, []
     for state in sorted(fleet.states.values(), key=lambda state: rank_of(fleet, state)):
         warm_share = slow_start.warm_share(state.engine, now_ms)
@@ -90,12 +90,12 @@
 
 
 def upper_median(values):
-    """Of an even number of values, the larger one of the two in the middle."""
+    """Returns the median; of an even number of values, the larger one of the two in the middle."""
     return sorted(values)[len(values) // 2]
 
 
-def check_increments(gateway):
-    """All that is kept by increments is what a pass over the fleet gives."""
+def check_incremental_state(gateway):
+    """Checks that all incrementally updated state equals the result of a full scan."""
     controller, fleet, now_ms = gateway.controller, gateway.controller.fleet, gateway.now_ms
     states = list(fleet.states.values())
     assert fleet.by_rank == sorted(states, key=lambda state: rank_of(fleet, state))
@@ -103,18 +103,18 @@
     assert fleet.memory_mb == pytest.approx(sum(state.memory_mb for state in states))
     for table_group in TABLE_GROUPS:
         preferred = controller.table_affinity.preferred_engines(table_group)
-        assert preferred == preferred_by_a_pass(fleet, table_group)
+        assert preferred == preferred_by_full_scan(fleet, table_group)
     controller.evaluation.compare_with_peers(now_ms)
     warming = [state for state in controller.subset.engines if state in fleet.not_fully_usable]
-    assert warming == warming_by_a_pass(controller, now_ms)
+    assert warming == warming_by_full_scan(controller, now_ms)
     error_shares = [0.0, *(state.errors.mean(now_ms, 0.0) for state in states)]
     assert controller.outliers.median_error_share == upper_median(error_shares)
     assert set(fleet.active) <= set(states) and set(fleet.not_fully_usable) <= set(states)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_is_kept_by_increments_is_what_a_pass_gives(seed):
-    """Over engines that join, restart, drain, leave with work of ours on them, and whole lists."""
+def test_incremental_state_equals_a_full_scan(seed):
+    """Engines join, restart, drain, leave with work of this gateway in flight, and come in whole lists."""
     rng, report = Random(seed), group(latency_objective_ms=1000.0)
     listed = [
         engine(f"e{number}", started_ms=None if number % 3 else 1000.0)
@@ -123,7 +123,7 @@
     gateway = FakeGateway([interactive_group(), report], listed, gateway_count=20, seed=seed)
     update = gateway.controller.endpoints_updated
     for step in range(80):
-        play_queries(gateway, 2, report)
+        run_queries(gateway, 2, report)
         event, changed = rng.randrange(5), rng.choice(listed)
         if event == 0:
             listed.append(engine(f"new{step}", started_ms=gateway.now_ms - rng.uniform(0, 9000)))
@@ -142,4 +142,4 @@
             update([changed], False)
         else:
             update(list(listed), True)
-        check_increments(gateway)
+        check_incremental_state(gateway)
--- a/tests/test_fleet_runtime.py
+++ b/tests/test_fleet_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime's timer fires however many messages arrive."""
+"""The runtime's timer fires regardless of how many messages arrive."""
 
 import pytest
 
@@ -7,13 +7,14 @@
 pytestmark = pytest.mark.together
 
 FEW_PER_S = 50
-MANY_PER_S = 2_000  # closer to each other than the timer's least wait
+MANY_PER_S = 2_000  # at intervals shorter than the timer's minimum wait
 
 
 def test_messages_do_not_postpone_the_timer():
-    """If each message set the timer anew, no part would be ticked under many messages.
+    """If each message reset the timer, no component would be ticked under many messages.
 
-    A gateway would then conclude that it had been paused and probe others at each message, and they it.
+    A gateway would then conclude that it had been paused, and probe other members at each message, as they
+    would probe it.
     """
     samples = starved.measure((FEW_PER_S, MANY_PER_S), seed=1, progress=lambda share: None)
     turns = {sample.size: sample.values[0] for sample in samples if sample.what == "starved.turns"}
--- a/tests/test_fleet_tenant_usage.py
+++ b/tests/test_fleet_tenant_usage.py
@@ -1,4 +1,4 @@
-"""Which queries are reserved in the quota, and what they are settled at when they end."""
+"""Which queries reserve quota, and at what they are settled when they end."""
 
 from types import SimpleNamespace
 
@@ -11,49 +11,49 @@
 WORK_MS = 40.0  # estimated, of each query
 
 
-class RecordingQuotaPart:
-    """Quota part and escrow in one; `calls` are all calls in order."""
+class RecordingQuotaParticipant:
+    """Quota participant and escrow in one; `calls` records all calls in order."""
 
     def __init__(self, is_within, tenants=("north",)):
-        """is_within: the answer to each reservation. tenants: that have an account, in this order."""
+        """is_within: the answer to each reservation. tenants: those that have an account, in this order."""
         self.is_within = is_within
         self.account_terms = [SimpleNamespace(tenant=tenant) for tenant in tenants]
         self.escrow = self
         self.calls = []
 
     def reserve(self, now_ms, query, work_ms):
-        """As `QuotaPart.reserve`."""
+        """Records a call of `QuotaParticipant.reserve`."""
         self.calls.append(("reserve", work_ms))
         return self.is_within
 
     def settle(self, now_ms, query, work_ms):
-        """As `TokenEscrow.settle`."""
+        """Records a call of `TokenEscrow.settle`."""
         self.calls.append(("settle", work_ms))
 
     def settle_at_estimate(self, now_ms, query):
-        """As `TokenEscrow.settle_at_estimate`."""
+        """Records a call of `TokenEscrow.settle_at_estimate`."""
         self.calls.append(("settle at estimate",))
 
 
 def usage_of(quota_part):
-    """At a clock that stands at 0."""
+    """Returns a TenantUsage whose clock stands at 0."""
     return TenantUsage(quota_part, lambda: 0.0, lambda: None)
 
 
 def query_of(tenant_name):
-    """A query of this tenant; None: of no tenant."""
+    """Returns a query of a tenant; None: of no tenant."""
     tenant = tenant_name and domain.Tenant(tenant_name, 0.5, 1.0, 0.1)
     return domain.Query(1, group("report"), 0.0, 1000.0, tenant, estimated_work_ms=WORK_MS)
 
 
 @pytest.mark.parametrize(
-    "is_within, tenant, is_over_quota",
+    "is_within, tenant, over_quota",
     [(True, "north", False), (False, "north", True), (True, "south", None), (False, None, None)],
 )
-def test_only_queries_of_a_tenant_with_an_account_are_reserved(is_within, tenant, is_over_quota):
-    """A tenant without an account has no quota to be over."""
-    quota_part = RecordingQuotaPart(is_within)
-    assert usage_of(quota_part).is_over_quota(query_of(tenant)) is is_over_quota
+def test_only_queries_of_a_tenant_with_an_account_are_reserved(is_within, tenant, over_quota):
+    """A tenant without an account has no quota to exceed."""
+    quota_part = RecordingQuotaParticipant(is_within)
+    assert usage_of(quota_part).is_over_quota(query_of(tenant)) is over_quota
     assert quota_part.calls == ([("reserve", WORK_MS)] if tenant == "north" else [])
 
 
@@ -67,8 +67,8 @@
     ],
 )
 def test_a_query_that_never_ran_costs_nothing_and_one_that_may_have_run_its_estimate(outcomes, call):
-    """An attempt without an outcome may still run."""
-    quota_part = RecordingQuotaPart(True)
+    """An attempt without an outcome may still be running."""
+    quota_part = RecordingQuotaParticipant(True)
     query = query_of("north")
     query.attempts = [
         domain.Attempt(query, number, None, 0.0, outcome) for number, outcome in enumerate(outcomes)
@@ -78,8 +78,8 @@
 
 
 def test_a_completed_query_is_settled_at_its_reported_work_or_else_at_its_estimate():
-    """Engines may report no cost."""
-    quota_part = RecordingQuotaPart(True)
+    """Engines may not report a query's cost."""
+    quota_part = RecordingQuotaParticipant(True)
     query = query_of("north")
     usage = usage_of(quota_part)
     usage.settle_completed(query, (33.0, 1.0))
@@ -87,9 +87,9 @@
     assert quota_part.calls == [("settle", 33.0), ("settle at estimate",)]
 
 
-def test_status_lines_are_in_the_order_of_the_names_of_the_tenants():
-    """Whatever the order of the accounts in the settings."""
-    usage = usage_of(RecordingQuotaPart(True, ("south", "north")))
+def test_status_lines_are_sorted_by_tenant_name():
+    """The order does not depend on the order of the accounts in the settings."""
+    usage = usage_of(RecordingQuotaParticipant(True, ("south", "north")))
     usage.is_over_quota(query_of("south"))
     assert usage.lines() == [
         "taken north within 0 of 0.0 ms, beyond 0",
--- a/tests/test_golden_fleet.py
+++ b/tests/test_golden_fleet.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways of two versions: what revision 0018238 sealed opens and is sealed the same.
+"""Datagrams between gateways of two versions: those of revision 0018238 are opened, and sealed the same.
 
 `golden/fleet/datagrams.json` holds one datagram of each layer as that revision sealed it.
 """
@@ -20,7 +20,7 @@
 
 
 def envelope_of(name):
-    """The envelope of one of the two gateways."""
+    """Returns the envelope of one of the two gateways."""
     return MessageEnvelope(
         FLEET, FINGERPRINT, name, ("a", "b"), {Layer.DISTRIBUTION: DISTRIBUTION_FINGERPRINT}
     )
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("label", ["members", "owner", "quota", "distribution"])
 def test_a_datagram_of_the_earlier_version_opens_and_is_sealed_the_same(label):
-    """Sender, incarnation, layer and body on the way in; every byte on the way out."""
+    """Checks sender, incarnation, layer and body of the opened datagram, and every byte of the sealed one."""
     layer = DATAGRAMS[label]["layer"]
     data = bytes.fromhex(DATAGRAMS[label]["bytes"])
     body = b"body of " + label.encode()
