--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -112,7 +112,10 @@
         self.tick_due_components()
 
     def leave(self) -> None:
-        """Starts a graceful shutdown; the process may end once `is_over`. Later calls change nothing."""
+        """Starts a graceful shutdown. Later calls change nothing.
+
+        The process may end once `is_over`.
+        """
         if self.leave_deadline_ms is not None:
             return
         self.leave_deadline_ms = self.now_ms() + MAX_LEAVE_MS
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -61,8 +61,8 @@
         """Opens nothing yet.
 
         settings: the `fleet` section. is_under_pressure: returns whether the controller has no capacity
-        beyond quota. distribution: the `distribution` section, or None. apply_to: puts distributed
-        configuration in force (`ConfigurationTarget`). Clocks and store classes are as in `Environment`.
+        beyond quota. distribution: the `distribution` section, or None. apply_to: a `ConfigurationTarget`,
+        which puts distributed configuration in force. Clocks and store classes are as in `Environment`.
         """
         self.settings = settings
         self.is_under_pressure = is_under_pressure
--- a/lichenquay/fleet/quota_part.py
+++ b/lichenquay/fleet/quota_part.py
@@ -232,7 +232,7 @@
         )
 
     def _select_leader(self, now_ms, holder):
-        """Returns the process to which requests go.
+        """Selects the process to which requests go.
 
         A voter knows the holder of the lease. Any other gateway asks one voter after the other until one
         answers.
--- a/tests/test_endpoint_importer.py
+++ b/tests/test_endpoint_importer.py
@@ -117,7 +117,7 @@
     assert harness.publisher.published() == {"e3": domain.EndpointState.SERVING}
 
 
-def test_many_engines_are_published_in_bounded_changes_of_which_few_are_pending():
+def test_many_engines_are_published_in_small_changes_with_a_limit_on_pending_ones():
     """Thousands of engines may come at a start; changes by operators must still be accepted in between."""
     harness = ImporterHarness()
     harness.importer.on_endpoints(0.0, True, [make_record(f"e{n:05d}") for n in range(3000)])
--- a/tests/test_fleet_applied_configuration.py
+++ b/tests/test_fleet_applied_configuration.py
@@ -191,7 +191,7 @@
     assert gateway.lists[-1] == (False, [record("e1", zone="z2")])
 
 
-def test_an_empty_configuration_is_no_endpoint_list_before_the_first_one():
+def test_an_empty_configuration_removes_no_engines_before_the_first_list():
     """Once engines were applied, an empty list is applied too."""
     gateway = FollowingGateway(FOLLOWS_ENGINES)
     gateway.configuration.apply(gateway.now_ms, {}, True)
--- a/tests/test_fleet_tenant_usage.py
+++ b/tests/test_fleet_tenant_usage.py
@@ -15,7 +15,10 @@
     """Quota participant and escrow in one; `calls` records all calls in order."""
 
     def __init__(self, is_within, tenants=("north",)):
-        """is_within: the answer to each reservation. tenants: those that have an account, in this order."""
+        """Starts without calls.
+
+        is_within: the answer to each reservation. tenants: those that have an account, in this order.
+        """
         self.is_within = is_within
         self.account_terms = [SimpleNamespace(tenant=tenant) for tenant in tenants]
         self.escrow = self
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -254,7 +254,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_group_converges_after_one_message_was_mutated(seed):
-    """Mutates one random message of the scenario per run: lost, duplicated, delayed, misrouted or changed."""
+    """Mutates one random message per run: lost, duplicated, delayed, reordered, misrouted or changed."""
     unmutated = run_scenario(seed)
     assert unmutated.agree()
     message_count = unmutated.net.messages
