--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -161,7 +161,7 @@
             self.fleet, self.capacity, self.pressure, memory_share, self.availability, totals
         )
         self.feedback = SlotFeedback(self.fleet, self.engine_load, self.waiting, gateway_share)
-        self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_turn_ms)
+        self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_loop_interval_ms)
         self.checks = DispatchChecks(limits, self.retry_policy, self.slow_start)
         self.engine_choice = EngineChoice(
             self.checks,
@@ -264,7 +264,7 @@
     def admit(self, query: Query) -> None:
         """Takes a query that has arrived, and ensures that it has a final answer by its deadline."""
         now_ms = self.port.now_ms
-        query.counts_over_quota = self.tenant_quota.is_over_quota(query, now_ms)
+        query.counts_over_quota = self.tenant_quota.record_and_check(query, now_ms)
         self.retry_policy.record_query(now_ms)
         self.slow_start.record_query(query)
         self.subset.record_query(now_ms)
@@ -285,12 +285,12 @@
 
     # Attempts and engines
 
-    def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
+    def authorize_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
         """Returns whether an attempt may still be sent, asked immediately before its first byte.
 
         An allowed attempt is recorded as sent at that time.
         """
-        return self.checks.may_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
+        return self.checks.authorize_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
 
     def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Handles a progress event of an attempt in flight."""
@@ -301,7 +301,7 @@
     def on_attempt_ended(
         self,
         attempt: Attempt,
-        took_ms: float,
+        elapsed_ms: float,
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
@@ -309,7 +309,7 @@
         now_ms = self.ticker.compensate_for_pause()
         query = attempt.query
         state = self.fleet.states.get(attempt.engine)
-        self.attempt_results.on_attempt_ended(attempt, state, took_ms, cost, report, now_ms)
+        self.attempt_results.on_attempt_ended(attempt, state, elapsed_ms, cost, report, now_ms)
         self.key_ordering.on_attempt_ended(attempt)
         if not query.is_done:
             if self.retry_policy.may_retry_in_time(query, now_ms):
@@ -319,7 +319,7 @@
         self.dispatcher.dispatch_waiting(now_ms, state)
 
     def on_health_check(
-        self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
+        self, engine: Engine, healthy: bool, elapsed_ms: float, report: dict[str, float] | None
     ) -> None:
         """Records a successful health check.
 
--- a/lichenquay/admission/dispatch_checks.py
+++ b/lichenquay/admission/dispatch_checks.py
@@ -12,7 +12,7 @@
     """Checks draining, placement, idempotency and slow start, in this order."""
 
     def __init__(self, limits: SafetyLimits, retry_policy: RetryPolicy, slow_start: SlowStart):
-        """Takes the budgets (`retry_policy`, `slow_start`) that `may_dispatch` charges."""
+        """Takes the budgets (`retry_policy`, `slow_start`) that `authorize_dispatch` charges."""
         self.answer_slack_ms = limits.answer_slack_ms
         self.retry_policy = retry_policy
         self.slow_start = slow_start
@@ -33,7 +33,7 @@
         charged_ms = None if decided is None else decided.sent_ms
         return self.slow_start.has_budget(state, query, now_ms, charged_ms)
 
-    def may_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
+    def authorize_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
         """Returns whether a started attempt may be sent now, and records that it is sent if so.
 
         Called immediately before the first byte. The connection may have been established late, or the
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -203,7 +203,7 @@
     zone: str
     gateway_count: int  # number of gateways that share the traffic
     seed: int
-    min_turn_ms: float  # shortest time between two event loop iterations
+    min_loop_interval_ms: float  # shortest time between two event loop iterations
     polls_endpoint_list: bool = False  # the endpoint list must be requested; otherwise changes are pushed
     index: int | None = None  # this gateway's index, from 0; None: unknown
 
--- a/lichenquay/admission/ports.py
+++ b/lichenquay/admission/ports.py
@@ -83,18 +83,18 @@
     def on_attempt_ended(
         self,
         attempt: Attempt,
-        took_ms: float,
+        elapsed_ms: float,
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
         """Handles the end of an attempt, whose `outcome` is set.
 
-        `took_ms`: time since the attempt was sent. `cost`: the resources that the engine reports for it.
+        `elapsed_ms`: time since the attempt was sent. `cost`: the resources that the engine reports for it.
         `report`: the engine's load report as numbers by column; empty if it held no known column, None if
         there was none.
         """
 
-    def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
+    def authorize_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
         """Returns whether an attempt may still be sent, asked immediately before its first byte.
 
         An allowed attempt is recorded as sent at that time.
@@ -110,6 +110,6 @@
         """Returns whether the engines have no capacity for queries over quota."""
 
     def on_health_check(
-        self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
+        self, engine: Engine, healthy: bool, elapsed_ms: float, report: dict[str, float] | None
     ) -> None:
         """Handles the result of a health check."""
--- a/lichenquay/admission/retry_policy.py
+++ b/lichenquay/admission/retry_policy.py
@@ -15,10 +15,10 @@
     holds at every instant although both are counted in buckets.
     """
 
-    def __init__(self, max_attempts: int, limits: SafetyLimits, min_turn_ms: float):
-        """Starts empty. `min_turn_ms`: shortest time between event loop iterations."""
+    def __init__(self, max_attempts: int, limits: SafetyLimits, min_loop_interval_ms: float):
+        """Starts empty. `min_loop_interval_ms`: shortest time between event loop iterations."""
         self.max_attempts = max_attempts
-        self.min_turn_ms = min_turn_ms
+        self.min_loop_interval_ms = min_loop_interval_ms
         self.free_retries = limits.retry_budget_free
         self.retries_per_query = limits.retry_budget_ratio
         self.bucket_ms = (limits.retry_budget_window_ms or DEFAULT_WINDOW_MS) / BUCKETS_PER_WINDOW
@@ -49,7 +49,7 @@
 
     def may_retry_in_time(self, query: Query, now_ms: float) -> bool:
         """Returns whether the query may get an attempt and has an event loop iteration left for it."""
-        return now_ms < query.deadline_ms - self.min_turn_ms and self.may_attempt(query, now_ms)
+        return now_ms < query.deadline_ms - self.min_loop_interval_ms and self.may_attempt(query, now_ms)
 
     def has_budget(self, now_ms: float) -> bool:
         """Returns whether one more retry is within the budget of the window."""
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -114,7 +114,7 @@
     def leave(self) -> None:
         """Starts a graceful shutdown. Later calls change nothing.
 
-        The process may end once `is_over`.
+        The process may end once `is_leave_complete`.
         """
         if self.leave_deadline_ms is not None:
             return
@@ -122,7 +122,7 @@
         self.release_all(self.now_ms())
         self.tick_due_components()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """Returns whether, after `leave`, everything is released or the time for it has passed."""
         return self.has_released_all() or self.now_ms() >= self.leave_deadline_ms
 
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -75,7 +75,7 @@
 
     def stop_when_over(self) -> None:
         """Ends the process once the runtime has released everything; until then, checks repeatedly."""
-        if not self.runtime.is_over():
+        if not self.runtime.is_leave_complete():
             self.reactor.callLater(LEAVE_CHECK_INTERVAL_S, self.stop_when_over)
             return
         self.phase = ServicePhase.ENDED
--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -36,7 +36,7 @@
 
     role = "voter"
     section_prefix = f"owner/{publisher.GROUP}/"
-    message_types = {**ControlRuntime.message_types, Layer.OWNER: lease_pb2.Message}
+    message_types = {**ControlRuntime.message_types, Layer.LEASE: lease_pb2.Message}
     importer: EndpointImporter | None = None
     discovery: DiscoveryFactory | None = None
     logged_generation = 0
@@ -47,7 +47,7 @@
         self.group, self.publisher = self._make_group(now_ms)
         self.candidate = LeaseCandidate(self.group, now_ms)
         self.components = {
-            Layer.OWNER: self.group,
+            Layer.LEASE: self.group,
             Layer.DISTRIBUTION: self.publisher,
             CANDIDATE: self.candidate,
         }
--- a/lichenquay/deployment_settings.py
+++ b/lichenquay/deployment_settings.py
@@ -77,7 +77,7 @@
         self.tenants = {tenant.name: tenant for tenant in _read_tenants(section)}
         self.sizes_by_kind = _read_sizes(section, engine_family)
         # Engines close connections that are idle for longer:
-        self.idle_ms = limits.milliseconds("keepalive_us", 0)
+        self.engine_keepalive_ms = limits.milliseconds("keepalive_us", 0)
         self.gateway = _read_gateway(section, seed)
         self.permissions = _read_permissions(limits)
         self.safety_limits = _read_safety_limits(section.subsection("rules"))
@@ -95,7 +95,7 @@
             self.capabilities,
         )
 
-    def describe(
+    def update_engine(
         self,
         engine: Engine,
         zone: str,
@@ -189,7 +189,7 @@
         zone=section.text("my_zone", ""),
         gateway_count=section.integer("replicas_of_me", 1),
         seed=seed,
-        min_turn_ms=section.milliseconds("resolution_us", 0),
+        min_loop_interval_ms=section.milliseconds("resolution_us", 0),
         polls_endpoint_list=section.text("registry_mode", "pushed") == "on_request",
         index=section.integer("slot_no") if section.has("slot_no") else None,
     )
--- a/lichenquay/fleet/follower_runtime.py
+++ b/lichenquay/fleet/follower_runtime.py
@@ -21,7 +21,7 @@
 
     tenant_usage = None
 
-    def __init__(self, reactor, settings, seed, apply_to: ConfigurationTarget):
+    def __init__(self, reactor, settings, seed, configuration_target: ConfigurationTarget):
         """Opens nothing yet.
 
         settings: the `distribution` section, including fleet, name and listen address. seed: of the random
@@ -37,7 +37,7 @@
             json_logger().bind(front=settings.name),
         )
         self.settings = settings
-        self.apply_to = apply_to
+        self.configuration_target = configuration_target
         self.applied_configuration: AppliedConfiguration | None = None
         self.rng = random.Random(f"{seed}:{settings.name}")
 
@@ -45,7 +45,7 @@
         """Starts following; called once the gateway serves."""
         settings = self.settings
         self.applied_configuration = AppliedConfiguration(
-            settings, settings.name, self.rng, self.now_ms(), self.apply_to, self.log
+            settings, settings.name, self.rng, self.now_ms(), self.configuration_target, self.log
         )
         self.components[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
         self.log.info("following", incarnation=self.incarnation, fleet=settings.fleet, zone=settings.zone)
@@ -61,7 +61,7 @@
         if self.applied_configuration is not None:
             self.applied_configuration.subscriber.stop()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """Returns True: after `leave`, no other process has to be notified."""
         return True
 
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -11,7 +11,7 @@
 from lichenquay.config.process_entries import parse_address
 from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
-from lichenquay.fleet.quota_part import SECTION_PREFIX, QuotaParticipant
+from lichenquay.fleet.quota_participant import SECTION_PREFIX, QuotaParticipant
 from lichenquay.fleet.runtime import (
     Environment,
     Identity,
@@ -34,7 +34,7 @@
 STORE_MAX_BYTES = 16 << 20
 MESSAGE_TYPES = {
     Layer.MEMBERS: members_pb2.Message,
-    Layer.OWNER: lease_pb2.Message,
+    Layer.LEASE: lease_pb2.Message,
     Layer.QUOTA: quota_pb2.Message,
 }
 
@@ -56,23 +56,24 @@
         new_store: Callable = DurableStore,
         new_writer: Callable = StoreWriter,
         distribution=None,
-        apply_to=None,
+        configuration_target=None,
     ):
         """Opens nothing yet.
 
         settings: the `fleet` section. is_under_pressure: returns whether the controller has no capacity
-        beyond quota. distribution: the `distribution` section, or None. apply_to: a `ConfigurationTarget`,
-        which puts distributed configuration in force. Clocks and store classes are as in `Environment`.
+        beyond quota. distribution: the `distribution` section, or None. configuration_target: a
+        `ConfigurationTarget`, which puts distributed configuration in force. Clocks and store classes are as
+        in `Environment`.
         """
         self.settings = settings
         self.is_under_pressure = is_under_pressure
         self.distribution = distribution
-        self.apply_to = apply_to
+        self.configuration_target = configuration_target
         self.rng = random.Random(f"{seed}:{settings.name}")
         self.names = gateway_names(settings)
-        self.has_left = False
+        self.is_leaving = False
         self.detector: FailureDetector | None = None
-        self.quota_part: QuotaParticipant | None = None
+        self.quota_participant: QuotaParticipant | None = None
         self.tenant_usage: TenantUsage | None = None
         self.applied_configuration = None
         self.next_incarnation: int | None = None  # set while it is being stored
@@ -126,7 +127,7 @@
         )
 
     def _start_quota(self):
-        self.quota_part = QuotaParticipant(
+        self.quota_participant = QuotaParticipant(
             self.settings,
             self.incarnation,
             self.rng,
@@ -136,35 +137,40 @@
             self.is_under_pressure,
             self.log,
         )
-        self.components[Layer.QUOTA] = self.quota_part
-        if self.quota_part.group is not None:
-            self.components[Layer.OWNER] = self.quota_part.group
-        self.tenant_usage = TenantUsage(self.quota_part, self.now_ms, self.set_timer)
+        self.components[Layer.QUOTA] = self.quota_participant
+        if self.quota_participant.group is not None:
+            self.components[Layer.LEASE] = self.quota_participant.group
+        self.tenant_usage = TenantUsage(self.quota_participant, self.now_ms, self.set_timer)
 
     def _start_following(self):
         # Imported here for the same reason as in `_new_transport`.
         from lichenquay.fleet.applied_configuration import AppliedConfiguration
 
         self.applied_configuration = AppliedConfiguration(
-            self.distribution, self.settings.name, self.rng, self.now_ms(), self.apply_to, self.log
+            self.distribution,
+            self.settings.name,
+            self.rng,
+            self.now_ms(),
+            self.configuration_target,
+            self.log,
         )
         self.components[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
 
     def leave(self) -> None:
-        """Notifies the other members that this gateway leaves; `close` follows once `is_over`."""
-        if not self.components or self.has_left:
+        """Notifies the other members that this gateway leaves; `close` follows once `is_leave_complete`."""
+        if not self.components or self.is_leaving:
             return
-        self.has_left = True
+        self.is_leaving = True
         self.detector.leave(self.now_ms())
-        if self.quota_part is not None:
-            self.quota_part.leave(self.now_ms())
+        if self.quota_participant is not None:
+            self.quota_participant.leave(self.now_ms())
         if self.applied_configuration is not None:
             self.applied_configuration.subscriber.stop()
         self.tick_due_components()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """Returns whether, after `leave`, everything that other members must know has been sent."""
-        is_quota_returned = self.quota_part is None or self.quota_part.is_leave_complete
+        is_quota_returned = self.quota_participant is None or self.quota_participant.is_leave_complete
         return self.detector.end_reason is not None and is_quota_returned
 
     # events
@@ -173,7 +179,7 @@
         """Logs membership changes, rejoins after a removal and applies a first endpoint list."""
         self._log_member_changes()
         was_removed = self.detector.end_reason is MemberState.REMOVED
-        if was_removed and not self.has_left and self.next_incarnation is None:
+        if was_removed and not self.is_leaving and self.next_incarnation is None:
             self._start_rejoin()
         if self.applied_configuration is not None:
             self.applied_configuration.apply_first_list()
@@ -205,14 +211,14 @@
         self.reactor.callLater(0, self._rejoin, is_stored)
 
     def _rejoin(self, is_stored):
-        if self.is_closed or self.has_left:
+        if self.is_closed or self.is_leaving:
             return
         self.incarnation = self.next_incarnation
         self.next_incarnation = None
         self.log.warning("rejoined after removal", incarnation=self.incarnation, stored=is_stored)
         self._start_detector()
-        if self.quota_part is not None:
-            self.quota_part.restart_with_incarnation(self.incarnation)
+        if self.quota_participant is not None:
+            self.quota_participant.restart_with_incarnation(self.incarnation)
         self.tick_due_components()
 
     # status
@@ -225,8 +231,8 @@
             *self._member_lines(),
             *self.datagram_lines(),
         ]
-        if self.quota_part is not None:
-            lines += self.quota_part.lines(self.now_ms())
+        if self.quota_participant is not None:
+            lines += self.quota_participant.lines(self.now_ms())
             lines += self.tenant_usage.lines()
         if self.applied_configuration is not None:
             lines += self.applied_configuration.lines(self.now_ms())
--- a/lichenquay/fleet/source_ranking.py
+++ b/lichenquay/fleet/source_ranking.py
@@ -9,7 +9,7 @@
 OTHER_REGION = 2
 
 
-def ranked(sources: Iterable, name: str, zone: str = "", region: str = "") -> list[str]:
+def rank_sources(sources: Iterable, name: str, zone: str = "", region: str = "") -> list[str]:
     """Returns the names of the sources: those of the same zone, then of the same region, then all others.
 
     Within each of these the order is by rendezvous hash of both names. It is therefore the same at each
--- a/lichenquay/fleet/tenant_usage.py
+++ b/lichenquay/fleet/tenant_usage.py
@@ -19,17 +19,17 @@
 class TenantUsage:
     """Quota decisions on queries, and totals of each tenant that has an account."""
 
-    def __init__(self, quota_part, now_ms: Callable[[], float], set_timer: Callable[[], None]):
+    def __init__(self, quota_participant, now_ms: Callable[[], float], set_timer: Callable[[], None]):
         """Starts with empty totals.
 
         set_timer: called after each decision, because the quota participant may then be due earlier.
         """
-        self.quota_part = quota_part
+        self.quota_participant = quota_participant
         self.now_ms = now_ms
         self.set_timer = set_timer
-        self.totals = {terms.tenant: TenantTotals() for terms in quota_part.account_terms}
+        self.totals = {terms.tenant: TenantTotals() for terms in quota_participant.account_terms}
 
-    def is_over_quota(self, query: domain.Query) -> bool | None:
+    def reserve_unless_over_quota(self, query: domain.Query) -> bool | None:
         """Reserves a query's expected work unless the query is over its tenant's quota.
 
         Returns whether it is over quota, or None if the tenant has no account. The work stays reserved until
@@ -38,7 +38,7 @@
         if query.tenant is None or query.tenant.name not in self.totals:
             return None
         work_ms = expected_work_ms(query)
-        is_within = self.quota_part.reserve(self.now_ms(), query, work_ms)
+        is_within = self.quota_participant.reserve(self.now_ms(), query, work_ms)
         totals = self.totals[query.tenant.name]
         if is_within:
             totals.within_count += 1
@@ -54,17 +54,17 @@
         cost: work in ms and memory in MB; None if engines do not report it: the query costs its estimate.
         """
         if cost is None:
-            self.quota_part.escrow.settle_at_estimate(self.now_ms(), query)
+            self.quota_participant.escrow.settle_at_estimate(self.now_ms(), query)
             return
         work_ms, _ = cost
-        self.quota_part.escrow.settle(self.now_ms(), query, work_ms)
+        self.quota_participant.escrow.settle(self.now_ms(), query, work_ms)
 
     def settle_not_completed(self, query: domain.Query) -> None:
         """Settles a query that did not complete: at 0 if it certainly never ran, else at its estimate."""
         if all(attempt.outcome in domain.NEVER_EXECUTED for attempt in query.attempts):
-            self.quota_part.escrow.settle(self.now_ms(), query, 0.0)
+            self.quota_participant.escrow.settle(self.now_ms(), query, 0.0)
         else:
-            self.quota_part.escrow.settle_at_estimate(self.now_ms(), query)
+            self.quota_participant.escrow.settle_at_estimate(self.now_ms(), query)
 
     def lines(self) -> list[str]:
         """Returns status lines, one for each tenant, sorted by name."""
--- a/lichenquay/lease/leadership_term.py
+++ b/lichenquay/lease/leadership_term.py
@@ -67,7 +67,7 @@
         self.generation = None
         self.forget_term(now_ms)
 
-    def is_leading(self, now_ms: float) -> bool:
+    def refresh_leadership(self, now_ms: float) -> bool:
         """Starts or ends a term as the lease requires, and returns whether this process may act now.
 
         A new term starts from the state that the group has committed.
--- a/lichenquay/migration/session_service.py
+++ b/lichenquay/migration/session_service.py
@@ -76,7 +76,7 @@
         If this tenant opened a session by that name here and it is still owned, its id is answered again: the
         client may not have received it.
         """
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             done(now_ms, NOT_LEADER)
             return
         if not are_valid_names(tenant, name):
@@ -126,7 +126,7 @@
 
         A known query is attached to and not submitted again; see `resubmit_query`.
         """
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             done(now_ms, NOT_LEADER)
             return
         found = self.find_session(tenant, session_id)
@@ -171,7 +171,7 @@
 
     def _answer_committed(self, answer: Answer, done: AnswerCallback, now_ms: float, committed: bool) -> None:
         # If the term has ended meanwhile, the next leader may already have answered that the query failed.
-        done(now_ms, answer if committed and self.is_leading(now_ms) else NOT_LEADER)
+        done(now_ms, answer if committed and self.refresh_leadership(now_ms) else NOT_LEADER)
 
     def resubmit_query(
         self,
@@ -208,7 +208,7 @@
 
     def attach_query(self, now_ms: float, tenant: str, session_id: str, query_id: str) -> Answer:
         """Answers a client that asks again for an earlier query of its session."""
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             return NOT_LEADER
         found = self.find_session(tenant, session_id)
         if isinstance(found, Answer):
@@ -242,7 +242,7 @@
         self, now_ms: float, tenant: str, session_id: str, decide: Callable[[], pb.Change | None]
     ) -> bool:
         proposed = (
-            self.is_leading(now_ms)
+            self.refresh_leadership(now_ms)
             and not isinstance(self.find_session(tenant, session_id), Answer)
             and self.propose(decide())
         )
--- a/tests/migration_broken.py
+++ b/tests/migration_broken.py
@@ -23,10 +23,10 @@
 class LeadsWithoutLease(Coordinator):
     """Goes on leading after the process has lost the lease of the replica group."""
 
-    def is_leading(self, now_ms):
+    def refresh_leadership(self, now_ms):
         """Returns True once this process has led."""
         if self.committed is None or self.pending_write:
-            return super().is_leading(now_ms)
+            return super().refresh_leadership(now_ms)
         return True
 
 
--- a/tests/quota_broken.py
+++ b/tests/quota_broken.py
@@ -37,9 +37,9 @@
 class NewLeaderExpiresAtOnce(LedgerLeader):
     """Expires gateways at the start of its term if it has not received their requests."""
 
-    def is_leading(self, now_ms):
+    def refresh_leadership(self, now_ms):
         """Pretends that the term started long ago."""
-        leading = super().is_leading(now_ms)
+        leading = super().refresh_leadership(now_ms)
         self.term_started_ms = float("-inf")
         return leading
 
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -1,9 +1,9 @@
-"""Random deployments and faults from a seed: the rules hold at every step (see `standins.FakeGateway`)."""
+"""Random deployments and faults from a seed: the rules hold at every step (see `admission_fakes.FakeGateway`)."""
 
 import random
 
 import pytest
-from standins import FakeGateway, capabilities, engine, group, interactive_group
+from admission_fakes import FakeGateway, capabilities, engine, group, interactive_group
 
 from lichenquay.admission.domain import (
     DeduplicationScope,
--- a/tests/test_migration_coordinator.py
+++ b/tests/test_migration_coordinator.py
@@ -89,7 +89,10 @@
     next_process = RealGroupProcess(stored, 2, process.now_ms)
     restarted = next_process.coordinator
     next_process.run_until(
-        lambda: next_process.group.holds(next_process.now_ms) and restarted.is_leading(next_process.now_ms)
+        lambda: (
+            next_process.group.holds(next_process.now_ms)
+            and restarted.refresh_leadership(next_process.now_ms)
+        )
     )
     attached = restarted.attach_query(next_process.now_ms, "t", session_id, "last")
     assert attached.kind is AnswerKind.ATTACH
