--- a/lichenquay/connection_admission/__init__.py
+++ b/lichenquay/connection_admission/__init__.py
@@ -1,4 +1,4 @@
-"""Connection admission: which connections and queries of clients are admitted, and which are evicted.
+"""Connection admission: decides which client connections and queries are admitted, rejected or evicted.
 
-Nothing here performs I/O. Times are milliseconds of one monotonic clock, sizes are bytes.
+The package performs no I/O. Times are milliseconds of one monotonic clock; sizes are bytes.
 """
--- a/lichenquay/connection_admission/load_state.py
+++ b/lichenquay/connection_admission/load_state.py
@@ -1,4 +1,4 @@
-"""How much of the gateway's own resources is used up, as one of four states with hysteresis."""
+"""The load on the gateway's own resources, as one of four states with hysteresis."""
 
 from enum import StrEnum
 
@@ -8,43 +8,43 @@
 
 
 class LoadState(StrEnum):
-    """From little used to all used up."""
+    """Load states, in ascending order."""
 
     CALM = "calm"
     TIGHT = "tight"
-    CRITICAL = "critical"  # unknown clients get a fair share of the open queries at most
-    FULL = "full"  # known clients alone are admitted
+    CRITICAL = "critical"  # unknown clients get at most a fair share of the open queries
+    FULL = "full"  # only known clients are admitted
 
 
 LOAD_STATES = tuple(LoadState)
 
 
 class LoadMonitor:
-    """Rises at once, and falls one state at a time after `fall_after_ms` under its lower bound."""
+    """Tracks the load state, which rises at once and falls by one after `fall_delay_ms` below a threshold."""
 
     def __init__(self, rules: ConnectionRules, now_ms: float):
-        """Starts calm."""
+        """Starts in the state CALM."""
         self.rules = rules
         self.state = LoadState.CALM
         self.below_since_ms = now_ms
-        self.lags: list[tuple[float, float]] = []  # (time, lag) of recent turns
+        self.lags: list[tuple[float, float]] = []  # (time, lag) of recent measurements, in ms
 
     def update(self, used_share: float, lag_ms: float, now_ms: float) -> LoadState:
-        """Takes one measurement and returns the state.
+        """Records one measurement and returns the state.
 
-        `used_share` is the largest used share of descriptors, memory and the like; `lag_ms` is how late a
-        turn of the event loop came.
+        `used_share` is the largest used share of any resource, such as descriptors or memory; `lag_ms` is the
+        delay of a timer of the event loop.
         """
         rules = self.rules
         self._add_lag(lag_ms, now_ms)
         lag_share = self._persistent_lag_ms(now_ms) / rules.max_lag_ms if rules.max_lag_ms else 0.0
         used_share = max(used_share, lag_share)
         level = LOAD_STATES.index(self.state)
-        reached_level = sum(used_share >= bound for bound in rules.rise_at)
+        reached_level = sum(used_share >= threshold for threshold in rules.rise_thresholds)
         if reached_level > level:
             self._enter(reached_level, now_ms)
-        elif level and used_share < rules.fall_below[level - 1]:
-            if now_ms - self.below_since_ms >= rules.fall_after_ms:
+        elif level and used_share < rules.fall_thresholds[level - 1]:
+            if now_ms - self.below_since_ms >= rules.fall_delay_ms:
                 self._enter(level - 1, now_ms)
         else:
             self.below_since_ms = now_ms
@@ -60,7 +60,11 @@
         self.lags = [*recent[-(MAX_LAG_SAMPLES - 1) :], (now_ms, lag_ms)]
 
     def _persistent_lag_ms(self, now_ms):
-        """The least lag of the window, as in CoDel: a burst passes, a persistent queue does not."""
+        """Returns the smallest lag of the window, as CoDel does.
+
+        A burst does not raise it, a standing queue does. Returns 0 while the measurements cover less than
+        half of the window.
+        """
         oldest_ms, _ = self.lags[0]
         if oldest_ms > now_ms - self.rules.lag_window_ms / 2:
             return 0.0
--- a/lichenquay/endpoint_record.py
+++ b/lichenquay/endpoint_record.py
@@ -1,10 +1,14 @@
-"""One engine as a list of engines tells it, whatever way the list comes."""
+"""One entry of the endpoint list, in the form common to all sources of the list."""
 
 from typing import NamedTuple
 
 
 class EndpointRecord(NamedTuple):
-    """`state` is one of `admission.domain`; `started_ms`: Unix time of a late start, or 0."""
+    """One engine of the endpoint list.
+
+    state: a value of `admission.domain.EndpointState`. started_ms: Unix time, in ms, at which the engine
+    started, if it was started late; else 0.
+    """
 
     uid: str
     address: str
--- a/lichenquay/gateway/__main__.py
+++ b/lichenquay/gateway/__main__.py
@@ -2,8 +2,9 @@
 
 from lichenquay.process import block_signals, run_service
 
-# A signal during the start (a third of a second of imports, then the listener) must not end the process
-# without an answer. From this first line on signals wait, until `Service.run` installs its handlers.
+# A signal during the start (imports take a third of a second, then the listener opens) must not kill the
+# process before it has answered its clients: signals stay blocked from here until `Service.run` installs
+# the handlers.
 block_signals()
 
 import os  # noqa: E402
@@ -15,6 +16,6 @@
 from lichenquay.gateway.configuration import StartError  # noqa: E402
 from lichenquay.gateway.service import Service  # noqa: E402
 
-# The reactor's own clock is the wall's: where that steps back an hour, nothing due would happen for an hour.
+# The reactor's default is the wall clock: if that stepped back an hour, no timer would fire for an hour.
 reactor.seconds = time.monotonic
 sys.exit(run_service("lichenquay.gateway", reactor, lambda: Service(reactor, os.environ), StartError))
--- a/lichenquay/gateway/attempt_in_flight.py
+++ b/lichenquay/gateway/attempt_in_flight.py
@@ -1,4 +1,4 @@
-"""What the network side keeps of an attempt in flight, and the account of all of them."""
+"""The gateway's state of each attempt in flight, and the tracker that reports how each of them ended."""
 
 from collections.abc import Callable
 
@@ -10,15 +10,16 @@
 
 
 class AttemptInFlight:
-    """An attempt in flight.
-
-    engine, address: where it was sent; an engine's address may change.
-    lifecycle: what may be concluded of it.
-    cancel_outcome: the outcome that it ends with, once the gateway has begun to cancel it.
-    first_call: its POST, until that is settled.
-    connection: the one that its engine last replied on.
-    late_reply: the reply to its first call, which came after polls had been sent.
-    missed_reply: a reply to a call for it was lost, and a progress event with it, perhaps.
+    """The state of one attempt in flight.
+
+    engine, address: where the attempt was sent; the engine's current address may be another one by now.
+    lifecycle: whether the attempt may still run at the engine.
+    cancel_outcome: the outcome to report, once the gateway has begun to cancel the attempt; else None.
+    first_call: the POST that starts the attempt, until its outcome is known.
+    connection: the connection on which the engine last replied.
+    late_reply: the reply to the first call, if it arrived after polling had begun.
+    has_lost_reply: a reply to a call was lost, possibly with a progress event.
+    pauses: waits between two calls for the attempt.
     """
 
     __slots__ = (
@@ -29,11 +30,11 @@
         "deadline_ms",
         "engine",
         "first_call",
+        "has_lost_reply",
         "is_over",
         "is_sending_priority",
         "late_reply",
         "lifecycle",
-        "missed_reply",
         "pauses",
         "priority",
         "query",
@@ -42,7 +43,7 @@
     )
 
     def __init__(self, attempt: domain.Attempt, deadline_ms: float):
-        """An attempt of which nothing was written; it is cancelled at its deadline."""
+        """Creates the state of an attempt that has not been sent; it is cancelled at `deadline_ms`."""
         self.attempt = attempt
         self.query = attempt.query
         self.engine = attempt.engine
@@ -55,54 +56,55 @@
         self.first_call = None
         self.connection = None
         self.late_reply = None
-        self.missed_reply = False
+        self.has_lost_reply = False
         self.priority = attempt.query.requested_priority
         self.sent_priority = attempt.query.requested_priority
         self.is_sending_priority = False
-        self.pauses: set[Deferred] = set()  # between two calls for it
+        self.pauses: set[Deferred] = set()
 
     @property
     def is_ending(self) -> bool:
-        """Whether it is over, or being cancelled."""
+        """Whether the attempt is over or being cancelled."""
         return self.is_over or self.cancel_outcome is not None
 
     def abandon_first_call(self) -> None:
-        """Its first call has nothing more to say: its connection is not held for a reply that never comes."""
+        """Closes the connection of the first call, whose reply is no longer needed and may never come."""
         call = self.first_call
         self.first_call = None
         if call is not None:
             call.abandon()
 
     def end_pauses(self) -> None:
-        """Something happened: no call waits any longer."""
+        """Ends all pauses, so that the next call is sent at once."""
         for pause in list(self.pauses):
             self.end_pause(pause)
 
     def end_pause(self, pause: Deferred) -> None:
-        """Ends one pause, if it has not ended."""
+        """Ends a pause, unless it has ended already."""
         if pause in self.pauses:
             self.pauses.remove(pause)
             pause.callback(None)
 
 
 class AttemptTracker:
-    """The account of attempts in flight: each has one outcome, which is reported to the controller."""
+    """Counts attempts in flight and reports exactly one outcome for each of them to the controller."""
 
     def __init__(self, metrics, on_ended: Callable):
-        """`on_ended(in_flight, outcome, cost, load_report, result)`: called once for each attempt."""
+        """Takes `on_ended(in_flight, outcome, cost, load_report, result)`, called once per attempt."""
         self.metrics = metrics
         self.on_ended = on_ended
         self.in_flight_count = 0
 
-    def dispatched(self) -> None:
-        """Counts an attempt that is started."""
+    def count_dispatched(self) -> None:
+        """Counts an attempt that is being sent."""
         self.in_flight_count += 1
         self.metrics.count("attempts sent")
 
     def end(self, in_flight: AttemptInFlight, outcome: domain.Outcome, reply=None, result=None) -> None:
-        """The one end of an attempt; what comes later for it is ignored.
+        """Ends an attempt and reports its outcome; does nothing if the attempt has ended already.
 
-        `reply`: the engine's last, with its cost and load report. `result`: the pages, where it completed.
+        reply: the engine's last reply, which may contain a load report, and the cost of a completed query.
+        result: the pages of the result, if the attempt completed.
         """
         if in_flight.is_over:
             return
@@ -114,7 +116,7 @@
         self.metrics.count(f"attempts {outcome}")
         is_completed = outcome == domain.Outcome.COMPLETED
         cost = engine_protocol.read_cost(reply) if is_completed else None
-        # None: nothing came from the engine. Empty: it replied, and reported nothing.
+        # None: there is no reply. Empty: the engine replied without a load report.
         load_report = None if reply is None else engine_protocol.read_load_report(reply) or {}
         if load_report:
             self.metrics.count("load reports")
--- a/lichenquay/gateway/attempt_lifecycle.py
+++ b/lichenquay/gateway/attempt_lifecycle.py
@@ -1,54 +1,54 @@
-"""The lifecycle of one attempt at its engine, from its POST to its end: a state machine, free of I/O.
+"""The lifecycle of one attempt at its engine, from its POST to its end: a state machine that performs no I/O.
 
-Another attempt of a query may be sent only when the one before is certainly not running and cannot come to
-run. An attempt is over by one of the rules that `Proof` lists; each is a method here, and times come in with
-the calls.
+A query's next attempt may be sent only when the previous one is certainly not running and cannot start to
+run any more. The rules by which that is certain are listed in `Proof`. Events are reported through the `on_`
+methods, most of them with their time.
 
-'Unknown' from the engine is no proof while the POST's connection is open and silent (`SENT`): the engine may
-read the POST later, after calls on other connections. Nor is it after that connection was closed by the
-gateway: what had arrived whole is still read.
+The engine's reply 'unknown' proves nothing while the connection of the POST is open and silent (`SENT`): the
+engine may read the POST later than calls on other connections. Nor does it prove anything after the gateway
+closed that connection, as the engine still reads a POST that has arrived complete.
 """
 
 from enum import Enum, StrEnum
 
-FORGOTTEN_MS = 2000.0  # PROTOCOL: an engine drops a query that has not been polled for this long
-READ_DELAY_MS = 500.0  # an engine reads what it has received no later than this (seen: up to 370 ms)
-MIN_SPACING_MS = 45.0  # between two replies that count as two; the gateway polls 50 ms apart
+ENGINE_FORGETS_AFTER_MS = 2000.0  # PROTOCOL: an engine drops a query that has not been polled for this long
+MAX_READ_DELAY_MS = 500.0  # until an engine has read what it received; the longest delay seen was 370 ms
+# Two replies less than this apart count as one; the gateway polls at intervals of 50 ms.
+MIN_REPLY_SPACING_MS = 45.0
 
 
 class AttemptState(Enum):
-    """What is known of an attempt at its engine."""
+    """What is known about an attempt at its engine."""
 
-    UNSENT = "unsent"  # nothing of its POST was written
-    SENT = "sent"  # its POST was written; nothing is known of it
-    # the engine closed the connection of its POST, or the last one that it replied on
+    UNSENT = "unsent"  # no byte of the POST was written
+    SENT = "sent"  # the POST was written; the engine has not replied
+    # The engine closed the connection of the POST, or the connection on which it last replied.
     DISCONNECTED = "disconnected"
-    ACKNOWLEDGED = "acknowledged"  # the engine replied for it
-    OVER = "over"  # it is not running, and cannot come to run
+    ACKNOWLEDGED = "acknowledged"  # the engine replied that it has the query
+    OVER = "over"  # the attempt is not running and cannot start to run
 
 
 class Proof(StrEnum):
-    """By which rule an attempt is over; an attempt of which nothing was written needs none."""
+    """The rule by which an attempt is over. An attempt that was never sent needs no proof."""
 
-    END_REPORTED = "end reported"  # a whole reply of its own that is an end
-    NO_LONGER_KNOWN = "no longer known"  # one 'unknown' to a call written since it was acknowledged
-    # Two 'unknown' at least `MIN_SPACING_MS` apart, to calls written after its connection was closed by the
-    # engine ...
+    END_REPORTED = "end reported"  # a complete reply reported the end of the attempt
+    NO_LONGER_KNOWN = "no longer known"  # one 'unknown' to a call written after the acknowledgement
+    # Two replies 'unknown', at least `MIN_REPLY_SPACING_MS` apart, to calls written after the engine closed
+    # the connection ...
     UNKNOWN_AFTER_DISCONNECT = "unknown after disconnect"
-    # ... or `READ_DELAY_MS` after its POST: an engine that replies twice is not paused, and has read all
-    # there was.
+    # ... or `MAX_READ_DELAY_MS` after the POST: an engine that replies twice is not paused, and has read all
+    # that had arrived.
     UNKNOWN_LONG_AFTER_POST = "unknown long after POST"
-    # Two refused connections at least `MIN_SPACING_MS` apart, while nothing shows that its process may live.
+    # Two refused connections, at least `MIN_REPLY_SPACING_MS` apart, and no sign that the process is alive.
     PROCESS_GONE = "process gone"
-    # No call that could have reached it for as long as it is remembered, and as an engine may take to read
-    # one.
+    # No call can have reached the engine for `ENGINE_FORGETS_AFTER_MS` plus `MAX_READ_DELAY_MS`.
     FORGOTTEN = "forgotten"
 
 
 class AttemptLifecycle:
-    """One attempt, its state and the proof that it is over.
+    """Holds the state of one attempt and the proof that it is over.
 
-    Times are milliseconds of one monotonic clock; a call's time is when its first byte was written.
+    Times are milliseconds of one monotonic clock. The time of a call is when its first byte was written.
     """
 
     __slots__ = (
@@ -63,122 +63,123 @@
     )
 
     def __init__(self):
-        """An attempt of which nothing was written."""
+        """Starts as `UNSENT`."""
         self.state = AttemptState.UNSENT
         self.proof: Proof | None = None
         self.posted_ms = 0.0
-        self.state_since_ms = 0.0  # since when it is disconnected or acknowledged
-        self.last_poll_ms = 0.0  # the last call that may have kept its engine at it ...
-        self.previous_poll_ms = 0.0  # ... and the one before
-        self.first_unknown_ms: float | None = None  # the first of two
-        self.first_refused_ms: float | None = None
+        self.state_since_ms = 0.0  # set when it becomes disconnected or acknowledged
+        self.last_poll_ms = 0.0  # the last call after which the engine may have kept the query ...
+        self.previous_poll_ms = 0.0  # ... and the one before it
+        self.first_unknown_ms: float | None = None  # the first of the two replies that a proof needs
+        self.first_refused_ms: float | None = None  # the first of the two refusals that a proof needs
 
     @property
     def may_run(self) -> bool:
-        """Whether it may be running, or come to run."""
+        """Whether the attempt may be running or may still start to run."""
         return self.state in (AttemptState.SENT, AttemptState.DISCONNECTED, AttemptState.ACKNOWLEDGED)
 
     @property
     def is_over(self) -> bool:
-        """Whether it is certainly not running, and cannot come to run, having been sent."""
+        """Whether the attempt was sent, is certainly not running and cannot start to run."""
         return self.state is AttemptState.OVER
 
-    def post_written(self, now_ms: float) -> None:
-        """The first byte of its POST was written."""
+    def on_post_written(self, now_ms: float) -> None:
+        """Records that the first byte of the POST was written."""
         if self.state is AttemptState.UNSENT:
             self.state = AttemptState.SENT
             self.posted_ms = now_ms
             self.last_poll_ms = now_ms
 
-    def poll_written(self, now_ms: float) -> None:
-        """A call for its progress or pages was written: it may keep the engine at it."""
+    def on_poll_written(self, now_ms: float) -> None:
+        """Records that a call for progress or a page was written: it may make the engine keep the query."""
         self.previous_poll_ms = self.last_poll_ms
         self.last_poll_ms = max(self.last_poll_ms, now_ms)
 
-    def poll_not_written(self) -> None:
-        """The last call did not reach the engine: it kept the engine at nothing."""
+    def on_poll_not_written(self) -> None:
+        """Records that the last call did not reach the engine, and so did not make it keep the query."""
         self.last_poll_ms = self.previous_poll_ms
 
-    def connection_closed_by_engine(self, now_ms: float) -> None:
-        """The engine closed the connection of its POST before a reply, or the one that it last replied on.
+    def on_connection_closed_by_engine(self, now_ms: float) -> None:
+        """Records that the engine closed the connection of the POST, before a reply, or of its last reply.
 
-        Not called where the gateway closes the connection after a reply that is not valid: the engine may not
+        It must not be called if the gateway closed the connection after an invalid reply: the engine may not
         have read the POST yet.
         """
         if self.state in (AttemptState.SENT, AttemptState.ACKNOWLEDGED):
             self._enter(AttemptState.DISCONNECTED, now_ms)
 
-    def acknowledged(self, now_ms: float) -> None:
-        """A reply of its own that is not its end: the engine has it."""
-        self.engine_replied()
+    def on_acknowledged(self, now_ms: float) -> None:
+        """Records a reply for this attempt other than its end: the engine has the query."""
+        self.on_engine_replied()
         if self.state in (AttemptState.SENT, AttemptState.DISCONNECTED):
             self._enter(AttemptState.ACKNOWLEDGED, now_ms)
 
-    def end_reported(self) -> None:
-        """Its own end, reported whole."""
+    def on_end_reported(self) -> None:
+        """Records a complete reply that reports the end of this attempt."""
         self._end(Proof.END_REPORTED)
 
-    def engine_replied(self) -> None:
-        """Something at its address replied: an earlier refusal does not count."""
+    def on_engine_replied(self) -> None:
+        """Records any reply from the address: an earlier refusal no longer counts."""
         self.first_refused_ms = None
 
-    def unknown_reported(
+    def on_unknown_reported(
         self,
         written_ms: float,
         now_ms: float,
         may_be_other_engine: bool = False,
         is_poll: bool = True,
     ) -> bool:
-        """A reply to a call written at `written_ms`: it is not known there, or (no poll) it was cancelled.
+        """Records a reply to a call written at `written_ms`. Returns whether the attempt is over.
 
+        The reply says that the query is unknown or, to a cancellation (`is_poll` is false), cancelled.
         may_be_other_engine: the engine is leaving or has left the endpoint list, and the reply came on a
-        connection on which it has not replied for this attempt before: its address may be another engine's by
-        now. Returns whether the attempt is over.
+        connection on which it has not replied for this attempt before, so that the address may belong to
+        another engine by now.
         """
-        self.engine_replied()
+        self.on_engine_replied()
         if is_poll and written_ms == self.last_poll_ms:
-            self.poll_not_written()
+            self.on_poll_not_written()
         if not self._counts_as_unknown(written_ms, may_be_other_engine):
             return self.is_over
         if self.state is AttemptState.ACKNOWLEDGED:
             self._end(Proof.NO_LONGER_KNOWN)
         elif self.first_unknown_ms is None:
             self.first_unknown_ms = now_ms
-        elif written_ms >= self.first_unknown_ms and now_ms - self.first_unknown_ms >= MIN_SPACING_MS:
+        elif written_ms >= self.first_unknown_ms and now_ms - self.first_unknown_ms >= MIN_REPLY_SPACING_MS:
             is_disconnected = self.state is AttemptState.DISCONNECTED
             self._end(Proof.UNKNOWN_AFTER_DISCONNECT if is_disconnected else Proof.UNKNOWN_LONG_AFTER_POST)
         return self.is_over
 
-    def connection_refused(self, now_ms: float, process_may_live: bool) -> bool:
-        """Its address refused a connection.
+    def on_connection_refused(self, now_ms: float, process_may_live: bool) -> bool:
+        """Records that the address refused a connection. Returns whether the attempt is over.
 
-        process_may_live: a connection to the engine is open that the end of its process would have closed, or
-        was until the gateway closed it; or the engine drains, and may work on without accepting connections.
-        Returns whether the attempt is over.
+        process_may_live: a connection to the engine is open, or was until the gateway closed it, that the end
+        of the process would have closed; or the engine is draining, and may run queries without accepting
+        connections.
         """
         if process_may_live or self.state is AttemptState.UNSENT:
             self.first_refused_ms = None
         elif self.first_refused_ms is None:
             self.first_refused_ms = now_ms
-        elif now_ms - self.first_refused_ms >= MIN_SPACING_MS:
+        elif now_ms - self.first_refused_ms >= MIN_REPLY_SPACING_MS:
             self._end(Proof.PROCESS_GONE)
         return self.is_over
 
-    def time_passed(self, now_ms: float) -> bool:
-        """The time is `now_ms`. Returns whether the attempt is over, by now if not before."""
-        is_forgotten = now_ms > self.last_poll_ms + FORGOTTEN_MS + READ_DELAY_MS
+    def on_time_passed(self, now_ms: float) -> bool:
+        """Records the current time. Returns whether the attempt is over, whether by now or before."""
+        is_forgotten = now_ms > self.last_poll_ms + ENGINE_FORGETS_AFTER_MS + MAX_READ_DELAY_MS
         if self.may_run and is_forgotten:
             self._end(Proof.FORGOTTEN)
         return self.is_over
 
     def _counts_as_unknown(self, written_ms, may_be_other_engine):
-        """Whether 'unknown' proves anything about the POST; a call written before may have overtaken it."""
+        """Returns whether 'unknown' is evidence: an early call may have been read before the POST."""
         if not self.may_run:
             return False
         if may_be_other_engine and self.state is not AttemptState.DISCONNECTED:
             return False
         is_sent = self.state is AttemptState.SENT
-        counts_from_ms = self.posted_ms + READ_DELAY_MS if is_sent else self.state_since_ms
+        counts_from_ms = self.posted_ms + MAX_READ_DELAY_MS if is_sent else self.state_since_ms
         return written_ms >= counts_from_ms
 
     def _enter(self, state, now_ms):
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its frames, in order, and the answers back to it."""
+"""A client's connection: handles its frames in order and writes the answers."""
 
 import fcntl
 import struct
@@ -14,11 +14,11 @@
 from lichenquay.gateway.frames import AnswerCode, FrameError, FrameReader, FrameType
 from lichenquay.gateway.stream_numbers import StreamNumbers
 
-CLOSE_S = 0.3  # for the other side to close as well; then again, while it still reads its last answers
-PAUSE_S = 0.05  # in which nothing is read, after an invalid request
-MAX_INVALID_REQUESTS = 16  # more of them end a connection
-# Bytes of answers that a client has not read, before no more requests of its are accepted; and bytes of
-# requests that wait for that, before it is read no further.
+CLOSE_S = 0.3  # time for the client to close as well; repeated while it still reads its last answers
+INVALID_REQUEST_PAUSE_S = 0.05  # nothing is read for this long after an invalid request
+MAX_INVALID_REQUESTS = 16  # a connection with more is closed
+# With more bytes of unread answers than this, the requests of a client are deferred; with more bytes of
+# deferred requests than this, its connection is no longer read.
 MAX_UNSENT_BYTES = 65_536
 ANSWER_COUNTERS = {
     AnswerCode.COMPLETED: "answers completed",
@@ -28,20 +28,20 @@
 
 
 class InvalidRequestError(GatewayError):
-    """A well-formed request that makes no query; the text is its answer."""
+    """A well-formed request that is not a valid query; the text is sent as its answer."""
 
     code = AnswerCode.FAILED
 
 
 class DeferredRequest(NamedTuple):
-    """A request that waits while its client does not read its answers."""
+    """A request that is kept while its client does not read its answers."""
 
     payload: bytes
     received_ms: float
 
 
 def unacknowledged_bytes(transport) -> int:
-    """Bytes that the kernel holds until the other side has received them; 0 where it cannot say."""
+    """Returns how many sent bytes the peer has not acknowledged yet; 0 if the kernel does not tell."""
     try:
         buffer = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, b"\0" * 4)
     except OSError:
@@ -52,17 +52,16 @@
 class ClientConnection(Protocol):
     """One client's connection.
 
-    While its client does not read its answers it is `is_backlogged`: `unsent_bytes` of them wait in the
-    transport, which asks for more (`resumeProducing`) once it is empty. Until then its requests are deferred;
-    other frames are handled. With nothing read, a cancellation would wait in the kernel while its query is
-    sent again.
-
-    `record` is what connection admission keeps of it. `is_open`: frames are handled and answers written.
-    `is_rejecting_input`: nothing more is read from it, and what was accepted on it is still answered.
+    record: the connection's record in connection admission.
+    is_open: frames are handled and answers are written.
+    is_backlogged: the client does not read its answers, and `unsent_bytes` of them wait in the transport,
+    which calls `resumeProducing` once it is empty. Until then requests are deferred, but other frames are
+    handled: if nothing were read, a cancellation would wait in the kernel while its query is retried.
+    is_rejecting_input: further input is discarded; requests accepted before are still answered.
     """
 
     def __init__(self, intake, address: str):
-        """`intake`: all clients' connections; `address`: the client's."""
+        """Registers the connection of the client at `address` with connection admission."""
         self.intake = intake
         self.record = intake.connection_admission.on_connection_opened(address, intake.admission_ms(), self)
         self.reader = FrameReader()
@@ -75,27 +74,27 @@
         self.is_open = True
         self.is_backlogged = False
         self.is_rejecting_input = False
-        self.has_sent_frame = False  # its client has, whole
-        self.go_away_sent = False
+        self.has_received_frame = False  # a complete one
+        self.has_sent_go_away = False
         self.last_activity_s = intake.seconds()
         self.frame_started_s = self.last_activity_s
-        self.linger_until_ms = 0.0  # its client may still read its last answers
+        self.linger_until_ms = 0.0  # until then the client may still read its last answers
         self.pause_timer = None
         self.close_timer = None
 
-    # Reading.
+    # Reading
 
     def connectionMade(self):
-        """Sets up the new connection and registers it with the intake."""
+        """Sets up the connection and registers it with the intake."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
         self.intake.connection_opened(self)
 
     def dataReceived(self, data):
-        """Frames, which may be cut anywhere."""
+        """Handles the frames that the data completes; frames may be split anywhere."""
         if self.is_rejecting_input or not self.is_open:
-            # It is read all the same: unread bytes would hide that the client leaves, and reset our last
-            # answers.
+            # Reading goes on slowly: unread bytes would hide that the client closes the connection, and would
+            # cause a reset that discards the last answers.
             self._pause_reading()
             return
         buffered_before = self.reader.buffered_bytes()
@@ -108,16 +107,16 @@
                 self.frame_started_s = self.last_activity_s
             if growth > 0 and not self.intake.has_memory_for(buffered_before + growth, buffered_before):
                 raise FrameError("too much that is not whole")
-            self._account_bytes(growth)
+            self._add_held_bytes(growth)
         except FrameError as error:
-            self._account_bytes(-buffered_before)
+            self._add_held_bytes(-buffered_before)
             self.reader.discard()
             self.reject_input(str(error))
 
     def _on_frame(self, frame):
-        if not self.has_sent_frame:
+        if not self.has_received_frame:
             self.intake.connection_admission.on_frame_received(self.record, self.intake.admission_ms())
-        self.has_sent_frame = True
+        self.has_received_frame = True
         self.frame_started_s = self.last_activity_s
         if frame.type == FrameType.QUERY:
             self._on_query(frame)
@@ -132,7 +131,7 @@
     def _on_query(self, frame):
         self.streams.claim(frame.stream)
         if self.is_backlogged:
-            self._hold_request(frame)
+            self._defer_request(frame)
         else:
             self._accept_request(frame.stream, frame.payload, self.intake.now_ms())
 
@@ -144,17 +143,17 @@
             self._drop_deferred_request(stream)
 
     def _pause_reading(self):
-        """Reads on after a while: unusable input at full speed must not delay other clients."""
+        """Stops reading for a while, so that invalid input at full speed does not delay other clients."""
         if self.pause_timer is None:
             self.transport.pauseProducing()
-            self.pause_timer = self.intake.reactor.callLater(PAUSE_S, self._resume_reading)
+            self.pause_timer = self.intake.reactor.callLater(INVALID_REQUEST_PAUSE_S, self._resume_reading)
 
     def _resume_reading(self):
         self.pause_timer = None
         if self.deferred_request_bytes <= MAX_UNSENT_BYTES:
             self.transport.resumeProducing()
 
-    # Requests.
+    # Requests
 
     def _accept_request(self, stream, payload, received_ms):
         request = frames.read_query(payload)
@@ -164,7 +163,7 @@
         except InvalidRequestError as error:
             self._answer_invalid(stream, error)
             return
-        except Exception:  # a fault met for one query must not end the connection, and others with it
+        except Exception:  # a fault in one query must not end the connection and its other queries
             self.intake.metrics.count("faults")
             self.intake.log("fault", traceback.format_exc())
             self.intake.metrics.count(ANSWER_COUNTERS[AnswerCode.FAILED])
@@ -173,11 +172,11 @@
         self.open_queries[stream] = query
         self.intake.open_request_ids[query.request_id] = query
         self.intake.connection_admission.on_query_admitted(self.record, self.intake.admission_ms())
-        self._account_bytes(len(query.statement))
+        self._add_held_bytes(len(query.statement))
         self.intake.adapter.query_received(query)
 
     def _answer_invalid(self, stream, error):
-        """Answered at once, and read on after a pause: its client may repeat it at once."""
+        """Answers an invalid request and pauses reading, as the client may repeat the request at once."""
         self.intake.metrics.count("requests invalid")
         self.intake.metrics.count(ANSWER_COUNTERS[error.code])
         self.write(frames.encode_answer(stream, error.code, str(error).encode()))
@@ -197,24 +196,24 @@
         self.intake.adapter.client_gone(query)
 
     def _release_query(self, query):
-        """Timers refer to a query until its deadline: it must not keep all that it held."""
-        self._account_bytes(-len(query.statement))
+        """Frees what a finished query holds: timers refer to the query until its deadline."""
+        self._add_held_bytes(-len(query.statement))
         self.intake.connection_admission.on_query_finished(self.record, self.intake.admission_ms())
         self.intake.open_request_ids.pop(query.request_id, None)
         query.statement = b""
         query.client = None
 
-    def _hold_request(self, frame):
+    def _defer_request(self, frame):
         self.deferred_requests[frame.stream] = DeferredRequest(bytes(frame.payload), self.intake.now_ms())
-        self._account_deferred_request(len(frame.payload))
+        self._add_deferred_bytes(len(frame.payload))
         if self.deferred_request_bytes > MAX_UNSENT_BYTES:
             self.transport.pauseProducing()
 
     def _drop_deferred_request(self, stream):
-        self._account_deferred_request(-len(self.deferred_requests.pop(stream).payload))
+        self._add_deferred_bytes(-len(self.deferred_requests.pop(stream).payload))
 
     def _accept_deferred_requests(self):
-        """In order; their time counts from when they were received."""
+        """Accepts deferred requests in order; their time-out counts from when they were received."""
         try:
             while (
                 self.deferred_requests
@@ -228,20 +227,20 @@
         except FrameError as error:
             self.reject_input(str(error))
 
-    def _account_deferred_request(self, size_bytes):
+    def _add_deferred_bytes(self, size_bytes):
         self.deferred_request_bytes += size_bytes
-        self._account_bytes(size_bytes)
+        self._add_held_bytes(size_bytes)
 
-    def _account_bytes(self, size_bytes):
-        """The gateway holds so many bytes more, or less, for this connection."""
+    def _add_held_bytes(self, size_bytes):
+        """Adds to the bytes that the gateway holds for this connection; `size_bytes` may be negative."""
         if size_bytes:
             self.intake.held_bytes += size_bytes
             self.intake.connection_admission.on_held_bytes_changed(self.record, size_bytes)
 
-    # Answers.
+    # Answers
 
     def send_answer(self, query, code: AnswerCode, body: list[bytes]) -> None:
-        """The final answer of a query, its body given in pieces."""
+        """Sends the final answer of a query, whose body is given in pieces."""
         if self.open_queries.pop(query.stream, None) is None:
             return
         self._release_query(query)
@@ -252,32 +251,32 @@
         self._close_if_answered()
 
     def send_go_away(self) -> None:
-        """Asks the client to send no more requests on this connection."""
-        if not self.go_away_sent:
-            self.go_away_sent = True
+        """Asks the client, once, to send no more requests on this connection."""
+        if not self.has_sent_go_away:
+            self.has_sent_go_away = True
             self.write(frames.encode_frame(FrameType.GO_AWAY, 0))
 
     def write(self, data: bytes) -> None:
-        """Writes a frame, unless clients that do not read make the gateway hold too much already."""
+        """Writes a frame; aborts the connection if the bytes held for clients exceed the limit."""
         if not self.is_open:
             return
         rest = data if self.unsent_bytes else send_now(self.transport, data)
         if not rest:
             return
         self.unsent_bytes += len(rest)
-        self._account_bytes(len(rest))
+        self._add_held_bytes(len(rest))
         if self.intake.held_bytes > self.intake.max_held_bytes:
             self.intake.metrics.count("clients not reading")
             self.intake.log("client", "client: does not read its answers; connection closed")
             self.transport.abortConnection()
             return
-        # the transport refuses what is not bytes, and would cut an answer off
+        # The transport accepts only `bytes`; a memoryview would raise and truncate the answer.
         self.transport.write(bytes(rest))
         self.is_backlogged = self.is_backlogged or self.unsent_bytes > MAX_UNSENT_BYTES
 
     def resumeProducing(self):
-        """The transport has sent all that was written."""
-        self._account_bytes(-self.unsent_bytes)
+        """Accepts deferred requests again, as the transport has sent all that was written."""
+        self._add_held_bytes(-self.unsent_bytes)
         self.unsent_bytes = 0
         if self.is_backlogged:
             self.is_backlogged = False
@@ -288,18 +287,18 @@
             self._close_output()
 
     def stopProducing(self):
-        """The transport is closing."""
+        """Marks the connection as closed, as the transport is closing."""
         self.is_open = False
 
-    # Its end.
+    # Closing
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing that was accepted on it waits for an answer."""
+        """Whether no accepted or deferred request waits for its answer."""
         return not self.open_queries and not self.deferred_requests
 
     def evict(self) -> None:
-        """Gives its place to another: its queries get their final answers now, then it is closed."""
+        """Closes the connection in favour of another one, after its queries have got their final answers."""
         self.intake.metrics.count("clients evicted")
         if self.is_idle:
             self.send_go_away()
@@ -310,14 +309,14 @@
             self.intake.adapter.evict(query)
 
     def reject_input(self, reason: str, code: AnswerCode = AnswerCode.FAILED) -> None:
-        """Nothing more is read from it; what was accepted on it is still answered."""
+        """Sends the reason and discards further input; closes once all accepted requests are answered."""
         if self.is_rejecting_input:
             return
         self.intake.metrics.count("invalid frames" if code == AnswerCode.FAILED else "busy clients evicted")
         self.intake.log("client", f"client: {reason}; connection closed")
         self.write(frames.encode_answer(0, code, reason.encode()))
         self.is_rejecting_input = True
-        # its client has sent them: it gets their answers, if it reads
+        # Each deferred request still gets an answer.
         for stream in list(self.deferred_requests):
             self._drop_deferred_request(stream)
             self.write(frames.encode_answer(stream, code, reason.encode()))
@@ -325,11 +324,12 @@
         self._close_if_answered()
 
     def close(self) -> None:
-        """Closes the connection, on which no query is open.
+        """Closes the connection, which must have no open query.
 
-        The gateway's side is closed once what is written has gone, all of it once the client has closed its
-        own, or after a while. Closing over unread bytes, or at a fixed time, would take back last answers
-        that a client has not read yet.
+        The sending side is closed once all that was written has been sent; the connection is closed once the
+        client has closed its side, or after `CLOSE_S`, repeated while the client still reads. Closing with
+        unread input, or at a fixed time, would reset the connection and discard answers that the client has
+        not read yet.
         """
         if not self.is_open:
             return
@@ -344,12 +344,12 @@
             self.close()
 
     def _close_output(self):
-        """No more comes from this side."""
+        """Closes the sending side of the connection."""
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
 
     def _finish_closing(self):
-        """What a slow client has not received is waited for as long as its queries might have taken."""
+        """Closes the connection; waits for a slow client until the latest deadline of its queries."""
         unreceived_bytes = self.unsent_bytes or unacknowledged_bytes(self.transport)
         if unreceived_bytes and self.intake.now_ms() < self.linger_until_ms:
             self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
@@ -359,9 +359,9 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason):
-        """Its client has gone, and with it all that was held for it."""
+        """Releases all that was held for the client and cancels its open queries."""
         self.is_open = False
-        self._account_bytes(-self.unsent_bytes - self.reader.buffered_bytes())
+        self._add_held_bytes(-self.unsent_bytes - self.reader.buffered_bytes())
         self.unsent_bytes = 0
         self.reader.discard()
         for stream in list(self.deferred_requests):
@@ -371,6 +371,6 @@
                 timer.cancel()
         queries = self.open_queries
         self.open_queries = {}
-        for query in queries.values():  # what was accepted on it ends at its engine
+        for query in queries.values():  # their attempts are cancelled at the engines
             self._cancel_query(query)
         self.intake.connection_closed(self)
--- a/lichenquay/gateway/configuration.py
+++ b/lichenquay/gateway/configuration.py
@@ -1,7 +1,7 @@
-"""What a gateway reads at its start and on SIGHUP: the platform's configuration, and settings of our own.
+"""The configuration that a gateway reads at its start and on SIGHUP: the platform's, and feature settings.
 
-Modules of our own features (`fleet`, `config`) are imported only where the settings ask for them: on the
-platform, `run` must import nothing for what stays off.
+Feature settings configure what the platform does not know (`fleet`, `config`). The modules of a feature are
+imported only if it is enabled: on the platform, `run` must import nothing for features that are off.
 """
 
 import json
@@ -14,27 +14,27 @@
 from lichenquay.deployment_settings import DeploymentSettings, SettingsError, SettingsSection
 from lichenquay.gateway.errors import GatewayError
 
-CONFIG_VARIABLE = "BALANCER_CONFIG"  # the path of the platform's configuration
-LISTEN_VARIABLE = "BALANCER_LISTEN"  # an address to listen on, in place of the configuration's
-# the path of settings of our own features; unset on the platform
+CONFIG_VARIABLE = "BALANCER_CONFIG"  # path of the platform's configuration
+LISTEN_VARIABLE = "BALANCER_LISTEN"  # listen address that overrides the configuration's
+# Path of the feature settings; unset on the platform.
 FEATURE_SETTINGS_VARIABLE = "LICHENQUAY_SETTINGS"
-PROCESS_MB = 32.0  # memory of the process itself (docs/evaluation.md)
-MIN_CLIENT_MB = 4.0  # what clients may fill at least
-CLIENT_MEMORY_SHARE = 0.5  # of the memory beyond that of the process
+PROCESS_MB = 32.0  # memory of the process without clients (docs/evaluation.md)
+MIN_CLIENT_MB = 4.0  # lower bound of the memory for clients
+CLIENT_MEMORY_SHARE = 0.5  # of the configured memory, less that of the process
 
 
 class StartError(GatewayError):
-    """Something that the program needs is missing; the text names it, in one line."""
+    """The gateway cannot start, as something is missing or invalid; the text names it in one line."""
 
 
 class HostPort(NamedTuple):
-    """An address."""
+    """A TCP address."""
 
     host: str
     port: int
 
     def __str__(self):
-        """As HOST:PORT."""
+        """Returns the address as HOST:PORT."""
         return f"{self.host}:{self.port}"
 
 
@@ -45,14 +45,14 @@
     listen_address: HostPort
     discovery_address: HostPort
     max_descriptors: int
-    client_memory_bytes: int  # for what clients make the gateway hold
+    client_memory_bytes: int  # limit for what the gateway holds for clients
     seed: int
-    known_endpoints: Any  # an answer of the discovery service, as parsed from JSON; None once it is applied
-    settings: Any  # the deployment's, as parsed from JSON
+    known_endpoints: Any  # an answer of the discovery service, parsed from JSON; None once it is applied
+    settings: Any  # the deployment settings, parsed from JSON
 
 
 def read_config(environment: Mapping[str, str]) -> GatewayConfig:
-    """Reads the file that the environment names. Errors: StartError."""
+    """Reads the configuration file that the environment names. Errors: StartError."""
     path = environment.get(CONFIG_VARIABLE)
     if not path:
         raise StartError(f"{CONFIG_VARIABLE} is not set")
@@ -87,7 +87,7 @@
 
 
 def read_deployment_settings(settings: Any, seed: int) -> DeploymentSettings:
-    """The deployment's settings as objects, from the parsed JSON. Errors: StartError."""
+    """Reads deployment settings from parsed JSON. Errors: StartError."""
     try:
         deployment_settings = DeploymentSettings(SettingsSection.from_json(settings), seed)
         if not deployment_settings.groups:
@@ -98,11 +98,11 @@
 
 
 def read_feature_settings(environment: Mapping[str, str]):
-    """The settings of our own features; None where the environment names no file. Errors: StartError."""
+    """Reads the feature settings; returns None if the environment names no file. Errors: StartError."""
     path = environment.get(FEATURE_SETTINGS_VARIABLE)
     if not path:
         return None
-    # Imported here: the platform's gateways have no such settings, and import nothing for them.
+    # Imported here: gateways on the platform have no feature settings and must not import these modules.
     from lichenquay.config.errors import ConfigurationError
     from lichenquay.config.reader import read_file, read_settings
 
@@ -112,8 +112,8 @@
         raise StartError(str(error)) from None
 
 
-def start_only_settings(feature_settings) -> tuple:
-    """What of the settings of our own features counts from the next start only."""
+def restart_only_settings(feature_settings) -> tuple:
+    """Returns the sections of the feature settings that take effect only at a start."""
     if feature_settings is None:
         return (None, None)
     return tuple(
@@ -125,7 +125,7 @@
 def effective_connection_rules(
     feature_settings, max_connections: int, distributed_rules=None
 ) -> ConnectionRules:
-    """The rules of connection admission; `distributed_rules` take the place of the file's."""
+    """Returns the rules of connection admission; `distributed_rules` override those of the settings file."""
     if feature_settings is None:
         return ConnectionRules(max_connections, 0, max_lag_ms=0.0)
     # Imported here, as above.
@@ -136,10 +136,10 @@
     )
 
 
-def make_fleet(feature_settings, reactor, seed, is_under_pressure, apply_to):
-    """This gateway's part in a fleet, or as a follower of distributed configuration, if settings say so.
+def create_fleet_runtime(feature_settings, reactor, seed, is_under_pressure, apply_to):
+    """Returns the runtime of a fleet member or of a configuration follower, or None if neither is enabled.
 
-    apply_to: puts distributed configuration in force.
+    apply_to: the object whose `apply_` methods put distributed configuration in force.
     """
     if feature_settings is None:
         return None
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -1,6 +1,6 @@
-"""The adapter between the network side and the admission controller; it decides nothing.
+"""The adapter between the network side and the admission controller; it makes no decisions.
 
-Events from the network side are queued and delivered to the controller in turns, in order; the controller's
+Events from the network side are queued and delivered to the controller in turns, in order. The controller's
 instructions (`GatewayPort`) are carried out at once.
 """
 
@@ -13,36 +13,36 @@
 from lichenquay.admission import domain
 from lichenquay.gateway.frames import AnswerCode
 
-RETRY_FAILED_TIMER_MS = 250.0  # before a timer's call that raised an exception is called again
-TURN_TOLERANCE_MS = 0.01  # a turn is not moved forward by less
+FAILED_TIMER_RETRY_MS = 250.0  # until a timer whose call raised an exception fires again
+TURN_TOLERANCE_MS = 0.01  # a scheduled turn is not moved forward by less
 REJECTED_TEXT = b"no room in time; trying again is harmless"
 FAILED_TEXT = b"not finished in time"
 
 
 @dataclass(eq=False)
 class GatewayQuery(domain.Query):
-    """A query as the gateway keeps it: whom to answer, and what is sent to engines unchanged."""
+    """A query with its client's connection and what is forwarded to engines unchanged."""
 
-    client: object = None  # its connection, until it is answered
+    client: object = None  # the client's connection, until the query is answered
     stream: int = 0
     request_id: str = ""
-    idempotency_key: str = ""  # by which engines drop its repeats
+    idempotency_key: str = ""  # by which engines recognize a repeated attempt
     statement: bytes = b""
-    grant_mb: float = 0.0  # of its next attempts
+    grant_mb: float = 0.0  # memory grant of the next attempts
     requested_priority: int | None = None
-    is_known_to_controller: bool = False  # the controller knows it
-    attempt_in_flight: object = None  # its latest
+    is_known_to_controller: bool = False  # it was passed to the controller
+    attempt_in_flight: object = None  # the latest attempt
 
 
 class QueuedEvent(NamedTuple):
-    """What is delivered in the next turn."""
+    """A call that delivers an event to the controller in the next turn."""
 
     call: Callable
     arguments: tuple
 
 
 class Timer(NamedTuple):
-    """A call that is due at a time; the number keeps those of one time in order."""
+    """A call that is due at a time; `number` keeps calls with the same time in order."""
 
     due_ms: float
     number: int
@@ -50,10 +50,10 @@
 
 
 class ControllerAdapter:
-    """The controller's `GatewayPort`, and the queue of its events; turns are `min_turn_ms` apart at least."""
+    """Implements `GatewayPort` and queues the controller's events; turns are at least `min_turn_ms` apart."""
 
     def __init__(self, settings, reactor, engines, now_ms: Callable[[], float], metrics, log):
-        """`engines`: the connections to them; `now_ms`: the clock. `router` is set by the owner."""
+        """Creates the controller. `engines`: the pool of connections to engines. The owner sets `router`."""
         self.reactor = reactor
         self.engines = engines
         self.clock_ms = now_ms
@@ -63,29 +63,29 @@
         self.max_attempts = settings.permissions.max_attempts
         self.reports_cost = settings.capabilities.reports_cost
         self.router = None
-        self.quota = None  # the fleet's account of what tenants may spend, where there is one
+        self.quota = None  # the fleet's account of the tenants' usage, if there is a fleet
         self.open_queries: set[GatewayQuery] = set()
         self.last_query_id = 0
         self.events: list[QueuedEvent] = []
         self.timers: list[Timer] = []  # a heap
         self.last_timer_number = 0
-        self.next_turn = None  # the reactor's timer, and when it is due
-        self.next_turn_ms = 0.0
+        self.next_turn = None  # the reactor's timer ...
+        self.next_turn_ms = 0.0  # ... and when it is due
         self.now_ms = now_ms()
         self.last_turn_ms = self.now_ms
         self.controller = settings.controller(self)
 
-    # Events from the network side.
+    # Events from the network side
 
     def query_received(self, query: GatewayQuery) -> None:
-        """A client asked; the query gets its identifier."""
+        """Assigns an identifier to a new query and passes it to the controller."""
         self.last_query_id += 1
         query.id = self.last_query_id
         self.open_queries.add(query)
         self._enqueue(self._admit, query)
 
     def client_gone(self, query: GatewayQuery) -> None:
-        """Its client has cancelled it or closed its connection."""
+        """Ends a query whose client has cancelled it or closed the connection."""
         if query.is_done:
             return
         query.is_done = True
@@ -96,11 +96,11 @@
         self._enqueue(self._cancel, query)
 
     def progress_reported(self, attempt: domain.Attempt, kind: domain.ProgressKind, amount: float) -> None:
-        """An engine reported on an attempt in flight."""
+        """Passes on the progress that an engine reported of an attempt in flight."""
         self._enqueue(self._on_progress, attempt, kind, amount)
 
     def attempt_ended(self, in_flight, outcome, cost, load_report, result) -> None:
-        """An attempt ended; a whole result is sent to the client at once, before anything else can happen."""
+        """Passes on the end of an attempt; a complete result is sent to the client at once."""
         query = in_flight.query
         if outcome == domain.Outcome.COMPLETED:
             self.answer(query, AnswerCode.COMPLETED, result)
@@ -109,34 +109,34 @@
         self._enqueue(self._on_attempt_ended, in_flight.attempt, outcome, took_ms, reported_cost, load_report)
 
     def endpoints_updated(self, engines: list, whole: bool) -> None:
-        """The endpoint list changed: these are all engines (`whole`), or those that changed."""
+        """Passes on a change of the endpoint list: all engines (`whole`), or those that changed."""
         self._enqueue(self.controller.endpoints_updated, engines, whole)
 
     def endpoints_stale(self, max_ms: float) -> None:
-        """The endpoint list may be out of date until it is confirmed, for `max_ms` at most."""
+        """Tells the controller that the endpoint list may be stale until confirmed, at most for `max_ms`."""
         self._enqueue(self.controller.mark_endpoints_stale, max_ms)
 
     def endpoints_confirmed(self) -> None:
-        """The endpoint list is up to date."""
+        """Tells the controller that the endpoint list is up to date."""
         self._enqueue(self.controller.endpoints_confirmed)
 
     def evict(self, query: GatewayQuery) -> None:
-        """Its place is needed by another one: the controller's final answer, in the next turn."""
+        """Has the controller give a query its final answer in the next turn, in favour of another query."""
         self._enqueue(self.controller.give_final_answer, query)
 
     def evict_all(self) -> None:
-        """The gateway has to end: what is still open gets the controller's final answer."""
+        """Has the controller give all open queries their final answers, as the gateway has to end."""
         for query in list(self.open_queries):
             self.evict(query)
 
     def may_dispatch(self, in_flight) -> bool:
-        """Whether an attempt is still allowed at the time that it is by now."""
+        """Returns whether an attempt is still allowed at the current time."""
         return self.controller.may_dispatch(in_flight.attempt, max(self.now_ms, self.clock_ms()))
 
-    # Delivery of the events.
+    # Delivery of events
 
     def _admit(self, query):
-        # One that was cancelled in the same turn must not go out to an engine and be cancelled there.
+        # A query that was cancelled in the same turn must not be sent to an engine and be cancelled there.
         if query.is_done:
             return
         query.is_known_to_controller = True
@@ -158,10 +158,10 @@
             self.quota.settle_completed(attempt.query, cost)
         self.controller.on_attempt_ended(attempt, took_ms, cost, load_report)
 
-    # Turns.
+    # Turns
 
     def run_turn(self) -> None:
-        """Delivers the events that are queued, then calls the timers that are due."""
+        """Delivers the queued events, then makes the calls that are due."""
         self.next_turn = None
         now_ms = max(self.now_ms, self.clock_ms())
         self.now_ms = now_ms
@@ -170,7 +170,7 @@
         self.events = []
         for event in events:
             self._call_guarded(event.call, event.arguments)
-        due_calls = []  # what they set in turn is for a later turn
+        due_calls = []  # calls that these schedule are left for a later turn
         while self.timers and self.timers[0].due_ms <= now_ms:
             due_calls.append(heapq.heappop(self.timers).call)
         for call in due_calls:
@@ -181,7 +181,7 @@
             self.schedule_turn(max(self.timers[0].due_ms, now_ms + self.min_turn_ms))
 
     def schedule_turn(self, at_ms: float) -> None:
-        """The next turn is at `at_ms` at the latest."""
+        """Schedules a turn at `at_ms`, unless an earlier one is scheduled."""
         if self.next_turn is None:
             self.next_turn = self.reactor.callLater(self._seconds_until(at_ms), self.run_turn)
             self.next_turn_ms = at_ms
@@ -197,31 +197,31 @@
         self.schedule_turn(self.last_turn_ms + self.min_turn_ms)
 
     def _call_guarded(self, call, arguments):
-        """A fault met for one query must not end the gateway, and all that it holds."""
+        """Makes a call; an exception fails the queries it affects, and does not end the gateway."""
         try:
             call(*arguments)
         except Exception:
             self.metrics.count("faults")
             self.log_line("fault", traceback.format_exc())
-            if not arguments:  # a timer's: what is periodic must not end with it
-                self.call_at(self.now_ms + RETRY_FAILED_TIMER_MS, call)
+            if not arguments:  # a timer's call, which may be periodic and must go on
+                self.call_at(self.now_ms + FAILED_TIMER_RETRY_MS, call)
             for query in self._affected_queries(arguments):
                 if query.attempt_in_flight is not None:
                     self.router.cancel(query.attempt_in_flight)
                 self.fail(query)
 
     def _affected_queries(self, arguments):
-        """The query that a fault was met for, or else those whose deadline has passed."""
+        """Returns the query that an event is about; for a timer, the queries whose deadline has passed."""
         subject = arguments[0] if arguments else None
         query = getattr(subject, "query", subject)
         if isinstance(query, GatewayQuery):
             return [query]
         return [query for query in self.open_queries if query.deadline_ms <= self.now_ms]
 
-    # GatewayPort: the controller's instructions.
+    # GatewayPort: the controller's instructions
 
     def start_attempt(self, query, engine, timeout_ms):
-        """See GatewayPort. What may not be sent ends as never sent, in a later turn."""
+        """See GatewayPort. An attempt that may not be sent ends as `NEVER_SENT` in a later turn."""
         attempt = domain.Attempt(query, len(query.attempts), engine, self.now_ms)
         query.attempts.append(attempt)
         if query.is_done or len(query.attempts) > self.max_attempts or timeout_ms <= 0:
@@ -245,7 +245,7 @@
             self.router.cancel(in_flight)
 
     def reject(self, query, retry_after_ms):
-        """See GatewayPort; PROTOCOL has no Retry-After."""
+        """See GatewayPort. PROTOCOL has no Retry-After, so `retry_after_ms` is not sent."""
         self.answer(query, AnswerCode.REJECTED, [REJECTED_TEXT])
 
     def fail(self, query):
@@ -253,7 +253,7 @@
         self.answer(query, AnswerCode.FAILED, [FAILED_TEXT])
 
     def answer(self, query: GatewayQuery, code: AnswerCode, body: list[bytes]) -> None:
-        """The final answer of a query; it has one at most."""
+        """Sends the final answer of a query, unless it has been answered or cancelled."""
         if query.is_done:
             return
         query.is_done = True
@@ -261,7 +261,7 @@
         if self.quota is not None and code != AnswerCode.COMPLETED:
             self.quota.settle_not_completed(query)
         query.client.send_answer(query, code, body)
-        # Timers refer to a query for long after its end: it must not keep all that it held.
+        # Timers refer to a query long after its end: it must not keep the connection and the attempt alive.
         query.client = None
         query.attempt_in_flight = None
 
@@ -272,20 +272,20 @@
         self.schedule_turn(max(at_ms, self.now_ms + self.min_turn_ms))
 
     def send_health_check(self, engine):
-        """See GatewayPort; PROTOCOL has no health check."""
+        """See GatewayPort. Does nothing: PROTOCOL has no health check."""
 
     def watch_endpoints(self, on=True):
-        """See GatewayPort; the endpoint list is watched all the time."""
+        """See GatewayPort. Does nothing: the endpoint list is always watched."""
 
     def fetch_endpoints(self):
-        """See GatewayPort; the endpoint list is watched all the time."""
+        """See GatewayPort. Does nothing: the endpoint list is always watched."""
 
     def close_idle_connections(self, engine):
         """See GatewayPort."""
         self.engines.close_idle_connections(engine)
 
     def send_to_peer(self, peer, content):
-        """See GatewayPort; the platform's gateways share nothing."""
+        """See GatewayPort. Does nothing: gateways on the platform exchange no messages."""
 
     def log(self, text):
         """See GatewayPort."""
--- a/lichenquay/gateway/discovery.py
+++ b/lichenquay/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service: the endpoint list, followed over HTTP by long polls (the operators' PROTOCOL)."""
+"""The client of the discovery service: follows the endpoint list by HTTP long polls, as PROTOCOL defines."""
 
 import json
 from collections.abc import Callable
@@ -9,16 +9,18 @@
 from lichenquay.gateway.endpoint_events import EndpointListError, encode_poll, read_events
 from lichenquay.gateway.http import ReplyError, ReplyReader, Status
 
-POLL_WAIT_MS = 1000  # of one poll; PROTOCOL allows 5,000: shorter, a half-open connection shows sooner
-FIRST_POLL_WAIT_MS = 1  # of the polls until one is answered: until then the endpoint list may be stale
-REPLY_MARGIN_MS = 500  # for an answer to arrive after its poll's wait
-# Well within the 7 s after which an event counts as announced (PROTOCOL, 'Figures')
+# How long the service may hold a poll. PROTOCOL allows 5,000 ms; with less, a half-open connection is
+# detected sooner.
+POLL_WAIT_MS = 1000
+FIRST_POLL_WAIT_MS = 1  # until the first answer, as the endpoint list may be stale until then
+REPLY_MARGIN_MS = 500  # for an answer to arrive after the wait of its poll
+# Well within the 7 s after which an event counts as announced (PROTOCOL, 'Figures').
 REPLY_TIMEOUT_MS = POLL_WAIT_MS + REPLY_MARGIN_MS
-RETRY_DELAY_MS = 100  # between polls that bring nothing
+RETRY_DELAY_MS = 100  # between polls that fail or are answered too soon
 
 
 class Discovery:
-    """What the discovery service has announced so far."""
+    """The endpoint list as the discovery service has announced it so far."""
 
     def __init__(
         self,
@@ -27,10 +29,10 @@
         log,
         on_confirmed: Callable[[], None] = lambda: None,
     ):
-        """`known`: an answer from before the start, as parsed from JSON.
+        """Applies `known`, an answer from before the start, parsed from JSON. Errors: EndpointListError.
 
-        `on_endpoints(whole, records)`: called with each event. `on_confirmed()`: called once the discovery
-        service itself has answered. Errors: EndpointListError.
+        on_endpoints(whole, records): called with each event.
+        on_confirmed(): called once, when the discovery service itself has answered.
         """
         self.on_endpoints = on_endpoints
         self.on_confirmed = on_confirmed
@@ -40,18 +42,18 @@
         self.apply(known)
 
     def on_answer(self, answer) -> None:
-        """An answer of the service itself: what it has announced is known. Errors: EndpointListError."""
+        """Applies an answer of the service and confirms the endpoint list. Errors: EndpointListError."""
         self.apply(answer)
         self.confirm()
 
     def confirm(self) -> None:
-        """What is in force was announced since this gateway started."""
+        """Marks the endpoint list as confirmed: it was announced after the gateway's start."""
         if not self.is_confirmed:
             self.is_confirmed = True
             self.on_confirmed()
 
     def apply(self, answer) -> None:
-        """Applies all events of an answer, or none of them. Errors: EndpointListError."""
+        """Applies all new events of an answer, or none of them. Errors: EndpointListError."""
         update = read_events(answer, self.last_number)
         if update.last_number < self.last_number:
             raise EndpointListError(f"event numbers go back: {update.last_number} after {self.last_number}")
@@ -61,15 +63,15 @@
 
 
 class DiscoveryConnection(Protocol):
-    """One connection to the discovery service; polls follow each other on it."""
+    """One connection to the discovery service, on which polls follow each other."""
 
     def __init__(self, factory):
-        """`factory`: has the `discovery` that is followed."""
+        """Creates a connection that reports to the factory's `discovery`."""
         self.factory = factory
         self.reader = ReplyReader()
         self.timer = None
         self.polled_s = 0.0
-        self.poll_wait_ms = POLL_WAIT_MS  # of its current poll
+        self.poll_wait_ms = POLL_WAIT_MS  # of the current poll
 
     def connectionMade(self):
         """Sends the first poll on the new connection."""
@@ -78,7 +80,7 @@
         self._poll()
 
     def stop_timer(self):
-        """Nothing more is due on it."""
+        """Cancels the timer of the connection, if one is pending."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
@@ -92,7 +94,7 @@
         self.transport.write(poll)
 
     def dataReceived(self, data):
-        """Part of an answer; one that cannot be read changes nothing, and ends the connection."""
+        """Reads an answer; one that is invalid changes nothing and closes the connection."""
         if self.factory.stopped:
             return
         discovery = self.factory.discovery
@@ -111,33 +113,32 @@
         if not reply.keep_alive:
             self.transport.loseConnection()
         elif discovery.last_number == last_number_before and self._came_too_soon():
-            # A service that answers at once with nothing new must not keep the gateway busy with nothing
-            # else.
+            # A service that answers at once without new events must not keep the gateway busy.
             self.stop_timer()
             self.timer = self.factory.reactor.callLater(RETRY_DELAY_MS / 1000, self._poll)
         else:
             self._poll()
 
     def _came_too_soon(self):
-        """Whether the service did not wait as it was asked to."""
+        """Returns whether the service answered without the wait that the poll asked for."""
         waited_s = self.factory.reactor.seconds() - self.polled_s
         return waited_s < min(RETRY_DELAY_MS, self.poll_wait_ms) / 1000
 
     def connectionLost(self, reason):
-        """The factory connects again."""
+        """Cancels the timer; the factory reconnects."""
         self.stop_timer()
 
 
 class DiscoveryFactory(ClientFactory):
-    """Connects again at once, or after a short pause where the last connection brought nothing.
+    """Reconnects at once, or after a short pause if the last connection failed or was up only briefly.
 
-    A drain may be announced while the gateway waits to connect again.
+    The pause is short because a drain may be announced meanwhile.
     """
 
     noisy = False
 
     def __init__(self, reactor, discovery, host, port, connect_timeout_ms):
-        """Connects at once."""
+        """Connects to the discovery service at once."""
         self.reactor = reactor
         self.discovery = discovery
         self.host = f"{host}:{port}"
@@ -146,28 +147,28 @@
         self.connector = reactor.connectTCP(host, port, self, timeout=connect_timeout_ms / 1000)
 
     def stop(self):
-        """The service is elsewhere by now: nothing more is polled or handled here."""
+        """Closes the connection and handles nothing more on it, as the service has moved."""
         self.stop_reconnecting()
         self.connector.disconnect()
 
     def stop_reconnecting(self):
-        """What comes on the connection is ignored from now on, and no other one is made."""
+        """Ignores all further answers and makes no other connection."""
         self.stopped = True
 
     def buildProtocol(self, address):
-        """The connection, once it is up."""
+        """Returns the protocol of a connection that is up."""
         self.connected_s = self.reactor.seconds()
         return DiscoveryConnection(self)
 
     def clientConnectionLost(self, connector, reason):
-        """Connects again: after a pause, where it was up for a moment only."""
+        """Reconnects; after a pause if the connection was up for less than `RETRY_DELAY_MS`."""
         if self.reactor.seconds() - self.connected_s < RETRY_DELAY_MS / 1000:
             self._reconnect_later(connector)
         else:
             self._reconnect(connector)
 
     def clientConnectionFailed(self, connector, reason):
-        """Connects again after a pause."""
+        """Reconnects after a pause."""
         self._reconnect_later(connector)
 
     def _reconnect_later(self, connector):
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: the call that starts an attempt on its engine."""
+"""Dispatch: sends the call that starts an attempt on its engine."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class Dispatcher:
-    """Sends attempts, and hands them to the relay once their first call has a reply, broke or is late."""
+    """Sends attempts; hands each to the relay once its first call has a reply, is broken or has timed out."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         may_dispatch: Callable[[AttemptInFlight], bool],
         now_ms: Callable[[], float],
     ):
-        """`call_at`: the controller's timers; `may_dispatch`: asked just before an attempt's first byte."""
+        """Takes `call_at`, which sets a timer, and `may_dispatch`, asked just before the first byte."""
         self.engines = engines
         self.relay = relay
         self.tracker = tracker
@@ -40,8 +40,8 @@
         self.now_ms = now_ms
 
     def dispatch(self, in_flight: AttemptInFlight, data: bytes) -> None:
-        """Sends an attempt, and cancels it at its deadline."""
-        self.tracker.dispatched()
+        """Sends an attempt and sets the timer that cancels it at its deadline."""
+        self.tracker.count_dispatched()
         self.call_at(in_flight.deadline_ms, lambda: self._on_deadline(in_flight))
         self._post(in_flight, data).addErrback(self.relay.on_fault, in_flight)
 
@@ -51,9 +51,10 @@
 
     @inlineCallbacks
     def _post(self, in_flight, data):
-        """The first call: its reply, or that it broke or is late, whatever comes first; then the relay polls.
+        """Sends the first call; once it has a reply, is broken or times out, the relay follows the attempt.
 
-        The call stays out when it is late: it may not have been read, and its reply says that it has.
+        After a time-out the call remains open: the engine may not have read it yet, and a late reply shows
+        that it has.
         """
         first_outcome = Deferred()
         in_flight.first_call = self.engines.start_call(
@@ -64,7 +65,7 @@
             address=in_flight.address,
             attempt=in_flight,
             may_dispatch=lambda: self.may_dispatch(in_flight),
-            on_written=lambda: in_flight.lifecycle.post_written(self.now_ms()),
+            on_written=lambda: in_flight.lifecycle.on_post_written(self.now_ms()),
             on_timeout=lambda: first_outcome.callback(ReplyTimeoutError()),
         )
         in_flight.first_call.reply.addCallbacks(
@@ -80,21 +81,22 @@
             return
         reply = outcome
         if isinstance(outcome, EngineCallError):
-            # It may have run, and may still run. Polls on another connection show: the engine continues it,
-            # reports its end again, or does not know it, which proves little (see `attempt_lifecycle`).
+            # The attempt may have run or may still run. Polls on another connection tell: the engine
+            # continues it, repeats the report of its end, or does not know it, which proves little
+            # (`attempt_lifecycle`).
             self.metrics.count(f"first calls {outcome.label}")
             reply = None
-            in_flight.missed_reply = True
+            in_flight.has_lost_reply = True
         yield self.relay.follow(in_flight, reply)
 
     def _on_reply(self, in_flight, first_outcome, reply):
-        """A late reply to the first call must be neither lost nor used twice: the relay's poll uses it."""
+        """Records the reply to the first call; a late one is left for the relay, which uses it once."""
         in_flight.first_call = None
         in_flight.connection = reply.connection
         self.relay.record_reply(in_flight, reply)
         if first_outcome.called:
             self.metrics.count("first calls answered late")
-            # A result is repeated to whoever polls.
+            # A result is not kept: the engine repeats it to the next poll.
             if not in_flight.is_over and reply.status != Status.OK:
                 in_flight.late_reply = reply
         else:
@@ -102,11 +104,12 @@
         in_flight.end_pauses()
 
     def _on_failure(self, in_flight, first_outcome, failure):
+        """Records that the first call ended without a reply."""
         in_flight.connection = in_flight.connection or in_flight.first_call.last_connection
         in_flight.first_call = None
-        # Not where the gateway closed the connection: what has arrived whole there is still read.
+        # Not recorded if the gateway closed the connection: the engine still reads a POST that has arrived.
         if failure.check(ConnectionBrokenError):
-            in_flight.lifecycle.connection_closed_by_engine(self.now_ms())
+            in_flight.lifecycle.on_connection_closed_by_engine(self.now_ms())
         if first_outcome.called:
             in_flight.end_pauses()
         else:
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -1,4 +1,4 @@
-"""One call to an engine: its bytes, which replies it accepts, and the ways in which it ends without one."""
+"""One call to an engine: its bytes, the replies it accepts, and the errors with which it may end."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,24 +11,24 @@
 
 
 class EngineCallError(GatewayError):
-    """A call that ended without a reply. `label`: what counters call it."""
+    """A call ended without a reply. `label` names the error in counters."""
 
     label = "failed"
 
 
 class NotConnectedError(EngineCallError):
-    """No connection came up: nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
     label = "not connected"
 
     def __init__(self, is_refused: bool = False):
-        """`is_refused`: the address itself refused it."""
+        """Creates the error. `is_refused`: the address refused the connection."""
         super().__init__("refused" if is_refused else "no connection in time")
         self.is_refused = is_refused
 
 
 class NeverSentError(EngineCallError):
-    """It was cancelled, or no longer allowed, before a byte was written.
+    """The call was withdrawn before a byte was written, as it was cancelled or no longer allowed.
 
     Unlike NotConnectedError, it says nothing about the engine.
     """
@@ -37,39 +37,40 @@
 
 
 class ConnectionBrokenError(EngineCallError):
-    """The connection ended after bytes had been written, and before the reply was whole."""
+    """The connection was closed after bytes had been written and before the reply was complete."""
 
     label = "broken"
 
 
 class UnreadableReplyError(EngineCallError):
-    """A reply that cannot be read, or is none to the call."""
+    """The reply is invalid or does not answer the call."""
 
     label = "unreadable"
 
 
 class ReplyTimeoutError(EngineCallError):
-    """No reply in time on a connection that is up."""
+    """No reply arrived in time on an established connection."""
 
     label = "timed out"
 
 
 @dataclass(eq=False, slots=True)
 class EngineCall:
-    """One call.
-
-    engine, address: where it is sent; the address is the engine's at this time, unless one is given.
-    data: its bytes.
-    accepts: whether a reply is one to this call.
-    attempt: what it is for; a connection's last reply to another attempt may come once more, late.
-    is_urgent: it is sent before others, and may use reserved descriptors.
-    needs_new_connection: an idle connection will not do.
-    starts_attempt: it starts work at the engine, which has to be serving.
-    preferred_connection: the one that the attempt's last reply came on.
-    may_dispatch: asked in the instant before the first byte.
-    on_written: called as the first byte is written.
-    on_timeout: called when there is no reply in time, in place of the call's end; the call stays out, as its
-    reply still settles something.
+    """One call to an engine.
+
+    engine, address: the destination; the address defaults to the engine's at creation.
+    data: the bytes of the request.
+    accepts: returns whether a reply answers this call.
+    is_urgent: sent before other calls, and may use reserved descriptors.
+    needs_new_connection: must not be sent on an idle connection.
+    starts_attempt: starts work at the engine, which must be serving.
+    preferred_connection: the connection of the attempt's last reply.
+    on_written: called just before the first byte is written.
+    on_timeout: if given, called when there is no reply in time; the call then remains open, as its reply
+    still tells something about the attempt.
+    may_dispatch: returns whether the call may still be sent; asked just before the first byte.
+    attempt: the attempt that the call is for; a late duplicate of a reply to another attempt may arrive on a
+    connection.
     """
 
     engine: domain.Engine
@@ -85,33 +86,33 @@
     address: str | None = None
     attempt: object = None
     reply: Deferred = field(default_factory=Deferred)  # of a Reply
-    connection: object = None  # the one that it was sent on
-    last_connection: object = None  # the same, kept after the call has left it
+    connection: object = None  # the connection that carries the call
+    last_connection: object = None  # the same, kept after the connection is released
     is_over: bool = False
     is_written: bool = False
-    connection_attempts: int = 0  # connections that broke before a byte was written
+    connection_attempts: int = 0  # connections that failed before a byte was written
 
     def __post_init__(self):
-        """The engine's address now, where none is given."""
+        """Sets the address to the engine's current one if none is given."""
         self.address = self.address or self.engine.address
 
     def withdraw(self) -> bool:
-        """Ends the call if nothing of it has been written; returns whether nothing has been, and will be."""
+        """Ends the call unless it has been written; returns whether it was never written and will not be."""
         if not self.is_written:
             self.end(NeverSentError())
         return not self.is_written
 
     def abandon(self) -> None:
-        """Nobody waits for its reply any more: its connection is closed."""
+        """Ends the call without an outcome and closes its connection, as its reply is no longer needed."""
         self.is_over = True
         if self.connection is not None:
             self.connection.abort()
 
     def withdraw_if_engine_left(self) -> bool:
-        """Withdraws what would start work on an engine that has left; returns whether the call is over.
+        """Withdraws a call that would start an attempt on an engine that left; returns whether it is over.
 
-        An engine that drains, is gone or has moved has left. It is asked whenever the call may go: a drain
-        may be announced while its connection comes up.
+        An engine has left if it is draining, removed or at another address. This must be checked each time
+        the call may be sent: a drain may be announced while a connection is being established.
         """
         is_serving = self.engine.state == domain.EndpointState.SERVING
         has_moved = self.engine.address != self.address
@@ -119,20 +120,21 @@
             self.withdraw()
         return self.is_over
 
-    def check_before_sending(self) -> bool:
-        """Whether it still may go, in the instant before its first byte; otherwise it is withdrawn.
+    def withdraw_unless_sendable(self) -> bool:
+        """Withdraws the call if it may no longer be sent; returns whether it may be.
 
-        What was decided when the connection was asked for may not be right any more once it is up.
+        This must be checked just before the first byte is written: the decision to send may be outdated by
+        the time a connection is established.
         """
         if not self.withdraw_if_engine_left() and self.may_dispatch is not None and not self.may_dispatch():
             self.withdraw()
         return not self.is_over
 
     def end(self, outcome: Reply | EngineCallError) -> None:
-        """Its one end: a reply, or an error; what comes later is ignored.
+        """Ends the call with a reply or an error; does nothing if it has ended already.
 
-        It may end before its caller has it, where it may not go out on the idle connection at hand; `reply`
-        keeps the outcome.
+        A call that is withdrawn at once ends before `EnginePool.start_call` returns it; `reply` keeps the
+        outcome.
         """
         if self.is_over:
             return
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine, with one call on it at a time."""
+"""One connection to an engine, which carries one call at a time."""
 
 from math import inf
 from socket import MSG_DONTWAIT, MSG_PEEK
@@ -19,19 +19,19 @@
 
 
 def send_now(transport, data: bytes) -> bytes | memoryview:
-    """Sends what the kernel accepts at once, on a connection with nothing unsent; returns what is left.
+    """Sends what the kernel accepts at once and returns the rest; the transport must have nothing unsent.
 
-    It saves a turn of the reactor, and two changes of what the kernel watches, for each message.
+    Compared to `transport.write`, this saves a turn of the reactor and two epoll changes per message.
     """
     try:
         sent_bytes = transport.socket.send(data, MSG_DONTWAIT)
-    except OSError:  # full, or broken: the transport will find out
+    except OSError:  # the buffer is full, or the connection broken, which the transport detects
         sent_bytes = 0
     return memoryview(data)[sent_bytes:] if sent_bytes < len(data) else b""
 
 
 class _Result(NamedTuple):
-    """A result as it came, and the attempt that it came for."""
+    """A result as it was received, and the attempt that it was for."""
 
     attempt: object
     headers: tuple
@@ -41,12 +41,16 @@
 class EngineConnection(Protocol):
     """One connection to an engine, owned by its pool.
 
-    `attempt` is that of its last call. `is_overdue`: its call has waited too long, and its reply is still
-    hoped for. `closed_locally`: the gateway closed it, so that nothing shows when the engine's process ends.
+    call: the call that is open, or for which the connection was opened; else None.
+    attempt: the attempt of the last call.
+    sent_at_once: the kernel accepted each call completely at once.
+    is_overdue: the call has timed out, but its reply may still arrive.
+    closed_locally: the gateway closed the connection, which therefore cannot show the end of the engine's
+    process.
     """
 
     def __init__(self, pool, first_call: EngineCall):
-        """`pool`: the connections that it is one of; `first_call`: the call that it was opened for."""
+        """Creates a connection for `first_call`, to be added to `pool` once it is up."""
         self.pool = pool
         self.engine = first_call.engine
         self.address = first_call.address
@@ -56,15 +60,15 @@
         self.idle_since_s = 0.0
         self.idle_before_call_s = 0.0
         self.reply_due_s = inf
-        self.sent_at_once = True  # all its calls, whole
+        self.sent_at_once = True
         self.is_overdue = False
         self.is_closed = False
         self.closed_locally = False
-        self._last_result: _Result | None = None  # the last on it
-        self._last_anonymous_reply = None  # the last reply on it, where it names no query
+        self._last_result: _Result | None = None
+        self._last_anonymous_reply = None  # the last reply, if it is of a kind that names no query
 
     def connectionMade(self):
-        """Sends the first call on the new connection, if that call may still be sent."""
+        """Sends the first call, if it may still be sent; else releases the connection to the pool."""
         self.transport.setTcpNoDelay(True)
         self.pool.connections.add(self)
         if not self.is_clean():
@@ -72,13 +76,13 @@
             return
         call = self.call
         self.call = None
-        if call.check_before_sending():
+        if call.withdraw_unless_sendable():
             self.send(call)
         else:
             self.pool.release(self)
 
     def is_clean(self) -> bool:
-        """Whether neither unread bytes nor an end have come on it: no call is sent on one that closes."""
+        """Returns whether the connection has neither unread bytes nor been closed by the engine."""
         try:
             self.transport.socket.recv(1, MSG_PEEK | MSG_DONTWAIT)
         except BlockingIOError:
@@ -88,7 +92,7 @@
         return False
 
     def send(self, call: EngineCall) -> None:
-        """Sends a call on this connection, which carries no other call."""
+        """Sends a call on this connection, which must carry no other call."""
         self.call = call
         self.attempt = call.attempt
         call.is_written = True
@@ -105,11 +109,11 @@
             self.transport.write(bytes(rest))
 
     def dataReceived(self, data):
-        """Part of a reply; bytes that belong to none close the connection."""
+        """Reads a reply; unexpected or invalid bytes close the connection."""
         try:
             reply = self.reader.feed(data)
             if self.call is None:
-                raise ReplyError("bytes without a call")
+                raise ReplyError("received bytes while no call was open")
         except ReplyError as error:
             self.abort(UnreadableReplyError(str(error)))
             return
@@ -117,44 +121,46 @@
             self._on_reply(reply)
 
     def _on_reply(self, reply):
-        """A whole reply, which must not be one to an earlier call, or a copy of one."""
+        """Ends the call with a complete reply, unless that answers an earlier call or is a duplicate."""
         if not self.call.accepts(reply):
-            self.abort(UnreadableReplyError("no reply to this call"))
+            self.abort(UnreadableReplyError("the reply does not answer this call"))
             return
-        if self._is_copy(reply):
-            self.abort(UnreadableReplyError("a copy of the result of another attempt"))
+        if self._is_duplicate_result(reply):
+            self.abort(UnreadableReplyError("the reply duplicates the result of another attempt"))
             return
         call = self.call
         self.call = None
         call.connection = None
         reply.connection = self
         self._last_anonymous_reply = None if reply.status == Status.OK else reply
-        # More may come late on a connection on which one reply did. A copy of a refusal or an error, which
-        # names no query, would be taken for the reply to the next POST there: 'never ran' of one that runs.
-        is_refusal_or_error = reply.status >= Status.SERVER_ERROR
-        if reply.keep_alive and self.sent_at_once and not self.is_overdue and not is_refusal_or_error:
+        # A connection on which a reply came late is not reused, as more may come late. Nor is one after an
+        # overload or error reply, which names no query: a duplicate would be taken for the reply to the next
+        # POST, and would say 'never ran' of an attempt that runs.
+        is_overload_or_error = reply.status >= Status.SERVER_ERROR
+        if reply.keep_alive and self.sent_at_once and not self.is_overdue and not is_overload_or_error:
             self.pool.release(self)
         else:
             self.abort()
         call.end(reply)
 
     def last_reply_could_answer(self, call: EngineCall) -> bool:
-        """Whether a late copy of the last reply here, to another attempt, would pass for one to this call.
+        """Returns whether a late duplicate of the last reply, to another attempt, would pass for this call's.
 
-        The copy of a 204 would say that an engine has cancelled what it does not know of yet; that of a
-        202, that it has read what still lies there, and the next query of its ordering key would go out too
-        soon.
+        A duplicate 204 would say that the engine has cancelled an attempt that it has not read yet; a
+        duplicate 202, that it has read a POST that is still unread, and the next query with the same
+        ordering key would be sent too soon.
         """
         last_reply = self._last_anonymous_reply
         return call.attempt is not self.attempt and last_reply is not None and call.accepts(last_reply)
 
-    def _is_copy(self, reply):
-        """Whether a result is, to the byte, the last one that came on this connection for another attempt.
+    def _is_duplicate_result(self, reply):
+        """Returns whether a result equals, byte for byte, the last one here, which was for another attempt.
 
-        A copy may arrive late, between two calls, and would serve a client with rows that no engine made for
-        its query. The engine repeats its reply on another connection. Only results are compared: other
-        replies are the same for many queries, and a 500 taken for a copy would have its query polled, where
-        the reply may be that of another query with the same request id.
+        The result is remembered for the next comparison. A duplicate may arrive late, between two calls, and
+        would give a client rows that were not computed for its query; the engine repeats the true reply on
+        another connection. Only results are compared: other replies are the same for many queries, and if a
+        500 were taken for a duplicate, its query would be polled, and the reply might be that to another
+        query with the same request id.
         """
         if reply.status != Status.OK:
             return False
@@ -167,7 +173,7 @@
 
     def abort(self, error: EngineCallError | None = None) -> None:
         """Closes the connection at once; its call ends with `error`."""
-        # Its loss, which is reported later, does not change who closed it.
+        # `connectionLost`, which calls this again, must not change who closed the connection.
         self.closed_locally = self.closed_locally or not self.is_closed
         call = self.call
         self.call = None
@@ -178,7 +184,7 @@
             self.pool.on_connection_failed(call, error or ConnectionBrokenError("closed by the gateway"))
 
     def connectionLost(self, reason):
-        """Its end may be that of a reply; else its call is broken."""
+        """Ends the call: with the reply, if its body ends with the connection, else as broken."""
         self.is_closed = True
         reply = self.reader.connection_closed() if self.call else None
         if reply is not None:
@@ -190,23 +196,23 @@
 
 
 class ConnectionFactory(ClientFactory):
-    """Makes one connection, for the call that it was opened for."""
+    """Makes one connection, for one call."""
 
     noisy = False
 
     def __init__(self, pool, call: EngineCall):
-        """`pool`: the connections that it will be one of."""
+        """Creates the factory of a connection of `pool`, for `call`."""
         self.pool = pool
         self.call = call
 
     def buildProtocol(self, address):
-        """The connection, once it is up."""
+        """Returns the protocol of the connection, which is up."""
         return EngineConnection(self.pool, self.call)
 
     def clientConnectionFailed(self, connector, reason):
-        """Ends the call if the engine refused or did not respond; else has another connection tried.
+        """Ends the call if the connection was refused or timed out; else the pool may try another connection.
 
-        A reset before this side knew that the connection was up says nothing about the engine.
+        A reset before this side saw the connection established says nothing about the engine.
         """
         self.pool.open_count -= 1
         is_refused = reason.check(ConnectionRefusedError) is not None
--- a/lichenquay/gateway/engine_pool.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -1,6 +1,7 @@
-"""The connections to all engines, within a budget of descriptors.
+"""The pool of connections to all engines, within a budget of descriptors.
 
-An engine is its uid: connections belong to the engine, never to its address, which another may have later.
+An engine is identified by its uid. Connections belong to an engine, not to its address, which another engine
+may have later.
 """
 
 from collections import deque
@@ -11,26 +12,27 @@
 from lichenquay.gateway.engine_call import EngineCall, EngineCallError, NotConnectedError, ReplyTimeoutError
 from lichenquay.gateway.engine_connection import ConnectionFactory, EngineConnection
 
-MIN_IDLE_S = 0.03  # between a reply and another query's call: a copy of the reply may come behind it
-MIN_STALE_S = 0.1  # what has been idle for less is not taken for stale, whatever breaks
-STALE_SHARE_AFTER_BREAK = 0.5  # of the idle time after which a call broke: no connection is used after more
-STALE_GROWTH = 1.0006  # that limit grows again by this at each check, twice as long in 30 s
-IDLE_SHARE = 0.5  # of the time for which engines keep an idle connection, it is used
-MAX_CONNECTION_ATTEMPTS = 3  # connections tried for a call of which nothing has been written
+# A connection is not reused for another query sooner, as a duplicate of its last reply may still arrive.
+MIN_IDLE_S = 0.03
+MIN_STALE_S = 0.1  # lower bound of `EnginePool.stale_after_s`
+STALE_FRACTION_AFTER_BREAK = 0.5  # of the idle time after which a call broke; `stale_after_s` is set to it
+STALE_LIMIT_GROWTH = 1.0006  # factor by which `stale_after_s` recovers at each check; it doubles in 30 s
+KEEP_ALIVE_FRACTION = 0.5  # of the engines' keep-alive time, for which idle connections are reused
+MAX_CONNECTION_ATTEMPTS = 3  # connections tried for a call of which no byte was written
 
 
 @dataclass(eq=False)
 class GatewayEngine(domain.Engine):
-    """An engine, its address as the endpoint list last gave it, and its idle connections, oldest first."""
+    """An engine, its address in the latest endpoint list, and its idle connections, longest idle first."""
 
     address: str = ""
     idle_connections: deque = field(default_factory=deque)
 
 
 class EnginePool:
-    """All connections to engines: `descriptor_budget`, and `urgent_reserve` more for urgent calls.
+    """All connections to engines: at most `descriptor_budget`, and `urgent_reserve` more for urgent calls.
 
-    The budget is 0 until it is set from the configured limits. Calls beyond it wait in order.
+    The budget is 0 until the owner sets it from the configured limits. Calls beyond it wait in order.
     """
 
     def __init__(
@@ -41,33 +43,34 @@
         reply_timeout_ms: float,
         keep_alive_ms: float,
     ):
-        """`keep_alive_ms`: for how long engines keep an idle connection."""
+        """Creates an empty pool. `keep_alive_ms`: how long engines keep an idle connection open."""
         self.reactor = reactor
         self.descriptor_budget = 0
         self.urgent_reserve = urgent_reserve
         self.connect_timeout_ms = connect_timeout_ms
         self.reply_timeout_ms = reply_timeout_ms
-        self.max_idle_s = keep_alive_ms * IDLE_SHARE / 1000
-        self.stale_after_s = self.max_idle_s  # a connection that has been idle for longer may be closing
+        self.max_idle_s = keep_alive_ms * KEEP_ALIVE_FRACTION / 1000
+        self.stale_after_s = self.max_idle_s  # connections idle for longer may be closing and are not reused
         self.waiting_calls: deque[EngineCall] = deque()
         self.connections: set[EngineConnection] = set()
-        self.open_count = 0  # connections up or coming up
-        self.max_open_count = 0
+        self.open_count = 0  # connections established or being established
+        self.peak_open_count = 0
 
     def call_later(self, delay_ms: float, call: Callable[[], None]):
-        """Calls `call` in so many milliseconds; returns the timer."""
+        """Schedules `call` in `delay_ms`, at once if that is negative; returns the timer."""
         return self.reactor.callLater(max(0.0, delay_ms) / 1000, call)
 
     def start_call(self, engine: GatewayEngine, data: bytes, accepts, **options) -> EngineCall:
-        """A call on its way; its `reply` is a Deferred of a Reply. `options`: as of `EngineCall`."""
+        """Sends or queues a call, with the options of `EngineCall`; its `reply` is a Deferred of a Reply."""
         call = EngineCall(engine, data, accepts, **options)
         self._submit(call)
         return call
 
     def pick_idle_connection(self, call: EngineCall) -> EngineConnection | None:
-        """The connection of the attempt's last reply, else the one that was idle for the shortest time.
+        """Returns the connection of the attempt's last reply, else the one that became idle last, or None.
 
-        Not one that was idle for too short or too long, nor one to an address that the engine has left.
+        A connection that has been idle for too short or too long a time is not used, nor one to an address
+        that the engine no longer has.
         """
         if call.needs_new_connection:
             return None
@@ -75,7 +78,7 @@
         preferred = call.preferred_connection
         if (
             preferred is not None
-            # once it was another's, a copy of that one's reply may come
+            # If another attempt has used it since, a duplicate of that attempt's reply may arrive.
             and preferred.attempt is call.attempt
             and preferred in call.engine.idle_connections
             and now_s - preferred.idle_since_s <= self.stale_after_s
@@ -91,14 +94,14 @@
         return None
 
     def has_live_connection(self, engine: GatewayEngine, address: str) -> bool:
-        """Whether a connection to it is open, and not overdue: the end of its process would close it."""
+        """Returns whether a connection is open and not overdue, which the end of the process would close."""
         return any(
             connection.engine is engine and connection.address == address and not connection.is_overdue
             for connection in self.connections
         )
 
     def send_waiting(self) -> None:
-        """Sends calls that wait for a descriptor, in order; they wait rather than fail."""
+        """Sends the calls that wait for a descriptor, in order, as far as the budget allows."""
         while self.waiting_calls:
             call = self.waiting_calls.popleft()
             if not self._try_to_send(call):
@@ -106,9 +109,9 @@
                 return
 
     def check_connections(self) -> None:
-        """Closes connections whose call has waited too long, and those that are stale."""
+        """Times out overdue calls and closes stale connections."""
         now_s = self.reactor.seconds()
-        self.stale_after_s = min(self.max_idle_s, self.stale_after_s * STALE_GROWTH)
+        self.stale_after_s = min(self.max_idle_s, self.stale_after_s * STALE_LIMIT_GROWTH)
         overdue = [
             connection
             for connection in self.connections
@@ -116,7 +119,7 @@
         ]
         for connection in overdue:
             if connection.call is None or connection not in self.connections:
-                continue  # ended by what the one before set off
+                continue  # ended as a consequence of a time-out handled before
             if connection.call.on_timeout:
                 connection.is_overdue = True
                 connection.call.on_timeout()
@@ -133,21 +136,21 @@
         """Closes the connections to an engine that carry no call."""
         self._close_unused(list(engine.idle_connections))
 
-    # What connections report.
+    # Reports of connections
 
     def release(self, connection: EngineConnection) -> None:
-        """The connection's call has its reply: it is idle, and free for another call."""
+        """Marks a connection as idle, as its call has its reply, and sends calls that wait."""
         connection.idle_since_s = self.reactor.seconds()
         connection.engine.idle_connections.append(connection)
         self.send_waiting()
 
     def on_connection_closed(self, connection: EngineConnection) -> None:
-        """A connection has ended: its descriptor is given to a waiting call."""
-        if self._forget(connection):
+        """Removes a closed connection and gives its descriptor to a call that waits."""
+        if self._remove(connection):
             self.send_waiting()
 
     def on_connection_failed(self, call: EngineCall, error: EngineCallError) -> None:
-        """One that broke before a byte was written proves nothing of the engine: another is tried."""
+        """Ends a call that was written; else tries another connection, as the failure proves nothing."""
         call.connection_attempts += 1
         if call.is_written:
             call.end(error)
@@ -157,18 +160,20 @@
             self._submit(call)
 
     def on_reused_connection_broken(self, idle_s: float) -> None:
-        """A call broke on a connection that had been idle for `idle_s`.
+        """Shortens `stale_after_s` after a call broke on a connection that had been idle for `idle_s`.
 
-        Something between gateway and engine may close idle connections sooner than the engine does. It shows
-        only at the next call, which may be a POST that has run.
+        A middlebox may close idle connections sooner than the engine does. That shows only at the next call,
+        which may be a POST that has run.
         """
         if idle_s > MIN_STALE_S:
-            self.stale_after_s = max(MIN_STALE_S, min(self.stale_after_s, idle_s * STALE_SHARE_AFTER_BREAK))
+            self.stale_after_s = max(
+                MIN_STALE_S, min(self.stale_after_s, idle_s * STALE_FRACTION_AFTER_BREAK)
+            )
 
-    # Descriptors.
+    # Descriptors
 
     def _submit(self, call):
-        """Sends a call, or queues it: an urgent one is put at the head."""
+        """Sends a call or queues it, at the head of the queue if it is urgent."""
         if self._try_to_send(call):
             return
         if call.is_urgent:
@@ -177,12 +182,12 @@
             self.waiting_calls.append(call)
 
     def _try_to_send(self, call):
-        """Puts a call on an idle connection or a new one; False if it has to wait for a descriptor."""
+        """Sends a call on an idle or a new connection; returns False if it has to wait for a descriptor."""
         if call.withdraw_if_engine_left():
             return True
         while (connection := self.pick_idle_connection(call)) is not None:
             if connection.is_clean():
-                if call.check_before_sending():
+                if call.withdraw_unless_sendable():
                     connection.engine.idle_connections.remove(connection)
                     connection.send(call)
                 return True
@@ -195,13 +200,13 @@
 
     def _connect(self, call):
         self.open_count += 1
-        self.max_open_count = max(self.max_open_count, self.open_count)
+        self.peak_open_count = max(self.peak_open_count, self.open_count)
         host, _, port = call.address.rpartition(":")
         factory = ConnectionFactory(self, call)
         self.reactor.connectTCP(host, int(port), factory, timeout=self.connect_timeout_ms / 1000)
 
     def _free_descriptor(self):
-        """Closes the connection that was idle longest, for another to be opened; whether there is one."""
+        """Closes the connection idle for longest, else the most overdue; returns whether there was one."""
         longest_idle = min(
             (
                 connection
@@ -211,7 +216,7 @@
             key=lambda connection: connection.idle_since_s,
             default=None,
         )
-        # Replies that may never come must leave room for the calls that poll elsewhere.
+        # Connections whose reply may never come must not keep descriptors from the polls that replace them.
         connection = longest_idle or min(
             (connection for connection in self.connections if connection.is_overdue),
             key=lambda connection: connection.reply_due_s,
@@ -219,12 +224,12 @@
         )
         if connection is None:
             return False
-        self._forget(connection)
+        self._remove(connection)
         connection.abort(ReplyTimeoutError())
         return True
 
-    def _forget(self, connection):
-        """Takes it out of the account of descriptors; returns whether it was in there."""
+    def _remove(self, connection):
+        """Removes a connection from the pool and its count; returns whether it was in the pool."""
         if connection not in self.connections:
             return False
         self.connections.discard(connection)
@@ -235,6 +240,6 @@
 
     def _close_unused(self, connections):
         for connection in connections:
-            # Each end makes room for a call that waited, and that may be sent on one of the others by now.
+            # Aborting a connection lets a waiting call be sent, possibly on one of the other connections.
             if connection.call is None:
                 connection.abort()
--- a/lichenquay/gateway/errors.py
+++ b/lichenquay/gateway/errors.py
@@ -1,5 +1,5 @@
-"""The base of all exceptions of the gateway."""
+"""The base class of the gateway's exceptions."""
 
 
 class GatewayError(Exception):
-    """Something that the gateway met and could not use; the text says what and where."""
+    """The base class of errors that the gateway detects; the text names the subject and the fault."""
--- a/lichenquay/gateway/frames.py
+++ b/lichenquay/gateway/frames.py
@@ -1,7 +1,7 @@
-"""The frame protocol between clients and gateways (the operators' PROTOCOL), free of I/O.
+"""Encodes and decodes the frame protocol between clients and gateways, as PROTOCOL defines.
 
-An edge module: the names of fields on the wire end here. What is read is a slice of the buffer that it came
-in; only an unfinished frame is kept, as a copy.
+Performs no I/O. Wire names of fields are translated here and are not used elsewhere. Payloads are slices of
+the buffer that was read; only an incomplete frame is copied.
 """
 
 import struct
@@ -13,7 +13,7 @@
 
 
 class FrameType(IntEnum):
-    """The types of frame."""
+    """Frame types."""
 
     QUERY = 2
     ANSWER = 4
@@ -24,7 +24,7 @@
 
 
 class AnswerCode(IntEnum):
-    """The codes of an answer."""
+    """Answer codes."""
 
     COMPLETED = 0
     REJECTED = 14
@@ -32,10 +32,10 @@
 
 
 class RequestField(NamedTuple):
-    """A field of a request."""
+    """A field of a request, by its wire name in `FIELDS`."""
 
-    name: str  # of the attribute of `ClientRequest`
-    label: str  # what answers to clients call it
+    name: str  # the attribute of `ClientRequest`
+    label: str  # the name of the field in answers to clients
     is_required: bool = True
 
 
@@ -49,7 +49,7 @@
     "replay": RequestField("idempotency_key", "token", is_required=False),
     "lookup": RequestField("ordering_key", "key", is_required=False),
 }
-MIN_FRAME_LENGTH = 5  # PROTOCOL: of what `length` counts: the type and the stream
+MIN_FRAME_LENGTH = 5  # PROTOCOL: the length includes the type and the stream, but not itself
 MAX_FRAME_LENGTH = 262_144  # PROTOCOL
 LENGTH = struct.Struct("<I")
 HEADER = struct.Struct("<IBI")  # length, type, stream
@@ -57,22 +57,22 @@
 
 
 class FrameError(GatewayError, ValueError):
-    """Bytes that are no frame; the text says why."""
+    """The input is not a valid frame; the text says why."""
 
 
 class Frame(NamedTuple):
-    """A whole frame; `payload` is good until the next read."""
+    """A complete frame; `payload` is valid until the next read."""
 
-    type: int  # a `FrameType`, or a number that is none
+    type: int  # not necessarily a `FrameType`
     stream: int
     payload: memoryview
 
 
 class ClientRequest(NamedTuple):
-    """A request as its client wrote it. Fields are text, None where the client left them out."""
+    """A request as its client wrote it. Fields are text, or None if the client omitted them."""
 
-    statement: memoryview  # good until the next read
-    repeated: RequestField | None = None  # a field that the client wrote twice
+    statement: memoryview  # valid until the next read
+    repeated_field: RequestField | None = None  # a field that the client sent more than once
     group: str | None = None
     request_id: str | None = None
     timeout_ms: str | None = None
@@ -84,21 +84,21 @@
 
 
 class FrameReader:
-    """Whole frames out of what a connection delivers, cut anywhere."""
+    """Reassembles frames from the data of a connection, which may be split anywhere."""
 
     __slots__ = ("_buffer", "_needed_bytes")
 
     def __init__(self):
-        """Starts between two frames."""
-        self._buffer = None  # the start of an unfinished frame
-        self._needed_bytes = LENGTH.size  # in the buffer, before there is something to read
+        """Starts at a frame boundary."""
+        self._buffer = None  # the start of an incomplete frame
+        self._needed_bytes = LENGTH.size  # length of the buffer from which decoding can go on
 
     def buffered_bytes(self) -> int:
-        """The bytes of an unfinished frame that are kept."""
+        """Returns how many bytes of an incomplete frame are kept."""
         return len(self._buffer or b"")
 
     def discard(self) -> None:
-        """Drops what is kept of an unfinished frame."""
+        """Drops the incomplete frame, if any."""
         self._buffer = None
 
     def feed(self, data: bytes) -> Iterator[Frame]:
@@ -130,7 +130,7 @@
 
 
 def read_fields(payload: memoryview) -> tuple[list[tuple[str, str]], memoryview]:
-    """The fields, as a list of (name, value) texts, and the rest of the payload. Errors: FrameError."""
+    """Returns the fields, as (name, value) texts, and the rest of the payload. Errors: FrameError."""
     try:
         fields = []
         position = 1
@@ -150,22 +150,22 @@
 
 
 def read_query(payload: memoryview) -> ClientRequest:
-    """The request in a QUERY frame; fields with unknown names are ignored. Errors: FrameError."""
+    """Reads the request of a QUERY frame; ignores fields with unknown names. Errors: FrameError."""
     fields, statement = read_fields(payload)
     values = {}
-    repeated = None
+    repeated_field = None
     for wire_name, value in fields:
         field = FIELDS.get(wire_name)
         if field is None:
             continue
         if field.name in values:
-            repeated = field
+            repeated_field = field
         values[field.name] = value
-    return ClientRequest(statement, repeated, **values)
+    return ClientRequest(statement, repeated_field, **values)
 
 
 def encode_fields(fields: Iterable[tuple[str, str]]) -> bytes:
-    """The start of a payload: (name, value) texts."""
+    """Encodes (name, value) texts as the start of a payload."""
     pairs = [(name.encode(), value.encode()) for name, value in fields]
     parts = [bytes([len(pairs)])]
     for name, value in pairs:
@@ -174,16 +174,16 @@
 
 
 def encode_frame(frame_type: int, stream: int, *payload: bytes) -> bytes:
-    """A frame, its payload given in pieces."""
+    """Encodes a frame, whose payload is given in pieces."""
     length = MIN_FRAME_LENGTH + sum(map(len, payload))
     return b"".join((HEADER.pack(length, frame_type, stream), *payload))
 
 
 def encode_answer(stream: int, code: int, *body: bytes) -> bytes:
-    """The answer to the request on `stream`, without fields; stream 0: to the connection."""
+    """Encodes an answer without fields to the request on `stream`, or to the connection if that is 0."""
     return encode_frame(FrameType.ANSWER, stream, bytes([code, 0]), *body)
 
 
 def encode_readiness(stream: int, is_ready: bool) -> bytes:
-    """The answer to a readiness check."""
+    """Encodes the answer to a readiness check."""
     return encode_frame(FrameType.READINESS, stream, bytes([0 if is_ready else 1, 0]))
--- a/lichenquay/gateway/http.py
+++ b/lichenquay/gateway/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 as engines and the discovery service speak it: requests written, replies read, free of I/O.
+"""Encodes requests and parses replies of the HTTP/1.1 that engines and the discovery service use.
 
-An edge module. What the requests and replies mean is `engine_protocol`'s and `endpoint_events`'.
+Performs no I/O. The meaning of requests and replies is defined in `engine_protocol` and `endpoint_events`.
 """
 
 import re
@@ -9,8 +9,8 @@
 
 from lichenquay.gateway.errors import GatewayError
 
-MAX_HEAD_BYTES = 16_384  # also of all interim replies before a real one
-MAX_BODY_BYTES = 8 << 20  # of an endpoint list: 48,000 engines at once; pages have a limit of their own
+MAX_HEAD_BYTES = 16_384  # of the reply with all interim replies before it
+MAX_BODY_BYTES = 8 << 20  # an endpoint list of 48,000 engines; pages of results have a smaller limit
 STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-9]\d\d)(?: [^\x00-\x1f\x7f]*)?\Z")
 HEADER = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*)\Z")
 HEAD_END = b"\r\n\r\n"
@@ -18,7 +18,7 @@
 
 
 class Status(IntEnum):
-    """The status codes that mean something here."""
+    """The status codes that the gateway distinguishes."""
 
     OK = 200
     ACCEPTED = 202
@@ -30,7 +30,7 @@
 
 
 class ReplyError(GatewayError, ValueError):
-    """Bytes that are no reply; the text says why."""
+    """The input is not a valid reply; the text says why."""
 
 
 class _Body(NamedTuple):
@@ -39,7 +39,7 @@
 
 
 def encode_request(verb: str, path: str, host: str, headers=(), body: bytes = b"") -> bytes:
-    """A request; `headers` are pairs of a name and a value."""
+    """Encodes a request; `headers` are (name, value) pairs."""
     lines = [f"{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"]
     lines += [f"{name}: {value}\r\n" for name, value in headers]
     if body or verb in ("POST", "PUT"):
@@ -49,16 +49,17 @@
 
 
 class Reply:
-    """A reply: headers by lower-case name; the body a slice of what was read.
+    """A reply. Headers are stored by lower-case name; the body is a slice of the data read.
 
-    keep_alive: whether the connection may be used again. has_trailing_bytes: bytes came behind it that do not
-    belong to it. connection: the one that it came on, set by that connection.
+    keep_alive: whether the connection may be used again.
+    has_trailing_bytes: the data goes on after the end of the reply.
+    connection: the connection that received the reply, which sets this attribute.
     """
 
     __slots__ = ("body", "connection", "has_trailing_bytes", "headers", "keep_alive", "status")
 
     def __init__(self, status: int, headers: dict[str, str], keep_alive: bool):
-        """A reply whose body is not read yet."""
+        """Creates a reply whose body has not been read yet."""
         self.status = status
         self.headers = headers
         self.keep_alive = keep_alive
@@ -67,7 +68,7 @@
         self.has_trailing_bytes = False
 
     def header_as_int(self, name: str, minimum: int = 0) -> int | None:
-        """A header as a whole number from `minimum` up; None if it is missing or no such number."""
+        """Returns a header as an integer of at least `minimum`; None if it is missing or invalid."""
         value = self.headers.get(name, "")
         if value.isascii() and value.isdigit() and int(value) >= minimum:
             return int(value)
@@ -75,27 +76,27 @@
 
 
 class ReplyReader:
-    """One reply at a time out of what a connection delivers, cut anywhere.
+    """Parses one reply at a time from the data of a connection, which may be split anywhere.
 
-    What comes behind a whole reply spoils the connection, not the reply.
+    Data after the end of a complete reply makes the connection unusable, but not the reply.
     """
 
     __slots__ = ("_body_length", "_buffer", "_is_chunked", "_max_body_bytes", "_position", "_reply")
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES):
-        """Starts between two replies; a longer body is a ReplyError."""
+        """Starts before a reply; a body of more than `max_body_bytes` is a ReplyError."""
         self._max_body_bytes = max_body_bytes
         self._begin()
 
     def _begin(self):
         self._buffer = None
-        self._reply = None  # once its head is read
-        self._position = 0  # behind the last head read
-        self._body_length = None  # None: until the connection closes, unless the body is chunked
+        self._reply = None  # set once the head is parsed
+        self._position = 0  # the end of the last head parsed
+        self._body_length = None  # None: the body is chunked, or ends with the connection
         self._is_chunked = False
 
     def feed(self, data: bytes) -> Reply | None:
-        """The reply once it is whole, else None. Errors: ReplyError."""
+        """Returns the reply once it is complete, else None. Errors: ReplyError."""
         if self._buffer is not None:
             self._buffer += data
             data = self._buffer
@@ -109,7 +110,7 @@
                 return None
             self._read_head(str(data[self._position : head_end], "latin-1"))
             self._position = head_end + len(HEAD_END)
-            if 100 <= self._reply.status < 200:  # an interim reply: the real one follows
+            if 100 <= self._reply.status < 200:  # an interim reply; the final one follows
                 self._reply = None
         body = self._chunked_body(data) if self._is_chunked else self._plain_body(data)
         if body is None:
@@ -118,7 +119,7 @@
         return self._finish(body)
 
     def connection_closed(self) -> Reply | None:
-        """The reply, if its body went on until the connection closed."""
+        """Returns the reply if its body ends with the connection, else None."""
         if self._reply is None or self._is_chunked or self._body_length is not None:
             return None
         content = bytes(self._buffer[self._position :]) if self._buffer else b""
@@ -174,7 +175,7 @@
             if self._body_length is None or self._body_length > self._max_body_bytes:
                 raise ReplyError("a length that cannot be")
         elif reply.keep_alive:
-            # Without this, a part of the reply would be taken for the whole.
+            # Otherwise a truncated reply would be taken for a complete one.
             raise ReplyError("a reply without a length")
 
     def _plain_body(self, data):
--- a/lichenquay/gateway/log.py
+++ b/lichenquay/gateway/log.py
@@ -1,4 +1,4 @@
-"""The gateway's log: plain lines on standard error."""
+"""The gateway's log: rate-limited plain lines on standard error."""
 
 import sys
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 @dataclass
 class _KindState:
-    """The current second of one kind of line."""
+    """The lines of one kind in the current second."""
 
     since_s: float
     written: int = 0
@@ -18,16 +18,16 @@
 
 
 class Log:
-    """Lines on standard error, a few of each kind a second; those suppressed are counted."""
+    """Writes lines to standard error, a few of each kind per second; counts those suppressed."""
 
     def __init__(self, seconds: Callable[[], float], out: TextIO = sys.stderr):
-        """`seconds`: a monotonic clock."""
+        """Takes `seconds`, a monotonic clock."""
         self._seconds = seconds
         self._out = out
         self._kinds: dict[str, _KindState] = {}
 
     def __call__(self, kind: str, text: str) -> None:
-        """Writes a line of this kind, unless there were too many within the second."""
+        """Writes a line of this kind, unless `MAX_LINES_PER_S` were written within the second."""
         now_s = self._seconds()
         state = self._kinds.get(kind) or _KindState(now_s)
         if now_s - state.since_s >= 1:
@@ -42,8 +42,8 @@
         self._kinds[kind] = state
 
     def line(self, text: str) -> None:
-        """Writes a line, whatever came before."""
+        """Writes a line without a rate limit."""
         try:
             print(text, file=self._out, flush=True)
-        except OSError:  # nobody reads the log any more: the gateway continues
+        except OSError:  # the reader of the log is gone; the gateway continues without a log
             return
--- a/lichenquay/gateway/metrics.py
+++ b/lichenquay/gateway/metrics.py
@@ -4,16 +4,16 @@
 
 
 class Metrics:
-    """Counters by their text, from the start of the process."""
+    """Counters by name, since the start of the process."""
 
     def __init__(self):
-        """Begins with every counter at 0."""
+        """Starts with all counters at 0."""
         self.counters = Counter()
 
     def count(self, name: str) -> None:
-        """Adds one."""
+        """Increments a counter."""
         self.counters[name] += 1
 
     def lines(self) -> list[str]:
-        """All counters, as lines for the log."""
+        """Returns all counters as log lines, sorted by name."""
         return [f"{name}: {count}" for name, count in sorted(self.counters.items())]
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -1,4 +1,4 @@
-"""Request intake: which queries of clients are accepted, and bounds on what the gateway holds for them."""
+"""Request intake: validates and accepts queries of clients, and bounds the memory held for clients."""
 
 import re
 from collections.abc import Callable
@@ -13,46 +13,48 @@
 from lichenquay.gateway.frames import AnswerCode, ClientRequest
 from lichenquay.gateway.statement import table_group_of
 
-MAX_OPEN_QUERIES = 32  # PROTOCOL: on one connection
-REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
-# Of an idempotency or ordering key, which becomes a header of a call: nothing that could be another header.
-KEY = re.compile(r"[!-~]{0,256}\Z")
-IDLE_TIMEOUT_S = 4.5  # PROTOCOL: clients close idle connections after 4 s; some hold theirs for good
-# for a first frame, and for one that has begun: an answer or a close is owed within 3 s
+MAX_OPEN_QUERIES = 32  # PROTOCOL: per connection
+REQUEST_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
+# Idempotency and ordering keys are forwarded as HTTP headers: no character that could start another header.
+KEY_PATTERN = re.compile(r"[!-~]{0,256}\Z")
+IDLE_TIMEOUT_S = 4.5  # PROTOCOL: clients close idle connections after 4 s, but some never close theirs
+# For the first frame and for an incomplete one. PROTOCOL requires an answer or a close within 3 s.
 FRAME_TIMEOUT_S = 2.0
-MEMORY_SHARE = 16  # one frame or statement takes this part of the free memory at most
-MAX_AMOUNT_MS = 86_400_000.0  # a day: what is said to need more is no valid request
-MAX_AMOUNT_MB = 1_048_576.0  # a terabyte
-QUOTED_CHARS = 40  # of a client's field, in the answer
+FREE_MEMORY_DIVISOR = 16  # one frame or statement may take at most the free memory divided by this
+MAX_DURATION_MS = 86_400_000.0  # a day; a request with a longer time-out or work estimate is invalid
+MAX_MEMORY_MB = 1_048_576.0  # a terabyte; a request with a larger memory estimate is invalid
+MAX_QUOTED_CHARS = 40  # of a client's field, in an answer
 
 
 class RequestRejectedError(InvalidRequestError):
-    """A request that would make a query at another time."""
+    """A valid request that is rejected now but may be retried."""
 
     code = AnswerCode.REJECTED
 
 
-def _amount(request: ClientRequest, name: str, maximum: float) -> float:
-    """A field as a number from 0 to `maximum`. Errors: InvalidRequestError."""
+def _read_number(request: ClientRequest, name: str, maximum: float) -> float:
+    """Returns a field as a number from 0 to `maximum`. Errors: InvalidRequestError."""
     text = getattr(request, name)
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 <= value <= maximum:
-        raise InvalidRequestError(f"{_label(name)}: {text[:QUOTED_CHARS]!r}")
+        raise InvalidRequestError(f"{_field_label(name)}: {text[:MAX_QUOTED_CHARS]!r}")
     return value
 
 
-def _label(name):
+def _field_label(name):
+    """Returns the name of a field in answers to clients."""
     return next(field.label for field in frames.FIELDS.values() if field.name == name)
 
 
 class RequestIntake(Factory):
-    """All clients' connections.
+    """The factory and registry of all client connections.
 
-    At most `max_connections` at a time, of which connection admission decides. What clients make the gateway
-    hold (open queries' statements, unfinished frames, unread answers) has `max_held_bytes`, all together.
+    Connection admission bounds the connections to `max_connections`. What the gateway holds for clients
+    (statements of open queries, incomplete frames, deferred requests, unread answers) is bounded to
+    `max_held_bytes` in total.
     """
 
     noisy = False
@@ -67,9 +69,9 @@
         now_ms: Callable[[], float],
         is_ready: Callable[[], bool],
     ):
-        """`adapter`: where queries go; `is_ready`: what readiness checks are answered.
+        """Creates an intake that accepts nothing until `set_limits` is called.
 
-        Nothing is accepted until `set_bounds`.
+        adapter: receives the queries. is_ready: tells what readiness checks are answered.
         """
         self.groups = settings.groups
         self.tenants = settings.tenants
@@ -80,61 +82,61 @@
         self.log = log
         self.now_ms = now_ms
         self.is_ready = is_ready
-        self.connections: dict[ClientConnection, bool] = {}  # in the order in which they were opened
-        self.max_connections_seen = 0
+        self.connections: dict[ClientConnection, bool] = {}  # oldest first
+        self.peak_connections = 0
         self.open_request_ids: dict[str, GatewayQuery] = {}
         self.max_connections = 0
         self.max_held_bytes = 0
         self.held_bytes = 0
-        self.is_stopping = False  # nothing more is accepted: the gateway ends
+        self.is_stopping = False  # new queries are rejected, as the gateway is about to exit
         self.connection_admission = decisions.ConnectionAdmission(
             limits.ConnectionRules(0, 0), self.admission_ms()
         )
         self.listener = ClientListener(reactor, self, metrics)
 
     def admission_ms(self) -> float:
-        """The clock of connection admission."""
+        """Returns the time for connection admission, in ms."""
         return self.seconds() * 1000
 
-    def set_bounds(self, max_held_bytes: int, rules: limits.ConnectionRules) -> None:
-        """Sets the limits; what is open stays open."""
+    def set_limits(self, max_held_bytes: int, rules: limits.ConnectionRules) -> None:
+        """Sets the limits; connections and queries that exceed them stay open."""
         self.max_connections = rules.max_connections
         self.max_held_bytes = max_held_bytes
         self.connection_admission.set_rules(rules)
 
-    # Connections.
+    # Connections
 
     def buildProtocol(self, address):
-        """The connection of a client that was accepted."""
+        """Returns the protocol of an accepted connection."""
         return ClientConnection(self, getattr(address, "host", ""))
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection is up."""
+        """Registers a connection."""
         self.connections[connection] = True
-        self.max_connections_seen = max(self.max_connections_seen, len(self.connections))
+        self.peak_connections = max(self.peak_connections, len(self.connections))
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+        """Removes a closed connection."""
         self.connections.pop(connection, None)
         self.connection_admission.on_connection_closed(connection.record, self.admission_ms())
 
     def stop_listening(self) -> None:
-        """No more connections; clients are asked to send no more requests."""
+        """Stops accepting connections and asks clients to send no more requests."""
         self.listener.close()
         self.send_go_away()
 
     def send_go_away(self) -> None:
-        """Tells all clients to send no more requests on their connections."""
+        """Asks all clients to send no more requests on their connections."""
         for connection in list(self.connections):
             connection.send_go_away()
 
     def close_expired(self) -> None:
-        """Closes connections without a whole frame in time, and idle ones."""
+        """Closes connections that have not sent a complete frame in time, and those idle for too long."""
         now_s = self.seconds()
         for connection in list(self.connections):
             if not connection.is_open or connection.is_rejecting_input:
                 continue
-            awaits_frame = not connection.has_sent_frame or connection.reader.buffered_bytes()
+            awaits_frame = not connection.has_received_frame or connection.reader.buffered_bytes()
             if awaits_frame and now_s - connection.frame_started_s > FRAME_TIMEOUT_S:
                 connection.reject_input("no whole frame in time")
             elif connection.is_idle and now_s - connection.last_activity_s > IDLE_TIMEOUT_S:
@@ -142,33 +144,34 @@
                 connection.close()
 
     def close_idle(self) -> None:
-        """Closes all connections on which nothing waits for an answer."""
+        """Closes all connections on which no request waits for its answer."""
         for connection in [connection for connection in self.connections if connection.is_idle]:
             connection.close()
 
     def has_memory_for(self, size_bytes: int, held_before: int = 0) -> bool:
-        """Whether there is memory for this, `held_before` bytes of which are held already.
+        """Returns whether a frame or statement may take `size_bytes`.
 
-        A few that send much must not take the memory of the many that send little.
+        `held_before` bytes of these are held already. The bound is a fraction of the free memory, so that a
+        few large requests cannot exhaust it for many small ones.
         """
-        return size_bytes <= (self.max_held_bytes - self.held_bytes + held_before) / MEMORY_SHARE
+        return size_bytes <= (self.max_held_bytes - self.held_bytes + held_before) / FREE_MEMORY_DIVISOR
 
-    # Queries.
+    # Queries
 
     def make_query(
         self, connection: ClientConnection, stream: int, request: ClientRequest, received_ms: float
     ) -> GatewayQuery:
-        """The query that a request makes. Errors: InvalidRequestError, RequestRejectedError."""
+        """Returns the query for a valid request. Errors: InvalidRequestError, RequestRejectedError."""
         if self.is_stopping:
             raise RequestRejectedError("this front ends")
         if len(connection.open_queries) >= MAX_OPEN_QUERIES:
             raise RequestRejectedError(f"more than {MAX_OPEN_QUERIES} open requests")
         self._check_fields(request)
-        self._check_room(connection, len(request.statement))
+        self._admit_query(connection, len(request.statement))
         group = self.groups[request.group]
-        statement = bytes(request.statement)  # it outlives the buffer
-        max_timeout_ms = group.max_timeout_ms or MAX_AMOUNT_MS
-        timeout_ms = min(max_timeout_ms, _amount(request, "timeout_ms", 2 * max_timeout_ms))
+        statement = bytes(request.statement)  # copied, as it outlives the buffer
+        max_timeout_ms = group.max_timeout_ms or MAX_DURATION_MS
+        timeout_ms = min(max_timeout_ms, _read_number(request, "timeout_ms", 2 * max_timeout_ms))
         return GatewayQuery(
             id=0,
             group=group,
@@ -176,8 +179,8 @@
             deadline_ms=received_ms + timeout_ms,
             tenant=self.tenants.get(request.tenant),
             ordering_key=request.ordering_key or "",
-            estimated_work_ms=_amount(request, "estimated_work_ms", MAX_AMOUNT_MS),
-            estimated_memory_mb=_amount(request, "estimated_memory_mb", MAX_AMOUNT_MB),
+            estimated_work_ms=_read_number(request, "estimated_work_ms", MAX_DURATION_MS),
+            estimated_memory_mb=_read_number(request, "estimated_memory_mb", MAX_MEMORY_MB),
             table_group=table_group_of(str(statement, "utf-8", "replace")),
             has_idempotency_key=bool(request.idempotency_key),
             client=connection,
@@ -188,31 +191,31 @@
         )
 
     def _check_fields(self, request):
-        """Errors: InvalidRequestError, with the first field that is missing or not valid."""
-        if request.repeated:
-            raise InvalidRequestError(f"{request.repeated.label}: said twice")
+        """Checks the fields of a request. Errors: InvalidRequestError, for the first faulty one."""
+        if request.repeated_field:
+            raise InvalidRequestError(f"{request.repeated_field.label}: said twice")
         for field in frames.FIELDS.values():
             is_required = field.is_required and (field.name != "tenant" or self.tenants)
             if is_required and getattr(request, field.name) is None:
                 raise InvalidRequestError(f"{field.label}: missing")
         if request.group not in self.groups:
-            raise InvalidRequestError(f"group: {request.group[:QUOTED_CHARS]!r}")
+            raise InvalidRequestError(f"group: {request.group[:MAX_QUOTED_CHARS]!r}")
         if self.tenants and request.tenant not in self.tenants:
-            raise InvalidRequestError(f"tenant: {request.tenant[:QUOTED_CHARS]!r}")
+            raise InvalidRequestError(f"tenant: {request.tenant[:MAX_QUOTED_CHARS]!r}")
         idempotency_key = request.idempotency_key or ""
         ordering_key = request.ordering_key or ""
-        if not KEY.match(idempotency_key) or not KEY.match(ordering_key):
+        if not KEY_PATTERN.match(idempotency_key) or not KEY_PATTERN.match(ordering_key):
             raise InvalidRequestError(
-                f"token or key: {idempotency_key[:QUOTED_CHARS]!r}, {ordering_key[:QUOTED_CHARS]!r}"
+                f"token or key: {idempotency_key[:MAX_QUOTED_CHARS]!r}, {ordering_key[:MAX_QUOTED_CHARS]!r}"
             )
-        if not REQUEST_ID.match(request.request_id):
-            raise InvalidRequestError(f"ref: {request.request_id[:QUOTED_CHARS]!r}")
-        # Without this, one query's result would become the answer to another statement.
+        if not REQUEST_ID_PATTERN.match(request.request_id):
+            raise InvalidRequestError(f"ref: {request.request_id[:MAX_QUOTED_CHARS]!r}")
+        # An engine would take the second query for a repeat and return the result of the first statement.
         if request.request_id in self.open_request_ids:
             raise InvalidRequestError("ref: it is open already")
 
-    def _check_room(self, connection, statement_bytes):
-        """Errors: RequestRejectedError. A query of another client may be evicted for this one."""
+    def _admit_query(self, connection, statement_bytes):
+        """Has a query admitted, for which another client's may be evicted. Errors: RequestRejectedError."""
         if not self.has_memory_for(statement_bytes):
             raise RequestRejectedError("no room for its statement")
         admission_ms = self.admission_ms()
@@ -221,6 +224,6 @@
             raise RequestRejectedError(
                 f"{decision.reason}; come back in {max(1.0, decision.retry_after_ms):.0f} ms"
             )
-        if decision.evict is not None:  # the youngest of its queries has its final answer now
+        if decision.evict is not None:  # its most recent query gets its final answer
             evicted_connection = decision.evict.handler
             self.adapter.evict(next(reversed(evicted_connection.open_queries.values())))
--- a/lichenquay/gateway/routing.py
+++ b/lichenquay/gateway/routing.py
@@ -1,4 +1,4 @@
-"""Routing: from an attempt to its engine's address and the bytes of the call that starts it."""
+"""Routing: encodes the call that starts an attempt, for the address of its engine."""
 
 from lichenquay.admission import domain
 from lichenquay.gateway.attempt_in_flight import AttemptInFlight
@@ -6,15 +6,15 @@
 
 
 class Router:
-    """Addresses come from the endpoint list; grant and priority from the controller, by the query."""
+    """Starts attempts, with the memory grant and priority that the controller set on the query."""
 
     def __init__(self, dispatcher, relay):
-        """`dispatcher` sends what `start` makes; `relay` follows it."""
+        """Takes the dispatcher, which sends attempts, and the relay, which follows them."""
         self.dispatcher = dispatcher
         self.relay = relay
 
     def start(self, attempt: domain.Attempt, timeout_ms: float) -> AttemptInFlight:
-        """Sends an attempt, which is cancelled after `timeout_ms`."""
+        """Sends an attempt, to be cancelled after `timeout_ms`, and returns its state."""
         query = attempt.query
         in_flight = AttemptInFlight(attempt, attempt.sent_ms + timeout_ms)
         data = encode_start(
@@ -32,11 +32,11 @@
         return in_flight
 
     def set_priority(self, in_flight: AttemptInFlight, priority: int) -> None:
-        """Sets the priority of an attempt that is in flight already."""
+        """Changes the priority of an attempt in flight."""
         if in_flight.priority != priority and not in_flight.is_ending:
             in_flight.priority = priority
             self.relay.update_priority(in_flight)
 
     def cancel(self, in_flight: AttemptInFlight) -> None:
-        """Cancels an attempt; its outcome follows."""
+        """Cancels an attempt, whose outcome is reported later."""
         self.relay.cancel(in_flight)
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -1,4 +1,4 @@
-"""The running gateway: its parts, and its phases from start to exit."""
+"""The gateway service: creates the components of a gateway and runs its phases from start to exit."""
 
 import gc
 import signal
@@ -27,47 +27,47 @@
 from lichenquay.gateway.routing import Router
 from lichenquay.process import install_signal_handlers
 
-POLL_REPLY_MS = 250.0  # PROTOCOL: an engine answers a poll after this at the latest
-# Then it is polled on another connection, before its query is late or counts as lost.
+MAX_POLL_REPLY_MS = 250.0  # PROTOCOL: an engine answers a poll within this time
+# After 1.2 times that, the query is polled on another connection, before it is late or counts as lost.
 REPLY_TIMEOUT_POLLS = 1.2
-REPLY_TIMEOUT_MS = REPLY_TIMEOUT_POLLS * POLL_REPLY_MS
-DEFAULT_CONNECT_TIMEOUT_MS = POLL_REPLY_MS  # where the settings name none
+REPLY_TIMEOUT_MS = REPLY_TIMEOUT_POLLS * MAX_POLL_REPLY_MS
+DEFAULT_CONNECT_TIMEOUT_MS = MAX_POLL_REPLY_MS  # if the settings give none
 DEFAULT_KEEP_ALIVE_POLLS = 4
-DEFAULT_KEEP_ALIVE_MS = DEFAULT_KEEP_ALIVE_POLLS * POLL_REPLY_MS  # likewise
-# PROTOCOL: an event of the discovery service counts as announced this much later at the latest.
+DEFAULT_KEEP_ALIVE_MS = DEFAULT_KEEP_ALIVE_POLLS * MAX_POLL_REPLY_MS  # likewise
+# PROTOCOL: an event of the discovery service counts as announced after at most this time.
 EVENTS_ANNOUNCED_WITHIN_MS = 7000.0
-# PROTOCOL: new connections go on coming 0.4 s after SIGTERM; the last of them is accepted.
+# PROTOCOL: clients open connections until 0.4 s after SIGTERM; the last of these must be accepted.
 ACCEPT_AFTER_SIGTERM_MS = 450.0
-REQUESTS_AFTER_ACCEPTING_MS = 200.0  # PROTOCOL: and requests on open ones for this long more
-MAX_DEADLINE_MS = 3000.0  # PROTOCOL: SIGKILL comes no sooner than the longest deadline, 3 s at most, ...
-SIGKILL_AFTER_DEADLINE_MS = 700.0  # ... and this long more after SIGTERM
-FINAL_ANSWERS_BEFORE_MS = 300.0  # before SIGKILL, what is still open gets its final answer
-RESERVED_DESCRIPTORS = 48  # for the reactor, accepting, discovery and cancellations
+REQUESTS_AFTER_ACCEPTING_MS = 200.0  # PROTOCOL: and send requests on open connections for this much longer
+MAX_DEADLINE_MS = 3000.0  # PROTOCOL: SIGKILL follows SIGTERM after the longest deadline, at most 3 s, ...
+SIGKILL_AFTER_DEADLINE_MS = 700.0  # ... plus this time
+FINAL_ANSWERS_BEFORE_MS = 300.0  # open queries get their final answers this long before SIGKILL
+RESERVED_DESCRIPTORS = 48  # for the reactor, the listener, discovery and cancellations
 URGENT_DESCRIPTORS = RESERVED_DESCRIPTORS // 2  # of these, for urgent calls to engines
 OTHER_DESCRIPTORS = RESERVED_DESCRIPTORS - URGENT_DESCRIPTORS  # of these, always counted as used
-EXTRA_CLIENT_DESCRIPTORS = RESERVED_DESCRIPTORS // 4  # beyond the clients' share
-LATE_FINAL_ANSWERS_MS = FINAL_ANSWERS_BEFORE_MS / 2  # from here on nothing in flight is waited for
-CLIENT_DESCRIPTOR_SHARE = 3  # PROTOCOL: clients hold a third of the descriptors at most
-CHECK_CALLS_EACH_MS = 25.0  # for calls that have waited too long
-CHECK_CLIENTS_EACH_MS = 250.0  # for connections that have outlived their use
-CHECK_DRAINED_EACH_MS = 10.0
+EXTRA_CLIENT_DESCRIPTORS = RESERVED_DESCRIPTORS // 4  # for clients, in addition to their share
+ABANDON_IN_FLIGHT_BEFORE_MS = FINAL_ANSWERS_BEFORE_MS / 2  # before SIGKILL, attempts are no longer waited for
+CLIENT_DESCRIPTOR_DIVISOR = 3  # PROTOCOL: clients hold at most a third of the descriptors
+CALL_CHECK_INTERVAL_MS = 25.0  # for overdue calls and stale connections to engines
+CLIENT_CHECK_INTERVAL_MS = 250.0  # for idle client connections and overdue frames
+DRAIN_CHECK_INTERVAL_MS = 10.0
 
 
 class ServicePhase(StrEnum):
-    """The phases of a gateway, in order."""
+    """Phases of a gateway, in order."""
 
     STARTING = "starting"
     SERVING = "serving"
-    LEAVING = "leaving"  # after SIGTERM: still accepts connections and requests
-    DRAINING = "draining"  # until all that was accepted is answered
+    LEAVING = "leaving"  # after SIGTERM, while connections and requests are still accepted
+    DRAINING = "draining"  # until all accepted queries are answered
     ENDED = "ended"
 
 
 class Service:
-    """A gateway: its parts, made from the configuration, and its phases."""
+    """A gateway: its components, created from the configuration, and its phase."""
 
     def __init__(self, reactor, environment: Mapping[str, str]):
-        """Reads the configuration that the environment names. Errors: StartError."""
+        """Creates a gateway from the configuration that the environment names. Errors: StartError."""
         self.phase = ServicePhase.STARTING
         self.reactor = reactor
         self.environment = environment
@@ -78,15 +78,17 @@
         self.sigkill_expected_ms = 0.0
         self.log = Log(time.monotonic)
         self.metrics = Metrics()
-        self._make_stages()
+        self._create_stages()
         self.feature_settings = configuration.read_feature_settings(environment)
-        self.distributed_rules = None  # of connection admission
-        self._set_bounds()
+        self.distributed_rules = (
+            None  # rules of connection admission that override those of the settings file
+        )
+        self._apply_limits()
         self.endpoints_are_distributed = (
             self.feature_settings is not None and self.feature_settings.distribution.engines
         )
         self.discovery_factory = None
-        self.fleet = configuration.make_fleet(
+        self.fleet = configuration.create_fleet_runtime(
             self.feature_settings, reactor, self.config.seed, self.adapter.controller.is_under_pressure, self
         )
         try:
@@ -95,10 +97,11 @@
             )
         except EndpointListError as error:
             raise StartError(f"known: {error}") from None
-        self.config = replace(self.config, known_endpoints=None)  # applied; it may be of thousands of engines
+        # The list is applied by now, and may take much memory: it can have thousands of engines.
+        self.config = replace(self.config, known_endpoints=None)
 
-    def _make_stages(self):
-        """The stages of a query's way; each refers to the next."""
+    def _create_stages(self):
+        """Creates the stages that a query passes through; each refers to the next."""
         self.engines = EnginePool(
             self.reactor,
             urgent_reserve=URGENT_DESCRIPTORS,
@@ -128,43 +131,43 @@
             self.settings, self.reactor, self.adapter, self.metrics, self.log, now_ms, self.is_ready
         )
 
-    def _set_bounds(self):
-        """Shares of the configured limits: of descriptors for engines and clients, of memory for clients."""
+    def _apply_limits(self):
+        """Divides the configured descriptors between engines and clients, and sets the limits for clients."""
         max_descriptors = self.config.max_descriptors
-        client_descriptors = max_descriptors // CLIENT_DESCRIPTOR_SHARE
+        client_descriptors = max_descriptors // CLIENT_DESCRIPTOR_DIVISOR
         self.engines.descriptor_budget = max_descriptors - client_descriptors - RESERVED_DESCRIPTORS
         rules = configuration.effective_connection_rules(
             self.feature_settings, client_descriptors + EXTRA_CLIENT_DESCRIPTORS, self.distributed_rules
         )
-        self.clients.set_bounds(self.config.client_memory_bytes, rules)
+        self.clients.set_limits(self.config.client_memory_bytes, rules)
 
-    # Distributed configuration.
+    # Distributed configuration
 
     def apply_connection_rules(self, rules) -> None:
-        """Distributed rules take the place of the file's; None: the file's again. What is open stays open."""
+        """Applies distributed connection rules, or the settings file's if None; closes no connection."""
         self.distributed_rules = rules
-        self._set_bounds()
+        self._apply_limits()
 
     def apply_endpoints(self, whole: bool, records: list[EndpointRecord]) -> None:
-        """Distributed endpoints take the place of discovery's: all there are, or those that changed."""
+        """Applies distributed endpoints in place of discovery's: the complete list (`whole`), or changes."""
         self.on_endpoints(whole, records)
         self.discovery.confirm()
 
-    # The endpoint list.
+    # Endpoint list
 
     def on_endpoints(self, whole: bool, records: list[EndpointRecord]) -> None:
-        """The endpoint list changed: `records` are all engines (`whole`), or those that changed."""
-        named = []
+        """Applies a change of the endpoint list: all engines (`whole`), or those that changed."""
+        listed = []
         removed = set(self.engines_by_id.values()) if whole else set()
         for record in records:
             engine = self._update_engine(record)
-            named.append(engine)
+            listed.append(engine)
             if record.state == domain.EndpointState.REMOVED:
                 removed.add(engine)
             else:
                 removed.discard(engine)
-        self.adapter.endpoints_updated(named, whole)
-        for engine in removed:  # its address may be another's by now
+        self.adapter.endpoints_updated(listed, whole)
+        for engine in removed:  # its address may belong to another engine by now
             engine.state = domain.EndpointState.REMOVED
             self.engines.close_idle_connections(engine)
             self.engines_by_id.pop(engine.id, None)
@@ -177,17 +180,17 @@
         if engine.address != record.address:
             self.engines.close_idle_connections(engine)
             engine.address = record.address
-        # The wall clock by which it started may have stepped since this gateway took its own from it.
+        # The record has Unix time; the gateway's clock differs from it if the wall clock has stepped since.
         started_ms = record.started_ms + wall_clock_step_ms() if record.started_ms else record.started_ms
         self.settings.describe(
             engine, record.zone, record.kind, record.cell, record.state, record.advertised_weight, started_ms
         )
         return engine
 
-    # Starting.
+    # Start
 
     def start(self) -> None:
-        """Listens; the rest follows once the reactor runs. Errors: StartError."""
+        """Starts to listen and to follow the endpoint list; the reactor calls `run`. Errors: StartError."""
         if self.fleet is not None:
             error = self.fleet.open()
             if error:
@@ -202,7 +205,7 @@
         self.reactor.callWhenRunning(self.run)
 
     def _follow_discovery(self):
-        """Where the endpoint list does not come as distributed configuration."""
+        """Connects to the discovery service, unless the endpoint list is distributed configuration."""
         if self.endpoints_are_distributed:
             return
         self.discovery_factory = DiscoveryFactory(
@@ -210,7 +213,7 @@
         )
 
     def run(self) -> None:
-        """Serves, and handles signals."""
+        """Installs the signal handlers and starts to serve."""
         handlers = {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
@@ -234,41 +237,41 @@
             f"{self.clients.max_connections} for clients, {self.clients.max_held_bytes >> 20} MB for them",
         )
 
-    # Serving.
+    # Operation
 
     def is_ready(self) -> bool:
-        """Whether clients should come here.
+        """Returns whether the gateway is ready for clients.
 
-        With the discovery service out of reach for long, a gateway serves by its last endpoint list, and is
-        ready.
+        A gateway that cannot reach the discovery service for long uses its last endpoint list and is ready.
         """
         if self.phase != ServicePhase.SERVING or not self.engines_by_id:
             return False
         return self.discovery.is_confirmed or not self.adapter.controller.are_endpoints_stale(now_ms())
 
     def _check_clients(self):
-        self.engines.call_later(CHECK_CLIENTS_EACH_MS, self._check_clients)
+        self.engines.call_later(CLIENT_CHECK_INTERVAL_MS, self._check_clients)
         self.clients.close_expired()
 
     def _check_calls(self):
         check_ms = self.reactor.seconds() * 1000
         lag_ms = max(0.0, check_ms - self.next_check_ms) if self.next_check_ms else 0.0
-        self.next_check_ms = check_ms + CHECK_CALLS_EACH_MS
+        self.next_check_ms = check_ms + CALL_CHECK_INTERVAL_MS
         self.clients.connection_admission.update_load(self._used_share(), lag_ms, check_ms)
-        self.engines.call_later(CHECK_CALLS_EACH_MS, self._check_calls)
+        self.engines.call_later(CALL_CHECK_INTERVAL_MS, self._check_calls)
         self.engines.check_connections()
 
     def _used_share(self):
-        """The larger of the shares of descriptors and of clients' memory that are used up."""
+        """Returns the used share of the descriptors or of the clients' memory, whichever is larger."""
         clients = self.clients
         descriptors = self.engines.open_count + len(clients.connections) + OTHER_DESCRIPTORS
         memory_share = clients.held_bytes / max(1, clients.max_held_bytes)
         return max(descriptors / self.config.max_descriptors, memory_share)
 
     def reload(self) -> None:
-        """SIGHUP: discovery and limits by the new configuration, or nothing where any of it cannot be read.
+        """Handles SIGHUP: applies the discovery address, endpoints and limits of the new configuration.
 
-        Half of a new configuration is never in force. Nothing that is open is closed.
+        A configuration that is invalid in any part is rejected as a whole. No client connection or query is
+        closed.
         """
         if self.phase in (ServicePhase.STARTING, ServicePhase.ENDED):
             return
@@ -285,7 +288,7 @@
         if self._needs_restart(new_config, new_feature_settings):
             self.log(
                 "service",
-                "new settings, another listen address or another fleet: these count from the next start",
+                "changed settings, listen address or fleet: these take effect at the next start",
             )
         old_config = self.config
         self.config = replace(
@@ -295,14 +298,14 @@
             known_endpoints=None,
         )
         self.feature_settings = new_feature_settings
-        self._set_bounds()
+        self._apply_limits()
         has_moved = self.config.discovery_address != old_config.discovery_address
         if has_moved and self.discovery_factory is not None:
             self.discovery_factory.stop()
             self._follow_discovery()
 
     def _apply_known_endpoints(self, known_endpoints):
-        """Applies the configuration's endpoint list, if that is newer. Errors: EndpointListError."""
+        """Applies the configuration's endpoint list if it is newer. Errors: EndpointListError."""
         is_newer = read_events(known_endpoints).last_number > self.discovery.last_number
         distributed = self.endpoints_are_distributed and self.discovery.is_confirmed
         if is_newer and not distributed:
@@ -313,13 +316,13 @@
             return True
         if new_config.settings != self.config.settings:
             return True
-        old_start_only = configuration.start_only_settings(self.feature_settings)
-        return configuration.start_only_settings(new_feature_settings) != old_start_only
+        old_settings = configuration.restart_only_settings(self.feature_settings)
+        return configuration.restart_only_settings(new_feature_settings) != old_settings
 
-    # Ending.
+    # Shutdown
 
     def leave(self) -> None:
-        """SIGTERM: accepts as long as PROTOCOL says, answers all that was accepted, sends GO_AWAY."""
+        """Handles SIGTERM: sends GO_AWAY, goes on accepting as long as PROTOCOL requires, then drains."""
         if self.phase != ServicePhase.SERVING:
             return
         self.phase = ServicePhase.LEAVING
@@ -337,12 +340,15 @@
         self.engines.call_later(REQUESTS_AFTER_ACCEPTING_MS, self._drain)
 
     def _drain(self):
-        """Until all that was accepted is answered, what was cancelled is over, and the answers are sent."""
+        """Drains: ends the service once all queries are answered, all attempts over and all answers sent.
+
+        Shortly before SIGKILL is due, it gives open queries their final answers, and then ends in any case.
+        """
         self.phase = ServicePhase.DRAINING
         left_ms = self.sigkill_expected_ms - now_ms()
-        is_late = left_ms < LATE_FINAL_ANSWERS_MS
+        is_late = left_ms < ABANDON_IN_FLIGHT_BEFORE_MS
         if left_ms < FINAL_ANSWERS_BEFORE_MS:
-            # What came since the final answers were asked for would end with the process, unanswered.
+            # Queries received after the first call of `evict_all` would otherwise end unanswered.
             self.clients.is_stopping = True
             self.adapter.evict_all()
         all_answered = not self.adapter.open_queries and not self.adapter.events
@@ -353,7 +359,7 @@
             if is_late or (not self.clients.connections and fleet_is_over):
                 self._end()
                 return
-        self.engines.call_later(CHECK_DRAINED_EACH_MS, self._drain)
+        self.engines.call_later(DRAIN_CHECK_INTERVAL_MS, self._drain)
 
     def _end(self):
         self.phase = ServicePhase.ENDED
@@ -364,6 +370,6 @@
         self.reactor.stop()
 
     def log_counters(self) -> None:
-        """SIGUSR1, and at the end: counters and the present state, as lines of the log."""
+        """Logs the counters and the current state, on SIGUSR1 and at the end."""
         for line in service_report.lines(self):
             self.log.line(line)
--- a/lichenquay/gateway/service_report.py
+++ b/lichenquay/gateway/service_report.py
@@ -1,22 +1,22 @@
-"""What a gateway reports on SIGUSR1 and at its end."""
+"""The report that a gateway logs on SIGUSR1 and at its end."""
 
 import os
 import resource
 import time
 
-LARGEST_ACCOUNTS = 5  # client accounts that are named
+LARGEST_ACCOUNTS = 5  # number of client accounts in the report
 
 
 def lines(service) -> list[str]:
-    """Counters and the present state of a `Service`, one a line."""
+    """Returns the counters and the current state of a `Service`, one per line."""
     clients = service.clients
     engines = service.engines
     return [
         *service.metrics.lines(),
         f"client connections: {len(clients.connections)}",
-        f"client connections at most: {clients.max_connections_seen}",
+        f"client connections at most: {clients.peak_connections}",
         f"engine connections: {engines.open_count}",
-        f"engine connections at most: {engines.max_open_count}",
+        f"engine connections at most: {engines.peak_open_count}",
         f"engines listed: {len(service.engines_by_id)}",
         f"attempts in flight: {service.attempts.in_flight_count}",
         f"queries open: {len(service.adapter.open_queries)}",
@@ -31,7 +31,7 @@
 
 
 def _account_lines(connection_admission):
-    """The client accounts with most connections."""
+    """Yields a line for each of the client accounts with most connections."""
     for client in connection_admission.largest_clients(LARGEST_ACCOUNTS):
         known = " (known)" if client.is_known else ""
         held = f"{client.connections} connections, {client.queries} queries, {client.held_bytes} bytes"
@@ -39,4 +39,5 @@
 
 
 def _peak_memory_mb():
+    # ru_maxrss is in KB.
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
--- a/lichenquay/gateway/statement.py
+++ b/lichenquay/gateway/statement.py
@@ -1,7 +1,7 @@
-"""Which group of tables a statement reads or writes (the operators' PROTOCOL): a lexer, free of I/O.
+"""Finds the group of tables that a statement reads or writes, as PROTOCOL defines it, with a small lexer.
 
-An edge module. The group is the number behind the underscore in a schema's name: 17 in `sales_17.orders`.
-Names in strings and comments, quoted names that are no schemas, and the schema `staging` do not count.
+Performs no I/O. The group is the number after the underscore in a schema name: 17 in `sales_17.orders`. Names
+in strings and comments, quoted names that are not schemas, and the schema `staging` are ignored.
 """
 
 import re
@@ -33,7 +33,7 @@
 
 
 class DottedName(NamedTuple):
-    """A name of several parts, and whether it is where a table is named."""
+    """A name of several parts, and whether it is at a position where a table is named."""
 
     parts: list[str]
     is_table: bool
@@ -43,9 +43,9 @@
 
 
 def tokens(text: str) -> Iterator[tuple[str, bool, bool]]:
-    """(text, is_name, is_quoted) of each token that counts: a name, or a mark.
+    """Yields (text, is_name, is_quoted) for each token that is a name or a punctuation mark.
 
-    Plain tuples: a long statement has thousands of tokens, and each query's is read.
+    The tuples are plain for speed: a long statement has thousands of tokens, and that of each query is read.
     """
     position = 0
     while position < len(text):
@@ -67,7 +67,7 @@
 
 
 def _comment_end(text, position):
-    """Behind the comment that was opened; block comments nest. None: it is not closed."""
+    """Returns the end of the block comment opened before `position`, None if it has none; comments nest."""
     depth = 1
     while depth:
         mark = COMMENT_MARK.search(text, position)
@@ -79,13 +79,13 @@
 
 
 def dotted_names(text: str) -> Iterator[DottedName]:
-    """The names of several parts in a statement."""
+    """Yields the names of several parts in a statement."""
     expects_table = False
-    in_call = False  # in the parentheses of a function call
+    in_call = False  # within the parentheses of a function call
     after_name = False
     after_dot = False
     parts = []
-    outer = []  # (expects_table, in_call) around each open parenthesis
+    outer = []  # (expects_table, in_call) outside of each open parenthesis
     for token, is_name, is_quoted in chain(tokens(text), [END]):
         if is_name and after_dot:
             parts.append(token)
@@ -119,8 +119,8 @@
 
 
 def table_group_of(text: str) -> str | None:
-    """The number of the group of tables, as text; None where the statement names none."""
-    fallback = None  # a name that may be a column's
+    """Returns the number of the statement's table group, as text; None if it names none."""
+    fallback = None  # from a name that may be that of a column
     for name in dotted_names(text):
         is_schema_next_to_last = name.is_table or len(name.parts) == 2
         schema = name.parts[-2] if is_schema_next_to_last else name.parts[-3]
--- a/lichenquay/gateway/stream_numbers.py
+++ b/lichenquay/gateway/stream_numbers.py
@@ -1,22 +1,22 @@
-"""The stream numbers that a client has used on its connection."""
+"""Tracks the stream numbers that a client has used on its connection."""
 
 from lichenquay.gateway.frames import FrameError
 
-MAX_SKIPPED_STREAMS = 4096  # numbers kept above the first that was left out
+MAX_SKIPPED_STREAMS = 4096  # numbers stored individually, above the first skipped one
 
 
 class StreamNumbers:
-    """All numbers up to one, and some above: clients count up, and may leave some out."""
+    """The used numbers: all up to one number, and individual ones above it, as clients may skip numbers."""
 
     __slots__ = ("_above", "_all_up_to")
 
     def __init__(self):
-        """None is used; 0 is the connection's own."""
+        """Starts without used numbers, except 0, which stands for the connection."""
         self._all_up_to = 0
         self._above: set[int] = set()
 
     def claim(self, stream: int) -> None:
-        """Marks a number as used. Errors: FrameError, where it was used before or too many were left out."""
+        """Marks a number as used. Errors: FrameError, if it was used before or too many were skipped."""
         if stream <= self._all_up_to or stream in self._above:
             raise FrameError(f"stream {stream} is not new")
         self._above.add(stream)
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""The gateway in this process between stand-ins and clients, which check the rules at every step."""
+"""A gateway in this process with stand-ins for engines, discovery and clients, which check its rules."""
 
 import json
 import time
@@ -62,20 +62,21 @@
     },
 }
 STATEMENT = b"select id, n, 'from x_9.t' from sales_17.orders -- y_3.z"
-BROKEN_RULES = []  # those seen broken: what fails inside the reactor fails no test by itself
+BROKEN_RULES = []  # violations found so far: an exception inside the reactor would not fail the test
 RESULT = b"".join(PAGES)
 TENANT = "acme"
-SENT_AFTER_DRAIN_S = 0.3  # an attempt so long after its engine's drain was announced breaks a rule
+MAX_SEND_AFTER_DRAIN_S = 0.3  # an attempt that arrives this long after its engine's drain breaks a rule
 
 
 class StandInClient(Protocol):
     """One client's connection.
 
-    answers: (code, body, Unix time) by stream. notices: other frames, as (type, stream, payload).
+    answers: (code, body, Unix time) by stream.
+    notices: frames other than answers, as (type, stream, payload).
     """
 
     def __init__(self):
-        """Nothing was asked yet."""
+        """Starts without answers and notices."""
         self.reader = frames.FrameReader()
         self.answers = {}
         self.notices = []
@@ -83,7 +84,7 @@
         self.last_stream = 0
 
     def dataReceived(self, data):
-        """Answers and notices; a second answer to one request breaks a rule."""
+        """Records answers and notices; a second answer to a request breaks rule 1."""
         for frame in self.reader.feed(data):
             if frame.type != frames.FrameType.ANSWER:
                 self.notices.append((frame.type, frame.stream, bytes(frame.payload)))
@@ -94,14 +95,17 @@
             self.answers[frame.stream] = (frame.payload[0], bytes(body), time.time())
 
     def connectionLost(self, reason):
-        """The gateway has closed it."""
+        """Records that the connection was closed."""
         self.is_closed = True
 
     def ask(self, group="status", ref=None, allow=2000, statement=STATEMENT, **fields):
-        """Sends a request; `fields` by their names on the wire, None leaves one out. Returns its stream."""
+        """Sends a request and returns its stream.
+
+        fields: by wire name; None omits a field, and `twice` repeats the field `ref`.
+        """
         self.last_stream += 1
         ref = ref or f"{id(self) % 2**32:08x}{self.last_stream:08x}"
-        repeats_a_field = fields.pop("twice", False)
+        has_repeated_field = fields.pop("twice", False)
         values = {
             "service": group,
             "ref": ref,
@@ -112,7 +116,7 @@
             **fields,
         }
         pairs = [(name, value) for name, value in values.items() if value is not None]
-        if repeats_a_field:
+        if has_repeated_field:
             pairs.append(("ref", ref))
         payload = frames.encode_fields(pairs)
         self.transport.write(
@@ -122,7 +126,7 @@
 
 
 def reactor_for(world):
-    """The reactor as a service sees it: one that ends with its world, not with the tests."""
+    """Returns the reactor for a service, whose `stop` ends the world instead of the tests' reactor."""
     until(lambda: True)
     return SimpleNamespace(
         callLater=reactor.callLater,
@@ -137,14 +141,15 @@
 
 
 class World:
-    """Engines, a discovery service and the gateway between them and the clients, all in this process.
+    """Engines, a discovery service, clients and the gateway between them, all in this process.
 
-    in_flight: request ids of attempts that run. may_have_run: the engine by request id. drained: since when,
-    in seconds, an engine's drain is announced.
+    in_flight: request ids of attempts that are running.
+    may_have_run: the engine of each attempt that may have run, by request id.
+    drained: when an engine's drain was announced, in seconds, by engine.
     """
 
     def __init__(self, tmp_path, engines=2, sockets=200, start=True):
-        """With a configuration file; `sockets`: the gateway's limit."""
+        """Writes the configuration, with `sockets` as descriptor limit, and if `start` starts the gateway."""
         self.in_flight = set()
         self.may_have_run = {}
         self.drained = {}
@@ -177,25 +182,25 @@
         self.port = self.service.clients.listener.port.getHost().port
 
     def end(self):
-        """The gateway has ended."""
+        """Records that the gateway has ended."""
         self.ended = True
 
     def on_attempt(self, engine, headers, behaviour):
-        """An attempt came whole to an engine: rules 2 and 3 are checked."""
+        """Checks rules 2 and 3 for an attempt that has arrived at an engine."""
         request_id = headers["X-Hop-Id"]
         if request_id in self.in_flight:
             BROKEN_RULES.append("rule 2: two attempts in flight")
         if headers["X-Sort"] == "manifest" and request_id in self.may_have_run:
             BROKEN_RULES.append("rule 2: non-idempotent query run again")
         now_s = time.monotonic()
-        if self.drained.get(engine, now_s) < now_s - SENT_AFTER_DRAIN_S:
+        if self.drained.get(engine, now_s) < now_s - MAX_SEND_AFTER_DRAIN_S:
             BROKEN_RULES.append("rule 3: sent after a drain was announced")
         if behaviour != "full":
             self.may_have_run[request_id] = engine
         self.in_flight.add(request_id)
 
     def client(self):
-        """A new client's connection."""
+        """Opens and returns a client's connection."""
         connected = []
         creator = ClientCreator(reactor, StandInClient)
         creator.connectTCP("127.0.0.1", self.port).addCallback(connected.append)
@@ -204,7 +209,7 @@
         return connected[0]
 
     def hold(self):
-        """A report that its engine does not finish: its client, its stream, its engine."""
+        """Sends a report query that its engine does not finish; returns its client, stream and engine."""
         client = self.client()
         behaviours = ["hold"]
         for engine in self.engines:
@@ -214,11 +219,11 @@
         return client, stream, next(engine for engine in self.engines if engine.posts)
 
     def posts(self):
-        """How many attempts came to engines."""
+        """Returns how many attempts have arrived at the engines."""
         return sum(len(engine.posts) for engine in self.engines)
 
     def announce(self, engine, state):
-        """The discovery service announces an engine's state, by its name on the wire."""
+        """Announces an engine's state, by its wire name, through the discovery service."""
         if state == "SERVING":
             self.drained.pop(engine, None)
         else:
@@ -226,7 +231,7 @@
         self.discovery.add_event(engine.row(state))
 
     def close(self):
-        """Ends all of it; fails where a rule was broken."""
+        """Closes all connections and ports; fails if a rule was broken."""
         for client in self.clients:
             client.transport.abortConnection()
         if hasattr(self, "service"):
@@ -244,7 +249,7 @@
 
 
 def start_with_settings(make_world, settings, **options):
-    """A world whose gateway has these deployment settings, and its endpoint list confirmed."""
+    """Returns a world whose gateway has these deployment settings and a confirmed endpoint list."""
     world = make_world(start=False, **options)
     world.path.write_text(json.dumps({**world.config, "settings": settings}))
     world.start()
@@ -253,6 +258,6 @@
 
 
 def answered(client, stream, timeout_s=5.0):
-    """Waits for the answer to a request: its code and body."""
+    """Waits for the answer to a request; returns its code and body."""
     until(lambda: stream in client.answers, timeout_s)
     return client.answers[stream][:2]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins for engines and the discovery service on loopback, and the reactor's turns in a test."""
+"""Stand-ins for engines and the discovery service on loopback, and functions to run the reactor in a test."""
 
 import json
 import time
@@ -6,8 +6,8 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
 
-# Replies that cannot be used, by the behaviour of the engine that makes them.
-SPOILT_REPLIES = {
+# Replies that are invalid, truncated or answer another call, by the behaviour of the engine that sends them.
+UNUSABLE_REPLIES = {
     "garbled": b"no answer at all\r\n\r\n",
     "short": b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Length: 7\r\n\r\n1\ta\tb\n2\tc",
     "endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Odd: 1\r\n" * 3000,
@@ -19,46 +19,46 @@
     "waits": b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Length: 7\r\n\r\n1\ta",
 }
 PAGES = [b"1\ta\tb\n2\tc\td\n", b"3\te\tf\n", b"4\t\xc3\xa9\t\n"]
-TURN_S = 0.01  # at most, of the reactor
+MAX_TURN_S = 0.01  # of the reactor
 
 
 def until(is_done, timeout_s=5.0):
-    """Runs the reactor until something is so, in time."""
+    """Runs the reactor until `is_done` returns true; fails after `timeout_s`."""
     if not reactor.running:
         reactor.startRunning(installSignalHandlers=False)
     deadline_s = time.monotonic() + timeout_s
     while not is_done():
-        assert time.monotonic() < deadline_s, "it did not happen in time"
-        reactor.iterate(TURN_S)
+        assert time.monotonic() < deadline_s, f"the condition did not hold within {timeout_s} s"
+        reactor.iterate(MAX_TURN_S)
 
 
 def wait(seconds):
-    """Runs the reactor for so long."""
+    """Runs the reactor for this long."""
     end_s = time.monotonic() + seconds
     until(lambda: time.monotonic() >= end_s, seconds + 1)
 
 
 class HttpConnection(Protocol):
-    """One connection to a stand-in: its owner's `on_request` gets each whole request."""
+    """One connection to a stand-in; calls its owner's `on_request` with each complete request."""
 
     def __init__(self, owner):
-        """`owner`: the stand-in."""
+        """Creates a connection to the stand-in `owner`."""
         self.owner = owner
         self.buffer = b""
 
     def connectionMade(self):
-        """It is up; the owner may close it at once."""
+        """Registers the connection; aborts it if the owner closes connections at once."""
         self.owner.connections.add(self)
         self.owner.connection_count += 1
         if self.owner.closes_at_once:
             self.transport.abortConnection()
 
     def connectionLost(self, reason):
-        """It has ended."""
+        """Removes the connection from its owner."""
         self.owner.connections.discard(self)
 
     def dataReceived(self, data):
-        """Requests, cut anywhere."""
+        """Passes on the requests that the data completes."""
         self.buffer += data
         while b"\r\n\r\n" in self.buffer:
             head, _, rest = self.buffer.partition(b"\r\n\r\n")
@@ -72,7 +72,7 @@
             self.owner.on_request(self, verb, path, headers, rest[:size])
 
     def answer(self, status, headers=(), body=b""):
-        """Writes a reply."""
+        """Writes a reply; a 204 has no Content-Length."""
         lines = [f"HTTP/1.1 {status} X"] + [f"{name}: {value}" for name, value in headers]
         if status != 204:
             lines.append(f"Content-Length: {len(body)}")
@@ -80,12 +80,12 @@
 
 
 class StandIn(Factory):
-    """Something that listens and speaks HTTP. `closes_at_once`: each connection, once it is up."""
+    """An HTTP server on loopback. closes_at_once: it aborts each connection once it is established."""
 
     noisy = False
 
     def __init__(self):
-        """Listens on a port of its own."""
+        """Listens on a free port."""
         self.connections = set()
         self.connection_count = 0
         self.closes_at_once = False
@@ -94,19 +94,21 @@
         self.address = f"127.0.0.1:{self.port.getHost().port}"
 
     def buildProtocol(self, address):
-        """A connection to it."""
+        """Returns the protocol of a new connection."""
         return HttpConnection(self)
 
 
 class StandInEngine(StandIn):
-    """An engine. `behaviours` says, attempt after attempt, what it does; then it answers in full.
+    """An engine.
 
-    running: the behaviour of each query that it has, by request id. is_silent: what comes is dropped.
-    is_paused: what comes is kept in `paused_requests`.
+    behaviours: what it does with the next attempts, in order; it answers all further ones completely.
+    running: the current behaviour for each query that it knows, by request id.
+    is_silent: it drops all requests.
+    is_paused: it keeps all requests in `paused_requests`.
     """
 
     def __init__(self, world, uid):
-        """`world`: its `on_attempt` gets each attempt; `uid`: its name in the endpoint list."""
+        """Creates an engine with this uid, which reports each attempt to `world.on_attempt`."""
         super().__init__()
         self.world = world
         self.uid = uid
@@ -120,7 +122,7 @@
         self.paused_requests = []
 
     def on_request(self, connection, verb, path, headers, body):
-        """A whole request came."""
+        """Handles a complete request."""
         if self.is_silent:
             return
         if self.is_paused:
@@ -132,7 +134,7 @@
         request_id, _, page = path[len("/o/") :].partition("/")
         if verb == "DELETE":
             self.cancelled.append(request_id)
-            if self.running.pop(request_id, None):  # what it has not read yet it cannot cancel
+            if self.running.pop(request_id, None):  # an attempt that is not read yet cannot be cancelled
                 self.world.in_flight.discard(request_id)
             connection.answer(204)
         elif verb == "PUT":
@@ -156,16 +158,16 @@
             self.start(connection, request_id, behaviour)
 
     def _leave_unread(self, connection, request_id, behaviour):
-        """It has come whole, and is read only later."""
+        """Leaves a POST that has arrived complete unread for a while."""
         read_after_s = 0.4
         if "cut" in behaviour:
             read_after_s = 0.02
         elif "copy" in behaviour:
             read_after_s = 0.25
         reactor.callLater(read_after_s, self._read, connection, request_id)
-        if "cut" in behaviour:  # its connection ends at once
+        if "cut" in behaviour:  # the connection is closed at once
             connection.transport.abortConnection()
-        if "copy" in behaviour:  # a late copy of what was answered to another
+        if "copy" in behaviour:  # a late duplicate of a reply to another call
             connection.answer(204)
 
     def _read(self, connection, request_id):
@@ -182,12 +184,12 @@
             self.start(connection, request_id, self.running[request_id])
 
     def pause(self, seconds):
-        """It reads nothing for so long."""
+        """Reads nothing for this long."""
         self.is_paused = True
         reactor.callLater(seconds, self.resume)
 
     def resume(self):
-        """It reads what has come meanwhile, the newest first."""
+        """Reads the requests that have arrived during a pause, newest first."""
         self.is_paused = False
         paused_requests = self.paused_requests[::-1]
         self.paused_requests = []
@@ -195,13 +197,13 @@
             self.on_request(*request)
 
     def start(self, connection, request_id, behaviour):
-        """Answers the first call, or a poll."""
-        if behaviour == "slow":  # it runs for 0.1 s; polls that wait are answered then
+        """Answers the first call or a poll."""
+        if behaviour == "slow":  # runs for 0.1 s
             self.running[request_id] = "slower"
             reactor.callLater(0.1, self._finish_slow, request_id)
         if behaviour in ("slow", "slower"):
             reactor.callLater(0.03, connection.answer, 202)
-        elif behaviour == "later":  # not yet, for 0.05 s; then a poll brings its end
+        elif behaviour == "later":  # the first call gets 202 after 0.05 s, the next poll the result
             self.running[request_id] = "ok"
             reactor.callLater(0.05, connection.answer, 202)
         elif behaviour == "copied late":
@@ -212,22 +214,22 @@
         elif behaviour in ("error", "odd"):
             self.world.in_flight.discard(request_id)
             connection.answer(500 if behaviour == "error" else 418)
-        elif behaviour == "reset":  # it was not read, for all that anyone can tell
+        elif behaviour == "reset":  # the engine does not know the query afterwards
             self.world.in_flight.discard(request_id)
             self.running.pop(request_id)
             connection.transport.abortConnection()
-        elif behaviour in SPOILT_REPLIES:  # once: a good answer, spoilt on its way
+        elif behaviour in UNUSABLE_REPLIES:  # once; the repeated reply is valid
             self.running[request_id] = "ok"
-            connection.transport.write(SPOILT_REPLIES[behaviour])
+            connection.transport.write(UNUSABLE_REPLIES[behaviour])
         elif behaviour == "noise":
             connection.transport.write(b"no answer at all\r\n\r\n")
         elif behaviour == "hold":
             progress = [("X-Tell", "share"), ("X-Amount", "0.5")]
             reactor.callLater(0.05, connection.answer, 202, progress)
-        elif behaviour in ("drop", "drop post"):  # once: the answer breaks off
+        elif behaviour in ("drop", "drop post"):  # once: the connection is aborted before the reply
             self.running[request_id] = "ok"
             connection.transport.abortConnection()
-        elif behaviour == "silent":  # once: the answer never comes
+        elif behaviour == "silent":  # once: there is no reply
             self.running[request_id] = "ok"
         else:
             self._answer_in_full(connection, request_id, behaviour)
@@ -237,22 +239,22 @@
             self.running[request_id] = "ok"
 
     def _answer_with_late_copy(self, connection, request_id):
-        """Its own rows; a copy of the answer follows after a connection was idle for long enough."""
+        """Answers with its own rows, and again when the connection may be in use for another query."""
         self.world.in_flight.discard(request_id)
         self.running[request_id] = "ok"
         headers = [("X-Parts", 1), ("X-Cpu-Ms", "3.5"), ("X-Mem-Used", "8")]
         rows = request_id.encode() + b"\tx\ty\n"
 
-        def copy():
+        def repeat_answer():
             if connection.transport.connected:
                 connection.answer(200, headers, rows)
 
-        reactor.callLater(0.065, copy)
+        reactor.callLater(0.065, repeat_answer)
         connection.answer(200, headers, rows)
 
     def _answer_in_full(self, connection, request_id, behaviour):
         self.world.in_flight.discard(request_id)
-        if behaviour == "more":  # a good answer, with more than belongs to it
+        if behaviour == "more":  # a valid answer between an interim reply and trailing bytes
             connection.transport.write(b"HTTP/1.1 102 Processing\r\n\r\n")
         headers = [
             ("X-Parts", len(PAGES)),
@@ -265,7 +267,7 @@
             connection.answer(200, [("X-Parts", 1)], b"9\tx\ty\n")
 
     def page(self, connection, request_id, number):
-        """Answers the call for a page."""
+        """Answers a call for a page."""
         behaviour = self.running[request_id]
         if behaviour == "lost page":
             connection.answer(500)
@@ -274,14 +276,14 @@
             self.running[request_id] = "ok"
             connection.transport.abortConnection()
             return
-        if behaviour == "copies" and connection.transport.connected:  # a copy follows a moment later
+        if behaviour == "copies" and connection.transport.connected:  # an unexpected reply follows
             reactor.callLater(0.005, connection.answer, 200, [("X-Parts", 1)], b"9\tx\ty\n")
-        said_number = number + 1 if behaviour == "wrong page" else number
+        reported_number = number + 1 if behaviour == "wrong page" else number
         body = PAGES[number] * (9000 if behaviour == "long" else 1)
-        connection.answer(200, [("X-Part-No", said_number)], body)
+        connection.answer(200, [("X-Part-No", reported_number)], body)
 
     def row(self, state="SERVING"):
-        """What the endpoint list says of it."""
+        """Returns the engine's record in the endpoint list."""
         return {
             "uid": self.uid,
             "endpoint": self.address,
@@ -294,17 +296,17 @@
         }
 
     def stop(self):
-        """Its process ends: connections are reset, new ones refused."""
+        """Ends the engine's process: resets its connections and refuses new ones."""
         for connection in list(self.connections):
             connection.transport.abortConnection()
         return self.port.stopListening()
 
 
 class StandInDiscovery(StandIn):
-    """A discovery service. `raw_answer`: what it answers to each poll at once, in place of its events."""
+    """A discovery service. raw_answer: the answer to each poll, sent at once, in place of its events."""
 
     def __init__(self):
-        """Without events."""
+        """Starts without events."""
         super().__init__()
         self.events = []
         self.waiting_polls = []  # (connection, after)
@@ -312,7 +314,7 @@
         self.polls = 0
 
     def on_request(self, connection, verb, path, headers, body):
-        """A poll."""
+        """Answers a poll, at once if there are newer events, else when there is one or the wait is over."""
         self.polls += 1
         after, wait_ms = (int(field.partition("=")[2]) for field in path.partition("?")[2].split("&"))
         if self.is_silent:
@@ -331,11 +333,11 @@
             connection.answer(200, (), self.events_after(after))
 
     def events_after(self, after):
-        """The answer to a poll for the events after a number."""
+        """Returns the answer to a poll for the events after a number."""
         return json.dumps({"no": len(self.events), "items": self.events[after:]}).encode()
 
     def add_event(self, *rows, whole=False):
-        """An event with these rows of the endpoint list, or with the whole list; polls that wait get it."""
+        """Adds an event with these records, or with the complete list (`whole`); answers waiting polls."""
         number = len(self.events) + 1
         self.events.append({"no": number, "roster": {"rev": number, "all": whole, "targets": list(rows)}})
         waiting_polls = self.waiting_polls
