--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -1,7 +1,4 @@
-"""What may be concluded of an attempt.
-
-The state machine alone, against a model of the engine's side that keeps the truth.
-"""
+"""When an attempt counts as over: the state machine alone, and against a model of the engine."""
 
 import random
 
@@ -11,290 +8,300 @@
 
 from lichenquay.gateway.attempt_lifecycle import AttemptLifecycle, AttemptState, Proof
 
-# The state machine alone.
+# The state machine alone
 
 
-def sent(at=100.0):
-    """The lifecycle of an attempt whose POST was written at this time."""
-    life = AttemptLifecycle()
-    life.post_written(at)
-    return life
+def sent_lifecycle(posted_ms=100.0):
+    """Returns the lifecycle of an attempt whose POST was written at this time."""
+    lifecycle = AttemptLifecycle()
+    lifecycle.on_post_written(posted_ms)
+    return lifecycle
 
 
 def test_an_attempt_is_unsent_until_its_post_is_written():
-    """Whatever else happens."""
-    life = AttemptLifecycle()
-    assert not life.may_run and not life.time_passed(1e9)
-    life.connection_closed_by_engine(1.0)
-    life.acknowledged(1.0)
+    """Other events change nothing before that."""
+    lifecycle = AttemptLifecycle()
+    assert not lifecycle.may_run and not lifecycle.on_time_passed(1e9)
+    lifecycle.on_connection_closed_by_engine(1.0)
+    lifecycle.on_acknowledged(1.0)
     assert (
-        not life.unknown_reported(5.0, 6.0)
-        and not life.connection_refused(7.0, False)
-        and not life.connection_refused(99.0, False)
+        not lifecycle.on_unknown_reported(5.0, 6.0)
+        and not lifecycle.on_connection_refused(7.0, False)
+        and not lifecycle.on_connection_refused(99.0, False)
     )
-    assert life.state == AttemptState.UNSENT
+    assert lifecycle.state == AttemptState.UNSENT
 
 
 def test_unknown_is_no_proof_soon_after_the_post():
-    """It counts `READ_DELAY_MS` after the POST, and twice."""
-    life = sent()
-    for at in range(110, 590, 60):
-        assert not life.unknown_reported(at, at + 1.0) and life.may_run
+    """It counts `MAX_READ_DELAY_MS` after the POST, and only if it is reported twice."""
+    lifecycle = sent_lifecycle()
+    for written_ms in range(110, 590, 60):
+        assert not lifecycle.on_unknown_reported(written_ms, written_ms + 1.0) and lifecycle.may_run
     assert (
-        not life.unknown_reported(601.0, 602.0)
-        and not life.unknown_reported(603.0, 640.0)
-        and not life.unknown_reported(610.0, 630.0)
+        not lifecycle.on_unknown_reported(601.0, 602.0)
+        and not lifecycle.on_unknown_reported(603.0, 640.0)
+        and not lifecycle.on_unknown_reported(610.0, 630.0)
     )
-    assert life.unknown_reported(650.0, 651.0) and life.proof == Proof.UNKNOWN_LONG_AFTER_POST
+    assert lifecycle.on_unknown_reported(650.0, 651.0) and lifecycle.proof == Proof.UNKNOWN_LONG_AFTER_POST
 
 
 def test_unknown_proves_the_end_twice_after_a_disconnect():
-    """Only to calls that were written later; one read may have answered two calls."""
-    life = sent()
-    life.connection_closed_by_engine(150.0)
-    assert not life.unknown_reported(149.0, 200.0) and not life.unknown_reported(151.0, 160.0)
-    assert not life.unknown_reported(
-        155.0, 300.0
-    )  # it was out when the first came: one look may have answered both
-    assert life.unknown_reported(205.0, 206.0) and life.proof == Proof.UNKNOWN_AFTER_DISCONNECT
+    """Both calls must be written after the disconnect, and the second one after the first reply."""
+    lifecycle = sent_lifecycle()
+    lifecycle.on_connection_closed_by_engine(150.0)
+    assert not lifecycle.on_unknown_reported(149.0, 200.0) and not lifecycle.on_unknown_reported(151.0, 160.0)
+    # This call was written before the first reply came, so that one read may have answered both.
+    assert not lifecycle.on_unknown_reported(155.0, 300.0)
+    assert lifecycle.on_unknown_reported(205.0, 206.0) and lifecycle.proof == Proof.UNKNOWN_AFTER_DISCONNECT
 
 
 def test_unknown_proves_the_end_of_an_acknowledged_attempt_at_once():
-    """To a call written since, unless it may be another engine's reply."""
-    life = sent()
-    life.acknowledged(150.0)
-    assert not life.unknown_reported(140.0, 160.0) and life.unknown_reported(150.0, 161.0)
-    life = sent()
-    life.acknowledged(150.0)
-    assert not life.unknown_reported(160.0, 161.0, may_be_other_engine=True)  # perhaps a stranger's word
-    life.connection_closed_by_engine(170.0)  # the connection on which it was known
-    assert not life.unknown_reported(171.0, 172.0, may_be_other_engine=True) and life.unknown_reported(
-        222.0, 223.0, may_be_other_engine=True
-    )
+    """The call must be written after the acknowledgement, and the reply must be this engine's."""
+    lifecycle = sent_lifecycle()
+    lifecycle.on_acknowledged(150.0)
+    assert not lifecycle.on_unknown_reported(140.0, 160.0) and lifecycle.on_unknown_reported(150.0, 161.0)
+    lifecycle = sent_lifecycle()
+    lifecycle.on_acknowledged(150.0)
+    assert not lifecycle.on_unknown_reported(160.0, 161.0, may_be_other_engine=True)
+    lifecycle.on_connection_closed_by_engine(170.0)  # the connection of the acknowledgement
+    assert not lifecycle.on_unknown_reported(
+        171.0, 172.0, may_be_other_engine=True
+    ) and lifecycle.on_unknown_reported(222.0, 223.0, may_be_other_engine=True)
 
 
 def test_two_refusals_prove_that_the_process_is_gone():
-    """Where no connection to it is open, and nothing replied between them."""
-    life = sent()
+    """Only if no connection to the process is open, and nothing replied between them."""
+    lifecycle = sent_lifecycle()
     assert (
-        not life.connection_refused(200.0, True)
-        and not life.connection_refused(260.0, False)
-        and not life.connection_refused(290.0, False)
+        not lifecycle.on_connection_refused(200.0, True)
+        and not lifecycle.on_connection_refused(260.0, False)
+        and not lifecycle.on_connection_refused(290.0, False)
     )
-    life.engine_replied()
+    lifecycle.on_engine_replied()
     assert (
-        not life.connection_refused(400.0, False)
-        and not life.connection_refused(420.0, False)
-        and life.connection_refused(450.0, False)
+        not lifecycle.on_connection_refused(400.0, False)
+        and not lifecycle.on_connection_refused(420.0, False)
+        and lifecycle.on_connection_refused(450.0, False)
     )
-    assert life.proof == Proof.PROCESS_GONE and not life.may_run
+    assert lifecycle.proof == Proof.PROCESS_GONE and not lifecycle.may_run
 
 
 def test_an_attempt_is_forgotten_after_the_last_call_that_may_have_reached_it():
-    """A call that was answered by another engine did not reach it."""
-    life = sent()
-    life.poll_written(1000.0)
-    assert not life.time_passed(3499.0)
-    assert not life.unknown_reported(1000.0, 1010.0, may_be_other_engine=True)  # that call kept nobody at it
-    assert life.time_passed(2601.0) and life.proof == Proof.FORGOTTEN
+    """A call that may have been answered by another engine does not count."""
+    lifecycle = sent_lifecycle()
+    lifecycle.on_poll_written(1000.0)
+    assert not lifecycle.on_time_passed(3499.0)
+    assert not lifecycle.on_unknown_reported(1000.0, 1010.0, may_be_other_engine=True)
+    assert lifecycle.on_time_passed(2601.0) and lifecycle.proof == Proof.FORGOTTEN
 
 
 def test_an_end_that_was_reported_is_final():
-    """What comes later changes nothing."""
-    life = sent()
-    life.end_reported()
-    life.acknowledged(120.0)
-    life.connection_closed_by_engine(130.0)
+    """Later events change nothing."""
+    lifecycle = sent_lifecycle()
+    lifecycle.on_end_reported()
+    lifecycle.on_acknowledged(120.0)
+    lifecycle.on_connection_closed_by_engine(130.0)
     assert (
-        life.state == AttemptState.OVER
-        and life.unknown_reported(1.0, 2.0)
-        and life.proof == Proof.END_REPORTED
+        lifecycle.state == AttemptState.OVER
+        and lifecycle.on_unknown_reported(1.0, 2.0)
+        and lifecycle.proof == Proof.END_REPORTED
     )
 
 
-# Against a model of the engine's side.
+# Against a model of the engine
+
 
+class EngineModel:
+    """The true state of one attempt at its engine; times in ms.
 
-class EngineSide:
-    """The truth of one attempt: a process that reads what its connections hold when it is awake, a call on
-    a connection of its own after `hold` at the latest, in any order within a look of 40 ms; times in ms."""
+    While it is awake, the engine process reads what its connections hold at intervals of up to 40 ms, in
+    any order of the connections. The connection of the POST may be read later than others.
+    """
 
-    def __init__(self, chance):
-        """A live process; `chance` draws its delays."""
-        self.chance, self.now, self.wakes_ms = chance, 1e6, 0.0
-        self.process, self.door = True, True  # it lives; it takes connections
-        self.stranger = False  # another one has its address
-        self.post = None  # when it will be read: None: nothing is there
-        self.running, self.kept_ms = False, 0.0
+    def __init__(self, rng):
+        """Starts with a live process; `rng` draws the delays."""
+        self.rng, self.now_ms, self.awake_from_ms = rng, 1e6, 0.0
+        self.is_process_alive, self.accepts_connections = True, True
+        self.is_address_reused = False  # another engine has the address
+        self.post_read_ms = None  # when the POST will be read; None: no unread POST
+        self.is_running, self.last_poll_read_ms = False, 0.0
 
-    def reads(self, at):
-        """When what came at `at` is read."""
-        return max(at, self.wakes_ms) + self.chance.uniform(0.0, 40.0)
+    def read_time_ms(self, arrived_ms):
+        """Returns when data that arrived at this time is read."""
+        return max(arrived_ms, self.awake_from_ms) + self.rng.uniform(0.0, 40.0)
 
-    def sent(self, hold, lost):
-        """A POST is on its way, read after `hold` at the latest, or lost."""
-        self.post = None if lost else self.reads(self.now + hold)
+    def send_post(self, read_delay_ms, is_lost):
+        """Sends the POST, which is lost, or read after this delay and the time of a read."""
+        self.post_read_ms = None if is_lost else self.read_time_ms(self.now_ms + read_delay_ms)
 
-    def cut(self):
-        """Its POST's connection is no more: what is there is read with the next look."""
-        if self.post is not None:
-            self.post = min(self.post, self.reads(self.now))
+    def close_post_connection(self):
+        """Closes the connection of the POST: an unread POST is read with the next read."""
+        if self.post_read_ms is not None:
+            self.post_read_ms = min(self.post_read_ms, self.read_time_ms(self.now_ms))
 
-    def pass_time(self, until):
-        """The time is `until`: what was to be read by then is."""
-        self.now = until
-        if self.post is not None and self.process and self.post <= until:
-            self.running, self.kept_ms, self.post = True, self.post, None
-        if self.running and until > self.kept_ms + 2000.0 and until >= self.wakes_ms:
-            self.running = False
+    def advance_to(self, now_ms):
+        """Sets the time: reads a POST that is due, and drops a query that was not polled for 2 s."""
+        self.now_ms = now_ms
+        if self.post_read_ms is not None and self.is_process_alive and self.post_read_ms <= now_ms:
+            self.is_running, self.last_poll_read_ms, self.post_read_ms = True, self.post_read_ms, None
+        if self.is_running and now_ms > self.last_poll_read_ms + 2000.0 and now_ms >= self.awake_from_ms:
+            self.is_running = False
 
-    def die(self):
-        """The process ends."""
-        self.process = self.door = self.running = False
-        self.post = None
+    def terminate(self):
+        """Ends the process, and with it the attempt."""
+        self.is_process_alive = self.accepts_connections = self.is_running = False
+        self.post_read_ms = None
 
     @property
-    def out(self):
-        """Whether the attempt runs, or may come to run."""
-        return self.running or self.post is not None
+    def may_run(self):
+        """Whether the attempt runs or may start to run."""
+        return self.is_running or self.post_read_ms is not None
 
 
-class Conclusions(RuleBasedStateMachine):
-    """Orders of delivery drawn at will: nothing may be concluded that the engine's side contradicts."""
+class LifecycleMachine(RuleBasedStateMachine):
+    """Random orders of events: the lifecycle must never conclude what the model contradicts."""
 
     @initialize(
-        seed=st.integers(0, 2**32), hold=st.sampled_from([0.0, 50.0, 250.0, 400.0]), lost=st.booleans()
+        seed=st.integers(0, 2**32),
+        read_delay_ms=st.sampled_from([0.0, 50.0, 250.0, 400.0]),
+        is_lost=st.booleans(),
     )
-    def begin(self, seed, hold, lost):
-        """A POST was written."""
-        self.side, self.life = EngineSide(random.Random(seed)), AttemptLifecycle()
-        self.side.pass_time(1e6)
-        self.first = self.own = "open"  # its POST's connection; the one that it was last known on
-        self.own = None
-        self.leaves, self.calls, self.apart = False, [], 0.0
-        self.here = False  # this side ended the one that it was last known on
-        self.life.post_written(self.side.now)
-        self.side.sent(hold, lost)
-
-    def later(self, ms):
-        """So much time passes, on both sides."""
-        self.side.pass_time(self.side.now + ms)
-        if self.life.state != AttemptState.OVER:
-            self.life.time_passed(self.side.now)
+    def begin(self, seed, read_delay_ms, is_lost):
+        """Writes the POST."""
+        self.model, self.lifecycle = EngineModel(random.Random(seed)), AttemptLifecycle()
+        self.model.advance_to(1e6)
+        self.post_connection = "open"
+        self.last_connection = None  # of the last acknowledgement: None, "open" or "closed"
+        self.is_leaving = False  # the engine is draining or removed in the endpoint list
+        self.closed_locally = False  # the gateway closed the connection that it last knew the attempt on
+        self.lifecycle.on_post_written(self.model.now_ms)
+        self.model.send_post(read_delay_ms, is_lost)
+
+    def advance(self, ms):
+        """Lets time pass for the model and the lifecycle."""
+        self.model.advance_to(self.model.now_ms + ms)
+        if self.lifecycle.state != AttemptState.OVER:
+            self.lifecycle.on_time_passed(self.model.now_ms)
 
     @rule(ms=st.sampled_from([1.0, 20.0, 50.0, 120.0, 400.0, 900.0]))
     def time_passes(self, ms):
-        """Nothing else happens."""
-        self.later(ms)
+        """Lets time pass without another event."""
+        self.advance(ms)
 
     @rule(ms=st.floats(1.0, 450.0))
     def engine_pauses(self, ms):
-        """The engine reads nothing for so long."""
-        stream = self.side
-        if stream.process and stream.now >= stream.wakes_ms + 50:
-            stream.wakes_ms = stream.now + ms
-            if stream.post is not None:
-                stream.post = max(stream.post, stream.reads(stream.wakes_ms))
-
-    @rule(peer=st.booleans())
-    def first_connection_breaks(self, peer):
-        """The POST's connection is closed, by the engine (`peer`) or by the gateway."""
-        if self.first == "open":
-            self.first = "gone"
-            self.here = self.here or not peer and self.own is None
-            if peer:
-                self.side.cut()
-                self.life.connection_closed_by_engine(self.side.now)
-            # ended from this side: what is there is read as late as before
-
-    @precondition(lambda self: self.first == "open" and self.life.may_run)
+        """Pauses the engine, which reads nothing for this long."""
+        model = self.model
+        if model.is_process_alive and model.now_ms >= model.awake_from_ms + 50:
+            model.awake_from_ms = model.now_ms + ms
+            if model.post_read_ms is not None:
+                model.post_read_ms = max(model.post_read_ms, model.read_time_ms(model.awake_from_ms))
+
+    @rule(by_engine=st.booleans())
+    def post_connection_closes(self, by_engine):
+        """Closes the connection of the POST, from the engine's or the gateway's side."""
+        if self.post_connection == "open":
+            self.post_connection = "closed"
+            self.closed_locally = self.closed_locally or not by_engine and self.last_connection is None
+            if by_engine:
+                self.model.close_post_connection()
+                self.lifecycle.on_connection_closed_by_engine(self.model.now_ms)
+            # If the gateway closed it, an unread POST is read as late as before.
+
+    @precondition(lambda self: self.post_connection == "open" and self.lifecycle.may_run)
     @rule()
-    def first_call_is_answered(self):
-        """The engine replies to the POST."""
-        if self.side.running and self.side.now >= self.side.wakes_ms:
-            self.first, self.own, self.here = "gone", "open", False
-            self.life.acknowledged(self.side.now)
+    def post_is_answered(self):
+        """Has the engine reply to the POST."""
+        if self.model.is_running and self.model.now_ms >= self.model.awake_from_ms:
+            self.post_connection, self.last_connection, self.closed_locally = "closed", "open", False
+            self.lifecycle.on_acknowledged(self.model.now_ms)
 
-    @precondition(lambda self: self.own == "open")
+    @precondition(lambda self: self.last_connection == "open")
     @rule()
-    def acknowledged_connection_breaks(self):
-        """The engine closes the connection on which it last replied."""
-        self.own = "cut"
-        self.life.connection_closed_by_engine(self.side.now)
-
-    @rule(on_own=st.booleans(), drop=st.booleans(), lost=st.booleans())
-    def asks(self, on_own, drop, lost):
-        """A call for news or a DELETE, answered once the engine reads it; an answer may get lost after it was
-        read."""
-        stream, written = self.side, self.side.now
-        on_own = on_own and self.own == "open"
-        if not drop:
-            self.life.poll_written(written)
-        if not on_own and not stream.door and not stream.stranger:
-            if not drop:
-                self.life.poll_not_written()  # refused: nothing was written
-            return self.refused()
-        stranger = stream.stranger and not on_own
-        if not stranger and not stream.process:
+    def last_connection_closes(self):
+        """Closes, from the engine's side, the connection on which it last replied."""
+        self.last_connection = "closed"
+        self.lifecycle.on_connection_closed_by_engine(self.model.now_ms)
+
+    @rule(on_last_connection=st.booleans(), is_cancel=st.booleans(), is_reply_lost=st.booleans())
+    def call_is_made(self, on_last_connection, is_cancel, is_reply_lost):
+        """Polls or cancels; the engine replies once it has read the call, and the reply may be lost."""
+        model, written_ms = self.model, self.model.now_ms
+        on_last_connection = on_last_connection and self.last_connection == "open"
+        if not is_cancel:
+            self.lifecycle.on_poll_written(written_ms)
+        if not on_last_connection and not model.accepts_connections and not model.is_address_reused:
+            if not is_cancel:
+                self.lifecycle.on_poll_not_written()
+            return self.refuse_connection()
+        is_other_engine = model.is_address_reused and not on_last_connection
+        if not is_other_engine and not model.is_process_alive:
             return
-        at = written if stranger else stream.reads(written)
-        self.later(at - written)
-        knows = stream.running and not stranger
-        if knows and drop:
-            stream.running = False
-        elif knows:
-            stream.kept_ms = stream.now
-        self.later(1.0)
-        if lost:
+        read_ms = written_ms if is_other_engine else model.read_time_ms(written_ms)
+        self.advance(read_ms - written_ms)
+        is_known = model.is_running and not is_other_engine
+        if is_known and is_cancel:
+            model.is_running = False
+        elif is_known:
+            model.last_poll_read_ms = model.now_ms
+        self.advance(1.0)
+        if is_reply_lost:
             return
-        if knows and not drop:
-            self.life.acknowledged(stream.now)
-            self.own, self.here = "open", False
+        if is_known and not is_cancel:
+            self.lifecycle.on_acknowledged(model.now_ms)
+            self.last_connection, self.closed_locally = "open", False
         else:
-            self.life.unknown_reported(
-                written, stream.now, may_be_other_engine=self.leaves and not on_own, is_poll=not drop
+            self.lifecycle.on_unknown_reported(
+                written_ms,
+                model.now_ms,
+                may_be_other_engine=self.is_leaving and not on_last_connection,
+                is_poll=not is_cancel,
             )
 
-    def refused(self):
-        """A connection is refused."""
-        alive = self.side.process and "open" in (self.first, self.own) or self.here or self.leaves
-        self.life.connection_refused(self.side.now, alive)
+    def refuse_connection(self):
+        """Reports a refused connection, with what the gateway knows about the process."""
+        has_open_connection = "open" in (self.post_connection, self.last_connection)
+        process_may_live = (
+            self.model.is_process_alive and has_open_connection or self.closed_locally or self.is_leaving
+        )
+        self.lifecycle.on_connection_refused(self.model.now_ms, process_may_live)
 
     @rule()
     def attempt_ends(self):
-        """Its end may be reported, or lost and then unknown."""
-        if self.side.running and self.side.now >= self.side.wakes_ms:
-            self.side.running = False  # its end may be reported, or lost and then unknown
-
-    @rule(takes_over=st.booleans())
-    def process_dies(self, takes_over):
-        """Its process ends; its address may go to another engine."""
-        if self.side.process:
-            self.side.die()
-            if self.first == "open":
-                self.first = "gone"
-                self.life.connection_closed_by_engine(self.side.now)
-            if self.own == "open":
-                self.own = "cut"
-                self.life.connection_closed_by_engine(self.side.now)
-            self.leaves = self.leaves or takes_over
-            self.side.stranger = takes_over
-
-    @rule(takes_over=st.booleans())
-    def stops_accepting(self, takes_over):
-        """It works on, reachable on open connections alone; its drain is announced before."""
-        if self.side.process and self.side.door and "open" in (self.first, self.own):
-            self.side.door, self.leaves, self.side.stranger = False, True, takes_over
-            self.shut = True
+        """Ends the attempt at the engine; the reply is lost, so that the gateway may only learn 'unknown'."""
+        if self.model.is_running and self.model.now_ms >= self.model.awake_from_ms:
+            self.model.is_running = False
+
+    @rule(is_address_reused=st.booleans())
+    def process_ends(self, is_address_reused):
+        """Ends the process; another engine may get its address."""
+        if self.model.is_process_alive:
+            self.model.terminate()
+            if self.post_connection == "open":
+                self.post_connection = "closed"
+                self.lifecycle.on_connection_closed_by_engine(self.model.now_ms)
+            if self.last_connection == "open":
+                self.last_connection = "closed"
+                self.lifecycle.on_connection_closed_by_engine(self.model.now_ms)
+            self.is_leaving = self.is_leaving or is_address_reused
+            self.model.is_address_reused = is_address_reused
+
+    @rule(is_address_reused=st.booleans())
+    def engine_stops_accepting(self, is_address_reused):
+        """Stops accepting connections while the engine works on, after its drain was announced."""
+        has_open_connection = "open" in (self.post_connection, self.last_connection)
+        if self.model.is_process_alive and self.model.accepts_connections and has_open_connection:
+            self.model.accepts_connections, self.is_leaving = False, True
+            self.model.is_address_reused = is_address_reused
 
     @invariant()
-    def nothing_is_concluded_that_is_not_so(self):
-        """An attempt is over only when it neither runs nor may come to run."""
-        if hasattr(self, "life") and not self.life.may_run:
-            assert not self.side.out, self.life.proof
+    def an_attempt_that_is_over_cannot_run(self):
+        """Compares the lifecycle with the model."""
+        if hasattr(self, "lifecycle") and not self.lifecycle.may_run:
+            assert not self.model.may_run, self.lifecycle.proof
 
 
-Conclusions.TestCase.settings = settings(
+LifecycleMachine.TestCase.settings = settings(
     max_examples=600, stateful_step_count=25, deadline=None, derandomize=True
 )
-TestConclusions = Conclusions.TestCase
+TestLifecycleMachine = LifecycleMachine.TestCase
--- a/tests/test_connection_admission.py
+++ b/tests/test_connection_admission.py
@@ -1,4 +1,4 @@
-"""Connection admission: its rules by example, and a stateful machine that checks its invariants."""
+"""The rules of connection admission, by example."""
 
 import pytest
 
@@ -17,13 +17,13 @@
 
 
 def admission_with(**changes):
-    """Connection admission with six connections, two of them reserved, and changes to these rules."""
+    """Returns connection admission with six connections, two of them reserved, and changes to these rules."""
     defaults = dict(max_connections=6, max_queries=0, known=parse_networks([KNOWN_NETWORK]), reserve=2)
     return ConnectionAdmission(ConnectionRules(**{**defaults, **changes}), 0.0)
 
 
 def connect(admission, address, now_ms=100.0, query=False):
-    """Opens a connection, with a query if wanted, and closes what is evicted; None if it is rejected."""
+    """Opens a connection, with a query if wanted, closes the evicted one; returns None if it is rejected."""
     decision = admission.admit_connection(address, now_ms)
     if not decision.is_admitted:
         return None
@@ -39,7 +39,7 @@
 
 
 def test_limits_hold_for_an_address_and_for_its_prefix():
-    """Connections, queries and bytes; an IPv6 address is a /64."""
+    """Connections, queries and bytes are limited; an IPv6 /64 counts as one address."""
     admission = admission_with(
         max_connections=99,
         address=ClientLimits(connections=2, queries=1, held_bytes=50),
@@ -62,9 +62,9 @@
     assert connect(ipv6, "2001:db8:0:1::2")
 
 
-def test_new_connections_are_limited_in_rate_and_the_rejection_says_when():
-    """A clock that steps back gives no tokens, one that jumps fills one bucket."""
-    admission = admission_with(max_connections=99, address=ClientLimits(per_s=10, burst=3))
+def test_the_rate_of_new_connections_is_limited_and_the_rejection_has_retry_after():
+    """A clock that steps back adds no tokens; one that jumps forward fills the bucket at most."""
+    admission = admission_with(max_connections=99, address=ClientLimits(connections_per_s=10, burst=3))
     assert all(connect(admission, "10.1.1.1") for _ in range(3))
     decision = admission.admit_connection("10.1.1.1", 100.0)
     assert decision.reason == RejectReason.RATE
@@ -74,12 +74,12 @@
     assert admission.admit_connection("10.1.1.1", 199.0).reason == RejectReason.RATE
     assert connect(admission, "10.1.1.1", 201.0)
     assert admission.admit_connection("10.1.1.1", 201.0).reason == RejectReason.RATE
-    after_a_jump = [bool(connect(admission, "10.1.1.1", 1e9)) for _ in range(4)]
-    assert after_a_jump == [True, True, True, False]
+    admitted_after_jump = [bool(connect(admission, "10.1.1.1", 1e9)) for _ in range(4)]
+    assert admitted_after_jump == [True, True, True, False]
 
 
 def test_connections_are_evicted_in_order():
-    """Silent, idle, then the youngest query of the largest account; what is closing has left its place."""
+    """Silent, idle, then the most recent query of the largest account; closing connections do not count."""
     admission = admission_with(max_connections=5)
     closing = connect(admission, "10.1.0.1")
     silent = connect(admission, "10.1.0.2")
@@ -106,8 +106,8 @@
     assert other.admit_connection("10.2.0.1", 10.0).evict is connections[-1]
 
 
-def test_ending_connections_have_room_of_their_own_and_are_cut_off_beyond_it():
-    """One with a query to be answered is never cut off."""
+def test_ending_connections_have_a_limit_of_their_own_and_are_aborted_beyond_it():
+    """A connection with an unanswered query is never aborted."""
     admission = admission_with(max_connections=2, max_ending=1)
     with_query = connect(admission, "10.1.0.1", query=True)
     without_query = connect(admission, "10.1.0.2")
@@ -126,7 +126,7 @@
 
 
 def test_silent_connections_have_time_to_send_a_frame():
-    """They are not evicted within `quiet_ms`."""
+    """They are not evicted within `eviction_grace_ms`."""
     admission = admission_with(max_connections=2)
     connect(admission, "10.1.0.1", 100.0)
     connect(admission, "10.1.0.2", 100.0)
@@ -134,11 +134,11 @@
     assert admission.admit_connection("10.1.0.3", 120.0).is_admitted
 
 
-def test_the_reserve_is_lent_and_called_back_at_once():
-    """Unknown clients may use all connections, until known ones come."""
+def test_unknown_clients_use_reserved_connections_until_known_clients_need_them():
+    """Known clients then evict all of them at once."""
     admission = admission_with(max_connections=6)
-    lent = [connect(admission, f"10.1.0.{i}", query=True) for i in range(6)]
-    assert all(lent)
+    unknown = [connect(admission, f"10.1.0.{i}", query=True) for i in range(6)]
+    assert all(unknown)
     assert admission.admit_connection("10.1.0.9", 100.0).reason == RejectReason.NO_CAPACITY
     known = [connect(admission, f"10.9.0.{i}", 100.0, query=True) for i in range(6)]
     assert all(known)
@@ -149,19 +149,19 @@
 
 
 def test_queries_are_evicted_for_known_clients_only():
-    """The unknown client's that asked last."""
+    """The evicted query is the most recent one of an unknown client."""
     admission = admission_with(max_connections=20, max_queries=4)
-    querying = connect(admission, "10.1.0.1")
+    busy = connect(admission, "10.1.0.1")
     for i in range(4):
-        admission.on_query_admitted(querying, i)
+        admission.on_query_admitted(busy, i)
     unknown = connect(admission, "10.1.0.2")
     known = connect(admission, KNOWN_ADDRESS)
     assert admission.admit_query(unknown, 1, 10.0).reason == RejectReason.NO_CAPACITY
-    assert admission.admit_query(known, 1, 10.0).evict is querying
+    assert admission.admit_query(known, 1, 10.0).evict is busy
 
 
-def test_load_states_rise_at_once_and_fall_one_by_one_after_a_time():
-    """Hysteresis; when all is used up, known clients alone are admitted."""
+def test_load_states_rise_at_once_and_fall_one_by_one_after_a_delay():
+    """In the state FULL only known clients are admitted."""
     admission = admission_with()
     assert admission.update_load(0.8, 0, 0.0) == LoadState.TIGHT
     assert admission.update_load(0.99, 0, 1.0) == LoadState.FULL
@@ -175,8 +175,8 @@
     assert admission.update_load(0.5, 0, 1300.0) == LoadState.CALM
 
 
-def test_lag_counts_only_where_it_stands():
-    """A single late turn passes."""
+def test_only_a_persistent_event_loop_lag_raises_the_load_state():
+    """A single late turn does not."""
     admission = admission_with()
     assert admission.update_load(0.0, 400.0, 0.0) == LoadState.CALM
     assert admission.update_load(0.0, 0.0, 60.0) == LoadState.CALM
@@ -186,7 +186,7 @@
 
 
 def test_shutdown_rejects_connections_and_new_rules_leave_what_is_open():
-    """Queries on open connections are still admitted."""
+    """Queries on open connections are admitted during the shutdown."""
     admission = admission_with()
     connection = connect(admission, "10.1.0.1", query=True)
     connect(admission, "10.1.0.1")
@@ -200,14 +200,14 @@
     assert admission.admit_query(connection, 1, 10.0).is_admitted
 
 
-def test_a_text_that_is_no_address_range_is_named():
-    """In the error."""
+def test_an_invalid_address_range_is_named_in_the_error():
+    """The operator must see which range to correct."""
     with pytest.raises(ValueError, match="10.9"):
         parse_networks(["10.9.0.0/33"])
 
 
 def test_the_report_names_the_largest_clients_first_and_marks_known_ones():
-    """One line a client: its connections, open queries and the bytes that it makes the gateway hold."""
+    """Each client has one line, with its connections, open queries and held bytes."""
     admission = admission_with(max_connections=99)
     connect(admission, "10.1.1.1")
     connect(admission, KNOWN_ADDRESS)
--- a/tests/test_connection_admission_machine.py
+++ b/tests/test_connection_admission_machine.py
@@ -1,4 +1,4 @@
-"""Connection admission under random clients: a stateful machine checks its invariants at each step."""
+"""Connection admission with random clients: a stateful test that checks its invariants at each step."""
 
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
@@ -24,7 +24,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Random clients; every count is compared with one made from the open connections."""
+    """Random clients; each count is compared with one recomputed from the open connections."""
 
     @initialize(
         max_connections=st.integers(1, 12),
@@ -36,7 +36,7 @@
         max_remembered=st.integers(2, 6),
     )
     def begin(self, max_connections, max_queries, address_limit, prefix_limit, rate, reserve, max_remembered):
-        """Rules by chance."""
+        """Starts with random rules."""
         self.rules = ConnectionRules(
             max_connections,
             max_queries,
@@ -53,24 +53,24 @@
         self.rules_were_lowered = False
 
     def close(self, connection):
-        """Ends a connection and closes it."""
+        """Closes a connection, as a gateway reports it."""
         self.admission.on_connection_ending(connection, self.now_ms)
         self.admission.on_connection_closed(connection, self.now_ms)
         self.open.remove(connection)
 
     @rule(ms=st.sampled_from([0.0, 1.0, 25.0, 300.0, -50.0, 1e7]))
     def time_passes(self, ms):
-        """Also backwards."""
+        """Steps the clock, also backwards."""
         self.now_ms += ms
 
     @rule(address=st.sampled_from(ADDRESSES))
     def a_client_connects(self, address):
-        """What is rejected for capacity has a reason for it, and what is evicted may be."""
+        """Opens a connection; checks that rejections for capacity and evictions follow the rules."""
         admission = self.admission
         is_full = sum(not connection.is_ending() for connection in self.open) >= self.rules.max_connections
         is_over = len(self.open) >= self.rules.max_connections + self.rules.max_ending
         is_known = address.startswith("10.9.")
-        account = admission.account_of(address)
+        account = admission.get_or_create_account(address)
         active_counts = [
             connection.account.active_count
             for connection in admission.connections[UNKNOWN]
@@ -80,68 +80,68 @@
         if not decision.is_admitted:
             if decision.reason == RejectReason.NO_CAPACITY:
                 assert is_full or is_over
-                assert is_over or not (is_known and active_counts), "the reserve is called back at once"
+                assert is_over or not (is_known and active_counts), "a known client evicts an unknown one"
                 is_fair = account.active_count + 1 >= max(active_counts, default=0)
-                assert is_over or is_known or is_fair, "nobody holds two more than one that is rejected"
+                assert is_over or is_known or is_fair, "no account has two more than the rejected one"
             return
         assert (decision.evict is not None) == is_full
         assert (decision.abort is not None) == is_over
         if decision.abort is not None:
-            assert not decision.abort.query_count, "a query gets its final answer before its connection goes"
+            assert not decision.abort.query_count, "only connections without queries are aborted"
             admission.on_connection_closed(decision.abort, self.now_ms)
             self.open.remove(decision.abort)
         if decision.evict is not None:
-            is_evicted_known = decision.evict.account.known
-            assert not is_evicted_known or is_known, "known clients are evicted for known ones alone"
+            is_evicted_known = decision.evict.account.is_known
+            assert not is_evicted_known or is_known, "known clients are evicted only for known ones"
             admission.on_connection_ending(decision.evict, self.now_ms)
         self.open.append(admission.on_connection_opened(address, self.now_ms))
 
     @rule(i=st.integers(0, 30), size=st.integers(0, 60))
     def a_client_queries(self, i, size):
-        """Known clients' queries go first."""
+        """Admits a query; a known client's is not rejected for capacity while unknown clients have any."""
         if not self.open:
             return
         connection = self.open[i % len(self.open)]
         self.admission.on_frame_received(connection, self.now_ms)
         decision = self.admission.admit_query(connection, size, self.now_ms)
         if decision.reason == RejectReason.NO_CAPACITY:
-            assert not connection.account.known or not self.admission.query_count[UNKNOWN]
+            assert not connection.account.is_known or not self.admission.query_count[UNKNOWN]
         if not decision.is_admitted:
             return
         evict = decision.evict
         if evict is not None:
-            assert evict.query_count and not evict.account.known or connection.account.known
+            assert evict.query_count and not evict.account.is_known or connection.account.is_known
             self.admission.on_query_finished(evict, self.now_ms)
         self.admission.on_query_admitted(connection, self.now_ms)
         self.admission.on_held_bytes_changed(connection, size)
 
     @rule(i=st.integers(0, 30))
     def a_query_finishes(self, i):
-        """One of those that are open."""
+        """Finishes an open query."""
         busy = [connection for connection in self.open if connection.query_count]
         if busy:
             self.admission.on_query_finished(busy[i % len(busy)], self.now_ms)
 
-    @rule(i=st.integers(0, 30), what=st.sampled_from(["closes", "ends", "invalid request"]))
-    def something_else_happens(self, i, what):
-        """A connection is closed, is ended, or brings an invalid request."""
+    @rule(i=st.integers(0, 30), event=st.sampled_from(["closes", "ends", "invalid request"]))
+    def a_connection_closes_ends_or_sends_an_invalid_request(self, i, event):
+        """Reports the event; a connection with too many invalid requests is closed."""
         if not self.open:
             return
         connection = self.open[i % len(self.open)]
-        is_invalid = what == "invalid request"
-        if what == "closes" or is_invalid and self.admission.on_invalid_request(connection, self.now_ms):
+        is_invalid = event == "invalid request"
+        if event == "closes" or is_invalid and self.admission.on_invalid_request(connection, self.now_ms):
             self.close(connection)
-        elif what == "ends":
+        elif event == "ends":
             self.admission.on_connection_ending(connection, self.now_ms)
 
     @rule(used_share=st.floats(0, 1.1), lag_ms=st.floats(0, 200))
     def load_is_measured(self, used_share, lag_ms):
-        """Any measurement gives a state."""
+        """Checks that any measurement gives a valid state."""
         assert self.admission.update_load(used_share, lag_ms, self.now_ms) in LOAD_STATES
 
     @rule(address_limit=st.integers(1, 4), max_connections=st.integers(1, 12))
     def rules_change(self, address_limit, max_connections):
-        """While connections are open."""
+        """Changes the limits while connections are open."""
         self.rules = ConnectionRules(
             max_connections,
             self.rules.max_queries,
@@ -156,22 +156,22 @@
         self.rules_were_lowered = True
 
     @invariant()
-    def the_total_is_bounded(self):
-        """As far as the rules have not been lowered under what was open."""
+    def totals_are_within_the_limits(self):
+        """Connections are exempt once limits were lowered, as open ones stay open."""
         if not hasattr(self, "admission"):
             return
         admission = self.admission
-        most = self.rules.max_connections + self.rules.max_ending
-        assert self.rules_were_lowered or len(self.open) <= most
+        max_open = self.rules.max_connections + self.rules.max_ending
+        assert self.rules_were_lowered or len(self.open) <= max_open
         assert len(admission.connections[KNOWN]) + len(admission.connections[UNKNOWN]) == len(self.open)
         assert not self.rules.max_queries or sum(admission.query_count.values()) <= self.rules.max_queries
-        idle = admission.registry.idle
+        idle = admission.registry.idle_accounts
         assert len(idle) <= self.rules.max_remembered
         assert len(admission.registry.accounts) <= len(idle) + 2 * len(self.open)
 
     @invariant()
-    def each_account_is_counted_exactly(self):
-        """And within its limits."""
+    def each_account_is_exact_and_within_its_limits(self):
+        """Compares the counts of each account with its open connections."""
         if not hasattr(self, "admission"):
             return
         registry = self.admission.registry
@@ -184,14 +184,14 @@
             assert self.rules_were_lowered or not limit or account.connection_count <= limit
             assert account.query_count <= 3 and account.held_bytes <= 100
             assert registry.accounts[account.name] is account
-            assert account.name not in registry.idle
+            assert account.name not in registry.idle_accounts
             assert account.active_count == sum(not connection.is_ending() for connection in own)
-            ranking = self.admission.ranking[account.known]
+            ranking = self.admission.ranking[account.is_known]
             assert not account.active_count or account in ranking.by_count[account.active_count]
 
     @invariant()
     def every_index_is_exact(self):
-        """Rankings, states and open queries, for known and unknown clients."""
+        """Compares rankings, states and open queries, for known and unknown clients."""
         if not hasattr(self, "admission"):
             return
         admission = self.admission
@@ -201,9 +201,9 @@
             assert admission.ranking[known].largest_count == max(active_counts, default=0)
             for state in (*EVICTION_ORDER, *ENDING_STATES):
                 in_state = {connection for connection in connections if connection.state == state}
-                assert set(admission.by_state[state, known]) == in_state
+                assert set(admission.connections_by_state[state, known]) == in_state
             querying = {connection for connection in connections if connection.query_count}
-            assert set(admission.querying[known]) == querying
+            assert set(admission.connections_with_queries[known]) == querying
             query_count = sum(connection.query_count for connection in connections)
             assert admission.query_count[known] == query_count
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The whole gateway before stand-ins: queries, what goes wrong at engines, and the connections to them."""
+"""The gateway with stand-ins: queries, faults of engines, and the connections to them."""
 
 import random
 import time
@@ -6,7 +6,7 @@
 
 import pytest
 from gateway_world import RESULT, STATEMENT, answered
-from loopback import SPOILT_REPLIES, until, wait
+from loopback import UNUSABLE_REPLIES, until, wait
 from twisted.internet import reactor
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
@@ -18,8 +18,8 @@
 from lichenquay.gateway.engine_pool import EnginePool, GatewayEngine
 
 
-def test_a_query_is_forwarded_unchanged_and_answered_whole(make_world):
-    """Its load report and cost reach the controller."""
+def test_a_query_is_forwarded_unchanged_and_its_complete_result_returned(make_world):
+    """The load report and the cost in the reply reach the controller."""
     world = make_world(engines=1)
     client = world.client()
     client.transport.write(frames.encode_frame(frames.FrameType.READINESS_CHECK, 9, b"\0"))
@@ -36,9 +36,7 @@
     )
     assert client.notices == [(frames.FrameType.READINESS, 9, b"\0\0")]
     (engine_state,) = world.service.adapter.controller.fleet.states.values()
-    until(
-        lambda: engine_state.report == LoadReport.from_fields({"active": 7.0})
-    )  # the end comes with its load report and cost
+    until(lambda: engine_state.report == LoadReport.from_fields({"active": 7.0}))
     assert (
         world.service.adapter.controller.memory_grants.mean_memory_mb[world.service.settings.groups["report"]]
         == 64.0
@@ -69,21 +67,21 @@
         ("noise", "manifest", 1, frames.AnswerCode.FAILED),
         *(
             (behaviour, "manifest", 1, frames.AnswerCode.COMPLETED)
-            for behaviour in (*SPOILT_REPLIES, "drop post", "more", "copies")
+            for behaviour in (*UNUSABLE_REPLIES, "drop post", "more", "copies")
         ),
     ],
 )
-def test_what_goes_wrong_at_an_engine(make_world, behaviour, group, posts, code):
-    """Proved too little, a result is lost; proved too much, a non-idempotent query runs twice; and a spoilt
-    reply, or a connection's fault, is not the query's.
-    """
+def test_a_fault_of_an_engine_neither_loses_a_result_nor_runs_a_query_twice(
+    make_world, behaviour, group, posts, code
+):
+    """A lost or unusable reply is fetched again; a non-idempotent query that may have run is not retried."""
     world = make_world(engines=2)
     behaviours = [behaviour]
-    for engine in world.engines:  # the first attempt, wherever it goes
+    for engine in world.engines:  # shared, for the first attempt, whichever engine gets it
         engine.behaviours = behaviours
     client = world.client()
-    got = answered(client, client.ask(group, allow=4000))
-    assert got[0] == code and (code or got[1] == RESULT) and world.posts() == posts
+    answer_code, body = answered(client, client.ask(group, allow=4000))
+    assert answer_code == code and (code or body == RESULT) and world.posts() == posts
     wait(0.1)
     assert (
         behaviour == "noise"
@@ -93,20 +91,18 @@
     )
 
 
-def test_a_connection_reset_when_new_proves_nothing(make_world):
-    """A non-idempotent query must not fail for a connection on which nothing of it was written, nor the
-    engine be taken for gone.
-    """
+def test_a_connection_that_is_reset_before_use_proves_nothing(make_world):
+    """A non-idempotent query must not fail, nor the engine be taken for gone, if no byte was written."""
     world = make_world(engines=1)
     engine, client = world.engines[0], world.client()
     connect, failures = world.service.engines.reactor.connectTCP, [ConnectionLost(), ConnectionLost()]
 
-    def fails(host, port, factory, timeout):
+    def connect_after_failures(host, port, factory, timeout):
         if not failures:
             return connect(host, port, factory, timeout=timeout)
         reactor.callLater(0, factory.clientConnectionFailed, None, Failure(failures.pop()))
 
-    world.service.engines.reactor.connectTCP = fails
+    world.service.engines.reactor.connectTCP = connect_after_failures
     assert (
         answered(client, client.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
         and len(engine.posts) == 1
@@ -114,7 +110,9 @@
     )
     assert not world.service.metrics.counters["attempts not connected"]
     for connection in list(engine.connections):
-        connection.transport.write(b"late")  # no call is out; the gateway may not have read it yet
+        connection.transport.write(
+            b"late"
+        )  # while no call is open, and possibly unread when the next is sent
     assert (
         answered(client, client.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and len(engine.posts) == 2
     )
@@ -125,7 +123,7 @@
 
 
 def test_a_long_query_is_polled_and_its_priority_updated(make_world):
-    """The last priority reaches the engine."""
+    """Of several changes, the first and the last reach the engine."""
     world = make_world(engines=1)
     engine, client = world.engines[0], world.client()
     engine.behaviours = ["hold"]
@@ -145,30 +143,30 @@
 
 
 def test_a_query_that_exceeds_its_deadline_fails_in_time_and_is_cancelled(make_world):
-    """The final answer comes at the deadline, not after the cancellation."""
+    """The final answer is sent at the deadline, not after the cancellation."""
     world = make_world(engines=1)
     engine, client = world.engines[0], world.client()
     engine.behaviours = ["hold"]
-    asked = time.time()
+    asked_s = time.time()
     assert answered(client, client.ask("manifest", allow=400))[0] == frames.AnswerCode.FAILED
-    assert 0.39 < client.answers[1][2] - asked < 0.47
+    assert 0.39 < client.answers[1][2] - asked_s < 0.47
     until(lambda: engine.cancelled)
     wait(0.05)
     assert world.service.attempts.in_flight_count == 0 and len(engine.posts) == 1
 
 
-def test_an_attempt_at_a_silent_engine_is_over_after_two_seconds(make_world):
-    """No retry is sent while an engine that cannot be reached still works on it."""
+def test_a_query_at_a_silent_engine_is_retried_only_after_two_seconds(make_world):
+    """Until then the engine, which cannot be reached, may still run it."""
     world = make_world(engines=2)
-    client, stream, bad = world.hold()
-    bad.is_silent, asked = True, time.time()
-    world.in_flight.clear()  # it forgets what is not polled; that the gateway waits is checked below
+    client, stream, silent_engine = world.hold()
+    silent_engine.is_silent, silent_since_s = True, time.time()
+    world.in_flight.clear()  # the engine forgets queries that are not polled; the delay is checked below
     assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED
-    assert time.time() - asked >= 1.9 and world.posts() == 2
+    assert time.time() - silent_since_s >= 1.9 and world.posts() == 2
 
 
 def test_an_engine_that_closes_connections_at_once_is_polled_with_pauses(make_world):
-    """Without pauses the gateway would have time for nothing else."""
+    """Without pauses the gateway would spend all its time on it."""
     world = make_world(engines=1)
     engine, client = world.engines[0], world.client()
     engine.behaviours = ["hold"]
@@ -177,26 +175,27 @@
     engine.closes_at_once = True
     for connection in list(engine.connections):
         connection.transport.abortConnection()
-    met = engine.connection_count
-    assert answered(client, stream)[0] == frames.AnswerCode.FAILED and 3 < engine.connection_count - met < 20
+    count_before = engine.connection_count
+    assert answered(client, stream)[0] == frames.AnswerCode.FAILED
+    assert 3 < engine.connection_count - count_before < 20
 
 
-def test_a_process_is_gone_after_two_refusals(make_world):
-    """Not after one: a retry 2 ms after a preemption counted as two attempts at once."""
+def test_a_process_counts_as_gone_only_after_two_refusals(make_world):
+    """After a single one, a retry was sent 2 ms after a preemption, and two attempts were in flight."""
     world = make_world(engines=2)
     client, stream, dead = world.hold()
     world.in_flight.clear()
     dead.stop()
-    died = time.time()
+    ended_s = time.time()
     assert answered(client, stream)[0] == frames.AnswerCode.COMPLETED and world.posts() == 2
     assert (
-        0.045 < client.answers[stream][2] - died < 0.5
+        0.045 < client.answers[stream][2] - ended_s < 0.5
         and world.service.metrics.counters["attempts connection reset"] == 1
     )
 
 
 def test_refused_connections_prove_that_nothing_ran(make_world):
-    """Non-idempotent queries are retried elsewhere."""
+    """Non-idempotent queries are retried at another engine."""
     world = make_world(engines=2)
     world.engines[0].stop()
     wait(0.05)
@@ -207,29 +206,29 @@
 
 
 def test_calls_wait_for_a_descriptor_in_order(make_world):
-    """With few descriptors, no call fails that has only to wait."""
+    """With few descriptors, calls wait instead of failing."""
     world = make_world(engines=3, sockets=90)
     world.service.engines.descriptor_budget, world.service.engines.urgent_reserve = 4, 2
     client = world.client()
     streams = [client.ask("status", allow=4000) for _ in range(32)]
     assert all(answered(client, stream)[0] == frames.AnswerCode.COMPLETED for stream in streams)
     assert (
-        world.service.engines.max_open_count <= 6
+        world.service.engines.peak_open_count <= 6
         and not world.service.metrics.counters["attempts not connected"]
     )
     assert sum(len(engine.connections) for engine in world.engines) <= 6
 
 
-def test_a_reply_that_does_not_come_is_polled_in_time(make_world):
-    """An engine's longest wait is over: waiting on would make a completed query late."""
+def test_a_missing_reply_is_polled_on_another_connection_in_time(make_world):
+    """Waiting for longer than an engine may take to reply would make a completed query late."""
     world = make_world(engines=1)
-    client, world.engines[0].behaviours, asked = world.client(), ["silent"], time.time()
+    client, world.engines[0].behaviours, asked_s = world.client(), ["silent"], time.time()
     assert answered(client, client.ask("manifest", allow=4000))[0] == frames.AnswerCode.COMPLETED
-    assert 0.25 < client.answers[1][2] - asked < 0.45 and world.posts() == 1
+    assert 0.25 < client.answers[1][2] - asked_s < 0.45 and world.posts() == 1
 
 
-def test_a_copy_of_a_result_is_no_reply_to_another_query(make_world):
-    """It comes later than a connection was idle, and would serve rows that no engine made for the query."""
+def test_a_duplicate_of_a_result_is_not_the_reply_to_another_query(make_world):
+    """It arrives on a connection that is in use again, with rows that were not computed for that query."""
     world = make_world(engines=1)
     client, world.engines[0].behaviours = world.client(), ["copied late", "later"]
     first = client.ask("status", allow=4000)
@@ -243,8 +242,8 @@
     assert world.service.metrics.counters["first calls unreadable"] == 1
 
 
-def test_a_connection_is_idle_for_a_moment_between_two_queries():
-    """A copy of one query's reply, a moment later, would be the reply to the other's call."""
+def test_a_connection_is_reused_for_another_query_only_after_a_short_idle_time():
+    """A duplicate of the last reply, a moment later, would be taken for the reply to the other query."""
     clock = SimpleNamespace(now=100.0)
     pool = EnginePool(SimpleNamespace(seconds=lambda: clock.now, callLater=None), 0, 1.0, 1.0, 1000.0)
     engine = GatewayEngine("e")
@@ -259,9 +258,9 @@
         engine.idle_connections.append(connection)
         connections.append(connection)
     stale, idle, latest = connections
-    assert pool.pick_idle_connection(call()) is idle  # the last that was idle for long enough
-    latest.attempt = "its query"
-    assert pool.pick_idle_connection(call(preferred_connection=latest, attempt="its query")) is latest
+    assert pool.pick_idle_connection(call()) is idle  # of those idle for long enough, the latest
+    latest.attempt = "same attempt"
+    assert pool.pick_idle_connection(call(preferred_connection=latest, attempt="same attempt")) is latest
     assert pool.pick_idle_connection(call(preferred_connection=latest, attempt="another")) is idle
     assert pool.pick_idle_connection(call(needs_new_connection=True)) is None
     assert engine.idle_connections.popleft() is stale
@@ -270,18 +269,18 @@
     clock.now += 0.03
     assert pool.pick_idle_connection(call()) is latest
     pool.on_reused_connection_broken(0.05)
-    assert pool.stale_after_s == pool.max_idle_s == 0.5  # those idle for a moment break, too
+    assert pool.stale_after_s == pool.max_idle_s == 0.5  # after a short idle time, a break says nothing
     pool.on_reused_connection_broken(0.3)
     pool.check_connections()
     assert 0.15 < pool.stale_after_s < 0.151
     clock.now += 0.1
     assert pool.pick_idle_connection(call()) is latest
-    clock.now += 0.06  # something on the way may have closed it by now
+    clock.now += 0.06  # a middlebox may have closed it by now
     assert pool.pick_idle_connection(call()) is None
 
 
 def test_idle_connections_are_closed_before_the_engine_closes_them(make_world):
-    """And another is opened for the next query."""
+    """Another connection is opened for the next query."""
     world = make_world(engines=1)
     client = world.client()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
@@ -295,7 +294,7 @@
 
 
 def test_a_fault_for_one_query_fails_that_query_alone(make_world):
-    """The next one completes."""
+    """The next query completes."""
     world = make_world(engines=1)
     client, router = world.client(), world.service.router
     start, router.start = router.start, None
@@ -309,12 +308,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_failures_break_no_rule(make_world, seed):
-    """Engines that fail at random, drains, starts, clients that leave: one answer for each in time, none run
-    twice.
-    """
-    world, chance = make_world(engines=3), random.Random(seed)
+    """With faults, drains and cancellations, each query has one answer in time and no attempts overlap."""
+    world, rng = make_world(engines=3), random.Random(seed)
     clients = [world.client() for _ in range(3)]
-    asked, left = {}, set()
+    deadlines, cancelled = {}, set()  # Unix time by (client, stream); (client, stream)
     behaviours = ["ok"] * 8 + [
         "full",
         "error",
@@ -322,7 +319,7 @@
         "drop",
         "drop page",
         "lost page",
-        *SPOILT_REPLIES,
+        *UNUSABLE_REPLIES,
         "more",
         "drop post",
         "hold",
@@ -330,31 +327,31 @@
     ]
     for _ in range(120):
         for engine in world.engines:
-            engine.behaviours = engine.behaviours or [chance.choice(behaviours)]
+            engine.behaviours = engine.behaviours or [rng.choice(behaviours)]
             engine.is_silent, engine.closes_at_once = (
-                (not was if chance.random() < 0.03 else was)
-                for was in (engine.is_silent, engine.closes_at_once)
+                (not was if rng.random() < 0.03 else was) for was in (engine.is_silent, engine.closes_at_once)
             )
-        if chance.random() < 0.02 and world.discovery.connections:
-            chance.choice(list(world.discovery.connections)).transport.abortConnection()
-        client = chance.choice(clients)
-        allow = chance.choice((250, 600, 1500))
-        stream = client.ask(chance.choice(("status", "report", "manifest")), allow=allow)
-        asked[client, stream] = time.time() + allow / 1000
-        if chance.random() < 0.05:
+        if rng.random() < 0.02 and world.discovery.connections:
+            rng.choice(list(world.discovery.connections)).transport.abortConnection()
+        client = rng.choice(clients)
+        allow = rng.choice((250, 600, 1500))
+        stream = client.ask(rng.choice(("status", "report", "manifest")), allow=allow)
+        deadlines[client, stream] = time.time() + allow / 1000
+        if rng.random() < 0.05:
             client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
-            left.add((client, stream))
-        if chance.random() < 0.1:
-            world.announce(chance.choice(world.engines), chance.choice(("SERVING", "SERVING", "DRAINING")))
-        wait(chance.choice((0.0, 0.005, 0.02)))
-        for (x, s), ends in asked.items():
-            assert s in x.answers or (x, s) in left or time.time() < ends + 0.15, "rule 1: no answer in time"
+            cancelled.add((client, stream))
+        if rng.random() < 0.1:
+            world.announce(rng.choice(world.engines), rng.choice(("SERVING", "SERVING", "DRAINING")))
+        wait(rng.choice((0.0, 0.005, 0.02)))
+        for (asker, asked), deadline_s in deadlines.items():
+            is_settled = asked in asker.answers or (asker, asked) in cancelled
+            assert is_settled or time.time() < deadline_s + 0.15, "rule 1: no answer in time"
     for engine in world.engines:
         engine.is_silent = engine.closes_at_once = False
-    until(lambda: all(s in x.answers for x, s in asked if (x, s) not in left))
-    for (x, s), ends in asked.items():
-        if s in x.answers:
-            code, body, at = x.answers[s]
-            assert at < ends + 0.1 and (code != frames.AnswerCode.COMPLETED or body == RESULT)
+    until(lambda: all(asked in asker.answers for asker, asked in deadlines.keys() - cancelled))
+    for (asker, asked), deadline_s in deadlines.items():
+        if asked in asker.answers:
+            code, body, answered_s = asker.answers[asked]
+            assert answered_s < deadline_s + 0.1 and (code != frames.AnswerCode.COMPLETED or body == RESULT)
     until(lambda: world.service.attempts.in_flight_count == 0)
     assert world.service.metrics.counters["faults"] == 0 and not world.service.adapter.open_queries
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -1,4 +1,4 @@
-"""Clients before the whole gateway: invalid input, who is accepted, and bounds on what is held for them."""
+"""Clients of the gateway: invalid input, admission of connections, and bounds on what is held for clients."""
 
 import contextlib
 import errno
@@ -15,29 +15,28 @@
 from lichenquay.gateway.client_connection import ClientConnection, InvalidRequestError
 
 
-def test_invalid_frames_end_their_connection_alone(make_world):
-    """What was accepted on it is still answered."""
+def test_an_invalid_frame_closes_its_connection_only(make_world):
+    """Queries that were accepted on it are still answered."""
     world = make_world(engines=1)
     good, bad, idle = world.client(), world.client(), world.client()
     world.engines[0].behaviours = ["hold", "ok"]
-    open_ = bad.ask("report", ref="00000000000000bb")
+    open_stream = bad.ask("report", ref="00000000000000bb")
     until(lambda: world.posts() == 1)
-    same = good.ask("report", ref="00000000000000bb", statement=b"select 1")
-    assert (
-        answered(good, same)[0] == frames.AnswerCode.FAILED and world.posts() == 1
-    )  # it would be the answer to another statement
+    # With the ref of an open query, the engine would return the result of that query's statement.
+    same_ref = good.ask("report", ref="00000000000000bb", statement=b"select 1")
+    assert answered(good, same_ref)[0] == frames.AnswerCode.FAILED and world.posts() == 1
     bad.transport.write(frames.encode_frame(frames.FrameType.READINESS, 5))
     idle.transport.write(b"\1\0\0\0")
     until(lambda: idle.is_closed and 0 in bad.answers)
     assert idle.answers[0][0] == bad.answers[0][0] == frames.AnswerCode.FAILED and not bad.is_closed
-    world.engines[0].running["00000000000000bb"] = "ok"  # what was taken on it is still answered
+    world.engines[0].running["00000000000000bb"] = "ok"
     until(lambda: bad.is_closed)
-    assert bad.answers[open_][:2] == (frames.AnswerCode.COMPLETED, RESULT)
+    assert bad.answers[open_stream][:2] == (frames.AnswerCode.COMPLETED, RESULT)
     assert answered(good, good.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_fields",
     [
         dict(group="none"),
         dict(project="none"),
@@ -52,16 +51,17 @@
         dict(effort="1e300"),
     ],
 )
-def test_an_invalid_request_fails_alone(make_world, wrong):
-    """The next request on the connection completes."""
+def test_an_invalid_request_fails_without_effect_on_others(make_world, invalid_fields):
+    """The next request on the same connection completes."""
     world = make_world(engines=1)
     client = world.client()
-    assert answered(client, client.ask(**wrong))[0] == frames.AnswerCode.FAILED and not world.posts()
+    answer = answered(client, client.ask(**invalid_fields))
+    assert answer[0] == frames.AnswerCode.FAILED and not world.posts()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
 
 
-def test_a_connection_has_32_open_queries_at_most(make_world):
-    """One more is rejected; a cancelled one has no answer."""
+def test_a_connection_has_at_most_32_open_queries(make_world):
+    """One more is rejected; a cancelled query has no answer."""
     world = make_world(engines=1)
     client = world.client()
     world.engines[0].behaviours = ["hold"] * 40
@@ -71,56 +71,59 @@
         frames.encode_frame(frames.FrameType.CANCEL, streams[0])
         + frames.encode_frame(frames.FrameType.CANCEL, 999)
     )
-    until(lambda: len(client.answers) == 32)  # all but the one that was left
+    until(lambda: len(client.answers) == 32)  # all but the cancelled one
     assert streams[0] not in client.answers
 
 
-def test_more_clients_than_fit_are_refused_at_once(make_world):
-    """A crowd must not use the descriptors that calls to engines need, nor wait without an answer."""
+def test_clients_beyond_the_limit_are_rejected_at_once(make_world):
+    """Many clients must not use the descriptors that calls to engines need, nor wait without an answer."""
     world = make_world(engines=5, sockets=150)
     for engine in world.engines:
         engine.behaviours = ["hold"] * 9
-    world.service.clients.set_bounds(1 << 20, limits.ConnectionRules(4, 0, max_lag_ms=0.0))
+    world.service.clients.set_limits(1 << 20, limits.ConnectionRules(4, 0, max_lag_ms=0.0))
     streams = [(client, client.ask("report", allow=4000)) for client in (world.client() for _ in range(4))]
     until(lambda: len(world.in_flight) == 4)
     for _ in range(18):
-        began_s = time.monotonic()
-        refused = world.client()
-        until(lambda client=refused: client.is_closed)
-        assert time.monotonic() - began_s < 0.15
-        assert refused.answers[0][0] == frames.AnswerCode.REJECTED
-        assert b"no room; come back in" in refused.answers[0][1]
+        started_s = time.monotonic()
+        rejected = world.client()
+        until(lambda client=rejected: client.is_closed)
+        assert time.monotonic() - started_s < 0.15
+        assert rejected.answers[0][0] == frames.AnswerCode.REJECTED
+        assert b"no room; come back in" in rejected.answers[0][1]
     assert len(world.service.clients.connections) == 4 and not any(client.is_closed for client, _ in streams)
     for engine in world.engines:
         engine.behaviours, engine.running = [], dict.fromkeys(engine.running, "ok")
     assert all(answered(client, stream)[0] == frames.AnswerCode.COMPLETED for client, stream in streams)
 
 
-def test_at_the_descriptor_limit_a_connection_is_refused_with_a_reason(make_world):
-    """Otherwise it would wait for ever and keep the reactor busy. What was accepted is answered."""
+def test_at_the_descriptor_limit_a_connection_is_rejected_with_a_reason(make_world):
+    """It would stay queued and keep the reactor busy otherwise. Accepted queries are answered."""
     world = make_world(engines=2)
     for engine in world.engines:
         engine.behaviours = ["hold"] * 9
     first = world.client()
     stream, port = first.ask("report", allow=4000), world.service.clients.listener.port
     until(lambda: len(world.in_flight) == 1)
-    real, left = port.socket, [3]
+    real_socket, remaining_calls = port.socket, [3]
 
-    class Short:
+    class SocketAtDescriptorLimit:
         def __getattr__(self, name):
-            return getattr(real, name)
+            return getattr(real_socket, name)
 
         def accept(self):
-            left[0] -= 1
-            if left[0] in (2, 0):  # as the machine says it, until one is closed
+            remaining_calls[0] -= 1
+            if remaining_calls[0] in (
+                2,
+                0,
+            ):  # fails until the spare descriptor is closed, and again after that
                 raise OSError(errno.EMFILE, "too many")
-            return real.accept()
+            return real_socket.accept()
 
-    port.socket = Short()
+    port.socket = SocketAtDescriptorLimit()
     second = world.client()
     until(lambda: second.is_closed)
     assert second.answers[0][:2] == (frames.AnswerCode.REJECTED, b"no descriptor; come back in 1000 ms")
-    port.socket = real
+    port.socket = real_socket
     assert world.service.metrics.counters["connections refused: no descriptor"] >= 1
     for engine in world.engines:
         engine.behaviours, engine.running = [], dict.fromkeys(engine.running, "ok")
@@ -131,49 +134,52 @@
 
 
 def test_a_busy_client_that_is_evicted_gets_its_final_answers_first(make_world):
-    """The reserve of known clients is only lent."""
+    """A known client evicts it, and its queries are answered before its connection is closed."""
     world = make_world(engines=5)
     for engine in world.engines:
         engine.behaviours = ["hold"] * 9
     known = limits.parse_networks(["127.0.0.1"])
-    world.service.clients.set_bounds(1 << 20, limits.ConnectionRules(2, 0, max_lag_ms=0.0))
+    world.service.clients.set_limits(1 << 20, limits.ConnectionRules(2, 0, max_lag_ms=0.0))
     others = [world.client() for _ in range(2)]
     streams = [client.ask("report", allow=4000) for client in others]
     until(lambda: len(world.in_flight) == 2)
     admission = world.service.clients.connection_admission
     admission.set_rules(limits.ConnectionRules(2, 0, known=known, reserve=1, max_lag_ms=0.0))
-    admission.registry.accounts.clear()  # as if those had come from elsewhere
-    depot = world.client()
+    # From now on, the open connections count as those of unknown addresses.
+    admission.registry.accounts.clear()
+    known_client = world.client()
     until(lambda: any(client.is_closed for client in others))
-    gone = next(client for client in others if client.is_closed)
-    assert gone.answers[streams[others.index(gone)]][0] in (
+    evicted = next(client for client in others if client.is_closed)
+    assert evicted.answers[streams[others.index(evicted)]][0] in (
         frames.AnswerCode.REJECTED,
         frames.AnswerCode.FAILED,
     )
-    assert gone.answers[0][0] == frames.AnswerCode.REJECTED and b"needed by others" in gone.answers[0][1]
+    assert evicted.answers[0][0] == frames.AnswerCode.REJECTED
+    assert b"needed by others" in evicted.answers[0][1]
     for engine in world.engines:
         engine.behaviours = []
-    assert answered(depot, depot.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and not depot.is_closed
+    answer = answered(known_client, known_client.ask("manifest"))
+    assert answer[0] == frames.AnswerCode.COMPLETED and not known_client.is_closed
     assert sum(client.is_closed for client in others) == 1 and world.service.metrics.counters["faults"] == 0
 
 
-def test_silent_connections_make_room_and_end_in_time(make_world):
-    """Hundreds that send nothing, or stay after one query, must not keep the usual clients out."""
+def test_silent_and_idle_connections_are_evicted_and_closed_in_time(make_world):
+    """Many connections that send nothing, or stay after one query, must not keep other clients out."""
     world = make_world(engines=2, sockets=150)
-    crowd = [world.client() for _ in range(70)]  # one more than fits after each of the last
-    half, held = crowd[-1], world.client()
-    half.transport.write((200).to_bytes(4, "little") + b"\2\1\0\0\0")
-    assert answered(held, held.ask())[0] == frames.AnswerCode.COMPLETED
+    silent = [world.client() for _ in range(70)]  # more than the limit
+    incomplete, idle = silent[-1], world.client()
+    incomplete.transport.write((200).to_bytes(4, "little") + b"\2\1\0\0\0")
+    assert answered(idle, idle.ask())[0] == frames.AnswerCode.COMPLETED
     assert len(world.service.clients.connections) <= world.service.clients.max_connections == 62
-    until(lambda: all(client.is_closed for client in crowd), 2.9)
-    assert half.answers[0][0] == frames.AnswerCode.FAILED and not held.is_closed
-    until(lambda: held.is_closed, 5)
-    assert held.notices == [(frames.FrameType.GO_AWAY, 0, b"")]
+    until(lambda: all(client.is_closed for client in silent), 2.9)
+    assert incomplete.answers[0][0] == frames.AnswerCode.FAILED and not idle.is_closed
+    until(lambda: idle.is_closed, 5)
+    assert idle.notices == [(frames.FrameType.GO_AWAY, 0, b"")]
 
 
-def test_invalid_requests_are_slowed_down_and_end_their_connection():
-    """A client that repeats one at once must not take the turns of others."""
-    later, said, clock = [], [], SimpleNamespace(now=0.0)
+def test_invalid_requests_pause_reading_and_finally_close_their_connection():
+    """A client that repeats an invalid request at once must not delay other clients."""
+    timers, actions, clock = [], [], SimpleNamespace(now=0.0)
     intake = SimpleNamespace(
         connection_admission=decisions.ConnectionAdmission(limits.ConnectionRules(9, 0), 0.0),
         admission_ms=lambda: clock.now * 1000,
@@ -183,39 +189,38 @@
         max_held_bytes=1 << 20,
         has_memory_for=lambda *size: True,
         open_request_ids={},
-        reactor=SimpleNamespace(callLater=lambda stream, call: later.append(call) or later),
-        metrics=SimpleNamespace(count=lambda what: None),
-        log=lambda *connection: None,
+        reactor=SimpleNamespace(callLater=lambda delay_s, call: timers.append(call) or timers),
+        metrics=SimpleNamespace(count=lambda name: None),
+        log=lambda kind, text: None,
     )
 
-    def make_query(*what):
+    def make_query(*arguments):
         raise InvalidRequestError("odd")
 
     intake.make_query = make_query
     connection = ClientConnection(intake, "127.0.0.1")
     connection.transport = SimpleNamespace(
-        socket=SimpleNamespace(send=lambda data, flags: said.append(data) or len(data)),
-        pauseProducing=lambda: said.append("p"),
-        resumeProducing=lambda: said.append("r"),
-        loseWriteConnection=lambda: said.append("x"),
+        socket=SimpleNamespace(send=lambda data, flags: actions.append(data) or len(data)),
+        pauseProducing=lambda: actions.append("pause"),
+        resumeProducing=lambda: actions.append("resume"),
+        loseWriteConnection=lambda: actions.append("close output"),
         unregisterProducer=lambda: None,
         abortConnection=lambda: None,
     )
-    nonsense = frames.encode_frame(frames.FrameType.QUERY, 1, b"\0")
-    connection.dataReceived(nonsense)
-    assert said[1] == "p" and len(later) == 1
-    later.pop()()
-    assert said[2] == "r"
-    connection.dataReceived(nonsense)
-    assert (
-        said[-1] == "x" and frames.encode_answer(0, 2, b"stream 1 is not new") in said
-    )  # two under one number, one answer
+    invalid_request = frames.encode_frame(frames.FrameType.QUERY, 1, b"\0")
+    connection.dataReceived(invalid_request)
+    assert actions[1] == "pause" and len(timers) == 1
+    timers.pop()()
+    assert actions[2] == "resume"
+    connection.dataReceived(invalid_request)  # on a stream that was used before
+    assert actions[-1] == "close output"
+    assert frames.encode_answer(0, 2, b"stream 1 is not new") in actions
     connection = ClientConnection(intake, "127.0.0.1")
     connection.transport = SimpleNamespace(
         socket=SimpleNamespace(send=lambda data, flags: len(data)),
         **{
-            n: lambda *a: None
-            for n in (
+            name: lambda *arguments: None
+            for name in (
                 "pauseProducing",
                 "resumeProducing",
                 "unregisterProducer",
@@ -230,8 +235,8 @@
     assert connection.is_rejecting_input and connection.invalid_requests == 17
 
 
-def test_what_is_cancelled_at_once_is_not_forwarded(make_world):
-    """Hundreds of queries would go out to engines, and be cancelled there."""
+def test_a_query_that_is_cancelled_at_once_is_not_forwarded(make_world):
+    """Otherwise hundreds of queries would be sent to engines and cancelled there."""
     world = make_world(engines=1)
     client = world.client()
     client.transport.write(
@@ -262,14 +267,16 @@
         and not world.service.adapter.open_queries
     )
     world.engines[0].behaviours = ["hold"]
-    gone = client.ask("report", ref="00000000000000dd")
+    cancelled = client.ask("report", ref="00000000000000dd")
     until(lambda: world.posts() == 2)
-    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, gone))
-    until(lambda: world.engines[0].cancelled == ["00000000000000dd"], 0.5)  # and what is out is called off
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, cancelled))
+    until(
+        lambda: world.engines[0].cancelled == ["00000000000000dd"], 0.5
+    )  # an attempt in flight is cancelled
 
 
-def test_a_client_that_does_not_read_is_bounded():
-    """Its answers up to a limit, then its requests; cancellations are handled."""
+def test_what_is_held_for_a_client_that_does_not_read_is_bounded():
+    """Its answers are bounded, then its requests are deferred up to a bound; cancellations are handled."""
     intake = SimpleNamespace(
         connection_admission=decisions.ConnectionAdmission(limits.ConnectionRules(9, 0), 0.0),
         admission_ms=lambda: 0.0,
@@ -277,75 +284,75 @@
         seconds=lambda: 0.0,
         held_bytes=0,
         max_held_bytes=32 << 20,
-        metrics=SimpleNamespace(count=lambda what: None),
-        log=lambda *connection: None,
+        metrics=SimpleNamespace(count=lambda name: None),
+        log=lambda kind, text: None,
         has_memory_for=lambda *size: True,
     )
-    connection, done, full = ClientConnection(intake, "127.0.0.1"), [], SimpleNamespace(sends=1)
+    connection, actions = ClientConnection(intake, "127.0.0.1"), []
+    kernel = SimpleNamespace(remaining_sends=1)
 
     def send(data, flags):
-        full.sends -= 1
-        if full.sends < 0:
+        kernel.remaining_sends -= 1
+        if kernel.remaining_sends < 0:
             raise BlockingIOError
         return 40_000
 
     connection.transport = SimpleNamespace(
-        write=lambda data: done.append(len(data)),
-        pauseProducing=lambda: done.append("p"),
-        resumeProducing=lambda: done.append("r"),
-        abortConnection=lambda: done.append("x"),
+        write=lambda data: actions.append(len(data)),
+        pauseProducing=lambda: actions.append("pause"),
+        resumeProducing=lambda: actions.append("resume"),
+        abortConnection=lambda: actions.append("abort"),
         socket=SimpleNamespace(send=send),
     )
     for _ in range(1000):
         connection.write(b"x" * 48_000)
-        if done[-1] == "x":
+        if actions[-1] == "abort":
             break
-    assert done[:3] == [8_000, 48_000, 48_000] and done[-1] == "x" and connection.is_backlogged  # in order
-    assert sum(d for d in done if d not in ("p", "x")) <= 32 << 20 and full.sends == 0
-    for stream in (1, 2):  # nothing more is taken in from it, and past a bound it is read no further
-        assert done[-1] == "x"
+    assert actions[:3] == [8_000, 48_000, 48_000] and actions[-1] == "abort" and connection.is_backlogged
+    written_bytes = sum(action for action in actions if action not in ("pause", "abort"))
+    assert written_bytes <= 32 << 20 and kernel.remaining_sends == 0
+    for stream in (1, 2):  # requests are deferred; beyond a bound the connection is not read
+        assert actions[-1] == "abort"
         connection.dataReceived(frames.encode_frame(frames.FrameType.QUERY, stream, b"x" * 40_000))
-    assert done[-1] == "p" and list(connection.deferred_requests) == [1, 2]
+    assert actions[-1] == "pause" and list(connection.deferred_requests) == [1, 2]
     connection.dataReceived(
         frames.encode_frame(frames.FrameType.CANCEL, 1) + frames.encode_frame(frames.FrameType.CANCEL, 2)
-    )  # what else it says is heard
+    )
     assert not connection.deferred_requests
     connection.resumeProducing()
-    assert intake.held_bytes == 0 and done[-1] == "r"
+    assert intake.held_bytes == 0 and actions[-1] == "resume"
 
 
 def test_what_is_held_for_clients_is_bounded(make_world):
-    """Long statements, or unfinished frames, must not use up the memory; short ones find room."""
+    """Long statements or incomplete frames must not exhaust the memory; short requests are accepted."""
     world = make_world(engines=1)
-    client, intake, long = world.client(), world.service.clients, STATEMENT + b" " * 200_000
-    intake.max_held_bytes = 3_400_000  # for one long statement, or one long frame, at a time
+    client, intake, long_statement = world.client(), world.service.clients, STATEMENT + b" " * 200_000
+    intake.max_held_bytes = 3_400_000  # allows one long statement or frame at a time
     world.engines[0].behaviours = ["hold"]
-    first = client.ask("report", ref=f"{0:016x}", statement=long)
+    first = client.ask("report", ref=f"{0:016x}", statement=long_statement)
     until(lambda: world.posts() == 1)
-    second, third = client.ask("report", statement=long), client.ask("report")
+    second, third = client.ask("report", statement=long_statement), client.ask("report")
     assert (
         answered(client, second)[0] == frames.AnswerCode.REJECTED
         and answered(client, third)[0] == frames.AnswerCode.COMPLETED
     )
-    assert intake.held_bytes == len(long)
+    assert intake.held_bytes == len(long_statement)
     world.engines[0].running[f"{0:016x}"] = "ok"
     assert answered(client, first)[0] == frames.AnswerCode.COMPLETED and intake.held_bytes == 0
-    crowd = [world.client() for _ in range(3)]
-    for x in crowd:
-        x.transport.write((262_144).to_bytes(4, "little") + b"\2\1\0\0\0" + b"x" * 205_000)
-    until(lambda: any(x.is_closed for x in crowd))
-    assert (
-        answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
-    )  # what is small finds room all the same
-    assert sum(x.is_closed for x in crowd) < 3 and 0 < intake.held_bytes <= intake.max_held_bytes
-    for x in crowd:
-        x.transport.abortConnection()
+    senders = [world.client() for _ in range(3)]  # of incomplete frames
+    for sender in senders:
+        sender.transport.write((262_144).to_bytes(4, "little") + b"\2\1\0\0\0" + b"x" * 205_000)
+    until(lambda: any(sender.is_closed for sender in senders))
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED  # a short request is accepted
+    assert sum(sender.is_closed for sender in senders) < 3 and 0 < intake.held_bytes <= intake.max_held_bytes
+    for sender in senders:
+        sender.transport.abortConnection()
     until(lambda: intake.held_bytes == 0)
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
 
 
-def test_a_client_that_reads_late_gets_every_answer_whole(make_world):
-    """What the kernel does not take at once follows, and is readable."""
+def test_a_client_that_reads_late_gets_every_answer_complete(make_world):
+    """What the kernel does not accept at once is sent later, in order."""
     world = make_world(engines=1)
     world.engines[0].behaviours = ["ok"]
     with socket.create_connection(("127.0.0.1", world.port)) as client:
@@ -353,18 +360,20 @@
         until(lambda: world.service.clients.connections)
         connection = next(iter(world.service.clients.connections))
         connection.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
-        connection.has_sent_frame = True
+        connection.has_received_frame = True
         bodies = [bytes([65 + i]) * 30_000 for i in range(4)]
         for i, body in enumerate(bodies):
             connection.write(frames.encode_answer(i + 1, frames.AnswerCode.COMPLETED, body))
         assert connection.unsent_bytes > 0
         client.setblocking(False)
-        reader, got = frames.FrameReader(), []
+        reader, received = frames.FrameReader(), []
 
         def read():
             with contextlib.suppress(BlockingIOError):
-                got.extend(bytes(payload[2:]) for _, _, payload in reader.feed(client.recv(65_536)))
-            return len(got) == len(bodies)
+                received.extend(bytes(payload[2:]) for _, _, payload in reader.feed(client.recv(65_536)))
+            return len(received) == len(bodies)
 
         until(read)
-    assert got == bodies and connection.unsent_bytes == 0 and not world.service.metrics.counters["faults"]
+    assert (
+        received == bodies and connection.unsent_bytes == 0 and not world.service.metrics.counters["faults"]
+    )
--- a/tests/test_gateway_endpoint_list.py
+++ b/tests/test_gateway_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list before the whole gateway: discovery that fails, engines that leave and come back."""
+"""The endpoint list in the gateway: faults of discovery, engines that are drained, removed or come back."""
 
 import pytest
 from gateway_world import answered
@@ -13,9 +13,9 @@
 
 
 def test_event_numbers_that_go_back_change_nothing():
-    """Nor does an answer of which a part cannot be read."""
-    heard = []
-    discovery = Discovery({"no": 2, "items": []}, lambda *news: heard.append(news), None)
+    """Nor does an answer that is invalid in part."""
+    updates = []
+    discovery = Discovery({"no": 2, "items": []}, lambda *update: updates.append(update), None)
     good = {"no": 3, "roster": {"all": True, "targets": []}}
     for answer in (
         {"no": 1, "items": []},
@@ -25,13 +25,13 @@
     ):
         with pytest.raises(EndpointListError):
             discovery.apply(answer)
-    assert discovery.last_number == 2 and not heard
+    assert discovery.last_number == 2 and not updates
     discovery.apply({"no": 3, "items": [good, good | {"no": 2}]})
-    assert discovery.last_number == 3 and heard == [(True, [])]
+    assert discovery.last_number == 3 and updates == [(True, [])]
 
 
-def test_a_drain_acts_at_once_and_an_address_may_be_used_again(make_world):
-    """By another engine: connections belong to the engine."""
+def test_a_drain_takes_effect_at_once_and_another_engine_may_reuse_an_address(make_world):
+    """Connections belong to the engine, not to its address."""
     world = make_world(engines=2)
     client = world.client()
     world.announce(world.engines[0], "DRAINING")
@@ -54,8 +54,8 @@
     )
 
 
-def test_the_parsed_list_of_the_configuration_is_not_kept(make_world):
-    """Of 25,000 engines it is 14 MB, beside the 32 MB that are counted on for the process."""
+def test_the_parsed_endpoint_list_of_the_configuration_is_not_kept(make_world):
+    """With 25,000 engines it takes 14 MB, in addition to the 32 MB that the process is assumed to take."""
     world = make_world(engines=2)
     assert len(world.service.engines_by_id) == 2
     assert world.service.config.known_endpoints is None
@@ -67,7 +67,7 @@
 
 
 def test_a_drain_announced_during_the_start_is_known_before_the_first_attempt(make_world):
-    """22 queries once went to engines that had been announced as draining."""
+    """22 queries were once sent to engines whose drain had been announced."""
     world = make_world(engines=2, start=False)
     world.announce(world.engines[0], "DRAINING")  # after the configuration was written
     world.drained[world.engines[0]] -= 1
@@ -88,44 +88,44 @@
 
 
 def test_a_gateway_is_ready_as_soon_as_its_endpoint_list_is_confirmed(make_world):
-    """After a first poll that does not wait."""
+    """The first poll does not wait."""
     world = make_world(engines=1)
     until(world.service.is_ready, 0.5)
     wait(0.1)
-    assert world.discovery.polls == 2  # one that is answered at once, one that waits for news
+    assert world.discovery.polls == 2  # one is answered at once, one waits for an event
 
 
 def test_a_call_that_starts_an_attempt_is_withdrawn_on_a_drain():
-    """Nothing of it was written."""
+    """No byte of it is written."""
     engine = GatewayEngine("e", address="127.0.0.1:1")
-    call, ends = EngineCall(engine, b"", engine_protocol.is_poll_reply, starts_attempt=True), []
-    call.reply.addErrback(ends.append)
+    call, failures = EngineCall(engine, b"", engine_protocol.is_poll_reply, starts_attempt=True), []
+    call.reply.addErrback(failures.append)
     assert not call.withdraw_if_engine_left()
     engine.state = domain.EndpointState.DRAINING
-    assert call.withdraw_if_engine_left() and ends and not call.is_written
+    assert call.withdraw_if_engine_left() and failures and not call.is_written
 
 
 def test_discovery_that_fails_and_recovers_is_followed(make_world):
-    """The last good endpoint list is in force meanwhile."""
+    """Meanwhile the last valid endpoint list is in force."""
     world = make_world(engines=1)
     client = world.client()
     world.discovery.raw_answer = b'{"no": 0, "items": []}'
     for connection in list(world.discovery.connections):
         connection.transport.abortConnection()
-    calls = world.discovery.polls
-    until(lambda: world.discovery.polls > calls + 1)
-    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED  # the last good list is kept
+    polls_before = world.discovery.polls
+    until(lambda: world.discovery.polls > polls_before + 1)
+    assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
     world.discovery.raw_answer = None
     world.discovery.add_event(world.engines[0].row("DRAINING"))
     until(lambda: world.service.discovery.last_number == 2)
 
 
-def test_discovery_that_does_not_wait_is_polled_with_pauses(make_world):
-    """About ten times a second."""
+def test_discovery_that_answers_at_once_without_events_is_polled_with_pauses(make_world):
+    """It is polled about ten times a second."""
     world = make_world(engines=1)
     world.discovery.raw_answer = world.discovery.events_after(1)
-    calls = world.discovery.polls
+    polls_before = world.discovery.polls
     world.discovery.add_event(world.engines[0].row())
     world.discovery.raw_answer = b'{"no": 2, "items": []}'
     wait(0.6)
-    assert 2 < world.discovery.polls - calls < 10
+    assert 2 < world.discovery.polls - polls_before < 10
--- a/tests/test_gateway_idempotency_keys.py
+++ b/tests/test_gateway_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Groups with idempotency keys, and groups ordered by key: the keys of clients reach engines unchanged."""
+"""Idempotency keys and ordering keys of clients reach engines unchanged and have their effect."""
 
 import json
 
@@ -8,12 +8,12 @@
 
 from lichenquay.gateway import frames
 
-TOKEN = "3e0a76d25c62fbf2eed3ea015e6f0776"
+IDEMPOTENCY_KEY = "3e0a76d25c62fbf2eed3ea015e6f0776"
 
 
 @pytest.fixture
 def make_keyed_world(make_world):
-    """Makes a deployment whose manifests have idempotency keys, or are ordered by key."""
+    """Returns a function that makes a world with changed settings of the resource group `manifest`."""
 
     def make(**group_settings):
         settings = json.loads(json.dumps(SETTINGS))
@@ -23,29 +23,35 @@
     return make
 
 
-def headers(world):
-    """The headers of all attempts that came to engines."""
-    return [said for engine in world.engines for said, _ in engine.posts]
+def attempt_headers(world):
+    """Returns the headers of all attempts that arrived at engines."""
+    return [headers for engine in world.engines for headers, _ in engine.posts]
 
 
-def test_an_idempotency_key_goes_with_every_attempt(make_keyed_world):
-    """By it, the engine drops a repeat."""
+def test_each_attempt_carries_the_idempotency_key(make_keyed_world):
+    """By the key, the engine recognizes a retry."""
     world = make_keyed_world(effect="keyed", key_ttl_us=5_000_000, group="all")
     behaviours = ["error", "ok"]
     for engine in world.engines:
         engine.behaviours = behaviours
-    world.on_attempt = lambda *sent: None  # its rule on mutating queries knows the name only
+    world.on_attempt = lambda *attempt: None  # its rule 2 knows non-idempotent queries by their group only
     client = world.client()
-    assert answered(client, client.ask("manifest", replay=TOKEN)) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert [said["X-Replay-Key"] for said in headers(world)] == [TOKEN, TOKEN]
+    assert answered(client, client.ask("manifest", replay=IDEMPOTENCY_KEY)) == (
+        frames.AnswerCode.COMPLETED,
+        RESULT,
+    )
+    assert [headers["X-Replay-Key"] for headers in attempt_headers(world)] == [
+        IDEMPOTENCY_KEY,
+        IDEMPOTENCY_KEY,
+    ]
     assert (
         answered(client, client.ask("status"))[0] == frames.AnswerCode.COMPLETED
-        and "X-Replay-Key" not in headers(world)[-1]
+        and "X-Replay-Key" not in attempt_headers(world)[-1]
     )
 
 
-def test_without_its_idempotency_key_a_query_is_not_retried(make_keyed_world):
-    """Nothing would tell its engine that it is a repeat."""
+def test_a_query_without_idempotency_key_is_not_retried(make_keyed_world):
+    """An engine could not recognize the retry."""
     world = make_keyed_world(effect="keyed", key_ttl_us=5_000_000, group="all")
     behaviours = ["error", "ok"]
     for engine in world.engines:
@@ -55,7 +61,7 @@
 
 
 def test_queries_of_one_ordering_key_run_one_at_a_time(make_keyed_world):
-    """The key reaches the engine, too."""
+    """The ordering key also reaches the engine."""
     world = make_keyed_world(serial_by_key=True)
     for engine in world.engines:
         engine.behaviours = ["hold"] * 4
@@ -65,7 +71,8 @@
     )
     until(lambda: world.posts() == 2)
     wait(0.2)
-    assert world.posts() == 2 and sorted(said["X-Thing"] for said in headers(world)) == ["ds:7", "ds:8"]
+    assert world.posts() == 2
+    assert sorted(headers["X-Thing"] for headers in attempt_headers(world)) == ["ds:7", "ds:8"]
     for engine in world.engines:
         engine.behaviours, engine.running = [], dict.fromkeys(engine.running, "ok")
     assert [answered(client, stream)[0] for stream in (first, second, third)] == [
@@ -74,13 +81,15 @@
 
 
 @pytest.mark.parametrize(
-    "odd", [{"replay": "a\r\nX-Nice: 3"}, {"lookup": "a b"}, {"replay": "x" * 257}, {"lookup": "\u00e9"}]
+    "invalid_key",
+    [{"replay": "a\r\nX-Nice: 3"}, {"lookup": "a b"}, {"replay": "x" * 257}, {"lookup": "\u00e9"}],
 )
-def test_a_key_that_is_not_valid_makes_no_query(make_keyed_world, odd):
-    """It would become another header, or another call, on an engine's connection."""
+def test_a_request_with_an_invalid_key_fails(make_keyed_world, invalid_key):
+    """The key could inject a header, or a call, on the connection to an engine."""
     world = make_keyed_world()
     client = world.client()
     assert (
-        answered(client, client.ask("manifest", **odd))[0] == frames.AnswerCode.FAILED and not world.posts()
+        answered(client, client.ask("manifest", **invalid_key))[0] == frames.AnswerCode.FAILED
+        and not world.posts()
     )
     assert answered(client, client.ask("manifest"))[0] == frames.AnswerCode.COMPLETED
--- a/tests/test_gateway_parsers.py
+++ b/tests/test_gateway_parsers.py
@@ -1,4 +1,4 @@
-"""The gateway without connections: parsers at every split and with garbage, settings, the log."""
+"""Parts of the gateway without I/O: parsers at every split and with random input, settings, the log."""
 
 import contextlib
 import io as text_io
@@ -18,48 +18,48 @@
 from lichenquay.simulator_adapter.codec import WireLine
 
 
-def fed(reader, data, cuts):
-    """The frames that a reader makes of data cut at these positions."""
-    got, last = [], 0
-    for cut in (*cuts, len(data)):
-        for kind, stream, payload in reader.feed(data[last:cut]):
-            got.append((kind, stream, bytes(payload)))
-        last = cut
-    return got
+def read_frames(reader, data, splits):
+    """Returns the frames that a reader yields for data that is split at these positions."""
+    result, start = [], 0
+    for split in (*splits, len(data)):
+        for kind, stream, payload in reader.feed(data[start:split]):
+            result.append((kind, stream, bytes(payload)))
+        start = split
+    return result
 
 
-def test_frames_are_whole_at_every_split():
-    """And their fields can be read."""
+def test_frames_are_reassembled_at_every_split():
+    """Their fields are read as they were written."""
     fields = frames.encode_fields([("service", "status"), ("ref", "é" * 3)])
     data = (
         frames.encode_frame(2, 1, fields, b"body")
         + frames.encode_frame(8, 7)
         + frames.encode_answer(3, 14, b"a", b"b")
     )
-    whole = fed(frames.FrameReader(), data, ())
-    assert whole == [(2, 1, fields + b"body"), (8, 7, b""), (4, 3, b"\x0e\x00ab")]
-    for cut in range(len(data)):
-        assert fed(frames.FrameReader(), data, (cut,)) == whole
-    assert fed(frames.FrameReader(), data, range(1, len(data))) == whole
-    pairs, body = frames.read_fields(memoryview(whole[0][2]))
+    unsplit = read_frames(frames.FrameReader(), data, ())
+    assert unsplit == [(2, 1, fields + b"body"), (8, 7, b""), (4, 3, b"\x0e\x00ab")]
+    for split in range(len(data)):
+        assert read_frames(frames.FrameReader(), data, (split,)) == unsplit
+    assert read_frames(frames.FrameReader(), data, range(1, len(data))) == unsplit
+    pairs, body = frames.read_fields(memoryview(unsplit[0][2]))
     assert pairs == [("service", "status"), ("ref", "ééé")] and body == b"body"
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
-def test_a_frame_of_an_impossible_length_is_an_error(length):
-    """Too short or too long."""
+def test_a_frame_with_an_invalid_length_is_an_error(length):
+    """The length is too small or too large."""
     with pytest.raises(frames.FrameError):
-        fed(frames.FrameReader(), length.to_bytes(4, "little") + b"\2\0\0\0\0", ())
+        read_frames(frames.FrameReader(), length.to_bytes(4, "little") + b"\2\0\0\0\0", ())
 
 
-def test_garbage_raises_frame_errors_only():
-    """In frames and in fields."""
-    chance = random.Random(5)
+def test_random_frames_raise_only_frame_errors():
+    """That holds for frames and for fields."""
+    rng = random.Random(5)
     for _ in range(400):
-        data = bytes(chance.choice((0, 1, 2, 5, 200, 255)) for _ in range(chance.randrange(60)))
+        data = bytes(rng.choice((0, 1, 2, 5, 200, 255)) for _ in range(rng.randrange(60)))
         try:
-            for _, _, payload in fed(
-                frames.FrameReader(), data, sorted(chance.choices(range(len(data) + 1), k=3))
+            for _, _, payload in read_frames(
+                frames.FrameReader(), data, sorted(rng.choices(range(len(data) + 1), k=3))
             ):
                 frames.read_fields(memoryview(payload))
         except frames.FrameError:
@@ -75,29 +75,27 @@
 
 @pytest.mark.parametrize("data", REPLIES)
 def test_replies_are_whole_at_every_split(data):
-    """And what comes behind one is noticed."""
-    for cut in range(len(data)):
+    """Trailing bytes are detected."""
+    for split in range(len(data)):
         reader = http.ReplyReader()
-        reply = reader.feed(data[:cut]) if cut else None
+        reply = reader.feed(data[:split]) if split else None
         assert reply is None
-        reply = reader.feed(data[cut:])
+        reply = reader.feed(data[split:])
         assert (reply.status, bytes(reply.body)) == (200, b"ab\r\nc") and not reply.has_trailing_bytes
-        assert (
-            reply.keep_alive is (b"close" not in data) and reader.feed(data) is not None
-        )  # and the next one
+        assert reply.keep_alive is (b"close" not in data)
+        assert reader.feed(data) is not None  # the next reply
     reader, reply = http.ReplyReader(), None
     for i in range(len(data)):
         assert reply is None
         reply = reader.feed(data[i : i + 1])
     assert bytes(reply.body) == b"ab\r\nc"
     reply = http.ReplyReader().feed(data + b"HTTP/1.1 500 X\r\n\r\n")
-    assert (
-        bytes(reply.body) == b"ab\r\nc" and reply.has_trailing_bytes and not reply.keep_alive
-    )  # good, its connection is not
+    # The reply is valid, but its connection must not be used again.
+    assert bytes(reply.body) == b"ab\r\nc" and reply.has_trailing_bytes and not reply.keep_alive
 
 
 def test_a_reply_may_end_with_its_connection():
-    """Where its connection is not kept."""
+    """Only if the connection is not kept alive."""
     reader = http.ReplyReader()
     assert (
         reader.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab") is None and reader.feed(b"c") is None
@@ -120,26 +118,26 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_what_is_no_reply_is_an_error(data):
-    """Heads, lengths and encodings that cannot be."""
+def test_an_invalid_reply_is_an_error(data):
+    """The head, the length or the encoding is invalid."""
     with pytest.raises(http.ReplyError):
         http.ReplyReader().feed(data)
 
 
-def test_garbage_raises_reply_errors_only():
-    """At random places of good replies."""
-    chance = random.Random(6)
+def test_corrupted_replies_raise_only_reply_errors():
+    """Valid replies are corrupted at random positions."""
+    rng = random.Random(6)
     for _ in range(600):
-        data = bytearray(chance.choice(REPLIES))
-        for _ in range(chance.randrange(1, 6)):
-            data[chance.randrange(len(data))] = chance.choice(b"\r\n:;0 9\xff")
-        cut, reader = chance.randrange(len(data)), http.ReplyReader()
+        data = bytearray(rng.choice(REPLIES))
+        for _ in range(rng.randrange(1, 6)):
+            data[rng.randrange(len(data))] = rng.choice(b"\r\n:;0 9\xff")
+        split, reader = rng.randrange(len(data)), http.ReplyReader()
         with contextlib.suppress(http.ReplyError):
-            reader.feed(bytes(data[:cut])) or reader.feed(bytes(data[cut:]))
+            reader.feed(bytes(data[:split])) or reader.feed(bytes(data[split:]))
 
 
 @pytest.mark.parametrize(
-    "text, tables",
+    "text, table_group",
     [
         ("select a from sales_17.orders", "17"),
         (
@@ -166,83 +164,90 @@
         ("/* from s_1.t", None),
     ],
 )
-def test_the_table_group_of_a_statement(text, tables):
-    """Names in strings, comments and aliases do not count."""
-    assert table_group_of(text) == tables
+def test_the_table_group_of_a_statement_is_found(text, table_group):
+    """Names in strings, comments and aliases are ignored."""
+    assert table_group_of(text) == table_group
 
 
-def test_the_lexer_accepts_anything():
-    """It raises no error."""
-    chance = random.Random(7)
+def test_the_lexer_accepts_any_text():
+    """Random sequences of tokens raise no exception."""
+    rng = random.Random(7)
     for _ in range(500):
         table_group_of(
             "".join(
-                chance.choice(
-                    ["'", '"', "/*", "*/", "--", "\n", "$$", "s_1", ".", "(", ")", " from ", "`", "é"]
-                )
+                rng.choice(["'", '"', "/*", "*/", "--", "\n", "$$", "s_1", ".", "(", ")", " from ", "`", "é"])
                 for _ in range(30)
             )
         )
 
 
 def test_gateway_and_simulator_read_settings_alike():
-    """From JSON and from the simulator's text."""
+    """The gateway reads JSON, the simulator adapter text."""
     fields = flatten(SETTINGS)
-    line = "hello\t" + "\t".join(f"{n}={v}" for n, v in fields.items())
-    one = DeploymentSettings(SettingsSection.from_json(SETTINGS), 5)
-    other = DeploymentSettings(SettingsSection(WireLine(1, line).fields), 5)
-    assert [vars(g) for g in one.groups.values()] == [vars(g) for g in other.groups.values()]
-    assert (one.gateway, one.permissions, one.safety_limits, one.capabilities, one.sizes_by_kind) == (
-        other.gateway,
-        other.permissions,
-        other.safety_limits,
-        other.capabilities,
-        other.sizes_by_kind,
-    )
+    line = "hello\t" + "\t".join(f"{name}={value}" for name, value in fields.items())
+    from_json = DeploymentSettings(SettingsSection.from_json(SETTINGS), 5)
+    from_text = DeploymentSettings(SettingsSection(WireLine(1, line).fields), 5)
+    assert [vars(group) for group in from_json.groups.values()] == [
+        vars(group) for group in from_text.groups.values()
+    ]
     assert (
-        one.groups["manifest"].effect == domain.Effect.NON_IDEMPOTENT and one.groups["manifest"].is_bulk_load
+        from_json.gateway,
+        from_json.permissions,
+        from_json.safety_limits,
+        from_json.capabilities,
+        from_json.sizes_by_kind,
+    ) == (
+        from_text.gateway,
+        from_text.permissions,
+        from_text.safety_limits,
+        from_text.capabilities,
+        from_text.sizes_by_kind,
     )
-    assert one.permissions.max_attempts == 6 and one.sizes_by_kind == {"k": (8.0, 16384.0)}
+    manifest = from_json.groups["manifest"]
+    assert manifest.effect == domain.Effect.NON_IDEMPOTENT and manifest.is_bulk_load
+    assert from_json.permissions.max_attempts == 6 and from_json.sizes_by_kind == {"k": (8.0, 16384.0)}
 
 
 def test_load_reports_costs_and_progress_are_read():
-    """What cannot be read is left out, or an error for endpoint lists."""
+    """Invalid values are omitted, but an invalid endpoint record is an error."""
 
-    def said(**headers):
-        return SimpleNamespace(headers={"x-" + n.replace("_", "-"): v for n, v in headers.items()})
+    def reply(**headers):
+        return SimpleNamespace(
+            headers={"x-" + name.replace("_", "-"): value for name, value in headers.items()}
+        )
 
-    assert engine_protocol.read_load_report(said(report="inflight:7;util:0.61;odd;x:")) == {
+    assert engine_protocol.read_load_report(reply(report="inflight:7;util:0.61;odd;x:")) == {
         "active": 7.0,
         "cpu": 0.61,
     }
     assert (
-        engine_protocol.read_load_report(said()) is None
-        and engine_protocol.read_load_report(said(report="odd")) is None
+        engine_protocol.read_load_report(reply()) is None
+        and engine_protocol.read_load_report(reply(report="odd")) is None
     )
     assert (
-        engine_protocol.read_cost(said(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0)
-        and engine_protocol.read_cost(said()) is None
+        engine_protocol.read_cost(reply(cpu_ms="12.5", mem_used="64")) == (12.5, 64.0)
+        and engine_protocol.read_cost(reply()) is None
     )
     assert (
-        engine_protocol.read_cost(said(cpu_ms="inf", mem_used="64")) is None
-        and engine_protocol.read_load_report(said(report="inflight:-1")) is None
+        engine_protocol.read_cost(reply(cpu_ms="inf", mem_used="64")) is None
+        and engine_protocol.read_load_report(reply(report="inflight:-1")) is None
     )
-    assert engine_protocol.read_progress(said(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
+    assert engine_protocol.read_progress(reply(tell="held", amount="2")) == (domain.ProgressKind.WAITING, 2.0)
     assert not any(
-        engine_protocol.read_progress(said(**more))
-        for more in ({}, dict(tell="held"), dict(tell="odd", amount="1"), dict(tell="share", amount="nan"))
+        engine_protocol.read_progress(reply(**headers))
+        for headers in ({}, dict(tell="held"), dict(tell="odd", amount="1"), dict(tell="share", amount="nan"))
     )
-    for row in (
+    for record in (
         {"uid": "a", "endpoint": "h:1", "state": "ASLEEP"},
         {"uid": "a", "endpoint": "h", "state": "SERVING"},
         3,
     ):
         with pytest.raises(EndpointListError):
-            read_endpoint_update({"roster": {"all": False, "targets": [row]}})
+            read_endpoint_update({"roster": {"all": False, "targets": [record]}})
 
 
-def test_lines_of_one_kind_are_limited():
-    """Those suppressed are counted."""
+def test_the_rate_of_log_lines_of_one_kind_is_limited():
+    """Suppressed lines are counted in a line of their own."""
     clock, out = SimpleNamespace(now=0.0), text_io.StringIO()
     log = Log(lambda: clock.now, out)
     for _ in range(100):
--- a/tests/test_golden_gateway.py
+++ b/tests/test_golden_gateway.py
@@ -1,7 +1,7 @@
-"""The gateway reads and writes its protocols as revision 0018238 did: client frames and engine calls.
+"""The gateway reads and writes client frames and engine calls as revision 0018238 did.
 
-`golden/gateway/messages.json` holds one request of each class (with every optional field), each answer, each
-call to an engine and each kind of engine reply, as that revision wrote and understood them.
+`golden/gateway/messages.json` holds a request of each resource group (with every optional field), each
+answer, each call to an engine and each kind of engine reply, as that revision encoded and decoded them.
 """
 
 import json
@@ -24,17 +24,17 @@
 
 @pytest.mark.parametrize("case", MESSAGES["requests"], ids=lambda case: case["values"]["service"])
 def test_a_client_request_is_read_as_before(case):
-    """Every field has the value it had, and unknown fields are left alone."""
+    """Each field has the same value, and unknown fields are ignored."""
     ((kind, stream, payload),) = frames.FrameReader().feed(bytes.fromhex(case["frame"]))
     request = frames.read_query(payload)
-    assert (kind, stream, request.repeated) == (case["kind"], case["stream"], None)
+    assert (kind, stream, request.repeated_field) == (case["kind"], case["stream"], None)
     assert {wire: getattr(request, field.name) for wire, field in frames.FIELDS.items()} == case["values"]
     assert bytes(request.statement).decode() == case["statement"]
     assert table_group_of(case["statement"]) == case["table_group"]
 
 
 def test_answers_to_clients_are_the_same_bytes():
-    """One of each code, readiness, and the end of a connection."""
+    """One answer of each code, both readiness answers and GO_AWAY."""
     written = {
         "completed": frames.encode_answer(7, frames.AnswerCode.COMPLETED, *BODY),
         "rejected": frames.encode_answer(7, frames.AnswerCode.REJECTED, *BODY),
@@ -50,7 +50,7 @@
     "case", MESSAGES["calls"], ids=lambda case: f"{case['call']}-{case['arguments'][2:3]}"
 )
 def test_calls_to_engines_are_the_same_bytes(case):
-    """The first call of each class, news, pages, priorities and cancellation."""
+    """The first call of each resource group, polls, pages, priorities and cancellation."""
     calls = {
         "start": engine_protocol.encode_start,
         "page": engine_protocol.encode_page,
@@ -67,7 +67,7 @@
     "case", MESSAGES["replies"], ids=lambda case: case["bytes"][9:60].replace("\r\n", " ")
 )
 def test_engine_replies_mean_what_they_meant(case):
-    """Status, progress, load report, cost, and which call each reply answers."""
+    """Status, progress, load report, cost, and which calls each reply may answer."""
     reply = http.ReplyReader().feed(case["bytes"].encode())
     progress = engine_protocol.read_progress(reply)
     understood = {
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Signals that come while a gateway starts: it ends in order whenever they come, from its first line on."""
+"""Signals during the start of a gateway: it shuts down gracefully at any time after its first line."""
 
 import json
 import os
@@ -17,16 +17,16 @@
 from lichenquay.gateway import frames
 
 ROOT = Path(__file__).resolve().parents[1]
-# runs the program as `python -m` does, and tells that its first line comes next
+# Runs the program as `python -m` does, and writes `up` just before its first line.
 FIRST_LINE = (
     "import os, runpy, sys, lichenquay.gateway; os.write(1, b'up'); sys.argv = ['lichenquay.gateway'];"
     "runpy.run_module('lichenquay.gateway', run_name='__main__', alter_sys=True)"
 )
-FIRST_LINE_CPU_S = 0.03  # of the processor; the imports that follow take ten times as much
+FIRST_LINE_CPU_S = 0.03  # processor time of the first line; the imports that follow take ten times as much
 
 
-def gateway(tmp_path, port):
-    """The program, which writes `up` before its first line."""
+def start_gateway(tmp_path, port):
+    """Starts the program, which writes `up` before its first line."""
     config = tmp_path / "config.json"
     config.write_text(
         json.dumps(
@@ -51,60 +51,60 @@
 
 
 def cpu_s(process):
-    """The processor time that a process has used."""
-    said = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(said[11]) + int(said[12])) / os.sysconf("SC_CLK_TCK")
+    """Returns the processor time that a process has used, in seconds."""
+    fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def blocks_signals(process):
-    """Whether the process has SIGTERM blocks_signals."""
-    for connection in Path(f"/proc/{process.pid}/status").read_text().splitlines():
-        if connection.startswith("SigBlk"):
-            return bool(int(connection.split()[1], 16) >> (signal.SIGTERM - 1) & 1)
+    """Returns whether the process has blocked SIGTERM."""
+    for line in Path(f"/proc/{process.pid}/status").read_text().splitlines():
+        if line.startswith("SigBlk"):
+            return bool(int(line.split()[1], 16) >> (signal.SIGTERM - 1) & 1)
 
 
 def wait_for_first_line(process):
-    """Returns once the first line is past.
+    """Waits until the program has executed its first line.
 
-    By the processor time used, so that a busy machine changes nothing.
+    It measures processor time, so that the load of the machine makes no difference.
     """
     assert process.stdout.read(2) == b"up"
-    began = cpu_s(process)
-    while not blocks_signals(process) and cpu_s(process) < began + FIRST_LINE_CPU_S:
+    started_cpu_s = cpu_s(process)
+    while not blocks_signals(process) and cpu_s(process) < started_cpu_s + FIRST_LINE_CPU_S:
         time.sleep(0.001)
 
 
 @pytest.mark.parametrize(
     "numbers", [(signal.SIGTERM,), (signal.SIGINT,), (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM)]
 )
-def test_a_stop_at_any_time_of_the_start_ends_in_order(tmp_path, numbers):
-    """With exit code 0, and its counters."""
-    chance, gateways = random.Random(str(numbers)), []
+def test_a_signal_at_any_time_of_the_start_ends_the_gateway_gracefully(tmp_path, numbers):
+    """The exit code is 0, and the counters are reported."""
+    rng, gateways = random.Random(str(numbers)), []
     for i in range(6):
         (tmp_path / str(i)).mkdir()
-        gateways.append(gateway(tmp_path / str(i), listening_port()))
+        gateways.append(start_gateway(tmp_path / str(i), listening_port()))
     try:
         for process in gateways:
             wait_for_first_line(process)
-            time.sleep(chance.random() * 0.08)
+            time.sleep(rng.random() * 0.08)
             for number in numbers:
                 process.send_signal(number)
         for process in gateways:
-            said = process.communicate(timeout=20)[1].decode()
-            assert process.returncode == 0 and "Traceback" not in said, said
-            assert "state: ended" in said
+            log = process.communicate(timeout=20)[1].decode()
+            assert process.returncode == 0 and "Traceback" not in log, log
+            assert "state: ended" in log
     finally:
         for process in gateways:
             process.kill()
             process.wait()
 
 
-def test_whoever_can_connect_is_answered_whenever_the_stop_comes(tmp_path):
-    """A request before or after SIGTERM has one answer."""
-    chance = random.Random(30)
+def test_a_client_that_can_connect_is_answered_whenever_sigterm_arrives(tmp_path):
+    """A request just before or after SIGTERM has one answer."""
+    rng = random.Random(30)
     for i in range(4):
         port = listening_port()
-        process = gateway(tmp_path, port)
+        process = start_gateway(tmp_path, port)
         try:
             for _ in range(2000):
                 try:
@@ -124,7 +124,7 @@
                 query = frames.encode_frame(
                     frames.FrameType.QUERY, 1, frames.encode_fields(fields.items()), b"select 1"
                 )
-                if chance.random() < 0.5:
+                if rng.random() < 0.5:
                     process.send_signal(signal.SIGTERM)
                     client.sendall(query)
                 else:
@@ -140,7 +140,7 @@
                     ]
             assert (
                 process.wait(10) == 0
-                and [s for s, _ in answers] == [1]
+                and [answered_stream for answered_stream, _ in answers] == [1]
                 and answers[0][1] in (frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED)
             )
         finally:
