--- a/lichenquay/connection_admission/limits.py
+++ b/lichenquay/connection_admission/limits.py
@@ -37,9 +37,7 @@
     # ... and left after `fall_delay_ms` below this one.
     fall_thresholds: tuple[float, ...] = (0.65, 0.8, 0.92)
     fall_delay_ms: float = 250.0
-    max_lag_ms: float = (
-        50.0  # a persistent event-loop lag that counts as a used share of 1; 0: lag is ignored
-    )
+    max_lag_ms: float = 50.0  # persistent event-loop lag that counts as a used share of 1; 0: lag is ignored
     lag_window_ms: float = 200.0  # the smallest lag within this window counts as persistent
 
 
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -182,11 +182,12 @@
         self.write(frames.encode_answer(stream, error.code, str(error).encode()))
         if error.code == AnswerCode.FAILED:
             self.invalid_requests += 1
-        if self.invalid_requests > MAX_INVALID_REQUESTS or self._exceeds_invalid_request_rate(error):
+        if self.invalid_requests > MAX_INVALID_REQUESTS or self._count_invalid_request(error):
             raise FrameError("too many requests that make no sense")
         self._pause_reading()
 
-    def _exceeds_invalid_request_rate(self, error):
+    def _count_invalid_request(self, error):
+        """Counts an invalid request with connection admission; returns whether its rate is exceeded."""
         if error.code != AnswerCode.FAILED:
             return False
         return self.intake.connection_admission.on_invalid_request(self.record, self.intake.admission_ms())
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -125,7 +125,7 @@
         if not self.call.accepts(reply):
             self.abort(UnreadableReplyError("the reply does not answer this call"))
             return
-        if self._is_duplicate_result(reply):
+        if self._detect_duplicate_result(reply):
             self.abort(UnreadableReplyError("the reply duplicates the result of another attempt"))
             return
         call = self.call
@@ -153,7 +153,7 @@
         last_reply = self._last_anonymous_reply
         return call.attempt is not self.attempt and last_reply is not None and call.accepts(last_reply)
 
-    def _is_duplicate_result(self, reply):
+    def _detect_duplicate_result(self, reply):
         """Returns whether a result equals, byte for byte, the last one here, which was for another attempt.
 
         The result is remembered for the next comparison. A duplicate may arrive late, between two calls, and
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -18,11 +18,11 @@
 # Idempotency and ordering keys are forwarded as HTTP headers: no character that could start another header.
 KEY_PATTERN = re.compile(r"[!-~]{0,256}\Z")
 IDLE_TIMEOUT_S = 4.5  # PROTOCOL: clients close idle connections after 4 s, but some never close theirs
-# For the first frame and for an incomplete one. PROTOCOL requires an answer or a close within 3 s.
+# For the first frame and for an incomplete one. An answer or a close is due within 3 s.
 FRAME_TIMEOUT_S = 2.0
 FREE_MEMORY_DIVISOR = 16  # one frame or statement may take at most the free memory divided by this
-MAX_DURATION_MS = 86_400_000.0  # a day; a request with a longer time-out or work estimate is invalid
-MAX_MEMORY_MB = 1_048_576.0  # a terabyte; a request with a larger memory estimate is invalid
+MAX_DURATION_MS = 86_400_000.0  # a day; bounds work estimates, and time-outs where the group sets no maximum
+MAX_MEMORY_MB = 1_048_576.0  # a terabyte; bounds memory estimates
 MAX_QUOTED_CHARS = 40  # of a client's field, in an answer
 
 
--- a/lichenquay/gateway/result_relay.py
+++ b/lichenquay/gateway/result_relay.py
@@ -20,9 +20,7 @@
 MAX_RESULT_BYTES = 48_000  # PROTOCOL
 MAX_UNREADABLE_REPLIES = 6  # to one poll or page; then the fault is the engine's, and the attempt fails
 RETRY_DELAY_MS = 50.0  # backoff between retries of a call, doubled up to ...
-MAX_RETRY_DELAY_MS = (
-    400.0  # ... this, so that the engine is polled well within the 2 s after which it forgets
-)
+MAX_RETRY_DELAY_MS = 400.0  # ... this, so that polls are well within the 2 s after which an engine forgets
 DEADLINE_TOLERANCE_MS = 1.0  # a cancellation this close to the deadline counts as a time-out
 
 CONNECTION_ERRORS = (ConnectionBrokenError, ReplyTimeoutError, UnreadableReplyError)
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -80,9 +80,7 @@
         self.metrics = Metrics()
         self._create_stages()
         self.feature_settings = configuration.read_feature_settings(environment)
-        self.distributed_rules = (
-            None  # rules of connection admission that override those of the settings file
-        )
+        self.distributed_rules = None  # connection rules that override those of the settings file
         self._apply_limits()
         self.endpoints_are_distributed = (
             self.feature_settings is not None and self.feature_settings.distribution.engines
--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -131,7 +131,7 @@
         return max(arrived_ms, self.awake_from_ms) + self.rng.uniform(0.0, 40.0)
 
     def send_post(self, read_delay_ms, is_lost):
-        """Sends the POST, which is lost, or read after this delay and the time of a read."""
+        """Sends the POST, which is lost, or read with the first read after this delay."""
         self.post_read_ms = None if is_lost else self.read_time_ms(self.now_ms + read_delay_ms)
 
     def close_post_connection(self):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -110,9 +110,8 @@
     )
     assert not world.service.metrics.counters["attempts not connected"]
     for connection in list(engine.connections):
-        connection.transport.write(
-            b"late"
-        )  # while no call is open, and possibly unread when the next is sent
+        # No call is open, and the gateway may not have read this when it sends the next call.
+        connection.transport.write(b"late")
     assert (
         answered(client, client.ask("manifest"))[0] == frames.AnswerCode.COMPLETED and len(engine.posts) == 2
     )
@@ -308,7 +307,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_failures_break_no_rule(make_world, seed):
-    """With faults, drains and cancellations, each query has one answer in time and no attempts overlap."""
+    """With faults, drains and cancellations, each query has one answer in time, and no rule is broken."""
     world, rng = make_world(engines=3), random.Random(seed)
     clients = [world.client() for _ in range(3)]
     deadlines, cancelled = {}, set()  # Unix time by (client, stream); (client, stream)
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -112,10 +112,8 @@
 
         def accept(self):
             remaining_calls[0] -= 1
-            if remaining_calls[0] in (
-                2,
-                0,
-            ):  # fails until the spare descriptor is closed, and again after that
+            # Fails until the spare descriptor is closed, and again after that.
+            if remaining_calls[0] in (2, 0):
                 raise OSError(errno.EMFILE, "too many")
             return real_socket.accept()
 
@@ -270,9 +268,8 @@
     cancelled = client.ask("report", ref="00000000000000dd")
     until(lambda: world.posts() == 2)
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, cancelled))
-    until(
-        lambda: world.engines[0].cancelled == ["00000000000000dd"], 0.5
-    )  # an attempt in flight is cancelled
+    # An attempt in flight is cancelled.
+    until(lambda: world.engines[0].cancelled == ["00000000000000dd"], 0.5)
 
 
 def test_what_is_held_for_a_client_that_does_not_read_is_bounded():
