--- a/lichenquay/gateway/configuration.py
+++ b/lichenquay/gateway/configuration.py
@@ -136,10 +136,10 @@
     )
 
 
-def create_fleet_runtime(feature_settings, reactor, seed, is_under_pressure, apply_to):
+def create_fleet_runtime(feature_settings, reactor, seed, is_under_pressure, configuration_target):
     """Returns the runtime of a fleet member or of a configuration follower, or None if neither is enabled.
 
-    apply_to: the object whose `apply_` methods put distributed configuration in force.
+    configuration_target: the object whose `apply_` methods put distributed configuration in force.
     """
     if feature_settings is None:
         return None
@@ -154,10 +154,10 @@
             seed,
             is_under_pressure,
             distribution=distribution,
-            apply_to=apply_to,
+            configuration_target=configuration_target,
         )
     if distribution is not None:
         from lichenquay.fleet.follower_runtime import FollowerRuntime
 
-        return FollowerRuntime(reactor, distribution, seed, apply_to)
+        return FollowerRuntime(reactor, distribution, seed, configuration_target)
     return None
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -68,7 +68,7 @@
     on_written: called just before the first byte is written.
     on_timeout: if given, called when there is no reply in time; the call then remains open, as its reply
     still tells something about the attempt.
-    may_dispatch: returns whether the call may still be sent; asked just before the first byte.
+    authorize_dispatch: returns whether the call may still be sent; asked just before the first byte.
     attempt: the attempt that the call is for; a late duplicate of a reply to another attempt may arrive on a
     connection.
     """
@@ -82,7 +82,7 @@
     preferred_connection: object = None
     on_written: Callable[[], None] | None = None
     on_timeout: Callable[[], None] | None = None
-    may_dispatch: Callable[[], bool] | None = None
+    authorize_dispatch: Callable[[], bool] | None = None
     address: str | None = None
     attempt: object = None
     reply: Deferred = field(default_factory=Deferred)  # of a Reply
@@ -126,7 +126,11 @@
         This must be checked just before the first byte is written: the decision to send may be outdated by
         the time a connection is established.
         """
-        if not self.withdraw_if_engine_left() and self.may_dispatch is not None and not self.may_dispatch():
+        if (
+            not self.withdraw_if_engine_left()
+            and self.authorize_dispatch is not None
+            and not self.authorize_dispatch()
+        ):
             self.withdraw()
         return not self.is_over
 
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -105,7 +105,7 @@
             urgent_reserve=URGENT_DESCRIPTORS,
             connect_timeout_ms=self.settings.capabilities.connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS,
             reply_timeout_ms=REPLY_TIMEOUT_MS,
-            keep_alive_ms=self.settings.idle_ms or DEFAULT_KEEP_ALIVE_MS,
+            keep_alive_ms=self.settings.engine_keepalive_ms or DEFAULT_KEEP_ALIVE_MS,
         )
         self.adapter = ControllerAdapter(
             self.settings, self.reactor, self.engines, now_ms, self.metrics, self.log
@@ -120,7 +120,7 @@
             self.attempts,
             self.metrics,
             self.adapter.call_at,
-            self.adapter.may_dispatch,
+            self.adapter.authorize_dispatch,
             now_ms,
         )
         self.router = Router(self.dispatcher, self.relay)
@@ -180,7 +180,7 @@
             engine.address = record.address
         # The record has Unix time; the gateway's clock differs from it if the wall clock has stepped since.
         started_ms = record.started_ms + wall_clock_step_ms() if record.started_ms else record.started_ms
-        self.settings.describe(
+        self.settings.update_engine(
             engine, record.zone, record.kind, record.cell, record.state, record.advertised_weight, started_ms
         )
         return engine
@@ -353,7 +353,7 @@
         nothing_in_flight = self.attempts.in_flight_count == 0
         if (all_answered or left_ms < 0) and (nothing_in_flight or is_late):
             self.clients.close_idle()
-            fleet_is_over = self.fleet is None or self.fleet.is_over()
+            fleet_is_over = self.fleet is None or self.fleet.is_leave_complete()
             if is_late or (not self.clients.connections and fleet_is_over):
                 self._end()
                 return
