--- a/lichenquay/connection_admission/account_registry.py
+++ b/lichenquay/connection_admission/account_registry.py
@@ -91,7 +91,7 @@
         """Adds an idle account, and discards the least recently used ones beyond the bound."""
         self.idle_accounts[account.name] = account
         self.idle_accounts.move_to_end(account.name)
-        while len(self.idle_accounts) > max(MIN_IDLE_ACCOUNTS, self.rules.max_remembered):
+        while len(self.idle_accounts) > max(MIN_IDLE_ACCOUNTS, self.rules.max_idle_accounts):
             name, _ = self.idle_accounts.popitem(last=False)
             del self.accounts[name]
             self.discarded_account_count += 1
--- a/lichenquay/connection_admission/limits.py
+++ b/lichenquay/connection_admission/limits.py
@@ -29,7 +29,7 @@
     known: tuple[IPv4Network | IPv6Network, ...] = ()  # networks of known clients
     reserve: int = 0  # connections reserved for known clients
     max_ending: int = 8  # connections that are ending, in addition to `max_connections`
-    max_remembered: int = 4096  # idle accounts of addresses and prefixes that are kept
+    max_idle_accounts: int = 4096  # idle accounts of addresses and prefixes that are kept
     eviction_grace_ms: float = 20.0  # a client with a request to send has sent it by then
     retry_after_ms: float = 1000.0  # Retry-After of a rejection whose limit gives no more exact value
     # By load state after the first: entered at this used share (0 to 1) ...
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -14,7 +14,7 @@
 from lichenquay.gateway.frames import AnswerCode, FrameError, FrameReader, FrameType
 from lichenquay.gateway.stream_numbers import StreamNumbers
 
-CLOSE_S = 0.3  # time for the client to close as well; repeated while it still reads its last answers
+CLOSE_TIMEOUT_S = 0.3  # time for the client to close as well; repeated while it still reads its last answers
 INVALID_REQUEST_PAUSE_S = 0.05  # nothing is read for this long after an invalid request
 MAX_INVALID_REQUESTS = 16  # a connection with more is closed
 # With more bytes of unread answers than this, the requests of a client are deferred; with more bytes of
@@ -328,7 +328,7 @@
         """Closes the connection, which must have no open query.
 
         The sending side is closed once all that was written has been sent; the connection is closed once the
-        client has closed its side, or after `CLOSE_S`, repeated while the client still reads. Closing with
+        client has closed its side, or after `CLOSE_TIMEOUT_S`, repeated while the client still reads. Closing with
         unread input, or at a fixed time, would reset the connection and discard answers that the client has
         not read yet.
         """
@@ -336,7 +336,7 @@
             return
         self.is_open = False
         self.intake.connection_admission.on_connection_ending(self.record, self.intake.admission_ms())
-        self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
+        self.close_timer = self.intake.reactor.callLater(CLOSE_TIMEOUT_S, self._finish_closing)
         if not self.unsent_bytes:
             self._close_output()
 
@@ -353,7 +353,7 @@
         """Closes the connection; waits for a slow client until the latest deadline of its queries."""
         unreceived_bytes = self.unsent_bytes or unacknowledged_bytes(self.transport)
         if unreceived_bytes and self.intake.now_ms() < self.linger_until_ms:
-            self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
+            self.close_timer = self.intake.reactor.callLater(CLOSE_TIMEOUT_S, self._finish_closing)
         elif unreceived_bytes:
             self.transport.abortConnection()
         else:
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -50,7 +50,10 @@
 
 
 class ControllerAdapter:
-    """Implements `GatewayPort` and queues the controller's events; turns are at least `min_loop_interval_ms` apart."""
+    """Implements `GatewayPort` and queues the controller's events.
+
+    Turns are at least `min_loop_interval_ms` apart.
+    """
 
     def __init__(self, settings, reactor, engines, now_ms: Callable[[], float], metrics, log):
         """Creates the controller. `engines`: the pool of connections to engines. The owner sets `router`."""
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -35,7 +35,7 @@
 DEFAULT_KEEP_ALIVE_POLLS = 4
 DEFAULT_KEEP_ALIVE_MS = DEFAULT_KEEP_ALIVE_POLLS * MAX_POLL_REPLY_MS  # likewise
 # PROTOCOL: an event of the discovery service counts as announced after at most this time.
-EVENTS_ANNOUNCED_WITHIN_MS = 7000.0
+MAX_ANNOUNCEMENT_DELAY_MS = 7000.0
 # PROTOCOL: clients open connections until 0.4 s after SIGTERM; the last of these must be accepted.
 ACCEPT_AFTER_SIGTERM_MS = 450.0
 REQUESTS_AFTER_ACCEPTING_MS = 200.0  # PROTOCOL: and send requests on open connections for this much longer
@@ -198,7 +198,7 @@
         except CannotListenError as error:
             reason = error.socketError.strerror
             raise StartError(f"cannot listen on {self.config.listen_address}: {reason}") from None
-        self.adapter.endpoints_stale(EVENTS_ANNOUNCED_WITHIN_MS)
+        self.adapter.endpoints_stale(MAX_ANNOUNCEMENT_DELAY_MS)
         self._follow_discovery()
         self.reactor.callWhenRunning(self.run)
 
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -1,4 +1,4 @@
-"""Random deployments and faults from a seed: the rules hold at every step (see `admission_fakes.FakeGateway`)."""
+"""Random deployments and faults from a seed: the rules hold at every step (`admission_fakes.FakeGateway`)."""
 
 import random
 
