--- a/lichenquay/testbed/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -6,7 +6,7 @@
 
 from lichenquay.testbed.scale.catalogue import Probe
 from lichenquay.testbed.scale.fit import Fit, FitError, Model, Prediction, fit
-from lichenquay.testbed.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
+from lichenquay.testbed.scale.rows import MEASURED, NONE_TODAY, NOT_IMPLEMENTED, Row
 from lichenquay.testbed.scale.sample import Progress, Sample
 
 
@@ -66,19 +66,19 @@
 
 def run(full: bool, seed: int, progress: Progress, probes: Sequence[Probe]) -> Capacity:
     """Runs the probes, the largest size of each last, and ranks the rows."""
-    began, slopes = time.process_time(), {}
+    started_s, slopes = time.process_time(), {}
     probes = [probe for probe in probes if probe.sizes(full)]
     for done, probe in enumerate(probes):
         slopes |= run_probe(probe, full, seed, lambda part, d=done: progress((d + part) / len(probes)))
-    ranked = tuple(sorted((rank(row, slopes) for row in (*MISSING, *MEASURED)), key=order))
-    return Capacity(full, seed, time.process_time() - began, slopes, ranked)
+    ranked = tuple(sorted((rank(row, slopes) for row in (*NOT_IMPLEMENTED, *MEASURED)), key=sort_key))
+    return Capacity(full, seed, time.process_time() - started_s, slopes, ranked)
 
 
 def run_probe(probe: Probe, full: bool, seed: int, progress: Progress) -> dict[str, Slope]:
     """Smaller sizes, their fits, and only then the largest size."""
     *smaller, largest = probe.sizes(full)
     first = probe.measure(smaller, seed, lambda part: progress(part / 2))
-    predicted = {what: foretell(first, what, model, largest) for what, model in probe.models.items()}
+    predicted = {what: predict_largest(first, what, model, largest) for what, model in probe.models.items()}
     last = probe.measure([largest], seed, lambda part: progress((1 + part) / 2))
     slopes = {}
     for what, model in probe.models.items():
@@ -98,7 +98,7 @@
         return None
 
 
-def foretell(samples: Sequence[Sample], what: str, model: Model, size: int) -> Prediction | None:
+def predict_largest(samples: Sequence[Sample], what: str, model: Model, size: int) -> Prediction | None:
     """What the samples of a quantity say of a larger size."""
     found = fitted([s for s in samples if s.what == what], model)
     return found and found.predict(size)
@@ -109,22 +109,22 @@
     if row.need is None:
         return Ranked(row, None, None, None)
 
-    def by(end: str) -> float | None:
-        def at(what: str, size: float) -> float:
+    def need_at_bound(end: str) -> float | None:
+        def quantity_at(what: str, size: float) -> float:
             found = slopes[what].fit
             if found is None:
                 raise FitError(what)
             return max(0.0, getattr(found.predict(size), end))
 
         try:
-            return row.need(at)
+            return row.need(quantity_at)
         except (KeyError, FitError):
             return None
 
-    return Ranked(row, by("value"), by("low"), by("high"))
+    return Ranked(row, need_at_bound("value"), need_at_bound("low"), need_at_bound("high"))
 
 
-def order(ranked: Ranked) -> tuple[bool, bool, float]:
+def sort_key(ranked: Ranked) -> tuple[bool, bool, float]:
     """None today first, then by need over budget; rows without a budget last."""
     return ranked.row.mechanism != NONE_TODAY, ranked.ratio is None, -(ranked.ratio or 0.0)
 
--- a/lichenquay/testbed/scale/catalogue.py
+++ b/lichenquay/testbed/scale/catalogue.py
@@ -105,7 +105,7 @@
         (2, 3, 5, 8),
         {
             f"host.{kind}.{what}": Model.CONSTANT
-            for kind in host.KINDS
+            for kind in host.SETTINGS_BY_KIND
             for what in ("processor", "datagrams", "bytes_out")
         },
     ),
@@ -134,7 +134,7 @@
     ),
     Probe(
         "quota, a front",
-        quota.measure_fronts_part,
+        quota.measure_gateway_escrow,
         "tenants",
         (1, 4, 16, 48),
         (1, 4, 16, 64, 128),
@@ -147,7 +147,7 @@
     ),
     Probe(
         "quota, the keeper",
-        quota.measure_keeper,
+        quota.measure_ledger_leader,
         "fronts",
         (2, 8, 24, 64),
         (5, 20, 50, 200, 800),
--- a/lichenquay/testbed/scale/client.py
+++ b/lichenquay/testbed/scale/client.py
@@ -13,7 +13,7 @@
 
 RETRY_MS = 400.0
 REDIRECT_MS = 20.0  # Until the publisher that another one named is asked.
-MOST_UNDER_WAY = 32
+MAX_IN_FLIGHT = 32
 INF = float("inf")
 
 
@@ -21,19 +21,19 @@
 class Proposal:
     """One change, from its first sending to its outcome."""
 
-    request: int
+    request_id: int
     entries: list
     proposed_ms: float = 0.0
-    asked_ms: float = -INF
+    sent_ms: float = -INF
     accepted_ms: float | None = None
     version: int = 0
-    refused: str = ""
-    tries: int = 0
+    rejection_reason: str = ""
+    attempts: int = 0
 
     @property
-    def is_over(self) -> bool:
+    def is_decided(self) -> bool:
         """Whether its outcome is known."""
-        return self.accepted_ms is not None or bool(self.refused)
+        return self.accepted_ms is not None or bool(self.rejection_reason)
 
 
 class Client:
@@ -46,7 +46,7 @@
         self.proposals: list[Proposal] = []
         self.outbox = []
         self._waiting: deque[Proposal] = deque()
-        self._under_way: dict[int, Proposal] = {}
+        self._in_flight: dict[int, Proposal] = {}
         self._per_s, self._next_ms = 0.0, INF
 
     def propose(self, entries) -> Proposal:
@@ -64,40 +64,40 @@
     @property
     def is_idle(self) -> bool:
         """Whether the outcome of every change is known."""
-        return not self._waiting and not self._under_way
+        return not self._waiting and not self._in_flight
 
     def accepted(self) -> list[Proposal]:
         """All accepted changes, by version."""
-        made = [proposal for proposal in self.proposals if proposal.accepted_ms is not None]
-        return sorted(made, key=lambda proposal: proposal.version)
+        accepted_proposals = [proposal for proposal in self.proposals if proposal.accepted_ms is not None]
+        return sorted(accepted_proposals, key=lambda proposal: proposal.version)
 
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """The highest accepted version."""
         return max((p.version for p in self.proposals if p.accepted_ms is not None), default=0)
 
     @property
     def due_ms(self) -> float:
         """When `tick` is wanted."""
-        if self._waiting and len(self._under_way) < MOST_UNDER_WAY:
+        if self._waiting and len(self._in_flight) < MAX_IN_FLIGHT:
             return -INF
-        asked_ms = min((proposal.asked_ms for proposal in self._under_way.values()), default=INF)
-        return min(self._next_ms, asked_ms + RETRY_MS)
+        sent_ms = min((proposal.sent_ms for proposal in self._in_flight.values()), default=INF)
+        return min(self._next_ms, sent_ms + RETRY_MS)
 
     def tick(self, now_ms: float):
         """Makes the change that is due, and sends what is due."""
         if now_ms >= self._next_ms:
             self._next_ms += 1000 / self._per_s
             self.propose(self.make_entries(len(self.proposals), self.rng))
-        while self._waiting and len(self._under_way) < MOST_UNDER_WAY:
+        while self._waiting and len(self._in_flight) < MAX_IN_FLIGHT:
             proposal = self._waiting.popleft()
             proposal.proposed_ms = now_ms
-            self._under_way[proposal.request] = proposal
-        due = [one for one in self._under_way.values() if one.asked_ms + RETRY_MS <= now_ms]
-        if any(proposal.tries for proposal in due):
-            self._try_another()
+            self._in_flight[proposal.request_id] = proposal
+        due = [one for one in self._in_flight.values() if one.sent_ms + RETRY_MS <= now_ms]
+        if any(proposal.attempts for proposal in due):
+            self._select_another()
         for proposal in due:
-            proposal.asked_ms = now_ms
-            proposal.tries += 1
+            proposal.sent_ms = now_ms
+            proposal.attempts += 1
             self._send(proposal)
 
     def on_message(self, now_ms: float, sender, message):
@@ -108,30 +108,30 @@
         elif kind == "not_leader":
             self._take_leader(now_ms, message.not_leader)
 
-    def _try_another(self):
+    def _select_another(self):
         others = [name for name in self.publishers if name != self.leader]
         self.leader = self.rng.choice(others or self.publishers)
 
     def _send(self, proposal):
-        propose = pb.Propose(request=proposal.request, entries=proposal.entries)
+        propose = pb.Propose(request=proposal.request_id, entries=proposal.entries)
         self.outbox.append((self.leader, pb.Message(propose=propose)))
 
     def _take_outcome(self, now_ms, sender, proposed):
-        proposal = self._under_way.get(proposed.request)
+        proposal = self._in_flight.get(proposed.request)
         if proposal is None or proposed.outcome == pb.Proposed.UNKNOWN:
             return
         self.leader = sender
         if proposed.outcome == pb.Proposed.ACCEPTED:
             proposal.accepted_ms, proposal.version = now_ms, proposed.version
         else:
-            proposal.refused = proposed.reason or "no reason given"
-        del self._under_way[proposed.request]
+            proposal.rejection_reason = proposed.reason or "no reason given"
+        del self._in_flight[proposed.request]
 
     def _take_leader(self, now_ms, not_leader):
         if not_leader.leader not in self.publishers or not_leader.leader == self.leader:
             return
         self.leader = not_leader.leader
-        for proposal in self._under_way.values():
+        for proposal in self._in_flight.values():
             # Risk: two publishers that name each other are asked as fast as they answer.
-            proposal.asked_ms = min(proposal.asked_ms, now_ms - RETRY_MS + REDIRECT_MS)
-            proposal.tries = 0
+            proposal.sent_ms = min(proposal.sent_ms, now_ms - RETRY_MS + REDIRECT_MS)
+            proposal.attempts = 0
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -24,8 +24,8 @@
 from lichenquay.testbed.scale import orders
 from lichenquay.testbed.scale.faulty_disk import FaultyOs
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import LabPost, Network
-from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
+from lichenquay.testbed.scale.lab_post import ImpairedTransport, SharedNetwork
+from lichenquay.testbed.scale.order_reader import start_command_reader, stop, write_answer
 from lichenquay.testbed.scale.settings_files import control_settings
 from lichenquay.testbed.scale.world_spec import WorldSpec, read
 
@@ -38,8 +38,8 @@
         self.reactor = reactor
         process_settings = read_control(text_format.MessageToString(control_settings(spec, name)), name)
         self.host: ControlRuntime = make_runtime(reactor, process_settings)
-        self.network = Network(reactor, Impairment(f"{spec.shape.seed}/{name}"))
-        self.host.datagrams = LabPost(self.host.datagrams, self.network)
+        self.network = SharedNetwork(reactor, Impairment(f"{spec.shape.seed}/{name}"))
+        self.host.datagrams = ImpairedTransport(self.host.datagrams, self.network)
         self.disk = FaultyOs()
         self.host.new_store = partial(DurableStore, file_system=self.disk)
 
@@ -51,9 +51,9 @@
             stop(self.reactor)
             return
         self.host.begin()
-        answer("READY")
+        write_answer("READY")
 
-    def take(self, order):
+    def execute(self, order):
         """Does one order."""
         match order:
             case orders.Impair(rules):
@@ -61,13 +61,13 @@
             case orders.FailDisk(full, delay_ms):
                 self.disk.full, self.disk.delay_ms = full, delay_ms
             case orders.Count():
-                answer(orders.line_of_counts(self.counts()))
+                write_answer(orders.encode_counts(self.counts()))
             case orders.End():
                 stop(self.reactor)
 
     def counts(self):
         """Of this process."""
-        counts = self.host.datagrams.add_to(orders.Counts())
+        counts = self.host.datagrams.added_to(orders.Counts())
         if isinstance(self.host, VoterRuntime):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
         return replace(counts, oldest=self.host.relay.subscriber.applied_version)
@@ -81,7 +81,7 @@
     process = ControlProcess(reactor, read(arguments[0]), arguments[1])
     gc.freeze()
     reactor.callWhenRunning(process.start)
-    read_orders(reactor, process.take, lambda: stop(reactor))
+    start_command_reader(reactor, process.execute, lambda: stop(reactor))
     reactor.run(installSignalHandlers=False)
 
 
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -10,18 +10,18 @@
 from lichenquay.testbed.scale import scenario as s
 from lichenquay.testbed.scale.audit import Findings, audit
 from lichenquay.testbed.scale.fit import Fit, FitError, Model, fit
-from lichenquay.testbed.scale.latency import start_s
+from lichenquay.testbed.scale.latency import startup_seconds
 from lichenquay.testbed.scale.roles import Role, costs_between
-from lichenquay.testbed.scale.session import Session
+from lichenquay.testbed.scale.session import WorldDriver
 from lichenquay.testbed.scale.slopes import Outcome
 
 SIZES = (100, 1_000, 3_000, 10_000)
 HELD_OUT = 25_000
-FRONTS = 24
+GATEWAYS = 24
 WINDOW_S = 5.0
 DOWN_S = 0.5
 START_WAIT_S = 3.0
-REST_S = 90.0
+SETTLE_TIMEOUT_S = 90.0
 
 
 @dataclass
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class EngineKept:
+class EngineSweepResult:
     """All that a sweep kept. The last sample is of the size that was held out."""
 
     samples: list[EngineSample] = field(default_factory=list)
@@ -59,57 +59,59 @@
         held_out: int = HELD_OUT,
     ):
         """Nothing runs yet."""
-        self.shape = s.Shape(fronts=FRONTS, engines=held_out, hosts=1, least_zones=1, seed=seed)
-        self.session = Session(self.shape, folder, REST_S)
+        self.shape = s.Shape(fronts=GATEWAYS, engines=held_out, hosts=1, least_zones=1, seed=seed)
+        self.driver = WorldDriver(self.shape, folder, SETTLE_TIMEOUT_S)
         self.progress, self.sizes, self.held_out = progress, sizes, held_out
-        self.kept = EngineKept()
+        self.result = EngineSweepResult()
 
-    def run(self) -> EngineKept:
+    def run(self) -> EngineSweepResult:
         """Runs all of it. Raises CannotStart where a process does not, or engines can't be listed."""
-        with self.session:
-            self.base = self.session.read()
-            self.session.grow_to(FRONTS)
+        with self.driver:
+            self.base = self.driver.read()
+            self.driver.grow_to(GATEWAYS)
             listed = 0
             for number, size in enumerate((*self.sizes, self.held_out)):
-                self.kept.samples.append(self._measure(listed, size))
+                self.result.samples.append(self._measure(listed, size))
                 listed = size
                 self.progress((number + 1) / (len(self.sizes) + 1))
-            self._end()
+            self._finish()
         self._fit()
-        return self.kept
+        return self.result
 
     def _measure(self, listed, size) -> EngineSample:
-        listing_s = self.session.list_engines(listed, size - listed)
-        begun_s = time.monotonic()
-        if not self.session.settle():
-            self.kept.notes.append(f"{size} engines were not in force everywhere after {REST_S:g} s")
-        behind_s = time.monotonic() - begun_s
-        before, after = self.session.window(WINDOW_S, 0.0)
+        listing_s = self.driver.list_engines(listed, size - listed)
+        started_at_s = time.monotonic()
+        if not self.driver.settle():
+            self.result.notes.append(
+                f"{size} engines were not in force everywhere after {SETTLE_TIMEOUT_S:g} s"
+            )
+        behind_s = time.monotonic() - started_at_s
+        before, after = self.driver.window(WINDOW_S, 0.0)
         costs = costs_between(before, after, self.base, self.shape)
         metrics = {"listing_s": listing_s, "behind_after_listing_s": behind_s}
-        for role in (Role.FRONT, Role.RELAY, Role.PUBLISHER):
+        for role in (Role.GATEWAY, Role.RELAY, Role.PUBLISHER):
             if role in costs:
                 metrics[f"{role.value}_kb"] = costs[role].of_one().kb
                 metrics[f"{role.value}_cpu_share_at_rest"] = costs[role].of_one().cpu_share
-        names = tuple(self.shape.front_names())
-        restart = s.Event(0.0, s.Act.RESTART_FRONTS, names, DOWN_S)
-        played = self.session.play(s.Scenario("restart", START_WAIT_S, 0.0, [restart]))
-        return EngineSample(size, metrics, played.restarted_ms, played.restarted_version)
-
-    def _end(self):
-        kept, session = self.kept, self.session
-        session.read()
-        kept.processes, kept.memory_share = len(session.world.children()) + 1, session.memory_share
-        lives = session.end()
-        kept.findings = audit(session.proposer.proposals, lives, len(session.world.running))
-        names = frozenset(self.shape.front_names())
-        for sample in kept.samples:
-            seconds = start_s(lives, names, sample.restarted_ms, sample.version)
+        names = tuple(self.shape.gateway_names())
+        restart = s.FaultEvent(0.0, s.FaultKind.RESTART_GATEWAYS, names, DOWN_S)
+        scenario_result = self.driver.run_scenario(s.Scenario("restart", START_WAIT_S, 0.0, [restart]))
+        return EngineSample(size, metrics, scenario_result.restarted_ms, scenario_result.version_at_restart)
+
+    def _finish(self):
+        result, driver = self.result, self.driver
+        driver.read()
+        result.processes, result.memory_share = len(driver.world.children()) + 1, driver.memory_share
+        lifetimes = driver.end()
+        result.findings = audit(driver.proposer.proposals, lifetimes, len(driver.world.running))
+        names = frozenset(self.shape.gateway_names())
+        for sample in result.samples:
+            seconds = startup_seconds(lifetimes, names, sample.restarted_ms, sample.version)
             if seconds is not None:
                 sample.metrics["start_of_all_s"] = seconds
 
     def _fit(self):
-        fitted, held_out = self.kept.samples[:-1], self.kept.samples[-1]
+        fitted, held_out = self.result.samples[:-1], self.result.samples[-1]
         for name in fitted[0].metrics:
             points = [(sample.engines, sample.metrics[name]) for sample in fitted if name in sample.metrics]
             try:
@@ -117,7 +119,7 @@
             except FitError:  # Too few sizes: nothing is said of this metric.
                 continue
             predicted = one.predict(held_out.engines)
-            self.kept.fits[name] = one
-            self.kept.outcomes[name] = Outcome(
+            self.result.fits[name] = one
+            self.result.outcomes[name] = Outcome(
                 predicted.value, predicted.low, predicted.high, held_out.metrics.get(name)
             )
--- a/lichenquay/testbed/scale/figures.py
+++ b/lichenquay/testbed/scale/figures.py
@@ -4,99 +4,106 @@
 from collections import Counter
 from dataclasses import asdict
 
-from lichenquay.testbed.scale.engine_sweep import FRONTS, EngineKept
-from lichenquay.testbed.scale.engines import ENTRIES_OF_CHANGE
+from lichenquay.testbed.scale.engine_sweep import GATEWAYS, EngineSweepResult
+from lichenquay.testbed.scale.engines import ENTRIES_PER_CHANGE
 from lichenquay.testbed.scale.fit import Fit
-from lichenquay.testbed.scale.latency import config_figures, heal_s, start_s
-from lichenquay.testbed.scale.record import Life
+from lichenquay.testbed.scale.latency import config_figures, recovery_seconds, startup_seconds
+from lichenquay.testbed.scale.record import GatewayLifetime
 from lichenquay.testbed.scale.roles import COST_DIGITS, Role
-from lichenquay.testbed.scale.runner import Kept
+from lichenquay.testbed.scale.runner import ScaleRunResult
 from lichenquay.testbed.scale.slopes import Outcome
-from lichenquay.testbed.scale.virtual_run import VirtualKept
+from lichenquay.testbed.scale.virtual_run import VirtualRunResult
 
-HOLLOW_LACKS = ("membership (at most 1,024 names)", "account client", "clients' connections")
-HOLLOW_LACKS_ALL = (*HOLLOW_LACKS, "controller")
+NOT_SIMULATED = ("membership (at most 1,024 names)", "account client", "clients' connections")
+NOT_SIMULATED_WITHOUT_QUERIES = (*NOT_SIMULATED, "controller")
 
 
-def figures_of(kept: Kept) -> dict:
+def figures_of(result: ScaleRunResult) -> dict:
     """All figures; `config` is of every change that was proposed while sizes were measured and scenarios
     played.
     """
     return {
-        "fronts_hollow": kept.plan.held_out,
-        "fronts_real": len(kept.real_fronts),
-        "real_fronts": [asdict(front) for front in kept.real_fronts],
-        "processes": kept.processes,
-        "memory_share": round(kept.memory_share, 4),
+        "fronts_hollow": result.plan.held_out,
+        "fronts_real": len(result.real_fronts),
+        "real_fronts": [asdict(gateway) for gateway in result.real_fronts],
+        "processes": result.processes,
+        "memory_share": round(result.memory_share, 4),
         "load_average": load_average(),
-        "engines": kept.plan.shape.engines,
-        "zones": len(kept.plan.shape.zones),
-        "seed": kept.plan.shape.seed,
-        "queries_per_s": kept.plan.shape.queries_per_s,
-        "queries": queries_of(kept.lives),
-        "hollow_fronts_lack": list(HOLLOW_LACKS if kept.plan.shape.queries_per_s else HOLLOW_LACKS_ALL),
-        **roles_of(kept),
-        "sizes": sizes_of(kept),
-        "slopes": slopes_of(kept.fits, kept.plan.sizes),
-        **predictions_of(kept.outcomes),
-        **outcome_of(kept),
+        "engines": result.plan.shape.engines,
+        "zones": len(result.plan.shape.zones),
+        "seed": result.plan.shape.seed,
+        "queries_per_s": result.plan.shape.queries_per_s,
+        "queries": queries_of(result.lifetimes),
+        "hollow_fronts_lack": list(
+            NOT_SIMULATED if result.plan.shape.queries_per_s else NOT_SIMULATED_WITHOUT_QUERIES
+        ),
+        **roles_of(result),
+        "sizes": sizes_of(result),
+        "slopes": slopes_of(result.fits, result.plan.sizes),
+        **predictions_of(result.outcomes),
+        **outcome_of(result),
     }
 
 
-def virtual_figures_of(kept: VirtualKept) -> dict:
+def virtual_figures_of(result: VirtualRunResult) -> dict:
     """All figures of a run in virtual time."""
     return {
-        "fronts_virtual": kept.plan.shape.fronts,
-        "engines": kept.plan.shape.engines,
-        "zones": len(kept.plan.shape.zones),
-        "seed": kept.plan.shape.seed,
-        "virtual_s": round(kept.virtual_s, 1),
-        "cpu_s": round(kept.cpu_s, 1),
-        "sent_messages_per_s": kept.messages_per_s,
-        "sent_body_bytes_per_s": kept.bytes_per_s,
-        **outcome_of(kept),
+        "fronts_virtual": result.plan.shape.fronts,
+        "engines": result.plan.shape.engines,
+        "zones": len(result.plan.shape.zones),
+        "seed": result.plan.shape.seed,
+        "virtual_s": round(result.virtual_s, 1),
+        "cpu_s": round(result.cpu_s, 1),
+        "sent_messages_per_s": result.messages_per_s,
+        "sent_body_bytes_per_s": result.bytes_per_s,
+        **outcome_of(result),
     }
 
 
-def outcome_of(kept: Kept | VirtualKept) -> dict:
+def outcome_of(result: ScaleRunResult | VirtualRunResult) -> dict:
     """What became of the changes, in real time and in virtual time alike."""
-    out_of_reach = [one for played in kept.played for one in played.out_of_reach]
-    made = [proposal for proposal in kept.proposals if proposal.accepted_ms is not None]
-    trickle = made[loading_changes(kept) :]
-    findings = kept.findings
+    unreachable_periods = [
+        one for scenario_result in result.scenario_results for one in scenario_result.unreachable_periods
+    ]
+    accepted = [proposal for proposal in result.proposals if proposal.accepted_ms is not None]
+    background = accepted[loading_changes(result) :]
+    findings = result.findings
     return {
         "config": {
-            **asdict(config_figures(trickle, kept.lives, out_of_reach)),
+            **asdict(config_figures(background, result.lifetimes, unreachable_periods)),
             "never_in_force": findings.never_in_force,
             "out_of_order": findings.out_of_order,
             "two_versions_after_rest": findings.two_versions_after_rest,
         },
-        "scenarios": {played.scenario.name: scenario_of(played, kept) for played in kept.played},
-        "zone_start_s": zone_start_s(kept),
-        "region_heal_s": region_heal_s(kept),
-        "notes": kept.notes,
+        "scenarios": {
+            scenario_result.scenario.name: scenario_of(scenario_result, result)
+            for scenario_result in result.scenario_results
+        },
+        "zone_start_s": zone_startup_seconds(result),
+        "region_heal_s": region_recovery_seconds(result),
+        "notes": result.notes,
         "broken_rules": findings.broken_rules,
     }
 
 
-def queries_of(lives: list[Life]) -> dict[str, int]:
+def queries_of(lifetimes: list[GatewayLifetime]) -> dict[str, int]:
     """Queries of all hollow fronts' controllers, by what became of them."""
     total = Counter()
-    for life in lives:
-        total.update({what: number for what, number in life.counts.items() if what.startswith("queries")})
+    for lifetime in lifetimes:
+        total.update({what: number for what, number in lifetime.counts.items() if what.startswith("queries")})
     return dict(total)
 
 
-def loading_changes(kept: Kept | VirtualKept) -> int:
+def loading_changes(result: ScaleRunResult | VirtualRunResult) -> int:
     """The changes that listed the engines: they come first, and no front is up yet."""
-    return -(-kept.plan.shape.engines // ENTRIES_OF_CHANGE)
+    return -(-result.plan.shape.engines // ENTRIES_PER_CHANGE)
 
 
-def roles_of(kept: Kept) -> dict:
+def roles_of(result: ScaleRunResult) -> dict:
     """Of one member of each role, at the held-out size: the mean over the windows."""
     roles = {}
     for role in Role:
-        costs = [sample.costs[role].of_one() for sample in kept.held_out if role in sample.costs]
+        costs = [sample.costs[role].of_one() for sample in result.held_out if role in sample.costs]
         if costs:
             roles[role.value] = {
                 name: round(sum(getattr(cost, name) for cost in costs) / len(costs), digits)
@@ -105,14 +112,14 @@
     return {"roles": roles}
 
 
-def sizes_of(kept: Kept) -> list[dict]:
+def sizes_of(result: ScaleRunResult) -> list[dict]:
     """Every window at every size."""
     return [
         {
             "fronts": sample.fronts,
             **{role.value: asdict(cost.of_one()) for role, cost in sample.costs.items()},
         }
-        for sample in [*kept.samples, *kept.held_out]
+        for sample in [*result.samples, *result.held_out]
     ]
 
 
@@ -141,23 +148,23 @@
     }
 
 
-def engine_figures_of(kept: EngineKept) -> dict:
+def engine_figures_of(result: EngineSweepResult) -> dict:
     """All figures of a sweep over the number of engines."""
-    findings = kept.findings
+    findings = result.findings
     return {
-        "fronts_hollow": FRONTS,
+        "fronts_hollow": GATEWAYS,
         "fronts_real": 0,
-        "processes": kept.processes,
-        "memory_share": round(kept.memory_share, 4),
+        "processes": result.processes,
+        "memory_share": round(result.memory_share, 4),
         "load_average": load_average(),
-        "held_out": kept.samples[-1].engines,
-        "engine_sizes": [{"engines": one.engines, **one.metrics} for one in kept.samples],
-        "slopes": slopes_of(kept.fits, [one.engines for one in kept.samples[:-1]]),
-        **predictions_of(kept.outcomes),
+        "held_out": result.samples[-1].engines,
+        "engine_sizes": [{"engines": one.engines, **one.metrics} for one in result.samples],
+        "slopes": slopes_of(result.fits, [one.engines for one in result.samples[:-1]]),
+        **predictions_of(result.outcomes),
         "never_in_force": findings.never_in_force,
         "out_of_order": findings.out_of_order,
         "two_versions_after_rest": findings.two_versions_after_rest,
-        "notes": kept.notes,
+        "notes": result.notes,
         "broken_rules": findings.broken_rules,
     }
 
@@ -167,44 +174,58 @@
     return [round(load, 1) for load in os.getloadavg()]
 
 
-def scenario_of(played, kept: Kept | VirtualKept) -> dict:
+def scenario_of(scenario_result, result: ScaleRunResult | VirtualRunResult) -> dict:
     """Of the changes that were proposed during a scenario."""
     during = [
         proposal
-        for proposal in kept.proposals
-        if proposal.accepted_ms is not None and played.begun_ms <= proposal.proposed_ms < played.ended_ms
+        for proposal in result.proposals
+        if proposal.accepted_ms is not None
+        and scenario_result.started_at_ms <= proposal.proposed_ms < scenario_result.ended_ms
     ]
     return {
-        **asdict(config_figures(during, kept.lives, played.out_of_reach)),
-        "seconds": played.scenario.seconds,
-        "compressed": played.scenario.compressed,
-        "done": played.done,
-        "settled": played.settled,
-        "heal_s": heal_of(played, kept),
-        "start_s": start_of(played, kept),
+        **asdict(config_figures(during, result.lifetimes, scenario_result.unreachable_periods)),
+        "seconds": scenario_result.scenario.seconds,
+        "compressed": scenario_result.scenario.time_compression,
+        "done": scenario_result.done,
+        "settled": scenario_result.settled,
+        "heal_s": recovery_seconds_of(scenario_result, result),
+        "start_s": startup_seconds_of(scenario_result, result),
     }
 
 
-def heal_of(played, kept: Kept | VirtualKept) -> float | None:
+def recovery_seconds_of(scenario_result, result: ScaleRunResult | VirtualRunResult) -> float | None:
     """Seconds from the heal until all fronts that were out of reach had the newest version of that moment."""
-    if played.healed_ms is None:
+    if scenario_result.recovered_ms is None:
         return None
-    names = frozenset().union(*(one.names for one in played.out_of_reach))
-    return heal_s(kept.lives, names, played.healed_ms, played.healed_version)
+    names = frozenset().union(*(one.names for one in scenario_result.unreachable_periods))
+    return recovery_seconds(
+        result.lifetimes, names, scenario_result.recovered_ms, scenario_result.version_at_recovery
+    )
 
 
-def start_of(played, kept: Kept | VirtualKept) -> float | None:
+def startup_seconds_of(scenario_result, result: ScaleRunResult | VirtualRunResult) -> float | None:
     """Seconds from the last start of fronts until all of them had the newest version of that moment."""
-    if played.restarted_ms is None:
+    if scenario_result.restarted_ms is None:
         return None
-    return start_s(kept.lives, played.restarted, played.restarted_ms, played.restarted_version)
+    return startup_seconds(
+        result.lifetimes,
+        scenario_result.restarted,
+        scenario_result.restarted_ms,
+        scenario_result.version_at_restart,
+    )
 
 
-def zone_start_s(kept: Kept | VirtualKept) -> float | None:
+def zone_startup_seconds(result: ScaleRunResult | VirtualRunResult) -> float | None:
     """Of the scenario of that name."""
-    return next((start_of(p, kept) for p in kept.played if p.scenario.name == "zone start"), None)
+    return next(
+        (startup_seconds_of(p, result) for p in result.scenario_results if p.scenario.name == "zone start"),
+        None,
+    )
 
 
-def region_heal_s(kept: Kept | VirtualKept) -> float | None:
+def region_recovery_seconds(result: ScaleRunResult | VirtualRunResult) -> float | None:
     """Of the scenario of that name."""
-    return next((heal_of(p, kept) for p in kept.played if p.scenario.name == "region cut"), None)
+    return next(
+        (recovery_seconds_of(p, result) for p in result.scenario_results if p.scenario.name == "region cut"),
+        None,
+    )
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -20,22 +20,22 @@
 from lichenquay.testbed.scale import orders, record
 from lichenquay.testbed.scale.digest import values_digest
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import LabPost, Network
-from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
+from lichenquay.testbed.scale.lab_post import ImpairedTransport, SharedNetwork
+from lichenquay.testbed.scale.order_reader import start_command_reader, stop, write_answer
 from lichenquay.testbed.scale.scenario import zone_of_name
-from lichenquay.testbed.scale.settings_files import front_listen, front_settings
+from lichenquay.testbed.scale.settings_files import gateway_listen_address, gateway_settings
 from lichenquay.testbed.scale.world_spec import PREFIXES, WorldSpec, read
 
-MOST_LIVES = 50_000  # Of one process's fronts.
-AGAIN_S = 0.05  # Before a front whose address is still taken is started again ...
-MOST_TRIES = 100  # ... so often at most.
+MAX_LIFETIMES = 50_000  # Of one process's fronts.
+LISTEN_RETRY_S = 0.05  # Before a front whose address is still taken is started again ...
+MAX_LISTEN_RETRIES = 100  # ... so often at most.
 
 
 class CannotListenError(Exception):
     """A hollow front has no socket. The text is one line."""
 
 
-class HollowFront(FollowerRuntime):
+class LightweightGateway(FollowerRuntime):
     """One front without traffic, from its start to its end."""
 
     def __init__(self, reactor, settings, seed, network, controller=None):
@@ -43,8 +43,8 @@
         one.
         """
         super().__init__(reactor, settings, seed, self)
-        self.datagrams = LabPost(self.datagrams, network)
-        self.life = record.Life(settings.name, boot_ms())
+        self.datagrams = ImpairedTransport(self.datagrams, network)
+        self.lifetime = record.GatewayLifetime(settings.name, boot_ms())
         self.gate, self.controller = None, controller
 
     def apply_connection_rules(self, gate):
@@ -54,106 +54,106 @@
     def apply_endpoints(self, whole, rows):
         """The engines that are in force go to the controller, where there is one."""
         if self.controller is not None:
-            self.controller.take(whole, rows)
+            self.controller.update_endpoints(whole, rows)
 
     def begin(self):
         """Raises CannotListenError."""
         fault = self.open()
         if fault is not None:
-            self.end_controller()
+            self.close_controller()
             raise CannotListenError(fault)
         super().begin()
 
     def after_flush(self):
         """Keeps the version in force, whichever way it moved."""
         super().after_flush()
-        self.life.step(self.applied_configuration.subscriber.applied_version, boot_ms())
+        self.lifetime.record_version(self.applied_configuration.subscriber.applied_version, boot_ms())
 
     def end(self):
         """Closes the socket without a word, and keeps what was held."""
-        self.life.ended_ms = boot_ms()
+        self.lifetime.ended_ms = boot_ms()
         self.close()
-        self.end_controller()
-        self.keep_state()
+        self.close_controller()
+        self.record_final_state()
 
-    def end_controller(self):
+    def close_controller(self):
         """It asks nothing more."""
         if self.controller is not None:
             self.controller.close()
 
-    def keep_state(self):
+    def record_final_state(self):
         """What is held now goes into the record."""
         subscriber = self.applied_configuration.subscriber
-        self.life.values_digest = values_digest(subscriber.applied_values)
-        self.life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
-        self.life.counts = dict(subscriber.counts)
+        self.lifetime.values_digest = values_digest(subscriber.applied_values)
+        self.lifetime.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
+        self.lifetime.counts = dict(subscriber.counts)
         if self.controller is not None:
-            self.life.counts |= self.controller.counts()
+            self.lifetime.counts |= self.controller.counts()
 
 
-class HollowHost:
+class LightweightGatewayHost:
     """All hollow fronts of this process."""
 
     def __init__(self, reactor, spec: WorldSpec, number: int):
         """`number`: of this process among its likes."""
         self.reactor, self.spec, self.number = reactor, spec, number
-        self.network = Network(reactor, Impairment(f"{spec.shape.seed}/hollow/{number}"))
-        self.settings = front_settings(spec)
-        self.fronts: dict[str, HollowFront] = {}
-        self.lives: list[record.Life] = []
-        self.opening = None  # Of all controllers, made with the first.
-        self.gone = orders.Counts()  # What fronts that have ended sent and heard.
-
-    def take(self, order):
+        self.network = SharedNetwork(reactor, Impairment(f"{spec.shape.seed}/hollow/{number}"))
+        self.settings = gateway_settings(spec)
+        self.gateways: dict[str, LightweightGateway] = {}
+        self.lifetimes: list[record.GatewayLifetime] = []
+        self.deployment = None  # Of all controllers, made with the first.
+        self.ended_counts = orders.Counts()  # What fronts that have ended sent and heard.
+
+    def execute(self, order):
         """Does one order."""
         match order:
             case orders.StartFronts(names):
-                self.start(names)
+                self.start_gateways(names)
             case orders.StopFronts(names):
-                self.stop(names)
+                self.stop_gateways(names)
             case orders.ReadSlowly(names, on):
                 for name in names:
-                    if name in self.fronts:
-                        self.fronts[name].datagrams.read_slowly(on)
+                    if name in self.gateways:
+                        self.gateways[name].datagrams.read_slowly(on)
             case orders.Impair(rules):
                 self.network.impairment.rules = list(rules)
             case orders.Count():
-                answer(orders.line_of_counts(self.counts()))
+                write_answer(orders.encode_counts(self.counts()))
             case orders.End():
                 self.end()
 
-    def start(self, names):
+    def start_gateways(self, names):
         """Starts the fronts that do not run."""
         for name in names:
-            if name not in self.fronts and len(self.lives) < MOST_LIVES:
-                self.start_one(name, MOST_TRIES)
+            if name not in self.gateways and len(self.lifetimes) < MAX_LIFETIMES:
+                self.start_gateway(name, MAX_LISTEN_RETRIES)
 
-    def start_one(self, name, tries):
+    def start_gateway(self, name, retries_left):
         """Risk: a socket is closed only after the reactor's turn, so that a busy process can't listen there
         again at once. Then it is tried again, `tries` times at most.
         """
-        if name in self.fronts:
+        if name in self.gateways:
             return
-        front = self.new_front(name)
+        gateway = self.new_gateway(name)
         try:
-            front.begin()
+            gateway.begin()
         except CannotListenError as fault:
-            if tries:
-                self.reactor.callLater(AGAIN_S, self.start_one, name, tries - 1)
+            if retries_left:
+                self.reactor.callLater(LISTEN_RETRY_S, self.start_gateway, name, retries_left - 1)
             else:
                 print(f"{name}: {fault}", file=sys.stderr, flush=True)
             return
-        self.fronts[name] = front
-        self.lives.append(front.life)
+        self.gateways[name] = gateway
+        self.lifetimes.append(gateway.lifetime)
 
-    def new_front(self, name):
+    def new_gateway(self, name):
         """A front of this name, not begun."""
         settings = type(self.settings)()
         settings.CopyFrom(self.settings)
         settings.name, settings.zone = name, zone_of_name(name)
-        settings.listen = front_listen(self.spec.shape, self.spec.loopbacks[self.number], name)
-        seed = f"{self.spec.shape.seed}/{len(self.lives)}"
-        return HollowFront(self.reactor, settings, seed, self.network, self.new_controller(name, seed))
+        settings.listen = gateway_listen_address(self.spec.shape, self.spec.loopbacks[self.number], name)
+        seed = f"{self.spec.shape.seed}/{len(self.lifetimes)}"
+        return LightweightGateway(self.reactor, settings, seed, self.network, self.new_controller(name, seed))
 
     def new_controller(self, name, seed):
         """Where the shape has queries; the module is not imported otherwise."""
@@ -162,32 +162,34 @@
             return None
         from lichenquay.testbed.scale import hollow_controller
 
-        if self.opening is None:
-            self.opening = hollow_controller.opening_of(self.spec.shape.seed)
+        if self.deployment is None:
+            self.deployment = hollow_controller.deployment_settings(self.spec.shape.seed)
         rng = random.Random(f"{name}/{seed}")
-        return hollow_controller.HollowController(self.reactor, self.opening, rng, per_s)
+        return hollow_controller.LightweightController(self.reactor, self.deployment, rng, per_s)
 
-    def stop(self, names):
+    def stop_gateways(self, names):
         """Ends the fronts that run."""
         for name in names:
-            front = self.fronts.pop(name, None)
-            if front is not None:
-                front.end()
-                self.gone = front.datagrams.add_to(self.gone)
+            gateway = self.gateways.pop(name, None)
+            if gateway is not None:
+                gateway.end()
+                self.ended_counts = gateway.datagrams.added_to(self.ended_counts)
 
     def counts(self):
         """Of all fronts that run or ran here."""
-        counts = self.gone
-        for front in self.fronts.values():
-            counts = front.datagrams.add_to(counts)
-        in_force = [front.applied_configuration.subscriber.applied_version for front in self.fronts.values()]
-        return replace(counts, fronts=len(self.fronts), oldest=min(in_force, default=0))
+        counts = self.ended_counts
+        for gateway in self.gateways.values():
+            counts = gateway.datagrams.added_to(counts)
+        in_force = [
+            gateway.applied_configuration.subscriber.applied_version for gateway in self.gateways.values()
+        ]
+        return replace(counts, fronts=len(self.gateways), oldest=min(in_force, default=0))
 
     def end(self):
         """Writes the record and stops the reactor."""
-        for front in self.fronts.values():
-            front.keep_state()
-        record.write(Path(self.spec.folder) / f"hollow-{self.number}.npz", self.lives)
+        for gateway in self.gateways.values():
+            gateway.record_final_state()
+        record.write(Path(self.spec.folder) / f"hollow-{self.number}.npz", self.lifetimes)
         stop(self.reactor)
 
 
@@ -197,10 +199,10 @@
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
     spec, number = read(arguments[0]), int(arguments[1])
-    host = HollowHost(reactor, spec, number)
+    host = LightweightGatewayHost(reactor, spec, number)
     gc.freeze()
-    read_orders(reactor, host.take, lambda: stop(reactor))
-    reactor.callWhenRunning(answer, "READY")
+    start_command_reader(reactor, host.execute, lambda: stop(reactor))
+    reactor.callWhenRunning(write_answer, "READY")
     reactor.run(installSignalHandlers=False)
 
 
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -18,7 +18,7 @@
 from lichenquay.testbed.world import settings_of
 
 WORK_MS = 20.0  # Of every query.
-ASKED, OPEN, FAULTS = "queries asked", "queries open", "faults"
+SUBMITTED, OPEN, FAULTS = "queries asked", "queries open", "faults"
 ANSWERS = {
     frames.AnswerCode.COMPLETED: "queries finished",
     frames.AnswerCode.REJECTED: "queries deferred",
@@ -39,7 +39,7 @@
 
 
 @dataclass(eq=False)
-class Flight:
+class InFlightAttempt:
     """An attempt on its way, as `ControllerAdapter` takes it back."""
 
     attempt: domain.Attempt
@@ -56,29 +56,29 @@
 
     def start(self, attempt, timeout_ms):
         """Takes an attempt."""
-        flight = Flight(attempt, attempt.query)
-        flight.timer = self.reactor.callLater(WORK_MS / 1000, self._finish, flight)
-        return flight
+        in_flight = InFlightAttempt(attempt, attempt.query)
+        in_flight.timer = self.reactor.callLater(WORK_MS / 1000, self._finish, in_flight)
+        return in_flight
 
-    def cancel(self, flight):
+    def cancel(self, in_flight):
         """It is cancelled, if it is still out."""
-        if flight.timer.active():
-            flight.timer.cancel()
-            self.adapter.attempt_ended(flight, domain.Outcome.CANCELLED, None, None, [])
+        if in_flight.timer.active():
+            in_flight.timer.cancel()
+            self.adapter.attempt_ended(in_flight, domain.Outcome.CANCELLED, None, None, [])
 
-    def set_priority(self, flight, priority):
+    def set_priority(self, in_flight, priority):
         """Engines that are never busy have no use for a priority."""
 
-    def _finish(self, flight):
-        self.adapter.attempt_ended(flight, domain.Outcome.COMPLETED, None, None, [])
+    def _finish(self, in_flight):
+        self.adapter.attempt_ended(in_flight, domain.Outcome.COMPLETED, None, None, [])
 
 
-class Queries(ControllerAdapter):
+class CountingControllerAdapter(ControllerAdapter):
     """`ControllerAdapter` without clients: an answer is counted."""
 
-    def __init__(self, opening, reactor, log):
+    def __init__(self, deployment, reactor, log):
         """Nobody asks yet."""
-        super().__init__(opening, reactor, None, boot_ms, Metrics(), log)
+        super().__init__(deployment, reactor, None, boot_ms, Metrics(), log)
         self.router = InstantRouter(reactor)
         self.router.adapter = self
 
@@ -90,24 +90,24 @@
             self.metrics.count(ANSWERS[code])
 
 
-def opening_of(seed: int) -> DeploymentSettings:
+def deployment_settings(seed: int) -> DeploymentSettings:
     """The laboratory's usual groups, tenants and rules; shared by all fronts of a process."""
     return DeploymentSettings(SettingsSection.from_json(settings_of(read_testbed(""))), seed)
 
 
-class HollowController:
+class LightweightController:
     """Lists engines as they are distributed, and asks `per_s` queries a second."""
 
-    def __init__(self, reactor, opening: DeploymentSettings, rng, per_s: float):
+    def __init__(self, reactor, deployment: DeploymentSettings, rng, per_s: float):
         """Begins at once, with no engine."""
-        self.reactor, self.opening, self.rng, self.per_s = reactor, opening, rng, per_s
-        self.queries = Queries(opening, reactor, lambda *words: None)
-        self.groups = list(opening.groups.values())
+        self.reactor, self.deployment, self.rng, self.per_s = reactor, deployment, rng, per_s
+        self.queries = CountingControllerAdapter(deployment, reactor, lambda *words: None)
+        self.groups = list(deployment.groups.values())
         self.engines: dict[str, domain.Engine] = {}
-        self.asked = 0
-        self.timer = reactor.callLater(rng.uniform(0, 1 / per_s), self._ask)
+        self.submitted = 0
+        self.timer = reactor.callLater(rng.uniform(0, 1 / per_s), self._submit_query)
 
-    def take(self, whole: bool, rows: list[EndpointRecord]) -> None:
+    def update_endpoints(self, whole: bool, rows: list[EndpointRecord]) -> None:
         """Engines of the list: all there are, or those that changed."""
         if whole:
             self.engines = {}
@@ -116,7 +116,7 @@
     def counts(self) -> dict[str, int]:
         """Queries by what became of them, and faults of the controller that `ControllerAdapter` caught."""
         counts = {what: self.queries.metrics.counts[what] for what in (*ANSWERS.values(), FAULTS)}
-        return {ASKED: self.asked, OPEN: len(self.queries.open_queries), **counts}
+        return {SUBMITTED: self.submitted, OPEN: len(self.queries.open_queries), **counts}
 
     def close(self) -> None:
         """Asks nothing more."""
@@ -127,15 +127,15 @@
 
     def _engine(self, row):
         engine = self.engines.setdefault(row.uid, domain.Engine(row.uid))
-        self.opening.describe(engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None)
+        self.deployment.describe(engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None)
         if row.state == domain.EndpointState.REMOVED:
             del self.engines[row.uid]
         return engine
 
-    def _ask(self):
+    def _submit_query(self):
         group = self.rng.choice(self.groups)
         now_ms = boot_ms()
         query = GatewayQuery(0, group, now_ms, now_ms + group.max_timeout_ms, estimated_work_ms=WORK_MS)
-        self.asked += 1
+        self.submitted += 1
         self.queries.query_received(query)
-        self.timer = self.reactor.callLater(1 / self.per_s, self._ask)
+        self.timer = self.reactor.callLater(1 / self.per_s, self._submit_query)
--- a/lichenquay/testbed/scale/impairment.py
+++ b/lichenquay/testbed/scale/impairment.py
@@ -7,15 +7,15 @@
 import random
 from dataclasses import dataclass
 
-ANY = ""  # A zone that matches every zone.
+ANY_ZONE = ""  # A zone that matches every zone.
 
 
 @dataclass(frozen=True)
 class Rule:
     """What happens to datagrams from `source` to `target`, both zones, or ANY. Shares are 0 to 1."""
 
-    source: str = ANY
-    target: str = ANY
+    source: str = ANY_ZONE
+    target: str = ANY_ZONE
     loss: float = 0.0
     delay_ms: float = 0.0  # Each datagram is late by up to so much, and so they are reordered.
     doubled: float = 0.0
@@ -23,10 +23,10 @@
 
     def matches(self, source: str, target: str) -> bool:
         """Whether the rule is about datagrams from one zone to another."""
-        return self.source in (ANY, source) and self.target in (ANY, target)
+        return self.source in (ANY_ZONE, source) and self.target in (ANY_ZONE, target)
 
 
-def cut_off(zones: list[str], others: list[str]) -> list[Rule]:
+def partition_rules(zones: list[str], others: list[str]) -> list[Rule]:
     """The rules that cut zones from others, both ways. Among themselves nothing changes."""
     rules = []
     for zone in zones:
@@ -45,9 +45,9 @@
         self.rules: list[Rule] = []
         self.lost = self.doubled = 0
 
-    def delays_of(self, source: str, target: str) -> list[float]:
+    def delays_for(self, source: str, target: str) -> list[float]:
         """The delays in ms of each copy that is to be sent; none: the datagram is lost."""
-        rule = self._rule_of(source, target)
+        rule = self._matching_rule(source, target)
         if rule is None:
             return [0.0]
         if rule.cut or self.rng.random() < rule.loss:
@@ -59,7 +59,7 @@
             copies = 2
         return [self.rng.uniform(0.0, rule.delay_ms) for _ in range(copies)]
 
-    def _rule_of(self, source: str, target: str) -> Rule | None:
+    def _matching_rule(self, source: str, target: str) -> Rule | None:
         for rule in self.rules:
             if rule.matches(source, target):
                 return rule
--- a/lichenquay/testbed/scale/lab_post.py
+++ b/lichenquay/testbed/scale/lab_post.py
@@ -9,26 +9,32 @@
 
 
 @dataclass(frozen=True)
-class Network:
+class SharedNetwork:
     """What all sockets of one process share."""
 
     reactor: object
     impairment: Impairment
 
 
-class LabPost(DatagramTransport):
+class ImpairedTransport(DatagramTransport):
     """Takes the place of a host's own post, before the host opens its socket."""
 
-    def __init__(self, post: DatagramTransport, network: Network):
+    def __init__(self, transport: DatagramTransport, network: SharedNetwork):
         """All that `post` has."""
-        super().__init__(post.envelope, post.addresses, post.message_types, post.on_message, post.on_address)
+        super().__init__(
+            transport.envelope,
+            transport.addresses,
+            transport.message_types,
+            transport.on_message,
+            transport.on_address,
+        )
         self.network = network
-        self.zone = zone_of_name(post.envelope.name)
+        self.zone = zone_of_name(transport.envelope.name)
         self.bytes_in = 0
 
     def send(self, incarnation, name, layer, message):
         """Sends none, one or two copies, at once or later."""
-        for delay_ms in self.network.impairment.delays_of(self.zone, zone_of_name(name)):
+        for delay_ms in self.network.impairment.delays_for(self.zone, zone_of_name(name)):
             if delay_ms:
                 later = self.network.reactor.callLater
                 later(delay_ms / 1000, super().send, incarnation, name, layer, message)
@@ -47,7 +53,7 @@
         else:
             self.transport.startReading()
 
-    def add_to(self, counts):
+    def added_to(self, counts):
         """The counts with this socket's own added."""
         dropped = sum(n for what, n in self.counters.items() if what.startswith("datagrams dropped"))
         return Counts(
--- a/lichenquay/testbed/scale/latency.py
+++ b/lichenquay/testbed/scale/latency.py
@@ -5,13 +5,13 @@
 import numpy as np
 
 from lichenquay.testbed.scale.client import Proposal
-from lichenquay.testbed.scale.record import NEVER, Life
+from lichenquay.testbed.scale.record import NEVER, GatewayLifetime
 
 P50, P99 = 50, 99
 
 
 @dataclass(frozen=True)
-class OutOfReach:
+class UnreachablePeriod:
     """Fronts that could not be reached for a while; a pair that touches the time is left out of the
     percentiles.
     """
@@ -38,7 +38,9 @@
 
 
 def config_figures(
-    changes: list[Proposal], lives: list[Life], out_of_reach: list[OutOfReach] = ()
+    changes: list[Proposal],
+    lifetimes: list[GatewayLifetime],
+    unreachable_periods: list[UnreachablePeriod] = (),
 ) -> ConfigFigures:
     """The figures of accepted changes."""
     if not changes:
@@ -48,13 +50,13 @@
     proposed_ms = np.array([change.proposed_ms for change in ordered])
     accepted = [change.accepted_ms - change.proposed_ms for change in ordered]
     parts, left_out, never = [], 0, 0
-    for life in lives:
-        in_force_ms = times_in_force(life, versions)
-        counted = was_up(life, proposed_ms)
-        if life.ended_ms == NEVER:
+    for lifetime in lifetimes:
+        in_force_ms = times_in_force(lifetime, versions)
+        counted = had_version(lifetime, proposed_ms)
+        if lifetime.ended_ms == NEVER:
             never += int((counted & np.isinf(in_force_ms)).sum())
         counted &= np.isfinite(in_force_ms)
-        excluded = counted & touches(life.name, proposed_ms, in_force_ms, out_of_reach)
+        excluded = counted & overlapping_pairs(lifetime.name, proposed_ms, in_force_ms, unreachable_periods)
         left_out += int(excluded.sum())
         parts.append((in_force_ms - proposed_ms)[counted & ~excluded])
     took_ms = np.concatenate(parts) if parts else np.empty(0)
@@ -70,60 +72,64 @@
     )
 
 
-def times_in_force(life: Life, versions: np.ndarray) -> np.ndarray:
+def times_in_force(lifetime: GatewayLifetime, versions: np.ndarray) -> np.ndarray:
     """When each version was in force at a front first, by itself or by a later one; inf: never."""
-    highest = np.maximum.accumulate(np.array(life.versions, dtype=np.int64))
-    at_ms = np.append(np.array(life.at_ms), np.inf)
+    highest = np.maximum.accumulate(np.array(lifetime.versions, dtype=np.int64))
+    at_ms = np.append(np.array(lifetime.at_ms), np.inf)
     return at_ms[np.searchsorted(highest, versions, side="left")]
 
 
-def was_up(life: Life, proposed_ms: np.ndarray) -> np.ndarray:
+def had_version(lifetime: GatewayLifetime, proposed_ms: np.ndarray) -> np.ndarray:
     """Whether the front had some version in force at these times."""
-    joined_ms = joined_at(life)
-    return (proposed_ms >= joined_ms) & (proposed_ms < life.ended_ms)
+    joined_ms = first_version_ms(lifetime)
+    return (proposed_ms >= joined_ms) & (proposed_ms < lifetime.ended_ms)
 
 
-def joined_at(life: Life) -> float:
+def first_version_ms(lifetime: GatewayLifetime) -> float:
     """When the front had a version in force first; inf: never."""
-    for version, at_ms in zip(life.versions, life.at_ms, strict=True):
+    for version, at_ms in zip(lifetime.versions, lifetime.at_ms, strict=True):
         if version > 0:
             return at_ms
     return NEVER
 
 
-def touches(
-    name: str, proposed_ms: np.ndarray, in_force_ms: np.ndarray, out_of_reach: list[OutOfReach]
+def overlapping_pairs(
+    name: str, proposed_ms: np.ndarray, in_force_ms: np.ndarray, unreachable_periods: list[UnreachablePeriod]
 ) -> np.ndarray:
     """Which pairs overlap a time at which the front could not be reached."""
     found = np.zeros(len(proposed_ms), dtype=bool)
-    for one in out_of_reach:
+    for one in unreachable_periods:
         if name in one.names:
             found |= (proposed_ms <= one.until_ms) & (in_force_ms >= one.from_ms)
     return found
 
 
-def heal_s(lives: list[Life], names: frozenset[str], healed_ms: float, version: int) -> float | None:
+def recovery_seconds(
+    lifetimes: list[GatewayLifetime], names: frozenset[str], recovered_ms: float, version: int
+) -> float | None:
     """Seconds from a heal until all of these fronts had a version in force; None: some never had."""
     versions = np.array([version], dtype=np.int64)
-    latest_ms = healed_ms
-    for life in lives:
-        if life.name in names and life.started_ms <= healed_ms < life.ended_ms:
-            latest_ms = max(latest_ms, float(times_in_force(life, versions)[0]))
-    return round((latest_ms - healed_ms) / 1000, 3) if np.isfinite(latest_ms) else None
+    latest_ms = recovered_ms
+    for lifetime in lifetimes:
+        if lifetime.name in names and lifetime.started_ms <= recovered_ms < lifetime.ended_ms:
+            latest_ms = max(latest_ms, float(times_in_force(lifetime, versions)[0]))
+    return round((latest_ms - recovered_ms) / 1000, 3) if np.isfinite(latest_ms) else None
 
 
-def start_s(lives: list[Life], names: frozenset[str], started_ms: float, version: int) -> float | None:
+def startup_seconds(
+    lifetimes: list[GatewayLifetime], names: frozenset[str], started_ms: float, version: int
+) -> float | None:
     """Seconds from a start until all of these fronts had a version in force; None: some never had, or did
     not start.
     """
     versions = np.array([version], dtype=np.int64)
     started = {}
-    for life in sorted(lives, key=lambda life: life.started_ms):
-        if life.name in names and life.started_ms >= started_ms:
-            started.setdefault(life.name, life)  # A later life is of another start.
+    for lifetime in sorted(lifetimes, key=lambda lifetime: lifetime.started_ms):
+        if lifetime.name in names and lifetime.started_ms >= started_ms:
+            started.setdefault(lifetime.name, lifetime)  # A later life is of another start.
     if not names or set(started) != set(names):
         return None
-    latest_ms = max(float(times_in_force(life, versions)[0]) for life in started.values())
+    latest_ms = max(float(times_in_force(lifetime, versions)[0]) for lifetime in started.values())
     return round((latest_ms - started_ms) / 1000, 3) if np.isfinite(latest_ms) else None
 
 
--- a/lichenquay/testbed/scale/order_reader.py
+++ b/lichenquay/testbed/scale/order_reader.py
@@ -3,25 +3,25 @@
 import sys
 import threading
 
-from lichenquay.testbed.scale.orders import UnknownOrderError, order_of
+from lichenquay.testbed.scale.orders import UnknownCommandError, decode_command
 
 
-def read_orders(reactor, take, ended):
+def start_command_reader(reactor, execute, ended):
     """Starts a thread that calls `take(order)` in the reactor for each line, and `ended()` at the end of
     input.
     """
 
-    def run():
+    def read_lines():
         for line in sys.stdin:
             try:
-                order = order_of(line)
-            except UnknownOrderError as unknown:
-                print(f"no order: {unknown}", file=sys.stderr, flush=True)
+                command = decode_command(line)
+            except UnknownCommandError as error:
+                print(f"no order: {error}", file=sys.stderr, flush=True)
                 continue
-            reactor.callFromThread(take, order)
+            reactor.callFromThread(execute, command)
         reactor.callFromThread(ended)
 
-    threading.Thread(target=run, name="orders", daemon=True).start()
+    threading.Thread(target=read_lines, name="orders", daemon=True).start()
 
 
 def stop(reactor):
@@ -30,6 +30,6 @@
         reactor.stop()
 
 
-def answer(line):
+def write_answer(line):
     """One line to whoever gives the orders."""
     print(line, flush=True)
--- a/lichenquay/testbed/scale/orders.py
+++ b/lichenquay/testbed/scale/orders.py
@@ -8,7 +8,7 @@
 from lichenquay.testbed.scale.impairment import Rule
 
 
-class UnknownOrderError(ValueError):
+class UnknownCommandError(ValueError):
     """A line that is no order."""
 
 
@@ -59,7 +59,7 @@
     """Write the report, and exit."""
 
 
-ORDERS = {
+COMMANDS = {
     order.__name__: order for order in (StartFronts, StopFronts, ReadSlowly, Impair, FailDisk, Count, End)
 }
 
@@ -78,28 +78,28 @@
     leads: bool = False
 
 
-def line_of(order) -> str:
+def encode_command(order) -> str:
     """An order as a line."""
     return json.dumps({"order": type(order).__name__, **asdict(order)})
 
 
-def order_of(line: str):
+def decode_command(line: str):
     """The order that a line says. Raises UnknownOrderError."""
     try:
-        said = json.loads(line)
-        kind = ORDERS[said.pop("order")]
-        if kind is Impair:
-            return Impair([Rule(**rule) for rule in said["rules"]])
-        return kind(**said)
+        fields = json.loads(line)
+        command_class = COMMANDS[fields.pop("order")]
+        if command_class is Impair:
+            return Impair([Rule(**rule) for rule in fields["rules"]])
+        return command_class(**fields)
     except (ValueError, KeyError, TypeError, AttributeError):
-        raise UnknownOrderError(line[:80]) from None
+        raise UnknownCommandError(line[:80]) from None
 
 
-def line_of_counts(counts: Counts) -> str:
+def encode_counts(counts: Counts) -> str:
     """Counts as a line."""
     return json.dumps(asdict(counts))
 
 
-def counts_of(line: str) -> Counts:
+def decode_counts(line: str) -> Counts:
     """The counts that a line says."""
     return Counts(**json.loads(line))
--- a/lichenquay/testbed/scale/plans.py
+++ b/lichenquay/testbed/scale/plans.py
@@ -4,7 +4,7 @@
 
 from lichenquay.testbed.scale import scenario as s
 
-REAL_FRONTS = 2
+REAL_GATEWAYS = 2
 LARGE_SIZES = (50, 200, 800, 2000)
 MIDDLE_SIZES = (50, 200, 400, 800)  # Where 2,000 or less is held out.
 
@@ -21,7 +21,7 @@
     settle_s: float = 1.0  # After fronts were started and hold everything, before a window.
     changes_per_s: float = 1.0
     scenarios: list[s.Scenario] = field(default_factory=list)
-    rest_s: float = 20.0  # In which all fronts must come to hold one version.
+    settle_timeout_s: float = 20.0  # In which all fronts must come to hold one version.
     real_fronts: int = 0  # Beside the hollow ones, under load while scenarios are played.
 
     @property
@@ -68,23 +68,23 @@
         window_s=6.0,
         settle_s=3.0,
         scenarios=scenarios,
-        rest_s=60.0,
-        real_fronts=REAL_FRONTS,
+        settle_timeout_s=60.0,
+        real_fronts=REAL_GATEWAYS,
     )
 
 
-def small(seed: int, fronts: int, scenarios: list[s.Scenario]) -> Plan:
+def small(seed: int, gateways: int, scenarios: list[s.Scenario]) -> Plan:
     """For tests: one host, two zones, short windows."""
-    shape = s.Shape(fronts=fronts, engines=20, hosts=1, voters=3, relays_of_zone=2, seed=seed)
-    sizes = tuple(max(1, fronts * part // 5) for part in range(1, 5))
+    shape = s.Shape(fronts=gateways, engines=20, hosts=1, voters=3, relays_of_zone=2, seed=seed)
+    sizes = tuple(max(1, gateways * part // 5) for part in range(1, 5))
     return Plan(
         shape,
         sizes,
-        fronts,
+        gateways,
         window_s=0.5,
         windows=1,
         settle_s=0.2,
         changes_per_s=4.0,
         scenarios=scenarios,
-        rest_s=15.0,
+        settle_timeout_s=15.0,
     )
--- a/lichenquay/testbed/scale/probes/datagram.py
+++ b/lichenquay/testbed/scale/probes/datagram.py
@@ -8,14 +8,20 @@
 from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms
 
 FLEET, FINGERPRINT, INCARNATION = "scale", 1, 1_700_000_000_000
-TIMES, RUNS, LEAST_OF = 300, 5, 3  # datagrams a run; a value is the least of three: other load only adds
+CALLS_PER_RUN, RUNS, TRIALS_PER_RUN = (
+    300,
+    5,
+    3,
+)  # datagrams a run; a value is the least of three: other load only adds
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
     """`sizes`: bytes of the message, up to `message_envelope.MAX_BODY_BYTES`. Sockets on 127.0.0.1 alone."""
     rng, samples = random.Random(f"datagram/{seed}"), []
     names = ["front-0001", "front-0002"]
-    out, into = (MessageEnvelope(FLEET, FINGERPRINT, name, names) for name in names)
+    sending_envelope, receiving_envelope = (
+        MessageEnvelope(FLEET, FINGERPRINT, name, names) for name in names
+    )
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
@@ -25,29 +31,33 @@
         address = receiver.getsockname()
         for done, size in enumerate(sizes):
             body = rng.randbytes(size)
-            sealed = out.seal(INCARNATION, names[1], Layer.MEMBERS, body)
+            sealed = sending_envelope.seal(INCARNATION, names[1], Layer.MEMBERS, body)
 
-            def carry(data: bytes = sealed) -> None:
+            def send_and_receive(data: bytes = sealed) -> None:
                 sender.sendto(data, address)
                 receiver.recv(2_048)
 
             samples += [
                 Sample(size, "datagram.length", "bytes", (float(len(sealed)),)),
-                each(size, "datagram.seal", lambda b=body: out.seal(INCARNATION, names[1], Layer.MEMBERS, b)),
-                each(size, "datagram.open", lambda data=sealed: into.open(data)),
-                each(size, "datagram.socket", carry),
+                time_call(
+                    size,
+                    "datagram.seal",
+                    lambda b=body: sending_envelope.seal(INCARNATION, names[1], Layer.MEMBERS, b),
+                ),
+                time_call(size, "datagram.open", lambda data=sealed: receiving_envelope.open(data)),
+                time_call(size, "datagram.socket", send_and_receive),
             ]
             progress((done + 1) / len(sizes))
     return samples
 
 
-def each(size: int, what: str, call: Callable[[], object]) -> Sample:
+def time_call(size: int, what: str, call: Callable[[], object]) -> Sample:
     """Processor time of one call, by runs of many calls; the first run only warms up."""
 
-    def many() -> None:
-        for _ in range(TIMES):
+    def run_calls() -> None:
+        for _ in range(CALLS_PER_RUN):
             call()
 
-    many()
-    spent = [min(processor_ms(many) for _ in range(LEAST_OF)) / TIMES for _ in range(RUNS)]
+    run_calls()
+    spent = [min(processor_ms(run_calls) for _ in range(TRIALS_PER_RUN)) / CALLS_PER_RUN for _ in range(RUNS)]
     return Sample(size, what, "ms", tuple(spent))
--- a/lichenquay/testbed/scale/probes/discovery.py
+++ b/lichenquay/testbed/scale/probes/discovery.py
@@ -39,19 +39,19 @@
     """`sizes`: engines. Nothing here is left to chance: the seed is not used."""
     samples = []
     for done, size in enumerate(sizes):
-        samples += [*one_list(size), *idle(size)]
+        samples += [*measure_list(size), *measure_idle(size)]
         progress((done + 1) / len(sizes))
     return samples
 
 
-def one_list(size: int) -> list[Sample]:
+def measure_list(size: int) -> list[Sample]:
     """Processor time from an answer's bytes to rows; its length; whether a front reads it; state."""
     body, times = whole_list(size), []
     rows = []
 
     def follow() -> None:
         rows.clear()
-        following = Discovery({"no": 0, "items": []}, lambda whole, told: rows.append(told), lambda *_: None)
+        following = Discovery({"no": 0, "items": []}, lambda whole, row: rows.append(row), lambda *_: None)
         following.on_answer(json.loads(body))
 
     for _ in range(RUNS):
@@ -93,7 +93,7 @@
         self.discovery.on_answer({"no": 1, "items": []})
 
 
-def idle(size: int) -> list[Sample]:
+def measure_idle(size: int) -> list[Sample]:
     """Calls and bytes a second of one front in calm; the bulletin answers when its patience is over."""
     clock, transport = Clock(), StringTransport()
     connection = DiscoveryConnection(IdleFactory(clock))
--- a/lichenquay/testbed/scale/probes/door.py
+++ b/lichenquay/testbed/scale/probes/door.py
@@ -9,17 +9,21 @@
 from lichenquay.admission.controller import Controller
 from lichenquay.testbed.scale.sample import Stopwatch
 
-FRONTS_AN_ENGINE = 4_400 / 25_000  # of the plan; the share of an engine that a front may use depends on it
+GATEWAYS_PER_ENGINE = 4_400 / 25_000  # of the plan; the share of an engine that a front may use depends on it
 STEP_MS = 5.0
 TABLE_SETS = 20
 REPORT_SHARE = 0.5  # of the queries; the others are dashboards
-QUICK = domain.ResourceGroup("status", domain.Effect.READ_ONLY, 500.0, 2.0, 2_500.0, 1.0, 0.3, threads=1)
-REPORT = domain.ResourceGroup("report", domain.Effect.READ_ONLY, 2_000.0, 2.0, 10_000.0, 5.0, 0.3, threads=2)
-WORK_MS = {QUICK: 20.0, REPORT: 200.0}
+STATUS_GROUP = domain.ResourceGroup(
+    "status", domain.Effect.READ_ONLY, 500.0, 2.0, 2_500.0, 1.0, 0.3, threads=1
+)
+REPORT_GROUP = domain.ResourceGroup(
+    "report", domain.Effect.READ_ONLY, 2_000.0, 2.0, 10_000.0, 5.0, 0.3, threads=2
+)
+WORK_MS = {STATUS_GROUP: 20.0, REPORT_GROUP: 200.0}
 MEMORY_MB = 100.0
-LICENCE = domain.GatewayPermissions(4, True, True, False, 500.0)
-SAFEGUARDS = domain.SafetyLimits(20.0, 250.0, 0.3, 15_000.0, 3.0, 1_500.0, 300.0, None, 0.0, 0.0, 10_000.0)
-MAKE = domain.EngineCapabilities(
+PERMISSIONS = domain.GatewayPermissions(4, True, True, False, 500.0)
+SAFETY_LIMITS = domain.SafetyLimits(20.0, 250.0, 0.3, 15_000.0, 3.0, 1_500.0, 300.0, None, 0.0, 0.0, 10_000.0)
+CAPABILITIES = domain.EngineCapabilities(
     True,
     True,
     0.4,
@@ -29,7 +33,7 @@
     ("active",),
     domain.LoadReportSource.ANSWERS,
 )
-REPORTED = {"active": 2.0}
+REPORTED_LOAD = {"active": 2.0}
 
 
 def make_engines(number: int) -> list[domain.Engine]:
@@ -40,21 +44,23 @@
     ]
 
 
-class VirtualDoor:
+class VirtualGateway:
     """A `GatewayPort`; `beats` and `queries` sum the controller's processor time by what called it."""
 
     def __init__(self, engines: list[domain.Engine], seed: int, rate_per_s: float):
         """Queries come at `rate_per_s` by a Poisson process once `play` is called."""
         self.now_ms, self.rng, self.rate_per_s = 1_000.0, random.Random(f"door/{seed}"), rate_per_s
         self.timers, self.order, self.ids = [], count(), count(1)
-        self.beats, self.queries = Stopwatch(), Stopwatch()
-        self.arrived = self.finished = self.refused = 0
-        fronts = max(2, round(len(engines) * FRONTS_AN_ENGINE))
-        gateway = domain.GatewayIdentity("zone-0", fronts, seed, STEP_MS)
-        self.controller = Controller(self, gateway, [QUICK, REPORT], [], LICENCE, SAFEGUARDS, MAKE)
+        self.tick_stopwatch, self.query_stopwatch = Stopwatch(), Stopwatch()
+        self.arrived = self.finished = self.rejected = 0
+        gateways = max(2, round(len(engines) * GATEWAYS_PER_ENGINE))
+        gateway = domain.GatewayIdentity("zone-0", gateways, seed, STEP_MS)
+        self.controller = Controller(
+            self, gateway, [STATUS_GROUP, REPORT_GROUP], [], PERMISSIONS, SAFETY_LIMITS, CAPABILITIES
+        )
         self.controller.endpoints_updated(engines, True)
 
-    def play(self, for_ms: float) -> None:
+    def run(self, for_ms: float) -> None:
         """Queries come for so long in virtual time."""
         until_ms = self.now_ms + for_ms
         self.at(self.now_ms + self._gap_ms(), lambda: self._arrive(until_ms))
@@ -72,8 +78,8 @@
 
     def _arrive(self, until_ms: float) -> None:
         self.at(self.now_ms + self._gap_ms(), lambda: self._arrive(until_ms))
-        group = REPORT if self.rng.random() < REPORT_SHARE else QUICK
-        tables = f"tables-{self.rng.randrange(TABLE_SETS)}" if group is REPORT else None
+        group = REPORT_GROUP if self.rng.random() < REPORT_SHARE else STATUS_GROUP
+        tables = f"tables-{self.rng.randrange(TABLE_SETS)}" if group is REPORT_GROUP else None
         deadline_ms = self.now_ms + group.max_timeout_ms
         query = domain.Query(
             next(self.ids),
@@ -85,7 +91,7 @@
             table_group=tables,
         )
         self.arrived += 1
-        with self.queries.running():
+        with self.query_stopwatch.running():
             self.controller.admit(query)
 
     def _finish(self, attempt: domain.Attempt) -> None:
@@ -93,8 +99,8 @@
             return
         attempt.outcome, attempt.query.is_done = domain.Outcome.COMPLETED, True
         self.finished += 1
-        with self.queries.running():
-            self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, REPORTED)
+        with self.query_stopwatch.running():
+            self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, REPORTED_LOAD)
 
     # What the controller asks of its front.
 
@@ -108,18 +114,18 @@
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> None:
         """A timer of the controller's: its beats are counted apart."""
-        stopwatch = self.beats if call == self.controller.tick else self.queries
-        self.at(max(at_ms, self.now_ms + STEP_MS), lambda: self._wake(stopwatch, call))
+        stopwatch = self.tick_stopwatch if call == self.controller.tick else self.query_stopwatch
+        self.at(max(at_ms, self.now_ms + STEP_MS), lambda: self._run_timed(stopwatch, call))
 
     @staticmethod
-    def _wake(stopwatch: Stopwatch, call: Callable[[], None]) -> None:
+    def _run_timed(stopwatch: Stopwatch, call: Callable[[], None]) -> None:
         with stopwatch.running():
             call()
 
     def fail(self, q: domain.Query) -> None:
         """The query ends without an answer of an engine."""
         q.is_done = True
-        self.refused += 1
+        self.rejected += 1
 
     def reject(self, q: domain.Query, pause_ms: float) -> None:
         """Likewise."""
@@ -132,7 +138,7 @@
     def _cancelled(self, attempt: domain.Attempt) -> None:
         if attempt.outcome is None:
             attempt.outcome = domain.Outcome.CANCELLED
-            with self.queries.running():
+            with self.query_stopwatch.running():
                 self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, None)
 
     def set_grant(self, q: domain.Query, memory_mb: float, priority: int) -> None:
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -12,9 +12,12 @@
 from lichenquay.load.child import environment
 from lichenquay.testbed.scale.sample import Progress, Sample
 
-WARM_S, MEASURED_S, PATIENCE_S = 3.0, 3.0, 60.0
+WARM_UP_S, MEASURED_S, EXIT_TIMEOUT_S = 3.0, 3.0, 60.0
 ACCOUNT = 'accounts { tenant: "tenant" rate_ms: 1000 bucket_ms: 5000 }'
-KINDS = {"members": "", "quota": ACCOUNT}  # what the fronts talk of: members alone, or an idle account too
+SETTINGS_BY_KIND = {
+    "members": "",
+    "quota": ACCOUNT,
+}  # what the fronts talk of: members alone, or an idle account too
 
 
 def free_ports(number: int) -> list[int]:
@@ -39,7 +42,7 @@
     return f'fleet {{ fleet: "scale" {own} {peers} {more} }}'
 
 
-def talk(size: int, kind: str) -> list[dict[str, float]]:
+def run_gateways(size: int, kind: str) -> list[dict[str, float]]:
     """What each of so many fronts tells of itself. Raises RuntimeError where one of them fails."""
     ports, running = free_ports(size), []
     with tempfile.TemporaryDirectory(prefix="lichenquay-scale-") as name:
@@ -47,8 +50,15 @@
         try:
             for number in range(size):
                 path = folder / f"{number}.settings"
-                path.write_text(settings_of(folder, ports, number, KINDS[kind]), encoding="utf-8")
-                command = [sys.executable, "-m", "lichenquay.testbed.scale.talker", path, WARM_S, MEASURED_S]
+                path.write_text(settings_of(folder, ports, number, SETTINGS_BY_KIND[kind]), encoding="utf-8")
+                command = [
+                    sys.executable,
+                    "-m",
+                    "lichenquay.testbed.scale.talker",
+                    path,
+                    WARM_UP_S,
+                    MEASURED_S,
+                ]
                 running.append(
                     subprocess.Popen(
                         [str(word) for word in command],
@@ -58,27 +68,27 @@
                         text=True,
                     )
                 )
-            said = [process.communicate(timeout=PATIENCE_S)[0] for process in running]
+            outputs = [process.communicate(timeout=EXIT_TIMEOUT_S)[0] for process in running]
         finally:
             for process in running:
                 process.kill()
                 process.wait()
     try:
-        return [json.loads(line) for line in said]
+        return [json.loads(line) for line in outputs]
     except ValueError:
         raise RuntimeError(f"a front of {size} ended without its figures") from None
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
     """`sizes`: fronts, all on 127.0.0.1. Real time: the seed is not used."""
-    samples, steps = [], len(sizes) * len(KINDS)
+    samples, steps = [], len(sizes) * len(SETTINGS_BY_KIND)
     for size in sizes:
-        for kind in KINDS:
-            told = talk(size, kind)
+        for kind in SETTINGS_BY_KIND:
+            rates = run_gateways(size, kind)
             samples += [
-                Sample(size, f"host.{kind}.processor", "ms/s", tuple(t["processor"] for t in told)),
-                Sample(size, f"host.{kind}.datagrams", "1/s", tuple(t["datagrams"] for t in told)),
-                Sample(size, f"host.{kind}.bytes_out", "B/s", tuple(t["bytes"] for t in told)),
+                Sample(size, f"host.{kind}.processor", "ms/s", tuple(t["processor"] for t in rates)),
+                Sample(size, f"host.{kind}.datagrams", "1/s", tuple(t["datagrams"] for t in rates)),
+                Sample(size, f"host.{kind}.bytes_out", "B/s", tuple(t["bytes"] for t in rates)),
             ]
             progress(len(samples) / 3 / steps)
     return samples
--- a/lichenquay/testbed/scale/probes/lease.py
+++ b/lichenquay/testbed/scale/probes/lease.py
@@ -12,14 +12,17 @@
 
 GROUP, LAYER, VOTERS = "scale", "lease", ("voter-a", "voter-b", "voter-c")
 DISK_MS = 2.0  # from a record's writing to its being on disk
-SETTLE_MS, EACH_MS = 12_000.0, 3_000.0  # until the group is held; most for one record
+SETTLE_MS, RECORD_TIMEOUT_MS = 12_000.0, 3_000.0  # until the group is held; most for one record
 SETTINGS = LeaseSettings(
     lease_ms=1_500.0, heartbeat_ms=250.0, retry_ms=100.0, backoff_ms=150.0, max_state_bytes=1 << 20
 )
-TAKEOVERS = 5
-FAR_ROUND_TRIP_MS, LAGGING_MS = 20.0, 30_000.0  # with a voter behind; most for a takeover then
-LAGGING_RECORD = 15_200  # bytes: 20 pieces
-RECORD, RECORDS = 200, 12
+TAKEOVER_RUNS = 5
+FAR_ROUND_TRIP_MS, LAGGING_TAKEOVER_TIMEOUT_MS = (
+    20.0,
+    30_000.0,
+)  # with a voter behind; most for a takeover then
+LAGGING_RECORD_BYTES = 15_200  # bytes: 20 pieces
+RECORD_BYTES, RECORDS_PER_SIZE = 200, 12
 ROUND_TRIP_MS = 2.0  # where the size is the record's
 
 
@@ -67,24 +70,26 @@
 
     def write(self, size: int) -> float | None:
         """Time until a record of so many bytes is made, in pieces where need be; None where that fails."""
-        began, ended = self.net.now_ms, []
+        started_ms, ended = self.net.now_ms, []
         with self.stopwatch.running():
             PiecewiseGroup(self.group).append(
-                began, self.rng.randbytes(size), lambda at_ms, ok: ended.append((at_ms, ok))
+                started_ms, self.rng.randbytes(size), lambda at_ms, ok: ended.append((at_ms, ok))
             )
         self.net.call(VOTERS[0], LAYER, "set_candidate", True)
-        self.net.run(began + EACH_MS, lambda: bool(ended))
-        return ended[0][0] - began if ended and ended[0][1] else None
+        self.net.run(started_ms + RECORD_TIMEOUT_MS, lambda: bool(ended))
+        return ended[0][0] - started_ms if ended and ended[0][1] else None
 
     def takeover(self, bound_ms: float = SETTLE_MS) -> float | None:
         """Time from the holder's kill until another voter holds; the others want it from the kill on."""
-        began = self.net.now_ms
+        started_ms = self.net.now_ms
         self.net.kill(VOTERS[0])
         for name in VOTERS[1:]:
             self.net.call(name, LAYER, "set_candidate", True)
         others = [self.net.hosts[name] for name in VOTERS[1:]]
-        held = self.net.run(began + bound_ms, lambda: any(h.parts[LAYER].holds(h.now_ms()) for h in others))
-        return self.net.now_ms - began if held else None
+        held = self.net.run(
+            started_ms + bound_ms, lambda: any(h.parts[LAYER].holds(h.now_ms()) for h in others)
+        )
+        return self.net.now_ms - started_ms if held else None
 
     def sent_bytes(self) -> int:
         """Bytes of body that all three have sent."""
@@ -96,9 +101,9 @@
     samples = []
     for done, size in enumerate(sizes):
         voters, times, disk, sent = Voters(float(size), seed), [], [], []
-        for _ in range(RECORDS):
+        for _ in range(RECORDS_PER_SIZE):
             disk_before, sent_before = voters.disk_bytes, voters.sent_bytes()
-            took_ms = voters.write(RECORD)
+            took_ms = voters.write(RECORD_BYTES)
             times += [] if took_ms is None else [took_ms]
             disk.append((voters.disk_bytes - disk_before) / len(VOTERS))
             sent.append(voters.sent_bytes() - sent_before)
@@ -114,7 +119,7 @@
 
 def takeovers(round_trip_ms: int, seed: int) -> tuple[float, ...]:
     """Of several groups, each killed once."""
-    took = (Voters(float(round_trip_ms), seed + run).takeover() for run in range(TAKEOVERS))
+    took = (Voters(float(round_trip_ms), seed + run).takeover() for run in range(TAKEOVER_RUNS))
     return tuple(ms for ms in took if ms is not None)
 
 
@@ -127,10 +132,10 @@
     for done, size in enumerate(sizes):
         voters = Voters(ROUND_TRIP_MS, seed, concatenate)
         voters.net.split([VOTERS[2]], list(VOTERS[:2]))
-        for _ in range(max(1, size * 1_000 // LAGGING_RECORD)):
-            voters.write(LAGGING_RECORD)
+        for _ in range(max(1, size * 1_000 // LAGGING_RECORD_BYTES)):
+            voters.write(LAGGING_RECORD_BYTES)
         voters.net.mend(Weather(delay_ms=(FAR_ROUND_TRIP_MS / 2, FAR_ROUND_TRIP_MS / 2)))
-        took_ms = voters.takeover(LAGGING_MS)
+        took_ms = voters.takeover(LAGGING_TAKEOVER_TIMEOUT_MS)
         values = () if took_ms is None else (took_ms,)
         samples.append(Sample(size, "lease.lagging_takeover", "ms", values))
         progress((done + 1) / len(sizes))
@@ -143,11 +148,11 @@
     for done, size in enumerate(sizes):
         voters = Voters(ROUND_TRIP_MS, seed)
         voters.stopwatch.reset()
-        times = [voters.write(size) for _ in range(RECORDS)]
-        made = tuple(t for t in times if t is not None)
-        spent = voters.stopwatch.spent_ms / RECORDS
+        times = [voters.write(size) for _ in range(RECORDS_PER_SIZE)]
+        made_ms = tuple(t for t in times if t is not None)
+        spent = voters.stopwatch.spent_ms / RECORDS_PER_SIZE
         samples += [
-            Sample(size, "lease.large_record_made", "ms", made),
+            Sample(size, "lease.large_record_made", "ms", made_ms),
             Sample(size, "lease.large_record_processor", "ms", (spent,)),
         ]
         progress((done + 1) / len(sizes))
--- a/lichenquay/testbed/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -10,23 +10,23 @@
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, state_bytes
 
 LOSSES = (0.0, 0.2)
-WARM_MS, CALM_MS = 1_500.0, 3_000.0
-MOST_LOSSY, SHORT_MS = (
+WARM_UP_MS, CALM_MS = 1_500.0, 3_000.0
+MAX_LOSSY_SIZE, SHORT_CALM_MS = (
     200,
     1_000.0,
 )  # with losses, a larger fleet is measured for less, and not to a detection
-BOUND_MS = 30_000.0  # of virtual time in which a killed front has to be seen by all
-FEW, RUNS = 20, 2  # up to so many fronts, so many runs; else one
+DETECTION_TIMEOUT_MS = 30_000.0  # of virtual time in which a killed front has to be seen by all
+REPEATED_UP_TO, RUNS = 20, 2  # up to so many fronts, so many runs; else one
 
 
 class Fleet:
     """So many watches that know each other, one network."""
 
-    def __init__(self, fronts: int, seed: int, loss: float):
+    def __init__(self, gateways: int, seed: int, loss: float):
         """All are up and know all others, as after a calm start."""
-        self.net = FleetNet(f"scale/{fronts}/{seed}/{loss}", Weather(loss=loss))
-        self.stopwatch, self.names = Stopwatch(), [f"front-{i:04d}" for i in range(fronts)]
-        self.victim, self.seen_by = "", set()
+        self.net = FleetNet(f"scale/{gateways}/{seed}/{loss}", Weather(loss=loss))
+        self.stopwatch, self.names = Stopwatch(), [f"front-{i:04d}" for i in range(gateways)]
+        self.killed_name, self.detected_by = "", set()
         self.net.after = self._after
         for name in self.names:
             self.net.host(name, self._parts, offset_ms=self.net.rng.uniform(0, 1e6))
@@ -37,8 +37,8 @@
 
     def _after(self, host: Host, _: str, part: Any) -> None:
         for change in part.changes:
-            if change.name == self.victim and change.new_state in ("faulty", "removed"):
-                self.seen_by.add(host.name)
+            if change.name == self.killed_name and change.new_state in ("faulty", "removed"):
+                self.detected_by.add(host.name)
         part.changes.clear()
 
     def sent(self) -> tuple[int, int]:
@@ -46,13 +46,13 @@
         hosts = self.net.hosts.values()
         return sum(h.sent for h in hosts), sum(h.sent_bytes for h in hosts)
 
-    def detect_ms(self) -> float | None:
+    def detection_ms(self) -> float | None:
         """From the kill of one front until all others hold it for cut; None where that passes the bound."""
-        self.victim = self.names[self.net.rng.randrange(len(self.names))]
-        began, others = self.net.now_ms, len(self.names) - 1
-        self.net.kill(self.victim)
-        seen = self.net.run(began + BOUND_MS, lambda: len(self.seen_by) == others)
-        return self.net.now_ms - began if seen else None
+        self.killed_name = self.names[self.net.rng.randrange(len(self.names))]
+        killed_at_ms, other_count = self.net.now_ms, len(self.names) - 1
+        self.net.kill(self.killed_name)
+        seen = self.net.run(killed_at_ms + DETECTION_TIMEOUT_MS, lambda: len(self.detected_by) == other_count)
+        return self.net.now_ms - killed_at_ms if seen else None
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
@@ -60,28 +60,28 @@
     samples = []
     for done, size in enumerate(sizes):
         for loss in LOSSES:
-            samples += talk(size, seed, loss)
-        samples.append(table_state(size))
+            samples += measure_traffic(size, seed, loss)
+        samples.append(measure_table_memory(size))
         progress((done + 1) / len(sizes))
     return samples
 
 
-def talk(size: int, seed: int, loss: float) -> list[Sample]:
+def measure_traffic(size: int, seed: int, loss: float) -> list[Sample]:
     """Messages, bytes and processor time a front and second in calm; then the time to detect."""
     messages, sizes, spent, detected = [], [], [], []
-    short = loss > 0 and size > MOST_LOSSY
-    calm_ms = SHORT_MS if short else CALM_MS
-    for run in range(RUNS if size <= FEW else 1):
+    short = loss > 0 and size > MAX_LOSSY_SIZE
+    calm_ms = SHORT_CALM_MS if short else CALM_MS
+    for run in range(RUNS if size <= REPEATED_UP_TO else 1):
         fleet = Fleet(size, seed + run, loss)
-        fleet.net.run(WARM_MS)
+        fleet.net.run(WARM_UP_MS)
         fleet.stopwatch.reset()
         sent, sent_bytes = fleet.sent()
-        fleet.net.run(WARM_MS + calm_ms)
-        front_seconds = size * calm_ms / 1_000
-        messages.append((fleet.sent()[0] - sent) / front_seconds)
-        sizes.append((fleet.sent()[1] - sent_bytes) / front_seconds)
-        spent.append(fleet.stopwatch.spent_ms / front_seconds)
-        took_ms = None if short else fleet.detect_ms()
+        fleet.net.run(WARM_UP_MS + calm_ms)
+        gateway_seconds = size * calm_ms / 1_000
+        messages.append((fleet.sent()[0] - sent) / gateway_seconds)
+        sizes.append((fleet.sent()[1] - sent_bytes) / gateway_seconds)
+        spent.append(fleet.stopwatch.spent_ms / gateway_seconds)
+        took_ms = None if short else fleet.detection_ms()
         detected += [] if took_ms is None else [took_ms / 1_000]
     name = f"members.lost_{round(100 * loss)}"
     return [
@@ -92,7 +92,7 @@
     ]
 
 
-def table_state(size: int) -> Sample:
+def measure_table_memory(size: int) -> Sample:
     """Bytes of a table of so many members, as far as it takes them (`MAX_MEMBERS`)."""
 
     def fill() -> MemberTable:
--- a/lichenquay/testbed/scale/probes/quota.py
+++ b/lichenquay/testbed/scale/probes/quota.py
@@ -12,15 +12,15 @@
 from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
 
-KEEPER, LAYER = "keeper", "quota"
+LEDGER_LEADER, LAYER = "keeper", "quota"
 TERM_MS, WRITE_MS = 4_000.0, 10.0
 QUERIES_PER_S, WORK_MS = 10.0, 20.0  # at each front, over all tenants
 RATE_MS, BUCKET_MS = 100.0, 1_000.0  # of a tenant and front, a second: the quota grows with the fleet
-WARM_MS, PLAY_MS = 2_000.0, 4_000.0
-FRONTS_FOR_TENANTS, TENANTS_FOR_FRONTS = 2, 4
+WARM_UP_MS, MEASURED_MS = 2_000.0, 4_000.0
+GATEWAYS_FOR_TENANT_SIZES, TENANTS_FOR_GATEWAY_SIZES = 2, 4
 
 
-class KeeperPart(TimedPart):
+class LedgerLeaderPart(TimedPart):
     """The keeper with a group that it always holds: a record is kept by its voters after `WRITE_MS`."""
 
     generation = 1
@@ -42,7 +42,7 @@
         """Kept later."""
         self.records, self.record_bytes = self.records + 1, self.record_bytes + len(record)
         self.pieces += len(split(record))
-        self.net.at(self.net.now_ms + WRITE_MS, self.net.call, KEEPER, LAYER, "written", done)
+        self.net.at(self.net.now_ms + WRITE_MS, self.net.call, LEDGER_LEADER, LAYER, "written", done)
 
     def written(self, now_ms: float, done: Callable[[float, bool], None]) -> None:
         """The group's answer."""
@@ -50,7 +50,7 @@
             done(now_ms, True)
 
 
-class RightsPart(TimedPart):
+class EscrowPart(TimedPart):
     """A front's rights, with the calls that its queries make."""
 
     def take(self, now_ms: float, tenant: str, ticket: int) -> None:
@@ -67,85 +67,87 @@
 class Quota:
     """A keeper and fronts, each front with a trickle of queries of all tenants."""
 
-    def __init__(self, fronts: int, tenants: int, seed: int):
+    def __init__(self, gateways: int, tenants: int, seed: int):
         """Messages take 1 to 5 ms; none is lost."""
-        self.net = FleetNet(f"quota/{fronts}/{tenants}/{seed}", Weather(delay_ms=(1.0, 5.0)))
+        self.net = FleetNet(f"quota/{gateways}/{tenants}/{seed}", Weather(delay_ms=(1.0, 5.0)))
         self.tenants = [f"tenant-{i:04d}" for i in range(tenants)]
-        self.fronts = [f"front-{i:04d}" for i in range(fronts)]
-        figures = [account_terms(t, RATE_MS * fronts, BUCKET_MS * fronts) for t in self.tenants]
-        self.at_fronts, self.at_keeper, self.tickets = Stopwatch(), Stopwatch(), count(1)
-        stocks = idle_stocks(figures, fronts)
-        self.net.host(KEEPER, lambda host: {LAYER: KeeperPart(self.net, figures, self.at_keeper)})
-        for name in self.fronts:
-            self.net.host(name, lambda host: {LAYER: self._rights(host, stocks)})
+        self.gateways = [f"front-{i:04d}" for i in range(gateways)]
+        figures = [account_terms(t, RATE_MS * gateways, BUCKET_MS * gateways) for t in self.tenants]
+        self.gateway_stopwatch, self.leader_stopwatch, self.tickets = Stopwatch(), Stopwatch(), count(1)
+        stocks = idle_stocks(figures, gateways)
+        self.net.host(
+            LEDGER_LEADER, lambda host: {LAYER: LedgerLeaderPart(self.net, figures, self.leader_stopwatch)}
+        )
+        for name in self.gateways:
+            self.net.host(name, lambda host: {LAYER: self._make_escrow(host, stocks)})
             self.net.at(self.net.rng.uniform(0, 1_000 / QUERIES_PER_S), self._query, name)
 
-    def _rights(self, host: Host, stocks: dict[str, int]) -> RightsPart:
-        rights = TokenEscrow(host.name, host.incarnation, stocks, TERM_MS, random=host.rng)
-        rights.leader = KEEPER, KeeperPart.generation
-        return RightsPart(rights, self.at_fronts)
+    def _make_escrow(self, host: Host, stocks: dict[str, int]) -> EscrowPart:
+        escrow = TokenEscrow(host.name, host.incarnation, stocks, TERM_MS, random=host.rng)
+        escrow.leader = LEDGER_LEADER, LedgerLeaderPart.generation
+        return EscrowPart(escrow, self.gateway_stopwatch)
 
-    def _query(self, front: str) -> None:
+    def _query(self, gateway: str) -> None:
         ticket = next(self.tickets)
-        self.net.call(front, LAYER, "take", self.net.rng.choice(self.tenants), ticket)
-        self.net.at(self.net.now_ms + WORK_MS, self.net.call, front, LAYER, "settle", ticket)
+        self.net.call(gateway, LAYER, "take", self.net.rng.choice(self.tenants), ticket)
+        self.net.at(self.net.now_ms + WORK_MS, self.net.call, gateway, LAYER, "settle", ticket)
         gap_ms = self.net.rng.expovariate(QUERIES_PER_S / 1_000)
-        self.net.at(self.net.now_ms + gap_ms, self._query, front)
+        self.net.at(self.net.now_ms + gap_ms, self._query, gateway)
 
     @property
-    def keeper(self) -> KeeperPart:
+    def leader(self) -> LedgerLeaderPart:
         """The keeper's part."""
-        return self.net.hosts[KEEPER].parts[LAYER]
+        return self.net.hosts[LEDGER_LEADER].parts[LAYER]
 
     def sent(self, names: Sequence[str]) -> tuple[int, int]:
         """Messages and bytes of body that these have sent."""
         hosts = [self.net.hosts[n] for n in names]
         return sum(h.sent for h in hosts), sum(h.sent_bytes for h in hosts)
 
-    def play(self) -> dict[str, float]:
+    def run_and_measure(self) -> dict[str, float]:
         """A warm-up, then figures a second of what follows."""
-        self.net.run(WARM_MS)
-        self.at_fronts.reset()
-        self.at_keeper.reset()
-        asks, answers, keeper = self.sent(self.fronts), self.sent([KEEPER]), self.keeper
-        records, record_bytes, pieces = keeper.records, keeper.record_bytes, keeper.pieces
-        self.net.run(WARM_MS + PLAY_MS)
-        seconds = PLAY_MS / 1_000
-        later_asks, later_answers = self.sent(self.fronts), self.sent([KEEPER])
+        self.net.run(WARM_UP_MS)
+        self.gateway_stopwatch.reset()
+        self.leader_stopwatch.reset()
+        asks, answers, leader = self.sent(self.gateways), self.sent([LEDGER_LEADER]), self.leader
+        records, record_bytes, pieces = leader.records, leader.record_bytes, leader.pieces
+        self.net.run(WARM_UP_MS + MEASURED_MS)
+        seconds = MEASURED_MS / 1_000
+        later_asks, later_answers = self.sent(self.gateways), self.sent([LEDGER_LEADER])
         return {
             "asks": (later_asks[0] - asks[0]) / seconds,
             "ask_bytes": (later_asks[1] - asks[1]) / seconds,
             "answer_bytes": (later_answers[1] - answers[1]) / seconds,
-            "front_ms": self.at_fronts.spent_ms / seconds / len(self.fronts),
-            "keeper_ms": self.at_keeper.spent_ms / seconds,
-            "records": (keeper.records - records) / seconds,
-            "record_bytes": (keeper.record_bytes - record_bytes) / seconds,
-            "pieces": (keeper.pieces - pieces) / seconds,
-            "state": float(len(keeper.part.committed.state())) if keeper.part.committed else 0.0,
+            "front_ms": self.gateway_stopwatch.spent_ms / seconds / len(self.gateways),
+            "keeper_ms": self.leader_stopwatch.spent_ms / seconds,
+            "records": (leader.records - records) / seconds,
+            "record_bytes": (leader.record_bytes - record_bytes) / seconds,
+            "pieces": (leader.pieces - pieces) / seconds,
+            "state": float(len(leader.part.committed.state())) if leader.part.committed else 0.0,
         }
 
 
-def measure_fronts_part(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
+def measure_gateway_escrow(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
     """`sizes`: tenants. What one front sends, and its processor time, queries included."""
     samples = []
     for done, size in enumerate(sizes):
-        found = Quota(FRONTS_FOR_TENANTS, size, seed).play()
-        per_front = {name: value / FRONTS_FOR_TENANTS for name, value in found.items()}
+        found = Quota(GATEWAYS_FOR_TENANT_SIZES, size, seed).run_and_measure()
+        per_gateway = {name: value / GATEWAYS_FOR_TENANT_SIZES for name, value in found.items()}
         samples += [
-            Sample(size, "quota.front.asks", "1/s", (per_front["asks"],)),
-            Sample(size, "quota.front.bytes_out", "B/s", (per_front["ask_bytes"],)),
-            Sample(size, "quota.front.bytes_in", "B/s", (per_front["answer_bytes"],)),
+            Sample(size, "quota.front.asks", "1/s", (per_gateway["asks"],)),
+            Sample(size, "quota.front.bytes_out", "B/s", (per_gateway["ask_bytes"],)),
+            Sample(size, "quota.front.bytes_in", "B/s", (per_gateway["answer_bytes"],)),
             Sample(size, "quota.front.processor", "ms/s", (found["front_ms"],)),
         ]
         progress((done + 1) / len(sizes))
     return samples
 
 
-def measure_keeper(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
+def measure_ledger_leader(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
     """`sizes`: fronts, with queries of `TENANTS_FOR_FRONTS` tenants each. What the one keeper does."""
     samples = []
     for done, size in enumerate(sizes):
-        found = Quota(size, TENANTS_FOR_FRONTS, seed).play()
+        found = Quota(size, TENANTS_FOR_GATEWAY_SIZES, seed).run_and_measure()
         samples += [
             Sample(size, "quota.keeper.asks", "1/s", (found["asks"],)),
             Sample(size, "quota.keeper.processor", "ms/s", (found["keeper_ms"],)),
--- a/lichenquay/testbed/scale/probes/starved.py
+++ b/lichenquay/testbed/scale/probes/starved.py
@@ -11,8 +11,8 @@
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.testbed.scale.sample import Progress, Sample
 
-FRONTS, INCARNATION = 8, 2_000_000
-WARM_MS, STEP_MS, MEASURED_S = 2_000.0, 10.0, 1.0
+GATEWAYS, INCARNATION = 8, 2_000_000
+WARM_UP_MS, STEP_MS, MEASURED_S = 2_000.0, 10.0, 1.0
 
 
 class Reactor(Clock):
@@ -22,10 +22,10 @@
         """Nothing listens."""
 
 
-class Silent:
+class NullLog:
     """A log, and a transport, that keep nothing."""
 
-    def bind(self, **_: Any) -> "Silent":
+    def bind(self, **_: Any) -> "NullLog":
         """The same."""
         return self
 
@@ -35,12 +35,12 @@
     warning = write = info
 
 
-class Heard:
+class PingedGateway:
     """One front's host that knows the others, and hears pings of theirs at a steady rate."""
 
     def __init__(self, seed: int):
         """The host has had a calm start."""
-        names = [f"front-{i}" for i in range(FRONTS)]
+        names = [f"front-{i}" for i in range(GATEWAYS)]
         self.peers = names[1:]
         peers = "".join(
             f'peers {{ name: "{n}" address: "127.0.0.1:{9_001 + i}" }} ' for i, n in enumerate(self.peers)
@@ -54,23 +54,23 @@
             lambda: False,
             now_ms=lambda: self.clock.seconds() * 1_000 + 1,
             unix_ms=lambda: INCARNATION / 2,
-            log=Silent(),
+            log=NullLog(),
         )
         self.fleet.open()
-        self.fleet.datagrams.transport = Silent()
+        self.fleet.datagrams.transport = NullLog()
         self.fleet.begin()
         for name in self.peers:
-            self.hear(name, pb.Message(gossip=pb.Gossip()))
-        for _ in range(round(WARM_MS / STEP_MS)):
+            self.receive(name, pb.Message(gossip=pb.Gossip()))
+        for _ in range(round(WARM_UP_MS / STEP_MS)):
             self.clock.advance(STEP_MS / 1_000)
-        self.tick, self.fleet.detector.tick = self.fleet.detector.tick, self.turn
+        self.tick, self.fleet.detector.tick = self.fleet.detector.tick, self.count_tick
 
-    def turn(self, now_ms: float) -> None:
+    def count_tick(self, now_ms: float) -> None:
         """The watch's own tick, counted."""
         self.turns += 1
         self.tick(now_ms)
 
-    def hear(self, name: str, message: pb.Message) -> None:
+    def receive(self, name: str, message: pb.Message) -> None:
         """One message of another front."""
         self.fleet.on_message(Layer.MEMBERS, (name, INCARNATION), message)
 
@@ -79,15 +79,15 @@
     """`sizes`: messages heard a second."""
     samples = []
     for done, size in enumerate(sizes):
-        heard = Heard(seed)
-        before = heard.fleet.datagrams.counters["datagrams sent"]
+        gateway = PingedGateway(seed)
+        before = gateway.fleet.datagrams.counters["datagrams sent"]
         for number in range(round(size * MEASURED_S)):
-            ping = pb.Ping(no=number + 1, name=heard.fleet.settings.name)
-            heard.hear(heard.peers[number % len(heard.peers)], pb.Message(ping=ping))
-            heard.clock.advance(1 / size)
-        sent = heard.fleet.datagrams.counters["datagrams sent"] - before
+            ping = pb.Ping(no=number + 1, name=gateway.fleet.settings.name)
+            gateway.receive(gateway.peers[number % len(gateway.peers)], pb.Message(ping=ping))
+            gateway.clock.advance(1 / size)
+        sent = gateway.fleet.datagrams.counters["datagrams sent"] - before
         samples += [
-            Sample(size, "starved.turns", "1/s", (heard.turns / MEASURED_S,)),
+            Sample(size, "starved.turns", "1/s", (gateway.turns / MEASURED_S,)),
             Sample(size, "starved.sent", "1/s", (sent / MEASURED_S,)),
         ]
         progress((done + 1) / len(sizes))
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -59,10 +59,10 @@
         with self.lock:
             return self.client.is_idle
 
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """As Client's."""
         with self.lock:
-            return self.client.newest()
+            return self.client.newest_version()
 
     @property
     def leader(self) -> str:
@@ -82,7 +82,7 @@
                 sent, self.client.outbox = self.client.outbox, []
             for name, message in sent:
                 self._send(name, message)
-            self._hear()
+            self._receive()
 
     def _send(self, name, message):
         datagram = self.envelope.seal(INCARNATION, name, Layer.DISTRIBUTION, message.SerializeToString())
@@ -91,7 +91,7 @@
         except OSError:  # As good as lost.
             return
 
-    def _hear(self):
+    def _receive(self):
         try:
             datagram, _ = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             name, incarnation, _, body = self.envelope.open(datagram)
--- a/lichenquay/testbed/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_fronts.py
@@ -13,20 +13,20 @@
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.scale import measure
-from lichenquay.testbed.scale.settings_files import address_text, front_settings
+from lichenquay.testbed.scale.settings_files import address_text, gateway_settings
 from lichenquay.testbed.scale.world import free_addresses
 from lichenquay.testbed.scale.world_spec import WorldSpec
 from lichenquay.testbed.world import World
 
 RATE = 30.0  # Queries a second at each front.
-WORKERS_OF_FRONT = 1
-TELL_S = 5.0  # In which a front tells what it has in force.
-LOAD_END_S = 60.0  # After its last query, in which a load has to end.
-REPORTED = ("asked", "finished", "deferred", "killed", "silent", "twice", "p99_ms", "void", "why_void")
+WORKERS_PER_GATEWAY = 1
+STATUS_TIMEOUT_S = 5.0  # In which a front tells what it has in force.
+LOAD_END_TIMEOUT_S = 60.0  # After its last query, in which a load has to end.
+REPORT_FIELDS = ("asked", "finished", "deferred", "killed", "silent", "twice", "p99_ms", "void", "why_void")
 IN_FORCE = re.compile(r"distribution version (\d+) in force (\d+)")
 
 
-class FollowingWorld(World):
+class FollowerWorld(World):
     """A world whose fronts follow distributed configuration."""
 
     def __init__(self, lab, out, spec: WorldSpec):
@@ -37,7 +37,7 @@
 
     def settings_of_front(self, i):
         """With relays, a zone in turn, a socket of its own, and the engines of its own world."""
-        following = front_settings(self.spec)
+        following = gateway_settings(self.spec)
         zones = self.spec.shape.zones
         following.name, following.zone = f"real{i}", zones[i % len(zones)]
         following.listen = address_text(self.listens[following.name])
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class RealFront:
+class RealGateway:
     """What one real front did. `in_force`: its version at the end, None where it did not tell."""
 
     name: str
@@ -58,7 +58,7 @@
     broken_rules: list[str] = field(default_factory=list)
 
 
-class RealFronts:
+class RealGateways:
     """A context: the engines and fronts run; `load` begins the queries, `end` waits for them."""
 
     def __init__(self, count: int, spec: WorldSpec, out: Path, seconds: float):
@@ -66,11 +66,11 @@
         seed = spec.shape.seed
         text = f"seed: {seed} load {{ seconds: {seconds} rate: {RATE} }} front {{ count: {count} }}"
         self.lab = read_testbed(text)
-        self.lab.load.workers = WORKERS_OF_FRONT
+        self.lab.load.workers = WORKERS_PER_GATEWAY
         self.out, self.seconds = Path(out), seconds
-        self.world = FollowingWorld(self.lab, self.out, spec)
-        self.fronts = [RealFront(f"real{i}") for i in range(count)]
-        self.kept: dict[int, object] = {}
+        self.world = FollowerWorld(self.lab, self.out, spec)
+        self.gateways = [RealGateway(f"real{i}") for i in range(count)]
+        self.load_results: dict[int, object] = {}
 
     def __enter__(self):
         """Starts engines and fronts, and connects the load. Raises CannotStart, RunError."""
@@ -96,75 +96,75 @@
     @property
     def processes(self) -> int:
         """Emulator, fronts and load."""
-        return 1 + len(self.fronts) * (1 + WORKERS_OF_FRONT)
+        return 1 + len(self.gateways) * (1 + WORKERS_PER_GATEWAY)
 
     def load(self):
         """Begins the queries; they go on by themselves."""
         self.world.start_script()
-        self.begun_s = time.monotonic()
-        self.cpu_before_s = [measure.usage_of(front.pid).cpu_s for front in self.world.fronts]
+        self.started_at_s = time.monotonic()
+        self.cpu_before_s = [measure.usage_of(gateway.pid).cpu_s for gateway in self.world.fronts]
         self.threads = [
-            threading.Thread(target=self._go, args=(i,), daemon=True) for i in range(len(self.workers))
+            threading.Thread(target=self._run_load, args=(i,), daemon=True) for i in range(len(self.workers))
         ]
         for thread in self.threads:
             thread.start()
 
-    def end(self) -> list[RealFront]:
+    def end(self) -> list[RealGateway]:
         """Waits for the load, asks each front what it has in force, and ends it in order."""
-        until = self.begun_s + self.seconds + LOAD_END_S
+        until = self.started_at_s + self.seconds + LOAD_END_TIMEOUT_S
         for thread in self.threads:
             thread.join(max(0.1, until - time.monotonic()))
-        seconds = time.monotonic() - self.begun_s
-        for i, front in enumerate(self.fronts):
+        seconds = time.monotonic() - self.started_at_s
+        for i, gateway in enumerate(self.gateways):
             used_s = measure.usage_of(self.world.fronts[i].pid).cpu_s - self.cpu_before_s[i]
-            front.cpu_share = round(used_s / seconds, 4)
-            front.peak_mb = round(self.world.peak_mb(i), 1)
-            front.in_force = self._in_force(i)
-            front.exit_code = self.world.leave(i)
-        self._judge()
-        return self.fronts
+            gateway.cpu_share = round(used_s / seconds, 4)
+            gateway.peak_mb = round(self.world.peak_mb(i), 1)
+            gateway.in_force = self._version_in_force(i)
+            gateway.exit_code = self.world.leave(i)
+        self._check()
+        return self.gateways
 
-    def _go(self, i):
-        self.kept[i] = self.workers[i].run()
+    def _run_load(self, i):
+        self.load_results[i] = self.workers[i].run()
 
-    def _in_force(self, i) -> int | None:
+    def _version_in_force(self, i) -> int | None:
         """By SIGUSR1, in the front's log."""
         log = self.out / f"front-{i}.log"
-        known = len(log.read_text())
+        log_length = len(log.read_text())
         self.world.fronts[i].send_signal(signal.SIGUSR1)
-        until = time.monotonic() + TELL_S
+        until = time.monotonic() + STATUS_TIMEOUT_S
         while time.monotonic() < until:
-            told = IN_FORCE.search(log.read_text()[known:])
-            if told is not None:
-                return int(told[2])
+            match = IN_FORCE.search(log.read_text()[log_length:])
+            if match is not None:
+                return int(match[2])
             time.sleep(0.05)
         return None
 
-    def _judge(self):
+    def _check(self):
         """By the laboratory's own audit, where one front alone uses the engines whose ledger it is."""
-        for i, front in enumerate(self.fronts):
-            if i in self.kept:
-                front.report = reported(report_of(self.kept[i], self.lab))
-                front.broken_rules += breaks_of(front)
+        for i, gateway in enumerate(self.gateways):
+            if i in self.load_results:
+                gateway.report = reported(report_of(self.load_results[i], self.lab))
+                gateway.broken_rules += broken_rules_of(gateway)
             else:
-                front.broken_rules.append(f"{front.name}: its load did not end in time")
-        if len(self.fronts) == 1 and 0 in self.kept:
+                gateway.broken_rules.append(f"{gateway.name}: its load did not end in time")
+        if len(self.gateways) == 1 and 0 in self.load_results:
             ledger = read_ledger(self.world.ledger)
-            for check, number, _ in audit(self.kept[0].columns(), ledger, self.lab):
-                self.fronts[0].broken_rules.append(f"{self.fronts[0].name}: {check}: {number}")
+            for check, number, _ in audit(self.load_results[0].columns(), ledger, self.lab):
+                self.gateways[0].broken_rules.append(f"{self.gateways[0].name}: {check}: {number}")
 
 
 def reported(report: dict) -> dict:
     """The part of a load's report that a scale run tells."""
-    return {key: report.get(key) for key in REPORTED}
+    return {key: report.get(key) for key in REPORT_FIELDS}
 
 
-def breaks_of(front: RealFront) -> list[str]:
+def broken_rules_of(gateway: RealGateway) -> list[str]:
     """Queries without one answer, and a front that did not end in order."""
     lines = []
-    if front.report["silent"] or front.report["twice"]:
-        counts = f"{front.report['silent']} queries without an answer, {front.report['twice']} with two"
-        lines.append(f"{front.name}: {counts}")
-    if front.exit_code != 0:
-        lines.append(f"{front.name}: exit code {front.exit_code}")
+    if gateway.report["silent"] or gateway.report["twice"]:
+        counts = f"{gateway.report['silent']} queries without an answer, {gateway.report['twice']} with two"
+        lines.append(f"{gateway.name}: {counts}")
+    if gateway.exit_code != 0:
+        lines.append(f"{gateway.name}: exit code {gateway.exit_code}")
     return lines
--- a/lichenquay/testbed/scale/record.py
+++ b/lichenquay/testbed/scale/record.py
@@ -9,12 +9,12 @@
 
 import numpy as np
 
-MOST_STEPS = 20_000  # Of one life: a front that steps more often keeps the first ones, and says so.
+MAX_STEPS = 20_000  # Of one life: a front that steps more often keeps the first ones, and says so.
 NEVER = float("inf")
 
 
 @dataclass
-class Life:
+class GatewayLifetime:
     """One front from its start to its end: when which version came in force. Times: milliseconds of
     CLOCK_BOOTTIME.
     """
@@ -29,44 +29,46 @@
     counts: dict = field(default_factory=dict)
     truncated: bool = False
 
-    def step(self, version: int, now_ms: float) -> None:
+    def record_version(self, version: int, now_ms: float) -> None:
         """Another version is in force."""
         if self.versions and self.versions[-1] == version:
             return
-        if len(self.versions) >= MOST_STEPS:
+        if len(self.versions) >= MAX_STEPS:
             self.truncated = True
             return
         self.versions.append(version)
         self.at_ms.append(now_ms)
 
     @property
-    def last(self) -> int:
+    def last_version(self) -> int:
         """The version in force last."""
         return self.versions[-1] if self.versions else 0
 
 
-def write(path: Path, lives: list[Life]) -> None:
+def write(path: Path, lifetimes: list[GatewayLifetime]) -> None:
     """Writes all lives of a process."""
     heads = []
-    for life in lives:
-        head = asdict(life)
+    for lifetime in lifetimes:
+        head = asdict(lifetime)
         del head["versions"], head["at_ms"]
-        heads.append({**head, "steps": len(life.versions)})
-    versions = np.concatenate([np.array(life.versions, dtype=np.int64) for life in lives] or [np.empty(0)])
-    at_ms = np.concatenate([np.array(life.at_ms, dtype=float) for life in lives] or [np.empty(0)])
+        heads.append({**head, "steps": len(lifetime.versions)})
+    versions = np.concatenate(
+        [np.array(lifetime.versions, dtype=np.int64) for lifetime in lifetimes] or [np.empty(0)]
+    )
+    at_ms = np.concatenate([np.array(lifetime.at_ms, dtype=float) for lifetime in lifetimes] or [np.empty(0)])
     np.savez(path, heads=json.dumps(heads), versions=versions, at_ms=at_ms)
 
 
-def read(path: Path) -> list[Life]:
+def read(path: Path) -> list[GatewayLifetime]:
     """The lives that `write` wrote."""
-    lives, begin = [], 0
-    with np.load(path, allow_pickle=False) as kept:
-        versions, at_ms = kept["versions"], kept["at_ms"]
-        for head in json.loads(str(kept["heads"])):
+    lifetimes, begin = [], 0
+    with np.load(path, allow_pickle=False) as archive:
+        versions, at_ms = archive["versions"], archive["at_ms"]
+        for head in json.loads(str(archive["heads"])):
             end = begin + head.pop("steps")
-            life = Life(**head)
-            life.versions = array("q", versions[begin:end].astype(np.int64).tolist())
-            life.at_ms = array("d", at_ms[begin:end].tolist())
-            lives.append(life)
+            lifetime = GatewayLifetime(**head)
+            lifetime.versions = array("q", versions[begin:end].astype(np.int64).tolist())
+            lifetime.at_ms = array("d", at_ms[begin:end].tolist())
+            lifetimes.append(lifetime)
             begin = end
-    return lives
+    return lifetimes
--- a/lichenquay/testbed/scale/report.py
+++ b/lichenquay/testbed/scale/report.py
@@ -10,7 +10,7 @@
 from lichenquay.testbed.scale.roles import Role
 
 # Half of each budget of a front: the aims of what control may take of it.
-FRONT_BUDGET = {"cpu_share": 0.019, "kb": 64 * 1024, "bytes_per_s": 2500.0}
+GATEWAY_BUDGET = {"cpu_share": 0.019, "kb": 64 * 1024, "bytes_per_s": 2500.0}
 LABELS = {"cpu_share": "share of a core", "kb": "KB", "bytes_per_s": "bytes a second"}
 STYLE = (
     "body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:right}"
@@ -24,7 +24,7 @@
         "<!doctype html><meta charset=utf-8><title>Scale run</title>",
         f"<style>{STYLE}</style><h1>Scale run: {figures['fronts_hollow']} hollow fronts</h1>",
         "<h2>Need against budget</h2>",
-        *(need_against_budget(figures, cost) for cost in FRONT_BUDGET),
+        *(need_against_budget(figures, cost) for cost in GATEWAY_BUDGET),
         "<h2>In force</h2>",
         in_force(figures),
         "<h2>Predicted and measured</h2>",
@@ -42,10 +42,10 @@
     figure, plot = plt.subplots(figsize=(9, 4))
     for role in Role:
         points = [(size["fronts"], size[role][cost]) for size in figures["sizes"] if role in size]
-        points = [(fronts, need) for fronts, need in points if need > 0]
+        points = [(gateways, need) for gateways, need in points if need > 0]
         if points:
             plot.plot(*zip(*points, strict=True), marker="o", label=f"one {role.value}")
-    plot.axhline(FRONT_BUDGET[cost], linestyle="--", color="black", label="half of a front's budget")
+    plot.axhline(GATEWAY_BUDGET[cost], linestyle="--", color="black", label="half of a front's budget")
     plot.set_xscale("log")
     plot.set_yscale("log")
     plot.set_xlabel("fronts")
@@ -56,11 +56,11 @@
 
 def in_force(figures: dict) -> str:
     """Percentiles of each scenario's changes, from proposal to in force."""
-    played = {name: one for name, one in figures["scenarios"].items() if one["in_force_p99_ms"] is not None}
+    measured = {name: one for name, one in figures["scenarios"].items() if one["in_force_p99_ms"] is not None}
     figure, plot = plt.subplots(figsize=(9, 4))
-    names = list(played)
+    names = list(measured)
     for key, label in (("in_force_p50_ms", "p50"), ("in_force_p99_ms", "p99"), ("in_force_max_ms", "max")):
-        plot.plot(names, [played[name][key] for name in names], marker="o", linestyle="", label=label)
+        plot.plot(names, [measured[name][key] for name in names], marker="o", linestyle="", label=label)
     plot.set_yscale("log")
     plot.set_ylabel("ms")
     plot.tick_params(axis="x", rotation=30)
--- a/lichenquay/testbed/scale/roles.py
+++ b/lichenquay/testbed/scale/roles.py
@@ -12,7 +12,7 @@
 class Role(StrEnum):
     """The kinds of process. A publisher leads; a voter is a publisher that does not."""
 
-    FRONT = "front"
+    GATEWAY = "front"
     RELAY = "relay"
     PUBLISHER = "publisher"
     VOTER = "voter"
@@ -52,7 +52,7 @@
 def role_of(one: RoleUsage, shape: Shape) -> Role:
     """The role that a process plays now."""
     if one.name.startswith("hollow"):
-        return Role.FRONT
+        return Role.GATEWAY
     if one.name in shape.publisher_names():
         return Role.PUBLISHER if one.counts.leads else Role.VOTER
     return Role.RELAY
@@ -72,9 +72,9 @@
         ]
         if not pairs:
             continue
-        members = sum(late.counts.fronts for _, late in pairs) if role is Role.FRONT else len(pairs)
+        members = sum(late.counts.fronts for _, late in pairs) if role is Role.GATEWAY else len(pairs)
         kb = sum(late.usage.kb for _, late in pairs)
-        if role is Role.FRONT:
+        if role is Role.GATEWAY:
             kb -= sum(at_base[late.name].usage.kb for _, late in pairs if late.name in at_base)
         costs[role] = RoleCost(
             members=members,
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -9,7 +9,7 @@
 from lichenquay.testbed.scale import plan
 
 NONE_TODAY = "none today"
-HOMES = 4  # engines that a set of tables has for its readers and its loads
+PREFERRED_ENGINES_PER_TABLE_SET = 4  # engines that a set of tables has for its readers and its loads
 At = Callable[[str, float], float]
 """at(quantity, size): a fitted quantity's value at a size."""
 
@@ -31,20 +31,20 @@
     mechanism: str
 
 
-def datagrams_processor(at: At, loss: int) -> float:
+def membership_processor(at: At, loss: int) -> float:
     """Milliseconds a second for one front's talk: decisions; datagrams sealed, sent, received, opened."""
     name = f"members.lost_{loss}"
-    messages = at(f"{name}.messages", plan.FRONTS)
-    size = at(f"{name}.bytes", plan.FRONTS) / max(1e-9, messages)
+    messages = at(f"{name}.messages", plan.GATEWAYS)
+    size = at(f"{name}.bytes", plan.GATEWAYS) / max(1e-9, messages)
     each = sum(at(f"datagram.{step}", size) for step in ("seal", "socket", "open"))
-    return at(f"{name}.processor", plan.FRONTS) + messages * each
+    return at(f"{name}.processor", plan.GATEWAYS) + messages * each
 
 
-def datagrams_bytes(at: At, loss: int) -> float:
+def membership_bytes(at: At, loss: int) -> float:
     """Bytes a second of one front's talk, both ways, with the envelope."""
     name = f"members.lost_{loss}"
-    messages = at(f"{name}.messages", plan.FRONTS)
-    size = at(f"{name}.bytes", plan.FRONTS) / max(1e-9, messages)
+    messages = at(f"{name}.messages", plan.GATEWAYS)
+    size = at(f"{name}.bytes", plan.GATEWAYS) / max(1e-9, messages)
     return 2 * messages * at("datagram.length", size)
 
 
@@ -53,47 +53,52 @@
 
     A set of tables is ranked anew only where one of its homes left the list.
     """
-    homes = plan.TABLE_SETS_ASSUMED * at("controller.homes", plan.ENGINES) * HOMES / plan.ENGINES
+    homes = (
+        plan.TABLE_SETS_ASSUMED
+        * at("controller.homes", plan.ENGINES)
+        * PREFERRED_ENGINES_PER_TABLE_SET
+        / plan.ENGINES
+    )
     return plan.LIST_EVENTS_PER_S * (at("controller.list_event", plan.ENGINES) + homes)
 
 
-def front_memory(at: At) -> float:
+def gateway_memory(at: At) -> float:
     """Bytes that a front holds for engines and members."""
     engines = at("controller.state", plan.ENGINES) + at("discovery.engines", plan.ENGINES)
-    return engines + at("members.state", plan.FRONTS)
+    return engines + at("members.state", plan.GATEWAYS)
 
 
-def front_processor(at: At) -> float:
+def gateway_processor(at: At) -> float:
     """Milliseconds a second of a front's control on a calm day; its talk as real processes had it."""
     quota = at("quota.front.processor", plan.TENANTS_ASSUMED)
     beats = at("controller.beats", plan.ENGINES)
-    return beats + list_events_processor(at) + at("host.quota.processor", plan.FRONTS) + quota
+    return beats + list_events_processor(at) + at("host.quota.processor", plan.GATEWAYS) + quota
 
 
-def front_bytes(at: At) -> float:
+def gateway_bytes(at: At) -> float:
     """Bytes a second of a front's control on a calm day, both ways; the list's events are not in it."""
     quota = sum(at(f"quota.front.bytes_{way}", plan.TENANTS_ASSUMED) for way in ("out", "in"))
     idle = sum(at(f"discovery.idle_bytes_{way}", plan.ENGINES) for way in ("out", "in"))
-    return datagrams_bytes(at, 0) + quota + idle
+    return membership_bytes(at, 0) + quota + idle
 
 
-FRONT_MS, FRONT_B = plan.FRONT_PROCESSOR_MS_PER_S, plan.FRONT_BYTES_PER_S
-E, F = plan.ENGINES, plan.FRONTS
+GATEWAY_MS, GATEWAY_B = plan.GATEWAY_PROCESSOR_MS_PER_S, plan.GATEWAY_BYTES_PER_S
+ENGINES, GATEWAYS = plan.ENGINES, plan.GATEWAYS
 LIST_ADDRESS = "discovery: every front asks the one address of the bulletin"
 INCREMENTS = "admission: kept by increments, no pass over all engines"
 
 
-def missing(role: str, title: str) -> Row:
+def not_implemented(role: str, title: str) -> Row:
     """A need that nothing in the tree carries."""
     return Row(role, title, None, None, None, "", None, NONE_TODAY)
 
 
-MISSING = (
-    missing("publisher", "50,000 configuration changes a day to all within 7 s"),
-    missing("relay", "a zone's copy of list and configuration"),
-    missing("voter", "who may publish: a lease over 3 regions"),
-    missing("subscriber", "versions at a front: in force, confirmed, kept"),
-    missing("failure detector", "a region or zone that is cut off, told as one"),
+NOT_IMPLEMENTED = (
+    not_implemented("publisher", "50,000 configuration changes a day to all within 7 s"),
+    not_implemented("relay", "a zone's copy of list and configuration"),
+    not_implemented("voter", "who may publish: a lease over 3 regions"),
+    not_implemented("subscriber", "versions at a front: in force, confirmed, kept"),
+    not_implemented("failure detector", "a region or zone that is cut off, told as one"),
 )
 
 MEASURED = (
@@ -101,60 +106,60 @@
         "front",
         "processor: beats and looks over the engines",
         "controller.beats",
-        E,
-        lambda at: at("controller.beats", E),
+        ENGINES,
+        lambda at: at("controller.beats", ENGINES),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         INCREMENTS,
     ),
     Row(
         "front",
         "processor: list events of a day",
         "controller.list_event",
-        E,
+        ENGINES,
         list_events_processor,
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         INCREMENTS,
     ),
     Row(
         "front",
         "processor: talk, decisions and datagrams alone, nothing lost",
         "members.lost_0.processor",
-        F,
-        lambda at: datagrams_processor(at, 0),
+        GATEWAYS,
+        lambda at: membership_processor(at, 0),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "members",
     ),
     Row(
         "front",
         "processor: talk, decisions and datagrams alone, 20% lost",
         "members.lost_20.processor",
-        F,
-        lambda at: datagrams_processor(at, 20),
+        GATEWAYS,
+        lambda at: membership_processor(at, 20),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "members",
     ),
     Row(
         "front",
         "processor: talk of members, real process",
         "host.members.processor",
-        F,
-        lambda at: at("host.members.processor", F),
+        GATEWAYS,
+        lambda at: at("host.members.processor", GATEWAYS),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "fleet host",
     ),
     Row(
         "front",
         "processor: talk of members and an idle account, real process",
         "host.quota.processor",
-        F,
-        lambda at: at("host.quota.processor", F),
+        GATEWAYS,
+        lambda at: at("host.quota.processor", GATEWAYS),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "fleet host",
     ),
     Row(
@@ -164,55 +169,55 @@
         plan.TENANTS_ASSUMED,
         lambda at: at("quota.front.processor", plan.TENANTS_ASSUMED),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "quota rights",
     ),
     Row(
         "front",
         "processor: all control, calm",
         "controller.beats",
-        E,
-        front_processor,
+        ENGINES,
+        gateway_processor,
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "as above",
     ),
     Row(
         "front",
         "memory: state of engines and members",
         "controller.state",
-        E,
-        front_memory,
+        ENGINES,
+        gateway_memory,
         "bytes",
-        plan.FRONT_MEMORY_BYTES,
+        plan.GATEWAY_MEMORY_BYTES,
         "controller, service, members",
     ),
     Row(
         "front",
         "bytes: all control, calm, both ways",
         "members.lost_0.bytes",
-        F,
-        front_bytes,
+        GATEWAYS,
+        gateway_bytes,
         "B/s",
-        FRONT_B,
+        GATEWAY_B,
         "members, quota, discovery",
     ),
     Row(
         "front",
         "bytes: talk with fronts, 20% lost, both ways",
         "members.lost_20.bytes",
-        F,
-        lambda at: datagrams_bytes(at, 20),
+        GATEWAYS,
+        lambda at: membership_bytes(at, 20),
         "B/s",
-        FRONT_B,
+        GATEWAY_B,
         "members",
     ),
     Row(
         "front",
         "a whole list's length, of what a front reads",
         "discovery.body",
-        E,
-        lambda at: at("discovery.body", E),
+        ENGINES,
+        lambda at: at("discovery.body", ENGINES),
         "bytes",
         float(MAX_BODY_BYTES),
         LIST_ADDRESS,
@@ -221,18 +226,18 @@
         "front",
         "a whole list: parsed and taken, of 7 s",
         "controller.whole_list",
-        E,
-        lambda at: at("discovery.whole_list", E) + at("controller.whole_list", E),
+        ENGINES,
+        lambda at: at("discovery.whole_list", ENGINES) + at("controller.whole_list", ENGINES),
         "ms",
-        plan.CONFIGURATION_MS,
+        plan.CONFIGURATION_TARGET_MS,
         "controller: compares lists pair by pair",
     ),
     Row(
         "front",
         "data path: controller at 4,091 statements a second, of one process",
         "controller.query",
-        E,
-        lambda at: plan.STATEMENTS_PER_S_A_FRONT * at("controller.query", E),
+        ENGINES,
+        lambda at: plan.STATEMENTS_PER_S_PER_GATEWAY * at("controller.query", ENGINES),
         "ms/s",
         plan.PROCESS_MS_PER_S,
         INCREMENTS,
@@ -241,8 +246,8 @@
         "failure detector",
         "fronts that one fleet may have",
         None,
-        F,
-        lambda at: float(F),
+        GATEWAYS,
+        lambda at: float(GATEWAYS),
         "fronts",
         float(MAX_GATEWAYS),
         "members: at most 1,024 names",
@@ -251,18 +256,18 @@
         "failure detector",
         "a killed front is cut everywhere, of 10 s",
         "members.lost_0.detect",
-        F,
-        lambda at: at("members.lost_0.detect", F),
+        GATEWAYS,
+        lambda at: at("members.lost_0.detect", GATEWAYS),
         "s",
-        plan.PRIMARY_CHANGE_MS / 1_000,
+        plan.PRIMARY_CHANGE_TARGET_MS / 1_000,
         "members: hold grows with log10",
     ),
     Row(
         "account keeper",
         "processor of the one keeper, 4 tenants a front",
         "quota.keeper.processor",
-        F,
-        lambda at: at("quota.keeper.processor", F),
+        GATEWAYS,
+        lambda at: at("quota.keeper.processor", GATEWAYS),
         "ms/s",
         plan.PROCESS_MS_PER_S,
         "quota keeper: one process",
@@ -271,8 +276,8 @@
         "account keeper",
         "writing a second's records (round trip 2 ms, disk 2 ms)",
         "quota.keeper.record_bytes",
-        F,
-        lambda at: at("lease.large_record_made", at("quota.keeper.record_bytes", F)),
+        GATEWAYS,
+        lambda at: at("lease.large_record_made", at("quota.keeper.record_bytes", GATEWAYS)),
         "ms/s",
         plan.PROCESS_MS_PER_S,
         "lease group: 800 bytes a round trip",
@@ -281,8 +286,8 @@
         "account keeper",
         "state of the ledger, 4 tenants",
         "quota.keeper.state",
-        F,
-        lambda at: at("quota.keeper.state", F),
+        GATEWAYS,
+        lambda at: at("quota.keeper.state", GATEWAYS),
         "bytes",
         float(MAX_LEDGER_BYTES),
         "lease group: max_state_bytes",
@@ -294,7 +299,7 @@
         plan.REGIONS_ROUND_TRIP_MS,
         lambda at: at("lease.record_made", plan.REGIONS_ROUND_TRIP_MS),
         "ms",
-        plan.PRIMARY_CHANGE_MS,
+        plan.PRIMARY_CHANGE_TARGET_MS,
         "lease group",
     ),
     Row(
@@ -304,15 +309,15 @@
         plan.REGIONS_ROUND_TRIP_MS,
         lambda at: at("lease.takeover", plan.REGIONS_ROUND_TRIP_MS),
         "ms",
-        plan.PRIMARY_CHANGE_MS,
+        plan.PRIMARY_CHANGE_TARGET_MS,
         "lease group: lease",
     ),
     Row(
         "publisher",
         "calls at the bulletin's one address, calm",
         "discovery.idle_calls",
-        E,
-        lambda at: F * at("discovery.idle_calls", E),
+        ENGINES,
+        lambda at: GATEWAYS * at("discovery.idle_calls", ENGINES),
         "1/s",
         None,
         LIST_ADDRESS,
@@ -321,8 +326,8 @@
         "publisher",
         "lists when a zone's 367 fronts start",
         "discovery.body",
-        E,
-        lambda at: plan.FRONTS_A_ZONE * at("discovery.body", E),
+        ENGINES,
+        lambda at: plan.GATEWAYS_PER_ZONE * at("discovery.body", ENGINES),
         "bytes",
         None,
         LIST_ADDRESS,
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -9,10 +9,10 @@
 
 from lichenquay.testbed.scale.audit import Findings, audit
 from lichenquay.testbed.scale.plans import Plan
-from lichenquay.testbed.scale.player import Played
-from lichenquay.testbed.scale.real_fronts import RealFront, RealFronts
+from lichenquay.testbed.scale.player import ScenarioResult
+from lichenquay.testbed.scale.real_fronts import RealGateway, RealGateways
 from lichenquay.testbed.scale.roles import costs_between
-from lichenquay.testbed.scale.session import Session
+from lichenquay.testbed.scale.session import WorldDriver
 from lichenquay.testbed.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
 
 MIN_LOAD_S = 2.0  # Of the load on real fronts.
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Kept:
+class ScaleRunResult:
     """All that a run kept, for its figures."""
 
     plan: Plan
@@ -28,11 +28,11 @@
     held_out: list[SizeSample] = field(default_factory=list)
     fits: dict = field(default_factory=dict)
     outcomes: dict[str, Outcome] = field(default_factory=dict)
-    played: list[Played] = field(default_factory=list)
+    scenario_results: list[ScenarioResult] = field(default_factory=list)
     proposals: list = field(default_factory=list)
-    lives: list = field(default_factory=list)
+    lifetimes: list = field(default_factory=list)
     findings: Findings = field(default_factory=Findings)
-    real_fronts: list[RealFront] = field(default_factory=list)
+    real_fronts: list[RealGateway] = field(default_factory=list)
     processes: int = 0
     memory_share: float = 0.0
     notes: list[str] = field(default_factory=list)
@@ -44,85 +44,93 @@
     def __init__(self, plan: Plan, folder: Path, progress: Callable[[float], None] = lambda share: None):
         """`folder`: for what the processes keep."""
         self.plan, self.progress, self.folder = plan, progress, Path(folder)
-        self.session = Session(plan.shape, folder, plan.rest_s)
-        self.kept = Kept(plan)
+        self.driver = WorldDriver(plan.shape, folder, plan.settle_timeout_s)
+        self.result = ScaleRunResult(plan)
         self.done_s = 0.0
 
-    def run(self) -> Kept:
+    def run(self) -> ScaleRunResult:
         """Runs all of it. Raises CannotStart where a process does not."""
-        with self.session:
-            self.session.list_engines(0, self.plan.shape.engines)
+        with self.driver:
+            self.driver.list_engines(0, self.plan.shape.engines)
             self._advance(START_S)
-            self.base = self.session.read()
+            self.base = self.driver.read()
             self._measure_sizes()
-            self._play_amid_real_fronts()
-            self._end()
-        return self.kept
+            self._run_scenarios_beside_real_gateways()
+            self._finish()
+        return self.result
 
-    def _play_amid_real_fronts(self):
+    def _run_scenarios_beside_real_gateways(self):
         """Real fronts run and are under load while scenarios are played, where the plan has any."""
         if not self.plan.real_fronts:
-            self._play_scenarios()
+            self._run_scenarios()
             return
-        session = self.session
+        driver = self.driver
         seconds = max(MIN_LOAD_S, sum(scenario.seconds for scenario in self.plan.scenarios))
-        with RealFronts(self.plan.real_fronts, session.world.spec, self.folder / "real", seconds) as real:
-            self.kept.processes += real.processes
+        with RealGateways(self.plan.real_fronts, driver.world.spec, self.folder / "real", seconds) as real:
+            self.result.processes += real.processes
             real.load()
-            self._play_scenarios()
-            session.settle()
-            self.kept.real_fronts = real.end()
-        newest = session.proposer.newest()
-        for front in self.kept.real_fronts:
-            if front.in_force != newest:
-                line = f"{front.name}: version {front.in_force} in force after rest, {newest} is the newest"
-                front.broken_rules.append(line)
+            self._run_scenarios()
+            driver.settle()
+            self.result.real_fronts = real.end()
+        newest_version = driver.proposer.newest_version()
+        for gateway in self.result.real_fronts:
+            if gateway.in_force != newest_version:
+                gateway.broken_rules.append(
+                    f"{gateway.name}: version {gateway.in_force} in force after rest, "
+                    f"{newest_version} is the newest"
+                )
 
     def _measure_sizes(self):
         for size in self.plan.sizes:
-            self.kept.samples += self._measure(size)
-        self.kept.fits = fits_of(self.kept.samples)
-        predictions = predictions_of(self.kept.fits, self.plan.held_out)
-        self.kept.held_out = self._measure(self.plan.held_out)
-        self.kept.outcomes = outcomes_of(predictions, self.kept.held_out)
+            self.result.samples += self._measure(size)
+        self.result.fits = fits_of(self.result.samples)
+        predictions = predictions_of(self.result.fits, self.plan.held_out)
+        self.result.held_out = self._measure(self.plan.held_out)
+        self.result.outcomes = outcomes_of(predictions, self.result.held_out)
 
     def _measure(self, size) -> list[SizeSample]:
-        if not self.session.grow_to(size):
-            self.kept.notes.append(f"at {size} fronts not all had the newest version when it was measured")
+        if not self.driver.grow_to(size):
+            self.result.notes.append(f"at {size} fronts not all had the newest version when it was measured")
         time.sleep(self.plan.settle_s)
         samples = [self._window(size) for _ in range(self.plan.windows)]
         self._advance(self.plan.settle_s + self.plan.windows * self.plan.window_s + 1.0)
         return samples
 
     def _window(self, size) -> SizeSample:
-        before, after = self.session.window(self.plan.window_s, self.plan.changes_per_s)
+        before, after = self.driver.window(self.plan.window_s, self.plan.changes_per_s)
         return SizeSample(size, costs_between(before, after, self.base, self.plan.shape))
 
-    def _play_scenarios(self):
+    def _run_scenarios(self):
         for scenario in self.plan.scenarios:
             done_s = self.done_s
-            played = self.session.play(scenario, lambda at_s, done_s=done_s: self._show(done_s + at_s))
-            if not played.settled:
-                self.kept.notes.append(f"after {scenario.name} not all had the newest version in time")
-            self.kept.played.append(played)
+            scenario_result = self.driver.run_scenario(
+                scenario, lambda at_s, done_s=done_s: self._report_progress(done_s + at_s)
+            )
+            if not scenario_result.settled:
+                self.result.notes.append(f"after {scenario.name} not all had the newest version in time")
+            self.result.scenario_results.append(scenario_result)
             self._advance(scenario.seconds + 1.0)
 
-    def _end(self):
-        kept, session = self.kept, self.session
-        if not session.settle():
-            kept.notes.append(f"after {self.plan.rest_s:g} s of rest not all had the newest version")
-        session.read()
-        kept.processes += len(session.world.children()) + 1
-        kept.memory_share = session.memory_share
-        kept.lives = session.end()
-        kept.proposals = session.proposer.proposals
-        kept.findings = audit(kept.proposals, kept.lives, len(session.world.running))
-        kept.findings.broken_rules += [line for front in kept.real_fronts for line in front.broken_rules]
+    def _finish(self):
+        result, driver = self.result, self.driver
+        if not driver.settle():
+            result.notes.append(
+                f"after {self.plan.settle_timeout_s:g} s of rest not all had the newest version"
+            )
+        driver.read()
+        result.processes += len(driver.world.children()) + 1
+        result.memory_share = driver.memory_share
+        result.lifetimes = driver.end()
+        result.proposals = driver.proposer.proposals
+        result.findings = audit(result.proposals, result.lifetimes, len(driver.world.running))
+        result.findings.broken_rules += [
+            line for gateway in result.real_fronts for line in gateway.broken_rules
+        ]
         self.progress(1.0)
 
     def _advance(self, seconds):
         self.done_s += seconds
-        self._show(self.done_s)
+        self._report_progress(self.done_s)
 
-    def _show(self, done_s):
+    def _report_progress(self, done_s):
         self.progress(min(1.0, done_s / self.plan.seconds))
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -37,13 +37,13 @@
     def running(self) -> Iterator[None]:
         """Counts what runs within."""
         self._depth += 1
-        began = time.thread_time_ns()
+        started_ns = time.thread_time_ns()
         try:
             yield
         finally:
             self._depth -= 1
             if not self._depth:
-                self.spent_ms += (time.thread_time_ns() - began) / 1e6
+                self.spent_ms += (time.thread_time_ns() - started_ns) / 1e6
                 self.calls += 1
 
     def reset(self) -> None:
@@ -90,6 +90,6 @@
 
 def processor_ms(call: Callable[[], Any]) -> float:
     """Processor time of one call, in milliseconds."""
-    began = time.thread_time_ns()
+    started_ns = time.thread_time_ns()
     call()
-    return (time.thread_time_ns() - began) / 1e6
+    return (time.thread_time_ns() - started_ns) / 1e6
--- a/lichenquay/testbed/scale/scenario.py
+++ b/lichenquay/testbed/scale/scenario.py
@@ -8,27 +8,27 @@
 from enum import StrEnum
 from functools import cached_property
 
-from lichenquay.testbed.scale.impairment import Rule, cut_off
+from lichenquay.testbed.scale.impairment import Rule, partition_rules
 
-MOST_FRONTS_OF_ZONE = 367  # 4,400 fronts in 12 zones.
-RELAYS_OF_ZONE = 2
-MOST_REGIONS = 3
+MAX_GATEWAYS_PER_ZONE = 367  # 4,400 fronts in 12 zones.
+RELAYS_PER_ZONE = 2
+MAX_REGIONS = 3
 VOTERS = 5  # A publisher and one voter more may be down.
 CONTROL_ZONE = "control"  # Where the publishers stand, and the client that proposes changes.
-FAULTS_FROM_S = 2.0  # Scenarios begin with so much calm.
+FIRST_FAULT_S = 2.0  # Scenarios begin with so much calm.
 PAUSE_S = 5.0  # Over the longest lease that is set here.
 
 
-class Act(StrEnum):
+class FaultKind(StrEnum):
     """What an event does to its targets."""
 
     KILL = "kill"  # SIGKILL of a control process; started again after `for_s`.
     PAUSE = "pause"  # SIGSTOP for `for_s`.
     DISK_FULL = "disk full"
     DISK_SLOW = "disk slow"
-    RESTART_FRONTS = "restart fronts"  # Down for `for_s`, then all started at once.
+    RESTART_GATEWAYS = "restart fronts"  # Down for `for_s`, then all started at once.
     SLOW_READER = "slow reader"  # A front that does not read its socket for `for_s`.
-    WEATHER = "weather"  # Rules of the network, for `for_s`.
+    IMPAIR_NETWORK = "weather"  # Rules of the network, for `for_s`.
 
 
 class Target(StrEnum):
@@ -46,7 +46,7 @@
     engines: int = 100
     hosts: int = 2  # Processes that hold hollow fronts.
     voters: int = VOTERS
-    relays_of_zone: int = RELAYS_OF_ZONE
+    relays_of_zone: int = RELAYS_PER_ZONE
     least_zones: int = 2
     queries_per_s: float = 0.0  # At each hollow front, of its controller; 0: fronts without controllers.
     seed: int = 1
@@ -54,17 +54,17 @@
     @cached_property
     def zones(self) -> list[str]:
         """Names of the zones that hold fronts and relays."""
-        needed = -(-self.fronts // MOST_FRONTS_OF_ZONE)
+        needed = -(-self.fronts // MAX_GATEWAYS_PER_ZONE)
         return [f"z{i}" for i in range(max(self.least_zones, needed))]
 
     @property
-    def fronts_of_zone(self) -> int:
+    def largest_zone_size(self) -> int:
         """Fronts of the fullest zone."""
         return -(-self.fronts // len(self.zones))
 
     def region_of(self, zone: str) -> str:
         """The region of a zone: three regions at most, each a run of zones."""
-        regions = min(MOST_REGIONS, len(self.zones))
+        regions = min(MAX_REGIONS, len(self.zones))
         return f"r{self.zones.index(zone) * regions // len(self.zones)}"
 
     def zones_of_region(self, region: str) -> list[str]:
@@ -75,13 +75,13 @@
         """The zone of a front, by its number: zones fill side by side."""
         return self.zones[number % len(self.zones)]
 
-    def front_name(self, number: int) -> str:
+    def gateway_name(self, number: int) -> str:
         """The name of a front, by its number."""
         return f"{self.zone_of(number)}-f{number}"
 
-    def front_names(self) -> list[str]:
+    def gateway_names(self) -> list[str]:
         """Names of all fronts that the world may hold."""
-        return [self.front_name(number) for number in range(self.fronts)]
+        return [self.gateway_name(number) for number in range(self.fronts)]
 
     def relay_names(self, zone: str) -> list[str]:
         """Names of the relays of a zone."""
@@ -103,13 +103,13 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class FaultEvent:
     """One fault: what happens to which targets, when, and for how long."""
 
     at_s: float
-    act: Act
+    kind: FaultKind
     targets: tuple[str, ...] = ()
-    for_s: float = 0.0
+    duration_s: float = 0.0
     rules: tuple[Rule, ...] = ()
 
 
@@ -120,8 +120,8 @@
     name: str
     seconds: float
     changes_per_s: float
-    events: list[Event] = field(default_factory=list)
-    compressed: float = 1.0  # By how much time is compressed against an ordinary day.
+    events: list[FaultEvent] = field(default_factory=list)
+    time_compression: float = 1.0  # By how much time is compressed against an ordinary day.
     cut_zones: tuple[str, ...] = ()  # Whose fronts are out of reach for a while.
 
 
@@ -137,28 +137,28 @@
     """
     relays = tuple(shape.relay_names(zone)[0] for zone in shape.zones)
     targets = (Target.LEADER, Target.FOLLOWER, *relays)
-    kill = Event(FAULTS_FROM_S, Act.KILL, targets, seconds - FAULTS_FROM_S)
+    kill = FaultEvent(FIRST_FAULT_S, FaultKind.KILL, targets, seconds - FIRST_FAULT_S)
     return Scenario("failover", seconds, changes_per_s, [kill])
 
 
 def publisher_paused(seconds: float, changes_per_s: float) -> Scenario:
     """The leading publisher stands still for longer than its lease, and goes on."""
-    pause = Event(FAULTS_FROM_S, Act.PAUSE, (Target.LEADER,), PAUSE_S)
+    pause = FaultEvent(FIRST_FAULT_S, FaultKind.PAUSE, (Target.LEADER,), PAUSE_S)
     return Scenario("publisher paused", seconds, changes_per_s, [pause])
 
 
 def disk_faults(seconds: float, changes_per_s: float) -> Scenario:
     """The leading publisher's disk is full; then the disk of another voter is slow."""
     third = seconds / 3
-    full = Event(FAULTS_FROM_S, Act.DISK_FULL, (Target.LEADER,), third)
-    slow = Event(FAULTS_FROM_S + third, Act.DISK_SLOW, (Target.FOLLOWER,), third)
+    full = FaultEvent(FIRST_FAULT_S, FaultKind.DISK_FULL, (Target.LEADER,), third)
+    slow = FaultEvent(FIRST_FAULT_S + third, FaultKind.DISK_SLOW, (Target.FOLLOWER,), third)
     return Scenario("disk faults", seconds, changes_per_s, [full, slow])
 
 
 def zone_start(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
     """All fronts of one zone go down together, and start at once with nothing."""
-    fronts = fronts_in(shape, shape.zones[0])
-    start = Event(FAULTS_FROM_S, Act.RESTART_FRONTS, fronts, 0.5)
+    gateways = gateways_in_zone(shape, shape.zones[0])
+    start = FaultEvent(FIRST_FAULT_S, FaultKind.RESTART_GATEWAYS, gateways, 0.5)
     return Scenario("zone start", seconds, changes_per_s, [start])
 
 
@@ -166,32 +166,34 @@
     """A region's zones, their relays included, are cut off from all others and come back."""
     zones = shape.zones_of_region(shape.region_of(shape.zones[-1]))
     others = [zone for zone in (CONTROL_ZONE, *shape.zones) if zone not in zones]
-    rules = tuple(cut_off(zones, others))
-    cut = Event(FAULTS_FROM_S, Act.WEATHER, (), seconds / 2, rules)
+    rules = tuple(partition_rules(zones, others))
+    cut = FaultEvent(FIRST_FAULT_S, FaultKind.IMPAIR_NETWORK, (), seconds / 2, rules)
     return Scenario("region cut", seconds, changes_per_s, [cut], cut_zones=tuple(zones))
 
 
 def bad_network(seconds: float, changes_per_s: float) -> Scenario:
     """Loss, delay, doubling and reordering on every link."""
     rule = Rule(loss=0.05, delay_ms=80.0, doubled=0.05)
-    weather = Event(FAULTS_FROM_S, Act.WEATHER, (), seconds - 2 * FAULTS_FROM_S, (rule,))
-    return Scenario("bad network", seconds, changes_per_s, [weather])
+    impairment = FaultEvent(FIRST_FAULT_S, FaultKind.IMPAIR_NETWORK, (), seconds - 2 * FIRST_FAULT_S, (rule,))
+    return Scenario("bad network", seconds, changes_per_s, [impairment])
 
 
 def slow_reader(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
     """A front of each zone does not read its socket for most of the time."""
-    fronts = tuple(fronts_in(shape, zone)[0] for zone in shape.zones)
-    slow = Event(FAULTS_FROM_S, Act.SLOW_READER, fronts, seconds / 2)
+    gateways = tuple(gateways_in_zone(shape, zone)[0] for zone in shape.zones)
+    slow = FaultEvent(FIRST_FAULT_S, FaultKind.SLOW_READER, gateways, seconds / 2)
     return Scenario("slow reader", seconds, changes_per_s, [slow])
 
 
 def rolling_deploy(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
     """Every front is started anew once, in equal groups one after the other."""
-    names = shape.front_names()
+    names = shape.gateway_names()
     steps = 10
-    between_s = (seconds - 2 * FAULTS_FROM_S) / steps
+    between_s = (seconds - 2 * FIRST_FAULT_S) / steps
     events = [
-        Event(FAULTS_FROM_S + step * between_s, Act.RESTART_FRONTS, tuple(names[step::steps]), 0.3)
+        FaultEvent(
+            FIRST_FAULT_S + step * between_s, FaultKind.RESTART_GATEWAYS, tuple(names[step::steps]), 0.3
+        )
         for step in range(steps)
     ]
     return Scenario("rolling deploy", seconds, changes_per_s, events)
@@ -200,11 +202,11 @@
 def rack_lost(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
     """A quarter of a zone's fronts, one of its relays and one voter go down together."""
     zone = shape.zones[0]
-    quarter = fronts_in(shape, zone)[::4]
+    quarter = gateways_in_zone(shape, zone)[::4]
     down_s = seconds / 2
     events = [
-        Event(FAULTS_FROM_S, Act.KILL, (shape.relay_names(zone)[-1], Target.FOLLOWER), down_s),
-        Event(FAULTS_FROM_S, Act.RESTART_FRONTS, quarter, down_s),
+        FaultEvent(FIRST_FAULT_S, FaultKind.KILL, (shape.relay_names(zone)[-1], Target.FOLLOWER), down_s),
+        FaultEvent(FIRST_FAULT_S, FaultKind.RESTART_GATEWAYS, quarter, down_s),
     ]
     return Scenario("rack lost", seconds, changes_per_s, events)
 
@@ -212,18 +214,18 @@
 def ordinary_day(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
     """A day's restarts of fronts and relays by chance, compressed into `seconds`."""
     rng = random.Random(f"{shape.seed}/day")
-    names = shape.front_names()
-    last_s = seconds - 2 * FAULTS_FROM_S
+    names = shape.gateway_names()
+    last_s = seconds - 2 * FIRST_FAULT_S
     events = []
     for _ in range(max(1, len(names) // 50)):
-        at_s = FAULTS_FROM_S + rng.uniform(0.0, last_s)
-        events.append(Event(at_s, Act.RESTART_FRONTS, (rng.choice(names),), 0.5))
+        at_s = FIRST_FAULT_S + rng.uniform(0.0, last_s)
+        events.append(FaultEvent(at_s, FaultKind.RESTART_GATEWAYS, (rng.choice(names),), 0.5))
     relay = rng.choice(shape.relay_names(rng.choice(shape.zones)))
-    events.append(Event(FAULTS_FROM_S + rng.uniform(0.0, last_s / 2), Act.KILL, (relay,), 1.0))
+    events.append(FaultEvent(FIRST_FAULT_S + rng.uniform(0.0, last_s / 2), FaultKind.KILL, (relay,), 1.0))
     events.sort(key=lambda event: event.at_s)
-    return Scenario("ordinary day", seconds, changes_per_s, events, compressed=86_400 / seconds)
+    return Scenario("ordinary day", seconds, changes_per_s, events, time_compression=86_400 / seconds)
 
 
-def fronts_in(shape: Shape, zone: str) -> tuple[str, ...]:
+def gateways_in_zone(shape: Shape, zone: str) -> tuple[str, ...]:
     """Names of the fronts of a zone."""
-    return tuple(name for name in shape.front_names() if zone_of_name(name) == zone)
+    return tuple(name for name in shape.gateway_names() if zone_of_name(name) == zone)
--- a/lichenquay/testbed/scale/session.py
+++ b/lichenquay/testbed/scale/session.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 from lichenquay.testbed.scale import engines, measure, record
-from lichenquay.testbed.scale.player import Played, Player, ignore
+from lichenquay.testbed.scale.player import ScenarioResult, ScenarioRunner, no_progress
 from lichenquay.testbed.scale.proposer import Proposer
-from lichenquay.testbed.scale.real_stage import RealStage
+from lichenquay.testbed.scale.real_stage import ProcessEnvironment
 from lichenquay.testbed.scale.roles import Reading
 from lichenquay.testbed.scale.scenario import Scenario, Shape
 from lichenquay.testbed.scale.world import World
@@ -20,12 +20,12 @@
 BATCH_S = 0.25
 
 
-class Session:
+class WorldDriver:
     """A context. Every wait has an end."""
 
-    def __init__(self, shape: Shape, folder: Path, rest_s: float):
+    def __init__(self, shape: Shape, folder: Path, settle_timeout_s: float):
         """`rest_s`: in which all fronts must come to hold one version. Nothing runs yet."""
-        self.shape, self.rest_s = shape, rest_s
+        self.shape, self.settle_timeout_s = shape, settle_timeout_s
         self.world = World(shape, Path(folder))
         self.memory_share = 0.0  # Of the machine, the highest that was read.
 
@@ -33,7 +33,7 @@
         """Starts the processes and the client. Raises CannotStart where one does not."""
         self.world.__enter__()
         try:
-            self.proposer = Proposer(self.world.spec, engines.TrickleEntries(self.shape))
+            self.proposer = Proposer(self.world.spec, engines.BackgroundChanges(self.shape))
             self.proposer.start()
             self.wait_for(lambda: self.world.leader() is not None, LEADER_S, "no publisher leads")
         except BaseException:
@@ -49,18 +49,18 @@
 
     def list_engines(self, first: int, count: int) -> float:
         """Proposes engines, and waits until all are accepted; the seconds that it took."""
-        begun_s = time.monotonic()
+        started_at_s = time.monotonic()
         for entries in engines.engine_changes(first, count, self.shape):
             self.proposer.propose(entries)
         self.wait_for(self.proposer.is_idle, LOAD_S, f"{count} engines could not be listed")
-        self.proposer.propose(engines.all_listed())  # Fronts take engines from here on.
-        return time.monotonic() - begun_s
+        self.proposer.propose(engines.list_complete_change())  # Fronts take engines from here on.
+        return time.monotonic() - started_at_s
 
-    def grow_to(self, fronts: int) -> bool:
+    def grow_to(self, gateways: int) -> bool:
         """Starts fronts until so many run; False: not all came to hold the newest version in time."""
-        names = self.shape.front_names()[len(self.world.running) : fronts]
+        names = self.shape.gateway_names()[len(self.world.running) : gateways]
         for first in range(0, len(names), START_BATCH):
-            self.world.start_fronts(names[first : first + START_BATCH])
+            self.world.start_gateways(names[first : first + START_BATCH])
             time.sleep(BATCH_S)
         return self.settle()
 
@@ -73,21 +73,23 @@
         self.proposer.set_rate(0.0)
         return before, after
 
-    def play(self, scenario: Scenario, progress: Callable[[float], None] = ignore) -> Played:
+    def run_scenario(
+        self, scenario: Scenario, progress: Callable[[float], None] = no_progress
+    ) -> ScenarioResult:
         """Plays a scenario, and waits until all that it ended runs and holds the newest version."""
-        played = Player(RealStage(self.world, self.proposer)).play(scenario, progress)
+        result = ScenarioRunner(ProcessEnvironment(self.world, self.proposer)).run(scenario, progress)
         for child in self.world.children():
             child.wait_ready()
-        self.world.look_ready()
-        played.settled = self.settle()
-        return played
+        self.world.poll_ready()
+        result.settled = self.settle()
+        return result
 
     def settle(self) -> bool:
         """Waits until every change has its outcome and is in force at every front; False: not in time."""
-        until = time.monotonic() + self.rest_s
+        until = time.monotonic() + self.settle_timeout_s
         while time.monotonic() < until:
-            self.world.look_ready()
-            if self.proposer.is_idle() and self.world.settled(self.proposer.newest()):
+            self.world.poll_ready()
+            if self.proposer.is_idle() and self.world.settled(self.proposer.newest_version()):
                 return True
             time.sleep(POLL_S)
         return False
@@ -99,15 +101,15 @@
         self.memory_share = max(self.memory_share, kb / measure.memory_total_kb())
         return reading
 
-    def end(self) -> list[record.Life]:
+    def end(self) -> list[record.GatewayLifetime]:
         """Ends the fronts' processes in order; the records of all fronts."""
         self.world.end_hosts()
-        return [life for path in self.world.record_paths() for life in record.read(path)]
+        return [lifetime for path in self.world.record_paths() for lifetime in record.read(path)]
 
-    def wait_for(self, is_so, seconds: float, otherwise: str):
+    def wait_for(self, condition, seconds: float, failure: str):
         """Raises CannotStart, which says `otherwise`, where it is not so in time."""
         until = time.monotonic() + seconds
-        while not is_so():
+        while not condition():
             if time.monotonic() > until:
-                raise CannotStart(f"{otherwise} within {seconds:g} s")
+                raise CannotStart(f"{failure} within {seconds:g} s")
             time.sleep(POLL_S)
--- a/lichenquay/testbed/scale/settings_files.py
+++ b/lichenquay/testbed/scale/settings_files.py
@@ -54,12 +54,12 @@
     return pb.Settings(control=control)
 
 
-def front_settings(spec: WorldSpec) -> pb.Distribution:
+def gateway_settings(spec: WorldSpec) -> pb.Distribution:
     """What all fronts of one host share: all but name, zone and listen."""
     return pb.Distribution(fleet=FLEET, relays=relays_of(spec), prefixes=PREFIXES, engines=True)
 
 
-def front_listen(shape: Shape, loopback: str, name: str) -> str:
+def gateway_listen_address(shape: Shape, loopback: str, name: str) -> str:
     """Where a front listens: on its host's own loopback address, the port by its number."""
     number = int(name.rpartition("f")[2])
     return f"{loopback}:{LOOPBACK_PORT + number // shape.hosts}"
--- a/lichenquay/testbed/scale/slopes.py
+++ b/lichenquay/testbed/scale/slopes.py
@@ -5,7 +5,7 @@
 from lichenquay.testbed.scale.fit import Fit, FitError, Model, fit
 from lichenquay.testbed.scale.roles import COST_DIGITS, Role, RoleCost
 
-FITTED_ROLES = (Role.FRONT, Role.RELAY, Role.PUBLISHER)
+FITTED_ROLES = (Role.GATEWAY, Role.RELAY, Role.PUBLISHER)
 
 
 @dataclass(frozen=True)
@@ -59,11 +59,11 @@
     return fits
 
 
-def predictions_of(fits: dict[str, Fit], fronts: int) -> dict[str, Outcome]:
+def predictions_of(fits: dict[str, Fit], gateways: int) -> dict[str, Outcome]:
     """What each metric will be at a size."""
     found = {}
     for name, one in fits.items():
-        prediction = one.predict(fronts)
+        prediction = one.predict(gateways)
         found[name] = Outcome(prediction.value, prediction.low, prediction.high)
     return found
 
--- a/lichenquay/testbed/scale/talker.py
+++ b/lichenquay/testbed/scale/talker.py
@@ -21,7 +21,7 @@
     return time.process_time() * 1_000, post.counters["datagrams sent"], post.bytes_out
 
 
-def main(path: str, warm_s: float, measured_s: float) -> None:
+def main(path: str, warm_up_s: float, measured_s: float) -> None:
     """Talks for the two times, then tells of the second one."""
     fleet = GatewayRuntime(reactor, read_file(path, read_settings).fleet, 1, lambda: False)
     trouble = fleet.open()
@@ -29,8 +29,8 @@
         sys.exit(trouble)
     fleet.begin()
     marks: list[tuple[float, int, int]] = []
-    reactor.callLater(warm_s, lambda: marks.append(spent(fleet)))
-    reactor.callLater(warm_s + measured_s, lambda: (marks.append(spent(fleet)), reactor.stop()))
+    reactor.callLater(warm_up_s, lambda: marks.append(spent(fleet)))
+    reactor.callLater(warm_up_s + measured_s, lambda: (marks.append(spent(fleet)), reactor.stop()))
     reactor.run()
     fleet.close()
     rates = [(after - before) / measured_s for before, after in zip(*marks, strict=True)]
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -30,7 +30,7 @@
 STEP_MS = 100.0  # Between two looks at whether all have settled.
 
 
-class Voter:
+class VirtualVoter:
     """A voter's group and its publisher as one part; `disk` keeps its records from one start to the next."""
 
     def __init__(self, host, shape: Shape, settings: Settings, disk: "Disk"):
@@ -44,7 +44,7 @@
             group_settings(settings),
             settings,
             host.now_ms(),
-            dict(disk.kept),
+            dict(disk.records),
         )
         self.candidate = LeaseCandidate(self.group, host.now_ms())
         self.outbox = []
@@ -86,7 +86,7 @@
 class Disk:
     """What a voter has on disk, and its faults."""
 
-    kept: dict = field(default_factory=dict)
+    records: dict = field(default_factory=dict)
     full: bool = False
     delay_ms: float = DISK_MS
 
@@ -99,14 +99,14 @@
         self.shape, self.settings = shape, settings
         self.net = FleetNet(f"{shape.seed}/virtual")
         self.impairment = Impairment(f"{shape.seed}/virtual")
-        self.net.meddle, self.net.after = self._fate, self._after
+        self.net.meddle, self.net.after = self._delivery_copies, self._after
         self.disks = {name: Disk() for name in shape.publisher_names()}
-        self.relays = relay_places(shape)
-        self.lives: list[record.Life] = []
-        self.running: dict[str, record.Life] = {}
+        self.relays = relay_locations(shape)
+        self.lifetimes: list[record.GatewayLifetime] = []
+        self.running: dict[str, record.GatewayLifetime] = {}
         self.last_ms = 0.0  # When the last thing that was put off is due.
         rng = random.Random(f"{shape.seed}/proposer")
-        self.client = Client(shape.publisher_names(), rng, engines.TrickleEntries(shape))
+        self.client = Client(shape.publisher_names(), rng, engines.BackgroundChanges(shape))
         for name in shape.publisher_names():
             self.net.host(name, self._make_voter)
         for zone in shape.zones:
@@ -114,10 +114,10 @@
                 self.net.host(name, self._make_relay)
         self.net.host(CLIENT, lambda host: {Layer.DISTRIBUTION: self.client})
 
-    def run_until(self, is_so, most_ms: float) -> bool:
+    def run_until(self, condition, timeout_ms: float) -> bool:
         """Runs until `is_so()`, for `most_ms` at most; False: it was not."""
-        until_ms = self.net.now_ms + most_ms
-        while not is_so():
+        until_ms = self.net.now_ms + timeout_ms
+        while not condition():
             if self.net.now_ms >= until_ms:
                 return False
             self.net.run(min(until_ms, self.net.now_ms + STEP_MS))
@@ -130,13 +130,13 @@
 
     def run(self, seconds, progress):
         """Virtual seconds, and until all that was put off is done."""
-        begun_ms = self.net.now_ms
-        until_ms = begun_ms + seconds * 1000
+        started_at_ms = self.net.now_ms
+        until_ms = started_at_ms + seconds * 1000
         while self.net.now_ms < max(until_ms, self.last_ms):
             self.net.run(self.net.now_ms + STEP_MS)
-            progress(min(seconds, (self.net.now_ms - begun_ms) / 1000))
+            progress(min(seconds, (self.net.now_ms - started_at_ms) / 1000))
 
-    def later(self, seconds, call, *arguments):
+    def call_later(self, seconds, call, *arguments):
         """By virtual time."""
         at_ms = self.net.now_ms + seconds * 1000
         self.last_ms = max(self.last_ms, at_ms)
@@ -146,14 +146,14 @@
         """Of the client."""
         self.net.call(CLIENT, Layer.DISTRIBUTION, "set_rate", per_s)
 
-    def newest(self):
+    def newest_version(self):
         """By the client."""
-        return self.client.newest()
+        return self.client.newest_version()
 
     def kill(self, name, seconds):
         """With all that it has not stored."""
         self.net.kill(name)
-        self.later(seconds, self.net.start, name)
+        self.call_later(seconds, self.net.start, name)
 
     def pause(self, name, seconds):
         """What comes meanwhile waits, as in a socket's buffer."""
@@ -163,9 +163,9 @@
         """The disk outlives the process."""
         disk = self.disks[name]
         disk.full, disk.delay_ms = full, DISK_MS + delay_ms
-        self.later(seconds, self._mend_disk, disk)
+        self.call_later(seconds, self._restore_disk, disk)
 
-    def silence(self, names, seconds):
+    def pause_reading(self, names, seconds):
         """They stand still altogether."""
         for name in names:
             self.net.pause(name, seconds * 1000)
@@ -174,7 +174,7 @@
         """For every message from now on."""
         self.impairment.rules = rules
 
-    def up(self, names):
+    def running_among(self, names):
         """Those that run."""
         return [name for name in names if name in self.running]
 
@@ -192,44 +192,46 @@
 
     def settled(self) -> bool:
         """Whether every change has its outcome, and all fronts have the newest version."""
-        newest = self.client.newest()
-        return self.client.is_idle and all(life.last == newest for life in self.running.values())
+        newest_version = self.client.newest_version()
+        return self.client.is_idle and all(
+            lifetime.last_version == newest_version for lifetime in self.running.values()
+        )
 
     def propose(self, entries):
         """A change of the run's own."""
         self.client.propose(entries)
         self.net.call(CLIENT, Layer.DISTRIBUTION, "tick")
 
-    def start_fronts(self, names):
+    def start_gateways(self, names):
         """Starts those that do not run."""
         for name in names:
             if name in self.running:
                 continue
-            self.running[name] = life = record.Life(name, self.net.now_ms)
-            self.lives.append(life)
+            self.running[name] = lifetime = record.GatewayLifetime(name, self.net.now_ms)
+            self.lifetimes.append(lifetime)
             if name in self.net.hosts:
                 self.net.start(name)
             else:
                 self.net.host(name, self._make_front)
 
-    def stop_fronts(self, names):
+    def stop_gateways(self, names):
         """Ends those that run, without a word."""
         for name in names:
-            life = self.running.pop(name, None)
-            if life is not None:
-                life.ended_ms = self.net.now_ms
+            lifetime = self.running.pop(name, None)
+            if lifetime is not None:
+                lifetime.ended_ms = self.net.now_ms
                 self.net.kill(name)
 
     def end(self):
         """Keeps what the fronts hold."""
-        for name, life in self.running.items():
+        for name, lifetime in self.running.items():
             subscriber = self.net.hosts[name].parts[Layer.DISTRIBUTION]
-            life.values_digest = values_digest(subscriber.applied_values)
-            life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
-            life.counts = dict(subscriber.counts)
+            lifetime.values_digest = values_digest(subscriber.applied_values)
+            lifetime.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
+            lifetime.counts = dict(subscriber.counts)
 
     def _make_voter(self, host):
-        return {Layer.DISTRIBUTION: Voter(host, self.shape, self.settings, self.disks[host.name])}
+        return {Layer.DISTRIBUTION: VirtualVoter(host, self.shape, self.settings, self.disks[host.name])}
 
     def _make_relay(self, host):
         publishers = self.shape.publisher_names()
@@ -239,43 +241,43 @@
         zone = zone_of_name(host.name)
         sources = ranked(self.relays, host.name, zone, self.shape.region_of(zone))
         subscriber = Subscriber(
-            host.name, sources, list(PREFIXES), host.rng, self.settings, host.now_ms(), take_all
+            host.name, sources, list(PREFIXES), host.rng, self.settings, host.now_ms(), accept_all
         )
         return {Layer.DISTRIBUTION: subscriber}
 
-    def _fate(self, number, source, target, layer, message):
+    def _delivery_copies(self, number, source, target, layer, message):
         """The impairment's word for a message; None: FleetNet's own usual delay."""
         if not self.impairment.rules:
             return None
-        delays = self.impairment.delays_of(zone_of_name(source), zone_of_name(target))
+        delays = self.impairment.delays_for(zone_of_name(source), zone_of_name(target))
         return [(target, self.net.rng.uniform(*LINK_MS) + delay_ms, message) for delay_ms in delays]
 
     def _after(self, host, layer, part):
-        life = self.running.get(host.name)
-        if life is not None:
-            life.step(part.applied_version, self.net.now_ms)
-        elif isinstance(part, Voter):
+        lifetime = self.running.get(host.name)
+        if lifetime is not None:
+            lifetime.record_version(part.applied_version, self.net.now_ms)
+        elif isinstance(part, VirtualVoter):
             wanted, part.group.store_requests[:] = list(part.group.store_requests), []
             for number, changes in wanted:
                 self.net.at(
                     self.net.now_ms + part.disk.delay_ms, self._store, host.name, host.life, number, changes
                 )
 
-    def _mend_disk(self, disk):
+    def _restore_disk(self, disk):
         disk.full, disk.delay_ms = False, DISK_MS
 
-    def _store(self, name, life, number, changes):
+    def _store(self, name, host_life, number, changes):
         """Risk: a store of an earlier life must not be answered to a later one."""
         disk, host = self.disks[name], self.net.hosts[name]
-        if host.life != life:
+        if host.life != host_life:
             return
         if not disk.full:
-            disk.kept.update(changes)
+            disk.records.update(changes)
         self.net.call(name, Layer.DISTRIBUTION, "stored", number, not disk.full)
 
 
 @dataclass(frozen=True)
-class Place:
+class RelayLocation:
     """A relay, as production's ranking takes it."""
 
     name: str
@@ -283,13 +285,15 @@
     region: str
 
 
-def relay_places(shape: Shape) -> list[Place]:
+def relay_locations(shape: Shape) -> list[RelayLocation]:
     """All relays."""
     return [
-        Place(name, zone, shape.region_of(zone)) for zone in shape.zones for name in shape.relay_names(zone)
+        RelayLocation(name, zone, shape.region_of(zone))
+        for zone in shape.zones
+        for name in shape.relay_names(zone)
     ]
 
 
-def take_all(now_ms, changed, whole):
+def accept_all(now_ms, changed, whole):
     """Puts every change in force."""
     return None
--- a/lichenquay/testbed/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -7,7 +7,7 @@
 from lichenquay.testbed.scale import engines
 from lichenquay.testbed.scale import scenario as s
 from lichenquay.testbed.scale.audit import Findings, audit
-from lichenquay.testbed.scale.player import Played, Player
+from lichenquay.testbed.scale.player import ScenarioResult, ScenarioRunner
 from lichenquay.testbed.scale.virtual import VirtualWorld
 from lichenquay.testbed.world import CannotStart
 
@@ -25,13 +25,13 @@
 
 
 @dataclass
-class VirtualKept:
+class VirtualRunResult:
     """All that a virtual run kept, for its figures."""
 
     plan: VirtualPlan
-    played: list[Played] = field(default_factory=list)
+    scenario_results: list[ScenarioResult] = field(default_factory=list)
     proposals: list = field(default_factory=list)
-    lives: list = field(default_factory=list)
+    lifetimes: list = field(default_factory=list)
     findings: Findings = field(default_factory=Findings)
     messages_per_s: dict[str, float] = field(default_factory=dict)  # Sent by one of each role.
     bytes_per_s: dict[str, float] = field(default_factory=dict)  # Without the envelope.
@@ -40,9 +40,9 @@
     notes: list[str] = field(default_factory=list)
 
 
-def plan_of(fronts: int, engine_count: int, seed: int) -> VirtualPlan:
+def plan_of(gateways: int, engine_count: int, seed: int) -> VirtualPlan:
     """The scenarios whose aims are stated, and a pause past the lease."""
-    shape = s.Shape(fronts=fronts, engines=engine_count, seed=seed)
+    shape = s.Shape(fronts=gateways, engines=engine_count, seed=seed)
     scenarios = [
         s.failover(shape, 20.0, 1.0),
         s.publisher_paused(12.0, 1.0),
@@ -59,25 +59,25 @@
     def __init__(self, plan: VirtualPlan, progress: Callable[[float], None] = lambda share: None):
         """Nothing runs yet."""
         self.plan, self.progress = plan, progress
-        self.kept = VirtualKept(plan)
+        self.result = VirtualRunResult(plan)
         self.world = VirtualWorld(plan.shape)
 
-    def run(self) -> VirtualKept:
+    def run(self) -> VirtualRunResult:
         """Runs all of it. Raises CannotStart where no publisher leads."""
-        begun_s = time.process_time()
+        started_at_s = time.process_time()
         self._prepare()
-        self._count_calm()
+        self._measure_calm()
         for number, scenario in enumerate(self.plan.scenarios):
-            played = Player(self.world).play(scenario)
-            played.settled = self._settle(scenario.name)
-            self.kept.played.append(played)
+            scenario_result = ScenarioRunner(self.world).run(scenario)
+            scenario_result.settled = self._wait_settled(scenario.name)
+            self.result.scenario_results.append(scenario_result)
             self.progress((number + 1) / len(self.plan.scenarios))
         self.world.end()
-        self.kept.proposals, self.kept.lives = self.world.client.proposals, self.world.lives
-        self.kept.findings = audit(self.kept.proposals, self.kept.lives, len(self.world.running))
-        self.kept.virtual_s = self.world.now_ms / 1000
-        self.kept.cpu_s = time.process_time() - begun_s
-        return self.kept
+        self.result.proposals, self.result.lifetimes = self.world.client.proposals, self.world.lifetimes
+        self.result.findings = audit(self.result.proposals, self.result.lifetimes, len(self.world.running))
+        self.result.virtual_s = self.world.now_ms / 1000
+        self.result.cpu_s = time.process_time() - started_at_s
+        return self.result
 
     def _prepare(self):
         world, shape = self.world, self.plan.shape
@@ -87,28 +87,28 @@
             world.propose(entries)
         if not world.run_until(lambda: world.client.is_idle, LOAD_MS):
             raise CannotStart("the engines could not be listed")
-        world.start_fronts(shape.front_names())
-        self._settle("the first start")
+        world.start_gateways(shape.gateway_names())
+        self._wait_settled("the first start")
 
-    def _count_calm(self):
+    def _measure_calm(self):
         world = self.world
         before = {name: (host.sent, host.sent_bytes) for name, host in world.net.hosts.items()}
-        played = Player(world).play(s.calm(WINDOW_S, self.plan.changes_per_s))
-        self.kept.played.append(played)
-        played.settled = self._settle("calm")
-        seconds = (world.now_ms - played.begun_ms) / 1000
+        scenario_result = ScenarioRunner(world).run(s.calm(WINDOW_S, self.plan.changes_per_s))
+        self.result.scenario_results.append(scenario_result)
+        scenario_result.settled = self._wait_settled("calm")
+        seconds = (world.now_ms - scenario_result.started_at_ms) / 1000
         shape = self.plan.shape
         relays = [name for zone in shape.zones for name in shape.relay_names(zone)]
-        roles = {"front": shape.front_names(), "relay": relays, "publisher": [world.leader()]}
+        roles = {"front": shape.gateway_names(), "relay": relays, "publisher": [world.leader()]}
         for role, names in roles.items():
             hosts = [(world.net.hosts[name], before[name]) for name in names]
             messages = sum(host.sent - sent for host, (sent, _) in hosts)
             size = sum(host.sent_bytes - sent_bytes for host, (_, sent_bytes) in hosts)
-            self.kept.messages_per_s[role] = round(messages / seconds / len(names), 3)
-            self.kept.bytes_per_s[role] = round(size / seconds / len(names), 1)
+            self.result.messages_per_s[role] = round(messages / seconds / len(names), 3)
+            self.result.bytes_per_s[role] = round(size / seconds / len(names), 1)
 
-    def _settle(self, what) -> bool:
+    def _wait_settled(self, what) -> bool:
         settled = self.world.run_until(self.world.settled, SETTLE_MS)
         if not settled:
-            self.kept.notes.append(f"after {what} not all had the newest version in {SETTLE_MS:g} ms")
+            self.result.notes.append(f"after {what} not all had the newest version in {SETTLE_MS:g} ms")
         return settled
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Child:
+class ChildProcess:
     """A process of the run, which may have been started several times."""
 
     name: str
@@ -64,7 +64,7 @@
             raise CannotStart(f"{self.name} did not start: {lines[-1] if lines else 'no word of it'}")
         self.ready = True
 
-    def look_ready(self) -> bool:
+    def poll_ready(self) -> bool:
         """Whether it said READY just now."""
         if self.ready or not self.runs or self.paused or read_line(self.process, 0.0) != READY:
             return False
@@ -77,16 +77,16 @@
             self.paused = True
             self.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self):
+    def resume(self):
         """SIGCONT."""
         if self.runs:
             self.process.send_signal(signal.SIGCONT)
             self.paused = False
 
-    def tell(self, order) -> bool:
+    def send_command(self, order) -> bool:
         """Gives an order; False: it has ended."""
         try:
-            self.process.stdin.write(orders.line_of(order) + "\n")
+            self.process.stdin.write(orders.encode_command(order) + "\n")
             self.process.stdin.flush()
         except (OSError, ValueError):
             return False
@@ -94,10 +94,10 @@
 
     def count(self) -> orders.Counts | None:
         """Its counts; None where it does not answer."""
-        if not self.answers or not self.tell(orders.Count()):
+        if not self.answers or not self.send_command(orders.Count()):
             return None
         line = read_line(self.process, ANSWER_S)
-        return orders.counts_of(line) if line else None
+        return orders.decode_counts(line) if line else None
 
     def kill(self):
         """SIGKILL, and waits for its end."""
@@ -125,8 +125,8 @@
     shape: Shape
     folder: Path
     spec: WorldSpec = None
-    control: dict[str, Child] = field(default_factory=dict)
-    hosts: list[Child] = field(default_factory=list)
+    control: dict[str, ChildProcess] = field(default_factory=dict)
+    hosts: list[ChildProcess] = field(default_factory=list)
     running: set[str] = field(default_factory=set)  # Hollow fronts.
     rules: list = field(default_factory=list)  # Of the network, now.
 
@@ -158,42 +158,42 @@
             child.kill()
 
     def _child(self, name, arguments):
-        return Child(name, ["-m", *arguments], self.folder / f"{name}.log")
+        return ChildProcess(name, ["-m", *arguments], self.folder / f"{name}.log")
 
-    def children(self) -> list[Child]:
+    def children(self) -> list[ChildProcess]:
         """Of all roles."""
         return [*self.control.values(), *self.hosts]
 
-    def host_of(self, front: str) -> Child:
+    def host_of(self, gateway: str) -> ChildProcess:
         """The process that holds a front."""
-        return self.hosts[int(front.rpartition("f")[2]) % len(self.hosts)]
+        return self.hosts[int(gateway.rpartition("f")[2]) % len(self.hosts)]
 
-    def start_fronts(self, names):
+    def start_gateways(self, names):
         """Starts hollow fronts, all at once."""
-        self._tell_hosts(orders.StartFronts, names)
+        self._send_to_hosts(orders.StartFronts, names)
         self.running.update(names)
 
-    def stop_fronts(self, names):
+    def stop_gateways(self, names):
         """Ends hollow fronts without a word."""
-        self._tell_hosts(orders.StopFronts, names)
+        self._send_to_hosts(orders.StopFronts, names)
         self.running.difference_update(names)
 
     def read_slowly(self, names, on):
         """Fronts stop reading their sockets, or read on."""
-        self._tell_hosts(orders.ReadSlowly, names, on)
+        self._send_to_hosts(orders.ReadSlowly, names, on)
 
     def impair(self, rules):
         """The network's rules, for all processes."""
         self.rules = list(rules)
         for child in self.children():
             if child.runs:
-                child.tell(orders.Impair(self.rules))
+                child.send_command(orders.Impair(self.rules))
 
-    def look_ready(self):
+    def poll_ready(self):
         """Processes that were started anew and are ready get the network's rules."""
         for child in self.children():
-            if child.look_ready():
-                child.tell(orders.Impair(self.rules))
+            if child.poll_ready():
+                child.send_command(orders.Impair(self.rules))
 
     def usage(self) -> list[RoleUsage]:
         """Of every process that answers."""
@@ -220,7 +220,7 @@
     def end_hosts(self):
         """The hosts write their records and exit."""
         for host in self.hosts:
-            host.tell(orders.End())
+            host.send_command(orders.End())
         until = time.monotonic() + END_S
         for host in self.hosts:
             try:
@@ -232,11 +232,11 @@
         """Where the hosts' records are, after `end_hosts`."""
         return [self.folder / f"{host.name}.npz" for host in self.hosts]
 
-    def _tell_hosts(self, order, names, *more):
+    def _send_to_hosts(self, order, names, *more):
         for host in self.hosts:
             mine = [name for name in names if self.host_of(name) is host]
             if mine:
-                host.tell(order(mine, *more))
+                host.send_command(order(mine, *more))
 
 
 def loopback_addresses(hosts: int) -> list[str]:
--- a/lichenquay/testbed/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -40,6 +40,6 @@
 
 def read(path: str) -> WorldSpec:
     """The spec that `write` wrote."""
-    said = json.loads(Path(path).read_text())
-    addresses = {name: (host, port) for name, (host, port) in said["addresses"].items()}
-    return WorldSpec(Shape(**said["shape"]), addresses, said["loopbacks"], said["folder"])
+    spec = json.loads(Path(path).read_text())
+    addresses = {name: (host, port) for name, (host, port) in spec["addresses"].items()}
+    return WorldSpec(Shape(**spec["shape"]), addresses, spec["loopbacks"], spec["folder"])
--- a/tests/scale_records.py
+++ b/tests/scale_records.py
@@ -2,7 +2,7 @@
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.testbed.scale.client import Proposal
-from lichenquay.testbed.scale.record import Life
+from lichenquay.testbed.scale.record import GatewayLifetime
 
 
 def change(version, value, proposed_ms):
@@ -11,9 +11,9 @@
     return Proposal(version, entries, proposed_ms, proposed_ms, proposed_ms + 5.0, version)
 
 
-def life(name, steps, values_digest, started_ms=0.0):
+def lifetime(name, steps, values_digest, started_ms=0.0):
     """A front that had these (version, ms) in force."""
-    one = Life(name, started_ms, values_digest=values_digest)
+    one = GatewayLifetime(name, started_ms, values_digest=values_digest)
     for version, at_ms in steps:
-        one.step(version, at_ms)
+        one.record_version(version, at_ms)
     return one
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -24,15 +24,15 @@
     quota,
     starved,
 )
-from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
-from lichenquay.testbed.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
+from lichenquay.testbed.scale.probes.door import VirtualGateway, make_engines
+from lichenquay.testbed.scale.rows import MEASURED, NONE_TODAY, NOT_IMPLEMENTED, Row
 from lichenquay.testbed.scale.sample import Sample, Stopwatch, state_bytes
 
 pytestmark = pytest.mark.together
 
 UNITS = {"ms", "ms/s", "bytes", "B/s", "1/s", "s", "0 or 1"}
 # Processor time and the interpreter's memory: these vary from run to run.
-OF_THE_MACHINE = (
+VARIABLE_QUANTITIES = (
     "processor",
     "controller.",
     "datagram.",
@@ -56,7 +56,7 @@
 }
 
 
-def ignore(done):
+def no_progress(done):
     """A progress that nobody looks at."""
 
 
@@ -75,8 +75,8 @@
     ("measure", "sizes"),
     [
         (members.measure, (3, 5)),
-        (quota.measure_fronts_part, (2,)),
-        (quota.measure_keeper, (3,)),
+        (quota.measure_gateway_escrow, (2,)),
+        (quota.measure_ledger_leader, (3,)),
         (lease.measure_round_trips, (5,)),
         (lease.measure_record_sizes, (2_000,)),
         (lease.measure_lagging, (64,)),
@@ -87,15 +87,17 @@
 def test_the_same_seed_gives_the_same_figures_but_for_the_machines(measure, sizes):
     """Messages, bytes and virtual times are functions of the seed."""
 
-    def once():
-        return [s for s in measure(sizes, 3, ignore) if not any(t in s.what for t in OF_THE_MACHINE)]
+    def measure_once():
+        return [
+            s for s in measure(sizes, 3, no_progress) if not any(t in s.what for t in VARIABLE_QUANTITIES)
+        ]
 
-    assert once() == once()
+    assert measure_once() == measure_once()
 
 
 def test_another_seed_gives_other_events():
     """Otherwise runs over seeds would be one run."""
-    one, other = (members.measure((5,), seed, ignore) for seed in (1, 2))
+    one, other = (members.measure((5,), seed, no_progress) for seed in (1, 2))
     assert values(one, "members.lost_0.bytes") != values(other, "members.lost_0.bytes")
 
 
@@ -103,11 +105,11 @@
 def test_samples_are_of_the_catalogue_and_of_sane_units(probe, monkeypatch):
     """Each quantity comes at each size, finite and not negative; progress rises to 1."""
     monkeypatch.setattr("lichenquay.testbed.scale.probes.query_rate.ENGINES", 50)
-    monkeypatch.setattr(host, "WARM_S", 0.3)
+    monkeypatch.setattr(host, "WARM_UP_S", 0.3)
     monkeypatch.setattr(host, "MEASURED_S", 0.5)
-    sizes, told = SMALL[probe.name][:2], []
-    samples = probe.measure(sizes, 1, told.append)
-    assert told == sorted(told) and told[-1] == 1.0
+    sizes, progress_values = SMALL[probe.name][:2], []
+    samples = probe.measure(sizes, 1, progress_values.append)
+    assert progress_values == sorted(progress_values) and progress_values[-1] == 1.0
     assert {s.size for s in samples} == set(sizes)
     assert {s.unit for s in samples} <= UNITS
     assert all(math.isfinite(v) and v >= 0 for s in samples for v in s.values)
@@ -127,7 +129,7 @@
 
 def test_a_front_asks_for_the_list_once_a_second():
     """As its patience says, of 1,000 ms."""
-    samples = discovery.measure((10,), 1, ignore)
+    samples = discovery.measure((10,), 1, no_progress)
     assert values(samples, "discovery.idle_calls") == {10: (1.0,)}
 
 
@@ -139,30 +141,32 @@
 
 def test_queries_of_the_virtual_door_all_end():
     """What is measured is a controller that works: nearly all queries finish, and none is sent twice."""
-    door = VirtualDoor(make_engines(50), 1, 40.0)
-    door.play(5_000.0)
-    assert door.arrived > 100
-    assert door.refused == 0
-    assert door.finished >= door.arrived - 20
-    assert door.beats.calls > 0 and door.queries.calls > 0
+    gateway = VirtualGateway(make_engines(50), 1, 40.0)
+    gateway.run(5_000.0)
+    assert gateway.arrived > 100
+    assert gateway.rejected == 0
+    assert gateway.finished >= gateway.arrived - 20
+    assert gateway.tick_stopwatch.calls > 0 and gateway.query_stopwatch.calls > 0
 
 
 def test_the_controllers_state_grows_by_engines():
     """By one to four KB each."""
-    held = {s.size: s.values[0] for s in controller.measure((50, 150), 1, ignore) if s.what.endswith("state")}
+    held = {
+        s.size: s.values[0] for s in controller.measure((50, 150), 1, no_progress) if s.what.endswith("state")
+    }
     assert 1_000 < (held[150] - held[50]) / 100 < 4_000
 
 
 def test_a_record_takes_a_round_trip_and_the_disk():
     """Of three voters the holder and one other: a round trip and one write of 2 ms."""
-    made = values(lease.measure_round_trips((1, 20), 1, ignore), "lease.record_made")
+    made = values(lease.measure_round_trips((1, 20), 1, no_progress), "lease.record_made")
     assert all(abs(t - 3.0) < 0.2 for t in made[1])
     assert all(abs(t - 22.0) < 0.2 for t in made[20])
 
 
 def test_a_killed_front_is_seen_within_the_bound():
     """By all others, at no loss and at 20% lost."""
-    samples = members.measure((5,), 1, ignore)
+    samples = members.measure((5,), 1, no_progress)
     for loss in (0, 20):
         (detected,) = values(samples, f"members.lost_{loss}.detect").values()
         assert len(detected) == members.RUNS and all(1.5 < t < 5.0 for t in detected)
@@ -170,15 +174,15 @@
 
 def test_a_datagram_has_its_envelope():
     """Longer than its message by under 80 bytes."""
-    ((length,),) = values(datagram.measure((300,), 1, ignore), "datagram.length").values()
+    ((length,),) = values(datagram.measure((300,), 1, no_progress), "datagram.length").values()
     assert 300 < length < 380
 
 
 def test_a_front_that_cannot_talk_is_told_so(monkeypatch):
     """Not left out of the mean."""
-    monkeypatch.setattr(host, "KINDS", {"members": "accounts { }"})
+    monkeypatch.setattr(host, "SETTINGS_BY_KIND", {"members": "accounts { }"})
     with pytest.raises(RuntimeError, match="without its figures"):
-        host.talk(2, "members")
+        host.run_gateways(2, "members")
 
 
 def test_a_probe_without_sizes_is_left_out_and_its_rows_have_no_need():
@@ -188,7 +192,7 @@
         raise AssertionError("not wanted")
 
     probe = Probe("made up", measure, "things", (), (1, 2, 3, 20), {"made-up": Model.LINEAR})
-    found = capacity.run(False, 1, ignore, [probe])
+    found = capacity.run(False, 1, no_progress, [probe])
     assert not found.slopes
     assert all(r.need is None for r in found.ranked if r.row.what is not None)
 
@@ -232,7 +236,7 @@
         return [Sample(n, "made-up", "ms", (2.0 + 3.0 * n, 2.1 + 3.0 * n)) for n in sizes]
 
     probe = Probe("made up", measure, "things", (1, 2, 3, 10), (1, 2, 3, 20), {"made-up": Model.LINEAR})
-    slope = capacity.run_probe(probe, False, 1, ignore)["made-up"]
+    slope = capacity.run_probe(probe, False, 1, no_progress)["made-up"]
     assert asked == [(1, 2, 3), (10,)]
     assert slope.held_out.size == 10 and slope.held_out.within
     assert math.isclose(slope.held_out.predicted.value, 32.05, rel_tol=1e-6)
@@ -246,7 +250,7 @@
         return [Sample(n, "made-up", "ms", ()) for n in sizes]
 
     probe = Probe("made up", measure, "things", (1, 2, 3, 10), (1, 2, 3, 20), {"made-up": Model.LINEAR})
-    slopes = capacity.run_probe(probe, False, 1, ignore)
+    slopes = capacity.run_probe(probe, False, 1, no_progress)
     row = Row("front", "made up", "made-up", 9, lambda at: at("made-up", 9), "ms", 1.0, "some")
     assert capacity.rank(row, slopes).need is None and capacity.rank(row, slopes).ratio is None
 
@@ -260,14 +264,19 @@
 
     rows = [ranked("low", 1.0, 10.0), ranked("no budget", 9.0, None), ranked("high", 50.0, 10.0)]
     rows.append(ranked("missing", None, None, NONE_TODAY))
-    assert [r.row.title for r in sorted(rows, key=capacity.order)] == ["missing", "high", "low", "no budget"]
+    assert [r.row.title for r in sorted(rows, key=capacity.sort_key)] == [
+        "missing",
+        "high",
+        "low",
+        "no budget",
+    ]
 
 
 def test_rows_name_quantities_of_the_catalogue():
     """And only the missing ones have no need."""
     known = {what for probe in PROBES for what in probe.models}
     assert all(row.need is not None and (row.what in known or row.what is None) for row in MEASURED)
-    assert all(row.need is None and row.mechanism == NONE_TODAY for row in MISSING)
+    assert all(row.need is None and row.mechanism == NONE_TODAY for row in NOT_IMPLEMENTED)
 
 
 def test_needs_are_sums_of_their_parts():
@@ -276,7 +285,7 @@
     assert math.isclose(
         row.need(lambda what, size: 100.0), (1 + 20 * 4 / 25_000) * 100.0 * 7_000 * 3 / 86_400
     )
-    assert math.isclose(plan.STATEMENTS_PER_S_A_FRONT, 4_090.9, rel_tol=1e-4)
+    assert math.isclose(plan.STATEMENTS_PER_S_PER_GATEWAY, 4_090.9, rel_tol=1e-4)
 
 
 def test_the_command_writes_json_and_prints_the_ranked_table(monkeypatch, tmp_path):
@@ -288,9 +297,12 @@
     assert "none today" in result.output and "at the size" in result.output
     found = json.loads(path.read_text())
     assert found["form"] == "short" and found["seed"] == 1 and found["processor_s"] > 0
-    assert len(found["rows"]) == len(MEASURED) + len(MISSING)
+    assert len(found["rows"]) == len(MEASURED) + len(NOT_IMPLEMENTED)
     mechanisms = [row["mechanism"] for row in found["rows"]]
-    assert set(mechanisms[: len(MISSING)]) == {NONE_TODAY} and NONE_TODAY not in mechanisms[len(MISSING) :]
+    assert (
+        set(mechanisms[: len(NOT_IMPLEMENTED)]) == {NONE_TODAY}
+        and NONE_TODAY not in mechanisms[len(NOT_IMPLEMENTED) :]
+    )
     ratios = [row["ratio"] for row in found["rows"] if row["ratio"] is not None]
     assert ratios == sorted(ratios, reverse=True)
     for slope in found["slopes"]:
--- a/tests/test_scale_findings.py
+++ b/tests/test_scale_findings.py
@@ -25,7 +25,7 @@
     for entries in engines.engine_changes(0, shape.engines, shape):
         world.propose(entries)
     assert world.run_until(lambda: world.client.is_idle, 60_000.0)
-    world.start_fronts(shape.front_names())
+    world.start_gateways(shape.gateway_names())
     assert world.run_until(world.settled, 12 * settings.expire_ms)
 
 
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -34,9 +34,9 @@
     )
     try:
         assert read_line(process, WAIT_S) == "READY"
-        names = shape.front_names()
-        said = [orders.StartFronts(names), orders.StopFronts(names), orders.StartFronts(names)]
-        process.stdin.write("".join(orders.line_of(order) + "\n" for order in said))
+        names = shape.gateway_names()
+        commands = [orders.StartFronts(names), orders.StopFronts(names), orders.StartFronts(names)]
+        process.stdin.write("".join(orders.encode_command(order) + "\n" for order in commands))
         until = time.monotonic() + WAIT_S
         while count(process)["fronts"] < len(names):
             assert time.monotonic() < until
@@ -50,6 +50,6 @@
 def count(process):
     """The process's counts, a moment later."""
     time.sleep(0.1)
-    process.stdin.write(orders.line_of(orders.Count()) + "\n")
+    process.stdin.write(orders.encode_command(orders.Count()) + "\n")
     process.stdin.flush()
     return json.loads(read_line(process, WAIT_S))
