--- a/tests/test_scale_scenario.py
+++ b/tests/test_scale_scenario.py
@@ -3,10 +3,10 @@
 import pytest
 
 from lichenquay.testbed.scale import orders, plans, scenario
-from lichenquay.testbed.scale.engines import TrickleEntries, engine_changes
-from lichenquay.testbed.scale.impairment import Impairment, Rule, cut_off
+from lichenquay.testbed.scale.engines import BackgroundChanges, engine_changes
+from lichenquay.testbed.scale.impairment import Impairment, Rule, partition_rules
 from lichenquay.testbed.scale.roles import Role, RoleCost
-from lichenquay.testbed.scale.scenario import MOST_FRONTS_OF_ZONE, Shape, zone_of_name
+from lichenquay.testbed.scale.scenario import MAX_GATEWAYS_PER_ZONE, Shape, zone_of_name
 from lichenquay.testbed.scale.slopes import SizeSample, fits_of, outcomes_of, predictions_of
 
 pytestmark = pytest.mark.together
@@ -16,7 +16,7 @@
     """What happens to so many datagrams on a bad link."""
     one = Impairment(seed)
     one.rules = [Rule(loss=0.1, delay_ms=20.0, doubled=0.1)]
-    return [one.delays_of("z0", "z1") for _ in range(number)]
+    return [one.delays_for("z0", "z1") for _ in range(number)]
 
 
 def test_impairment_is_by_its_seed():
@@ -39,25 +39,25 @@
 def test_a_cut_zone_talks_within_itself_only():
     """Both ways; others talk on."""
     one = Impairment("cut")
-    one.rules = cut_off(["z1"], ["control", "z0"])
-    assert one.delays_of("z1", "z1") == [0.0]
-    assert one.delays_of("z1", "z0") == one.delays_of("control", "z1") == []
-    assert one.delays_of("control", "z0") == [0.0]
+    one.rules = partition_rules(["z1"], ["control", "z0"])
+    assert one.delays_for("z1", "z1") == [0.0]
+    assert one.delays_for("z1", "z0") == one.delays_for("control", "z1") == []
+    assert one.delays_for("control", "z0") == [0.0]
 
 
 def test_no_rule_leaves_the_network_alone():
     """One copy, at once."""
-    assert Impairment("none").delays_of("z0", "z1") == [0.0]
+    assert Impairment("none").delays_for("z0", "z1") == [0.0]
 
 
-@pytest.mark.parametrize("fronts, zones", [(50, 2), (734, 2), (735, 3), (2000, 6), (4400, 12)])
-def test_zones_hold_what_a_zone_may(fronts, zones):
+@pytest.mark.parametrize("gateways, zones", [(50, 2), (734, 2), (735, 3), (2000, 6), (4400, 12)])
+def test_zones_hold_what_a_zone_may(gateways, zones):
     """4,400 fronts are 12 zones of 367 at most."""
-    shape = Shape(fronts=fronts)
+    shape = Shape(fronts=gateways)
     assert len(shape.zones) == zones
-    sizes = [len(scenario.fronts_in(shape, zone)) for zone in shape.zones]
-    assert sum(sizes) == fronts
-    assert max(sizes) == shape.fronts_of_zone <= MOST_FRONTS_OF_ZONE
+    sizes = [len(scenario.gateways_in_zone(shape, zone)) for zone in shape.zones]
+    assert sum(sizes) == gateways
+    assert max(sizes) == shape.largest_zone_size <= MAX_GATEWAYS_PER_ZONE
     assert {zone_of_name(name) for name in shape.control_names()} == {"control", *shape.zones}
 
 
@@ -67,14 +67,14 @@
     assert days[0] == days[1] != days[2]
     times = [event.at_s for event in days[0].events]
     assert times == sorted(times) and times[-1] < 30.0
-    assert days[0].compressed == pytest.approx(2880.0)
+    assert days[0].time_compression == pytest.approx(2880.0)
 
 
 def test_a_rolling_deploy_restarts_every_front_once():
     """Each name in one group."""
     shape = Shape(fronts=123)
     names = [name for e in scenario.rolling_deploy(shape, 20.0, 1.0).events for name in e.targets]
-    assert sorted(names) == sorted(shape.front_names())
+    assert sorted(names) == sorted(shape.gateway_names())
 
 
 def test_both_forms_of_a_run_fit_four_sizes_and_hold_one_out():
@@ -100,14 +100,14 @@
 )
 def test_orders_arrive_as_they_were_given(order):
     """Over a line of JSON."""
-    assert orders.order_of(orders.line_of(order)) == order
+    assert orders.decode_command(orders.encode_command(order)) == order
 
 
 @pytest.mark.parametrize("line", ["", "{}", "[]", '{"order": "Dance"}', '{"order": "Count", "x": 1}', "7"])
 def test_what_is_no_order_is_refused(line):
     """One error for all of it."""
-    with pytest.raises(orders.UnknownOrderError):
-        orders.order_of(line)
+    with pytest.raises(orders.UnknownCommandError):
+        orders.decode_command(line)
 
 
 def test_engines_are_listed_by_seed_and_within_a_change():
@@ -125,17 +125,19 @@
     import random
 
     shape = Shape(fronts=50, engines=10)
-    make, rng = TrickleEntries(shape), random.Random(1)
+    make, rng = BackgroundChanges(shape), random.Random(1)
     listed = {entry.key for entries in engine_changes(0, 10, shape) for entry in entries}
     for number in range(200):
         (entry,) = make(number, rng)
         assert entry.key.startswith("config/") or entry.key in listed
 
 
-def sample(fronts, noise=0.0):
+def sample(gateways, noise=0.0):
     """A window in which fronts and relays cost as much as there are fronts."""
-    cost = RoleCost(fronts, 0.01 * fronts + 0.1 + noise, 50.0 * fronts, 1000.0 * fronts, 3.0 * fronts)
-    return SizeSample(fronts, {Role.FRONT: cost, Role.RELAY: cost})
+    cost = RoleCost(
+        gateways, 0.01 * gateways + 0.1 + noise, 50.0 * gateways, 1000.0 * gateways, 3.0 * gateways
+    )
+    return SizeSample(gateways, {Role.GATEWAY: cost, Role.RELAY: cost})
 
 
 def test_slopes_and_predictions_are_of_what_every_sample_has():
--- a/tests/test_scale_virtual.py
+++ b/tests/test_scale_virtual.py
@@ -28,14 +28,14 @@
 
 
 @cache
-def played():
+def run_figures():
     """The figures of all scenarios."""
     return virtual_figures_of(VirtualRunner(VirtualPlan(SHAPE, SCENARIOS, 2.0)).run())
 
 
 def test_nothing_is_broken_in_any_scenario():
     """Each fault was done, and all fronts settled after it."""
-    figures = played()
+    figures = run_figures()
     assert figures["broken_rules"] == []
     assert figures["notes"] == []
     assert set(figures["scenarios"]) == {"calm", *(one.name for one in SCENARIOS)}
@@ -47,7 +47,7 @@
 
 def test_a_region_and_a_zone_come_back():
     """Virtual seconds; the aims are 20 s for a zone's start."""
-    figures = played()
+    figures = run_figures()
     assert 0 < figures["region_heal_s"] < 10
     assert 0 < figures["zone_start_s"] < 20
 
--- a/tests/test_scale_world.py
+++ b/tests/test_scale_world.py
@@ -14,7 +14,7 @@
 
 pytestmark = pytest.mark.together
 
-FRONTS = 12
+GATEWAYS = 12
 KEYS = {
     "fronts_hollow",
     "fronts_real",
@@ -41,15 +41,15 @@
 
 def small_plan(seed, engines):
     """The shape of a short run, in little."""
-    shape = s.Shape(fronts=FRONTS, engines=20, hosts=1, voters=3, seed=seed)
+    shape = s.Shape(fronts=GATEWAYS, engines=20, hosts=1, voters=3, seed=seed)
     relays = tuple(shape.relay_names(zone)[0] for zone in shape.zones)
-    kill = s.Event(0.3, s.Act.KILL, (s.Target.LEADER, *relays), 1.0)
+    kill = s.FaultEvent(0.3, s.FaultKind.KILL, (s.Target.LEADER, *relays), 1.0)
     scenarios = [
         s.Scenario("failover", 2.0, 4.0, [kill]),
         s.zone_start(shape, 3.0, 2.0),
         s.region_cut(shape, 4.0, 2.0),
     ]
-    return plans.small(seed, FRONTS, scenarios)
+    return plans.small(seed, GATEWAYS, scenarios)
 
 
 def test_the_command_measures_plays_and_audits(tmp_path, monkeypatch):
@@ -63,7 +63,7 @@
     assert figures.keys() >= KEYS
     assert figures["config"].keys() >= CONFIG_KEYS
     assert figures["broken_rules"] == []
-    assert (figures["fronts_hollow"], figures["fronts_real"]) == (FRONTS, 1)
+    assert (figures["fronts_hollow"], figures["fronts_real"]) == (GATEWAYS, 1)
     assert figures["queries"]["queries finished"] > 0
     assert figures["real_fronts"][0]["report"]["finished"] > 0
     assert figures["config"]["changes"] > 0 and figures["config"]["pairs"] > 0
@@ -76,7 +76,7 @@
     assert figures["measured"].keys() == figures["predicted"].keys() != set()
     assert figures["zone_start_s"] > 0 and figures["region_heal_s"] > 0
     page = (tmp_path / "run" / "report.html").read_text()
-    assert page.count("<img") == len(report.FRONT_BUDGET) + 1
+    assert page.count("<img") == len(report.GATEWAY_BUDGET) + 1
 
 
 def test_engines_are_swept_and_the_largest_number_is_foretold(tmp_path, monkeypatch):
