--- a/lichenquay/testbed/scale/__init__.py
+++ b/lichenquay/testbed/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What the product costs by its size: fits over measured sizes, and the probes that measure them."""
+"""Measures what the product costs by its size: probes, and fits over the measured sizes."""
--- a/lichenquay/testbed/scale/audit.py
+++ b/lichenquay/testbed/scale/audit.py
@@ -1,7 +1,8 @@
-"""What must hold at the end of a scale run, checked against the records of every front; one line for each
-break.
+"""Checks the invariants of a scale run against the records of every gateway, with one line for each
+violation.
 
-A front's record is compared with what the client was told, never with what the processes say of themselves.
+A gateway's record is compared with the outcomes that the client received, never with what the processes
+report about themselves.
 """
 
 from collections import Counter
@@ -18,7 +19,7 @@
 
 @dataclass
 class Findings:
-    """Counts, and the lines of the breaks."""
+    """Holds the counts of violations and one line for each of them."""
 
     out_of_order: int = 0
     two_versions_after_rest: int = 0
@@ -27,8 +28,8 @@
 
 
 def audit(proposals: list[Proposal], lifetimes: list[GatewayLifetime], gateways_up: int) -> Findings:
-    """`lives`: every start of every front; `fronts_up`: how many were meant to be up at the end, after
-    rest.
+    """Returns the findings of a run. `lifetimes`: every start of every gateway; `gateways_up`: how many
+    should be running at the end, after the settling time.
     """
     findings = Findings()
     accepted = sorted((p for p in proposals if p.accepted_ms is not None), key=lambda p: p.version)
@@ -44,7 +45,7 @@
 
 
 def check_proposals(proposals: list[Proposal], accepted: list[Proposal]) -> list[str]:
-    """Every proposal has an outcome, and no two changes one version."""
+    """Checks that every proposal has an outcome and that no two accepted changes share a version."""
     lines = []
     unknown = sum(not proposal.is_decided for proposal in proposals)
     if unknown:
@@ -56,7 +57,7 @@
 
 
 def check_order(lifetimes: list[GatewayLifetime], findings: Findings) -> list[str]:
-    """A version in force never goes back within a life."""
+    """Checks that the version in force never goes back within a lifetime."""
     lines = []
     for lifetime in lifetimes:
         regressions = sum(
@@ -73,8 +74,8 @@
 
 
 def check_queries(lifetimes: list[GatewayLifetime]) -> list[str]:
-    """Every query that a hollow front's controller was asked is answered once or still open; no fault was
-    caught.
+    """Checks that every query submitted at a lightweight gateway is answered once or still open, and that its
+    controller raised no exception.
     """
     lines = []
     for lifetime in lifetimes:
@@ -90,7 +91,7 @@
 def check_final_state(
     accepted: list[Proposal], lifetimes: list[GatewayLifetime], gateways_up: int, findings: Findings
 ) -> list[str]:
-    """After rest every front that is up holds the newest version, and exactly the values of the accepted
+    """Checks that every running gateway holds the newest version, and exactly the values of the accepted
     changes.
     """
     newest = accepted[-1].version if accepted else 0
@@ -113,7 +114,9 @@
 
 
 def expected_digest(accepted: list[Proposal]) -> str:
-    """The lab's hash of what accepted changes, applied by version, lead to."""
+    """Returns the test bed's digest of the values that result from the accepted changes in order of
+    version.
+    """
     values = {}
     for proposal in accepted:
         for entry in proposal.entries:
@@ -125,7 +128,7 @@
 
 
 def shortened(lines: list[str]) -> list[str]:
-    """The first lines, and how many more there are."""
+    """Returns the first `MAX_LINES_PER_RULE` lines and a count of the others."""
     if len(lines) <= MAX_LINES_PER_RULE:
         return lines
     return [*lines[:MAX_LINES_PER_RULE], f"and {len(lines) - MAX_LINES_PER_RULE} more of the kind"]
--- a/lichenquay/testbed/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -1,4 +1,6 @@
-"""Runs the probes, fits slopes, foretells the largest size before it is run, ranks needs by their budgets."""
+"""Runs the probes, fits slopes, predicts the largest size before it is measured, ranks needs by their
+budgets.
+"""
 
 import time
 from collections.abc import Sequence
@@ -12,7 +14,7 @@
 
 @dataclass(frozen=True)
 class HeldOut:
-    """The largest size: what the smaller ones foretold, and what was then measured."""
+    """Holds what the smaller sizes predict for the largest size, and what was then measured there."""
 
     size: int
     predicted: Prediction | None
@@ -20,7 +22,9 @@
 
     @property
     def within(self) -> bool | None:
-        """Whether the mean of what was measured lies in the interval; None where either is missing."""
+        """Whether the mean of the measurements lies in the prediction interval; None where either
+        is missing.
+        """
         if self.predicted is None or not self.measured:
             return None
         return self.predicted.holds(sum(self.measured) / len(self.measured))
@@ -28,7 +32,9 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """One quantity: its samples at all sizes, the fit of all of them, and how the largest was foretold."""
+    """Holds one quantity: its samples at all sizes, the fit of all of them, and the check of the held-out
+    size.
+    """
 
     what: str
     unit: str
@@ -40,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Ranked:
-    """A row with its need at the planned size (and its 95% bounds), and need / budget."""
+    """Holds a row with its need at the planned size and the 95% bounds of that need."""
 
     row: Row
     need: float | None
@@ -49,13 +55,13 @@
 
     @property
     def ratio(self) -> float | None:
-        """Need over budget; None where either is missing."""
+        """Returns need divided by budget; None where either is missing."""
         return self.need / self.row.budget if self.need is not None and self.row.budget else None
 
 
 @dataclass(frozen=True)
 class Capacity:
-    """All of one run."""
+    """Holds the results of one run."""
 
     full: bool
     seed: int
@@ -75,7 +81,7 @@
 
 
 def run_probe(probe: Probe, full: bool, seed: int, progress: Progress) -> dict[str, Slope]:
-    """Smaller sizes, their fits, and only then the largest size."""
+    """Measures the smaller sizes, fits them, and only then measures the largest size."""
     *smaller, largest = probe.sizes(full)
     first = probe.measure(smaller, seed, lambda part: progress(part / 2))
     predicted = {what: predict_largest(first, what, model, largest) for what, model in probe.models.items()}
@@ -90,7 +96,7 @@
 
 
 def fitted(samples: Sequence[Sample], model: Model) -> Fit | None:
-    """The fit of all values of these samples; None where they are too few for it."""
+    """Returns the fit of all values of these samples; None where they are too few for it."""
     points = [(sample.size, value) for sample in samples for value in sample.values]
     try:
         return fit([size for size, _ in points], [value for _, value in points], model)
@@ -99,13 +105,15 @@
 
 
 def predict_largest(samples: Sequence[Sample], what: str, model: Model, size: int) -> Prediction | None:
-    """What the samples of a quantity say of a larger size."""
+    """Returns the prediction for a larger size from the samples of one quantity."""
     found = fitted([s for s in samples if s.what == what], model)
     return found and found.predict(size)
 
 
 def rank(row: Row, slopes: dict[str, Slope]) -> Ranked:
-    """The row's need by the fits, and by the low and high ends of their prediction intervals."""
+    """Returns the row with its need by the fits, and by the low and high ends of their prediction
+    intervals.
+    """
     if row.need is None:
         return Ranked(row, None, None, None)
 
@@ -125,12 +133,12 @@
 
 
 def sort_key(ranked: Ranked) -> tuple[bool, bool, float]:
-    """None today first, then by need over budget; rows without a budget last."""
+    """Orders rows without a mechanism first, then by need over budget, rows without a budget last."""
     return ranked.row.mechanism != NONE_TODAY, ranked.ratio is None, -(ranked.ratio or 0.0)
 
 
 def as_json(capacity: Capacity) -> dict:
-    """The whole run as plain values."""
+    """Returns the whole run as plain values."""
     return {
         "form": "full" if capacity.full else "short",
         "seed": capacity.seed,
@@ -141,7 +149,7 @@
 
 
 def row_json(ranked: Ranked, slopes: dict[str, Slope]) -> dict:
-    """One row of the table."""
+    """Returns one row of the table as plain values."""
     row, slope = ranked.row, slopes.get(ranked.row.what or "")
     extrapolated = bool(slope and slope.fit and row.size and slope.fit.extrapolates(row.size))
     return {
@@ -162,7 +170,7 @@
 
 
 def slope_json(slope: Slope) -> dict:
-    """One quantity with its samples and fit."""
+    """Returns one quantity with its samples and fit as plain values."""
     held = slope.held_out
     return {
         "what": slope.what,
--- a/lichenquay/testbed/scale/catalogue.py
+++ b/lichenquay/testbed/scale/catalogue.py
@@ -1,4 +1,6 @@
-"""Which probes there are, at which sizes they run, and by which model each of their quantities is fitted."""
+"""Lists the probes, the sizes at which they run, and the model by which each of their quantities is
+fitted.
+"""
 
 from dataclasses import dataclass
 
@@ -19,9 +21,10 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """One probe: sizes of its short and full form, the last of each held out; a model for each quantity.
+    """Holds one probe: the sizes of its short and full form, the last of each held out, and a model for each
+    quantity.
 
-    Without sizes of a form it is left out of that.
+    A probe without sizes for a form is left out of that form.
     """
 
     name: str
@@ -32,12 +35,12 @@
     models: dict[str, Model]
 
     def sizes(self, full: bool) -> tuple[int, ...]:
-        """The sizes of one form."""
+        """Returns the sizes of one form."""
         return self.full if full else self.short
 
 
 def of_loss(loss: int, messages: Model) -> dict[str, Model]:
-    """Models of what members cost at so many of 100 datagrams lost."""
+    """Returns the models of the cost of membership where `loss` of 100 datagrams are lost."""
     name = f"members.lost_{loss}"
     return {
         f"{name}.messages": messages,
--- a/lichenquay/testbed/scale/client.py
+++ b/lichenquay/testbed/scale/client.py
@@ -1,7 +1,8 @@
-"""The client that proposes changes in a scale run, and keeps what became of each. No I/O.
+"""The client that proposes changes in a scale run and records the outcome of each. No I/O.
 
-A proposal is asked again, with the same request, of one publisher after the other until one says ACCEPTED or
-REFUSED; some may be under way at once. Times are milliseconds of the clock that the fronts' records use.
+A proposal is sent again, with the same request id, to one publisher after the other until one answers
+ACCEPTED or REFUSED; several may be in flight at once. Times are milliseconds of the clock that the gateways'
+records use.
 """
 
 import random
@@ -19,7 +20,7 @@
 
 @dataclass
 class Proposal:
-    """One change, from its first sending to its outcome."""
+    """Holds one change from its first sending to its outcome."""
 
     request_id: int
     entries: list
@@ -37,10 +38,12 @@
 
 
 class Client:
-    """`on_message`, `tick`, `due_ms` and `outbox` as every part; `propose` and `set_rate` are the run's."""
+    """Proposes changes. `on_message`, `tick`, `due_ms` and `outbox` are those of every decision module;
+    `propose` and `set_rate` are called by the run.
+    """
 
     def __init__(self, publishers: list[str], rng: random.Random, make_entries: Callable):
-        """`make_entries(number, rng)` makes the entries of the changes of a steady rate."""
+        """`make_entries(number, rng)` returns the entries of a change of the steady rate."""
         self.publishers, self.rng, self.make_entries = publishers, rng, make_entries
         self.leader = publishers[0]
         self.proposals: list[Proposal] = []
@@ -50,14 +53,14 @@
         self._per_s, self._next_ms = 0.0, INF
 
     def propose(self, entries) -> Proposal:
-        """Puts a change behind those that wait; it goes out at the next tick."""
+        """Queues a change, which is sent at the next tick."""
         proposal = Proposal(self.rng.getrandbits(63) | 1, entries)
         self.proposals.append(proposal)
         self._waiting.append(proposal)
         return proposal
 
     def set_rate(self, now_ms: float, per_s: float):
-        """From now on so many changes a second, the first after half of the time between two; 0: none."""
+        """Sets the rate of changes a second, the first after half an interval; 0 stops them."""
         self._per_s = per_s
         self._next_ms = now_ms + 500 / per_s if per_s else INF
 
@@ -67,24 +70,24 @@
         return not self._waiting and not self._in_flight
 
     def accepted(self) -> list[Proposal]:
-        """All accepted changes, by version."""
+        """Returns all accepted changes in order of version."""
         accepted_proposals = [proposal for proposal in self.proposals if proposal.accepted_ms is not None]
         return sorted(accepted_proposals, key=lambda proposal: proposal.version)
 
     def newest_version(self) -> int:
-        """The highest accepted version."""
+        """Returns the highest accepted version."""
         return max((p.version for p in self.proposals if p.accepted_ms is not None), default=0)
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is wanted."""
+        """When `tick` is due next."""
         if self._waiting and len(self._in_flight) < MAX_IN_FLIGHT:
             return -INF
         sent_ms = min((proposal.sent_ms for proposal in self._in_flight.values()), default=INF)
         return min(self._next_ms, sent_ms + RETRY_MS)
 
     def tick(self, now_ms: float):
-        """Makes the change that is due, and sends what is due."""
+        """Creates the change that is due, and sends or retries proposals that are due."""
         if now_ms >= self._next_ms:
             self._next_ms += 1000 / self._per_s
             self.propose(self.make_entries(len(self.proposals), self.rng))
@@ -101,7 +104,7 @@
             self._send(proposal)
 
     def on_message(self, now_ms: float, sender, message):
-        """A publisher's answer."""
+        """Handles a publisher's answer."""
         kind = message.WhichOneof("kind")
         if kind == "proposed":
             self._take_outcome(now_ms, sender[0], message.proposed)
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -1,10 +1,10 @@
-"""A control process of a scale run: production's voter or relay (`lichenquay.control_plane`), which can be
-told of faults.
+"""A control process of a scale run: production's voter or relay (`lichenquay.control_plane`) with injected
+faults.
 
     python -m lichenquay.testbed.scale.control WORLD NAME
 
-WORLD is the file of a `WorldSpec`, NAME one of its control processes. Orders come on standard input. Added to
-production's host are the network's faults, a disk that can be full or slow, and counts.
+WORLD is the file of a `WorldSpec`, NAME one of its control processes. Commands come on standard input.
+Production's host is extended by network impairment, a disk that can be full or slow, and counts.
 """
 
 import gc
@@ -31,10 +31,10 @@
 
 
 class ControlProcess:
-    """A production host, and orders."""
+    """Runs a production host and executes the run's commands on it."""
 
     def __init__(self, reactor, spec: WorldSpec, name: str):
-        """The settings go through production's own reading and checks."""
+        """Reads and checks the settings as production does."""
         self.reactor = reactor
         process_settings = read_control(text_format.MessageToString(control_settings(spec, name)), name)
         self.host: ControlRuntime = make_runtime(reactor, process_settings)
@@ -44,7 +44,7 @@
         self.host.new_store = partial(DurableStore, file_system=self.disk)
 
     def start(self):
-        """Opens folder and socket, and takes part; a problem ends the process with one line."""
+        """Opens folder and socket and joins the group; a problem ends the process with one line."""
         problem = self.host.open()
         if problem is not None:
             print(problem, file=sys.stderr, flush=True)
@@ -54,7 +54,7 @@
         write_answer("READY")
 
     def execute(self, order):
-        """Does one order."""
+        """Executes one command."""
         match order:
             case orders.Impair(rules):
                 self.network.impairment.rules = list(rules)
@@ -66,7 +66,7 @@
                 stop(self.reactor)
 
     def counts(self):
-        """Of this process."""
+        """Returns the counts of this process."""
         counts = self.host.datagrams.added_to(orders.Counts())
         if isinstance(self.host, VoterRuntime):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
@@ -74,7 +74,7 @@
 
 
 def main(arguments):
-    """Runs the process until it is told to end, or its input ends."""
+    """Runs the process until it receives `End` or its input ends."""
     from twisted.internet import reactor
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
--- a/lichenquay/testbed/scale/digest.py
+++ b/lichenquay/testbed/scale/digest.py
@@ -1,10 +1,10 @@
-"""The lab's own hash of a configuration."""
+"""The test bed's own digest of a configuration."""
 
 import hashlib
 
 
 def values_digest(values: dict) -> str:
-    """The lab's own hash of keys and values, independent of distribution's digest."""
+    """Returns a digest of keys and values that is independent of the distribution's own digest."""
     digest = hashlib.blake2b(digest_size=16)
     for key in sorted(values):
         digest.update(key.encode())
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -1,5 +1,5 @@
-"""What the number of engines costs a front, a relay and a publisher: sizes fitted, the largest one held
-out.
+"""Measures what the number of engines costs a gateway, a relay and a publisher: sizes are fitted, the largest
+is held out.
 """
 
 import time
@@ -26,7 +26,9 @@
 
 @dataclass
 class EngineSample:
-    """At one number of engines. `metrics`: of one member of each role; times are seconds."""
+    """Holds the measurements at one number of engines. `metrics`: of one member of each role; times are
+    seconds.
+    """
 
     engines: int
     metrics: dict[str, float]
@@ -36,7 +38,7 @@
 
 @dataclass
 class EngineSweepResult:
-    """All that a sweep kept. The last sample is of the size that was held out."""
+    """Holds the results of a sweep. The last sample is of the held-out size."""
 
     samples: list[EngineSample] = field(default_factory=list)
     fits: dict[str, Fit] = field(default_factory=dict)
@@ -48,7 +50,7 @@
 
 
 class EngineSweep:
-    """One run. `progress` is told the share that is done."""
+    """Runs one sweep. `progress` receives the completed share, 0 to 1."""
 
     def __init__(
         self,
@@ -58,14 +60,14 @@
         sizes: tuple[int, ...] = SIZES,
         held_out: int = HELD_OUT,
     ):
-        """Nothing runs yet."""
+        """Prepares the sweep without starting a process."""
         self.shape = s.Shape(fronts=GATEWAYS, engines=held_out, hosts=1, least_zones=1, seed=seed)
         self.driver = WorldDriver(self.shape, folder, SETTLE_TIMEOUT_S)
         self.progress, self.sizes, self.held_out = progress, sizes, held_out
         self.result = EngineSweepResult()
 
     def run(self) -> EngineSweepResult:
-        """Runs all of it. Raises CannotStart where a process does not, or engines can't be listed."""
+        """Runs the sweep. Raises CannotStart where a process does not start or engines can't be listed."""
         with self.driver:
             self.base = self.driver.read()
             self.driver.grow_to(GATEWAYS)
--- a/lichenquay/testbed/scale/engines.py
+++ b/lichenquay/testbed/scale/engines.py
@@ -1,4 +1,4 @@
-"""The entries of a scale run's configuration: the engines' list, and the changes of the trickle."""
+"""Entries of a scale run's configuration: the list of engines, and the background changes."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 def engine_row(number: int, shape: Shape, rng: random.Random, state: str) -> EndpointRecord:
-    """An engine, by its number."""
+    """Returns the record of an engine by its number."""
     zone = shape.zones[number % len(shape.zones)]
     address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9047"
     started_ms = float(rng.randrange(MAX_START_UNIX_MS))
@@ -26,12 +26,12 @@
 
 
 def engine_entry(row: EndpointRecord) -> pb.Entry:
-    """As it is published."""
+    """Returns an engine's record as a published entry."""
     return pb.Entry(key=key_of(row), value=value_of(row))
 
 
 def engine_changes(first: int, count: int, shape: Shape) -> list[list[pb.Entry]]:
-    """Changes that list `count` engines from number `first` on."""
+    """Returns the changes that list `count` engines from number `first` on."""
     rng = random.Random(f"{shape.seed}/engines/{first}")
     entries = [
         engine_entry(engine_row(number, shape, rng, domain.EndpointState.SERVING))
@@ -41,19 +41,19 @@
 
 
 def list_complete_change() -> list[pb.Entry]:
-    """The change that tells fronts that all engines are there."""
+    """Returns the change that marks the list of engines as complete."""
     return [pb.Entry(key=COMPLETE_KEY, value=COMPLETE)]
 
 
 class BackgroundChanges:
-    """Makes the entries of the trickle: configuration values, and engines that change their state."""
+    """Makes the entries of background changes: configuration values, and engines that change their state."""
 
     def __init__(self, shape: Shape):
-        """`shape.engines`: engines that may change."""
+        """`shape.engines`: the engines that may change."""
         self.shape = shape
 
     def __call__(self, number: int, rng: random.Random) -> list[pb.Entry]:
-        """One change, of one entry."""
+        """Returns one change, which has one entry."""
         if rng.random() < ENGINE_CHANGE_SHARE and self.shape.engines:
             engine = rng.randrange(self.shape.engines)
             return [engine_entry(engine_row(engine, self.shape, rng, rng.choice(STATES)))]
--- a/lichenquay/testbed/scale/figures.py
+++ b/lichenquay/testbed/scale/figures.py
@@ -1,4 +1,4 @@
-"""A run's figures as they are written to JSON."""
+"""Converts a run's results to the figures that are written as JSON."""
 
 import os
 from collections import Counter
@@ -19,8 +19,8 @@
 
 
 def figures_of(result: ScaleRunResult) -> dict:
-    """All figures; `config` is of every change that was proposed while sizes were measured and scenarios
-    played.
+    """Returns all figures of a run; `config` covers every change proposed while sizes were measured and
+    scenarios ran.
     """
     return {
         "fronts_hollow": result.plan.held_out,
@@ -46,7 +46,7 @@
 
 
 def virtual_figures_of(result: VirtualRunResult) -> dict:
-    """All figures of a run in virtual time."""
+    """Returns all figures of a run in virtual time."""
     return {
         "fronts_virtual": result.plan.shape.fronts,
         "engines": result.plan.shape.engines,
@@ -61,7 +61,7 @@
 
 
 def outcome_of(result: ScaleRunResult | VirtualRunResult) -> dict:
-    """What became of the changes, in real time and in virtual time alike."""
+    """Returns the outcome of the changes, in the same form for real and virtual time."""
     unreachable_periods = [
         one for scenario_result in result.scenario_results for one in scenario_result.unreachable_periods
     ]
@@ -87,7 +87,7 @@
 
 
 def queries_of(lifetimes: list[GatewayLifetime]) -> dict[str, int]:
-    """Queries of all hollow fronts' controllers, by what became of them."""
+    """Returns the queries of all lightweight gateways' controllers, counted by their outcome."""
     total = Counter()
     for lifetime in lifetimes:
         total.update({what: number for what, number in lifetime.counts.items() if what.startswith("queries")})
@@ -95,12 +95,12 @@
 
 
 def loading_changes(result: ScaleRunResult | VirtualRunResult) -> int:
-    """The changes that listed the engines: they come first, and no front is up yet."""
+    """Returns the number of changes that list the engines; they come first, before any gateway runs."""
     return -(-result.plan.shape.engines // ENTRIES_PER_CHANGE)
 
 
 def roles_of(result: ScaleRunResult) -> dict:
-    """Of one member of each role, at the held-out size: the mean over the windows."""
+    """Returns the cost of one member of each role at the held-out size, as the mean over the windows."""
     roles = {}
     for role in Role:
         costs = [sample.costs[role].of_one() for sample in result.held_out if role in sample.costs]
@@ -113,7 +113,7 @@
 
 
 def sizes_of(result: ScaleRunResult) -> list[dict]:
-    """Every window at every size."""
+    """Returns the costs in every window at every size."""
     return [
         {
             "fronts": sample.fronts,
@@ -124,7 +124,7 @@
 
 
 def slopes_of(fits: dict[str, Fit], sizes) -> dict:
-    """What one more front (or engine) costs, and the sizes that were fitted."""
+    """Returns what one more gateway (or engine) costs, and the sizes that were fitted."""
     return {
         name: {
             "value": one.slope,
@@ -138,7 +138,7 @@
 
 
 def predictions_of(outcomes: dict[str, Outcome]) -> dict:
-    """Predictions and outcomes at the held-out size, side by side."""
+    """Returns predictions and outcomes at the held-out size."""
     return {
         "predicted": {
             name: {"value": one.value, "low": one.low, "high": one.high} for name, one in outcomes.items()
@@ -149,7 +149,7 @@
 
 
 def engine_figures_of(result: EngineSweepResult) -> dict:
-    """All figures of a sweep over the number of engines."""
+    """Returns all figures of a sweep over the number of engines."""
     findings = result.findings
     return {
         "fronts_hollow": GATEWAYS,
@@ -170,12 +170,12 @@
 
 
 def load_average() -> list[float]:
-    """Of the machine, over 1, 5 and 15 minutes."""
+    """Returns the machine's load average over 1, 5 and 15 minutes."""
     return [round(load, 1) for load in os.getloadavg()]
 
 
 def scenario_of(scenario_result, result: ScaleRunResult | VirtualRunResult) -> dict:
-    """Of the changes that were proposed during a scenario."""
+    """Returns the figures of the changes that were proposed during a scenario."""
     during = [
         proposal
         for proposal in result.proposals
@@ -194,7 +194,9 @@
 
 
 def recovery_seconds_of(scenario_result, result: ScaleRunResult | VirtualRunResult) -> float | None:
-    """Seconds from the heal until all fronts that were out of reach had the newest version of that moment."""
+    """Returns the seconds from the end of the impairment until all gateways that were unreachable had the
+    newest version of that moment.
+    """
     if scenario_result.recovered_ms is None:
         return None
     names = frozenset().union(*(one.names for one in scenario_result.unreachable_periods))
@@ -204,7 +206,9 @@
 
 
 def startup_seconds_of(scenario_result, result: ScaleRunResult | VirtualRunResult) -> float | None:
-    """Seconds from the last start of fronts until all of them had the newest version of that moment."""
+    """Returns the seconds from the last restart of gateways until all of them had the newest version of that
+    moment.
+    """
     if scenario_result.restarted_ms is None:
         return None
     return startup_seconds(
@@ -216,7 +220,7 @@
 
 
 def zone_startup_seconds(result: ScaleRunResult | VirtualRunResult) -> float | None:
-    """Of the scenario of that name."""
+    """Returns the startup time in the scenario "zone start"."""
     return next(
         (startup_seconds_of(p, result) for p in result.scenario_results if p.scenario.name == "zone start"),
         None,
@@ -224,7 +228,7 @@
 
 
 def region_recovery_seconds(result: ScaleRunResult | VirtualRunResult) -> float | None:
-    """Of the scenario of that name."""
+    """Returns the recovery time in the scenario "region cut"."""
     return next(
         (recovery_seconds_of(p, result) for p in result.scenario_results if p.scenario.name == "region cut"),
         None,
--- a/lichenquay/testbed/scale/fit.py
+++ b/lichenquay/testbed/scale/fit.py
@@ -1,8 +1,8 @@
 """Least-squares fits of a cost over sizes, with confidence intervals of the slope and prediction intervals.
 
-The fit is ordinary least squares of `values` on one regressor made of the size (see `Model`); measurements
-may repeat a size. Intervals are 95%, by Student's t distribution (Draper and Smith, Applied Regression
-Analysis, chapter 1).
+The fit is ordinary least squares of `values` on one regressor computed from the size (see `Model`); a size
+may be measured repeatedly. Intervals are 95%, by Student's t distribution (Draper and Smith, Applied
+Regression Analysis, chapter 1).
 """
 
 from collections.abc import Callable, Sequence
@@ -24,11 +24,13 @@
 
 
 class FitError(ValueError):
-    """The measurements cannot carry the model: too few, of one size only, or not finite numbers."""
+    """Raised where the measurements can't be fitted: too few, of one size only, or not finite."""
 
 
 class Model(StrEnum):
-    """How a value depends on the size n: a, a + b n, a + b n log n (natural), a + b n^2, or a + b log10 n."""
+    """Names how a value depends on the size n: a, a + b n, a + b n log n (natural), a + b n^2, or a + b log10
+    n.
+    """
 
     CONSTANT = "constant"
     LINEAR = "linear"
@@ -48,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Prediction:
-    """A value at a size, with the 95% interval in which one further measurement there is expected."""
+    """Holds a value at a size, with the 95% interval in which one further measurement there is expected."""
 
     value: float
     low: float
@@ -61,11 +63,10 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A fitted model. `low` and `high` bound the slope (95%); of a constant, slope and bounds are 0.
+    """Holds a fitted model. `low` and `high` bound the slope (95%); for a constant, slope and bounds are 0.
 
     `intercept_low` and `intercept_high` bound the intercept; `residual` is the standard deviation of one
-    measurement about the model; `largest` is the largest size that was measured: beyond it, the model is
-    extrapolated.
+    measurement about the model; `largest` is the largest measured size: beyond it, the model is extrapolated.
     """
 
     model: Model
@@ -84,11 +85,11 @@
     regressor_spread: float
 
     def at(self, size: float) -> float:
-        """The model's value at a size."""
+        """Returns the model's value at a size."""
         return self.intercept + self.slope * REGRESSORS[self.model](size)
 
     def predict(self, size: float) -> Prediction:
-        """The value at a size, with the prediction interval of one further measurement."""
+        """Returns the value at a size, with the prediction interval of one further measurement."""
         value = self.at(size)
         away = REGRESSORS[self.model](size) - self.regressor_mean
         lever = away * away / self.regressor_spread if self.regressor_spread else 0.0
@@ -100,17 +101,17 @@
         return Prediction(value, value - half, value + half)
 
     def extrapolates(self, size: float) -> bool:
-        """Whether a size is beyond the largest one that was measured."""
+        """Whether a size is beyond the largest measured one."""
         return size > self.largest
 
 
 def parameters(model: Model) -> int:
-    """The number of coefficients that a model has."""
+    """Returns the number of coefficients of a model."""
     return 1 if model is Model.CONSTANT else 2
 
 
 def student_t(degrees: int) -> float:
-    """The 0.975 quantile of Student's t; between tabled degrees, by interpolation in 1 / degrees."""
+    """Returns the 0.975 quantile of Student's t; between tabled degrees, interpolates in 1 / degrees."""
     if degrees < 1:
         raise FitError("no degree of freedom is left: measure more sizes or repeat them")
     if degrees in STUDENT_T:
@@ -160,7 +161,7 @@
 
 
 def regressors(sizes: Sequence[float], model: Model) -> np.ndarray:
-    """The regressor of each size. Raises FitError where a size has none (a logarithm of zero)."""
+    """Returns the regressor of each size. Raises FitError where a size has none (a logarithm of zero)."""
     try:
         return np.array([REGRESSORS[model](size) for size in sizes], dtype=float)
     except ValueError:
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -1,11 +1,12 @@
-"""A process of many hollow fronts: each follows the configuration and the engines' list on a socket of its
-own.
+"""A process of many lightweight gateways: each follows the configuration and the list of engines on a socket
+of its own.
 
     python -m lichenquay.testbed.scale.hollow WORLD NUMBER
 
-WORLD is the file of a `WorldSpec`; NUMBER tells this process from its likes. Orders come on standard input.
-A hollow front is production's `FollowerRuntime`, as a front that follows distributed configuration has it.
-It has no membership (at most 1,024 names), no account client, no controller, and no clients.
+WORLD is the file of a `WorldSpec`; NUMBER is the index of this process among its kind. Commands come on
+standard input. A lightweight gateway is production's `FollowerRuntime`, as a gateway that follows distributed
+configuration runs it. It has no membership (at most 1,024 names), no account client and no clients, and a
+controller only where the world has queries.
 """
 
 import gc
@@ -32,32 +33,30 @@
 
 
 class CannotListenError(Exception):
-    """A hollow front has no socket. The text is one line."""
+    """Raised where a lightweight gateway can't open its socket. The text is one line."""
 
 
 class LightweightGateway(FollowerRuntime):
-    """One front without traffic, from its start to its end."""
+    """A gateway without client traffic, from its start to its end."""
 
     def __init__(self, reactor, settings, seed, network, controller=None):
-        """`settings`: the `distribution` part of its own. `controller`: takes the engines, where there is
-        one.
-        """
+        """`settings`: its own `distribution` settings. `controller`: receives the engines, or None."""
         super().__init__(reactor, settings, seed, self)
         self.datagrams = ImpairedTransport(self.datagrams, network)
         self.lifetime = record.GatewayLifetime(settings.name, boot_ms())
         self.gate, self.controller = None, controller
 
     def apply_connection_rules(self, gate):
-        """The gate that is in force, where a front's own would be put."""
+        """Stores the connection rules in force, which nothing here enforces."""
         self.gate = gate
 
     def apply_endpoints(self, whole, rows):
-        """The engines that are in force go to the controller, where there is one."""
+        """Passes the engines in force to the controller, if there is one."""
         if self.controller is not None:
             self.controller.update_endpoints(whole, rows)
 
     def begin(self):
-        """Raises CannotListenError."""
+        """Opens the socket and starts. Raises CannotListenError."""
         fault = self.open()
         if fault is not None:
             self.close_controller()
@@ -65,24 +64,24 @@
         super().begin()
 
     def after_flush(self):
-        """Keeps the version in force, whichever way it moved."""
+        """Records the version in force, whether it rose or fell."""
         super().after_flush()
         self.lifetime.record_version(self.applied_configuration.subscriber.applied_version, boot_ms())
 
     def end(self):
-        """Closes the socket without a word, and keeps what was held."""
+        """Closes the socket without notifying anyone, and records the final state."""
         self.lifetime.ended_ms = boot_ms()
         self.close()
         self.close_controller()
         self.record_final_state()
 
     def close_controller(self):
-        """It asks nothing more."""
+        """Stops the controller's queries."""
         if self.controller is not None:
             self.controller.close()
 
     def record_final_state(self):
-        """What is held now goes into the record."""
+        """Records the values held now, and the counts."""
         subscriber = self.applied_configuration.subscriber
         self.lifetime.values_digest = values_digest(subscriber.applied_values)
         self.lifetime.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
@@ -92,10 +91,10 @@
 
 
 class LightweightGatewayHost:
-    """All hollow fronts of this process."""
+    """Runs all lightweight gateways of this process."""
 
     def __init__(self, reactor, spec: WorldSpec, number: int):
-        """`number`: of this process among its likes."""
+        """`number`: the index of this process among its kind."""
         self.reactor, self.spec, self.number = reactor, spec, number
         self.network = SharedNetwork(reactor, Impairment(f"{spec.shape.seed}/hollow/{number}"))
         self.settings = gateway_settings(spec)
@@ -105,7 +104,7 @@
         self.ended_counts = orders.Counts()  # What fronts that have ended sent and heard.
 
     def execute(self, order):
-        """Does one order."""
+        """Executes one command."""
         match order:
             case orders.StartFronts(names):
                 self.start_gateways(names)
@@ -123,14 +122,16 @@
                 self.end()
 
     def start_gateways(self, names):
-        """Starts the fronts that do not run."""
+        """Starts those of the gateways that do not run."""
         for name in names:
             if name not in self.gateways and len(self.lifetimes) < MAX_LIFETIMES:
                 self.start_gateway(name, MAX_LISTEN_RETRIES)
 
     def start_gateway(self, name, retries_left):
-        """Risk: a socket is closed only after the reactor's turn, so that a busy process can't listen there
-        again at once. Then it is tried again, `tries` times at most.
+        """Starts one gateway, and retries up to `retries_left` times where it can't listen.
+
+        The reactor closes a socket only in its next iteration, so that a busy process can't listen on the
+        same address at once.
         """
         if name in self.gateways:
             return
@@ -147,7 +148,7 @@
         self.lifetimes.append(gateway.lifetime)
 
     def new_gateway(self, name):
-        """A front of this name, not begun."""
+        """Returns a gateway of this name that has not started."""
         settings = type(self.settings)()
         settings.CopyFrom(self.settings)
         settings.name, settings.zone = name, zone_of_name(name)
@@ -156,7 +157,7 @@
         return LightweightGateway(self.reactor, settings, seed, self.network, self.new_controller(name, seed))
 
     def new_controller(self, name, seed):
-        """Where the shape has queries; the module is not imported otherwise."""
+        """Returns a controller where the shape has queries, else None; the module is imported only then."""
         per_s = self.spec.shape.queries_per_s
         if not per_s:
             return None
@@ -168,7 +169,7 @@
         return hollow_controller.LightweightController(self.reactor, self.deployment, rng, per_s)
 
     def stop_gateways(self, names):
-        """Ends the fronts that run."""
+        """Ends those of the gateways that run."""
         for name in names:
             gateway = self.gateways.pop(name, None)
             if gateway is not None:
@@ -176,7 +177,7 @@
                 self.ended_counts = gateway.datagrams.added_to(self.ended_counts)
 
     def counts(self):
-        """Of all fronts that run or ran here."""
+        """Returns the counts of all gateways that run or ran here."""
         counts = self.ended_counts
         for gateway in self.gateways.values():
             counts = gateway.datagrams.added_to(counts)
@@ -194,7 +195,7 @@
 
 
 def main(arguments):
-    """Runs the process until it is told to end, or its input ends."""
+    """Runs the process until it receives `End` or its input ends."""
     from twisted.internet import reactor
 
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -1,8 +1,7 @@
-"""A controller in a hollow front: production's `ControllerAdapter` and controller over the distributed
-engines, with a trickle of queries whose engines answer by themselves.
+"""A controller in a lightweight gateway: production's `ControllerAdapter` and controller over the distributed
+engines, at a low rate of queries with simulated answers.
 
-No query leaves the process: what the controller submits is answered after its work's time, as by an idle
-engine.
+No query leaves the process: an attempt completes after its query's work time, as on an idle engine.
 """
 
 from collections import Counter
@@ -27,20 +26,20 @@
 
 
 class Metrics:
-    """What the front's metrics are to `ControllerAdapter`."""
+    """Counts what `ControllerAdapter` counts in a gateway's metrics."""
 
     def __init__(self):
-        """Nothing counted."""
+        """Starts with no counts."""
         self.counts = Counter()
 
     def count(self, what):
-        """One more of it."""
+        """Adds one to a counter."""
         self.counts[what] += 1
 
 
 @dataclass(eq=False)
 class InFlightAttempt:
-    """An attempt on its way, as `ControllerAdapter` takes it back."""
+    """Holds an attempt in flight, as `ControllerAdapter` receives it back."""
 
     attempt: domain.Attempt
     query: GatewayQuery
@@ -48,42 +47,42 @@
 
 
 class InstantRouter:
-    """Engines that are never busy: each attempt is finished after its query's work."""
+    """Simulates engines that are never busy: each attempt completes after its query's work time."""
 
     def __init__(self, reactor):
         """`adapter` is set by its owner."""
         self.reactor, self.adapter = reactor, None
 
     def start(self, attempt, timeout_ms):
-        """Takes an attempt."""
+        """Starts an attempt."""
         in_flight = InFlightAttempt(attempt, attempt.query)
         in_flight.timer = self.reactor.callLater(WORK_MS / 1000, self._finish, in_flight)
         return in_flight
 
     def cancel(self, in_flight):
-        """It is cancelled, if it is still out."""
+        """Cancels the attempt if it is still in flight."""
         if in_flight.timer.active():
             in_flight.timer.cancel()
             self.adapter.attempt_ended(in_flight, domain.Outcome.CANCELLED, None, None, [])
 
     def set_priority(self, in_flight, priority):
-        """Engines that are never busy have no use for a priority."""
+        """Ignores the priority, which has no effect on engines that are never busy."""
 
     def _finish(self, in_flight):
         self.adapter.attempt_ended(in_flight, domain.Outcome.COMPLETED, None, None, [])
 
 
 class CountingControllerAdapter(ControllerAdapter):
-    """`ControllerAdapter` without clients: an answer is counted."""
+    """A `ControllerAdapter` without clients, which counts answers instead of sending them."""
 
     def __init__(self, deployment, reactor, log):
-        """Nobody asks yet."""
+        """Starts without queries."""
         super().__init__(deployment, reactor, None, boot_ms, Metrics(), log)
         self.router = InstantRouter(reactor)
         self.router.adapter = self
 
     def answer(self, q, code, body):
-        """By its code; once for each query."""
+        """Counts the answer by its code, once for each query."""
         if not q.is_done:
             q.is_done = True
             self.open_queries.discard(q)
@@ -91,15 +90,15 @@
 
 
 def deployment_settings(seed: int) -> DeploymentSettings:
-    """The laboratory's usual groups, tenants and rules; shared by all fronts of a process."""
+    """Returns the test bed's default groups, tenants and rules, shared by all gateways of a process."""
     return DeploymentSettings(SettingsSection.from_json(settings_of(read_testbed(""))), seed)
 
 
 class LightweightController:
-    """Lists engines as they are distributed, and asks `per_s` queries a second."""
+    """Applies engines as they are distributed, and submits `per_s` queries a second."""
 
     def __init__(self, reactor, deployment: DeploymentSettings, rng, per_s: float):
-        """Begins at once, with no engine."""
+        """Starts submitting queries at once, with no engine."""
         self.reactor, self.deployment, self.rng, self.per_s = reactor, deployment, rng, per_s
         self.queries = CountingControllerAdapter(deployment, reactor, lambda *words: None)
         self.groups = list(deployment.groups.values())
@@ -108,18 +107,20 @@
         self.timer = reactor.callLater(rng.uniform(0, 1 / per_s), self._submit_query)
 
     def update_endpoints(self, whole: bool, rows: list[EndpointRecord]) -> None:
-        """Engines of the list: all there are, or those that changed."""
+        """Applies rows of the list: all engines if `whole`, else those that changed."""
         if whole:
             self.engines = {}
         self.queries.endpoints_updated([self._engine(row) for row in rows], whole)
 
     def counts(self) -> dict[str, int]:
-        """Queries by what became of them, and faults of the controller that `ControllerAdapter` caught."""
+        """Returns queries by outcome, and the exceptions of the controller that `ControllerAdapter`
+        caught.
+        """
         counts = {what: self.queries.metrics.counts[what] for what in (*ANSWERS.values(), FAULTS)}
         return {SUBMITTED: self.submitted, OPEN: len(self.queries.open_queries), **counts}
 
     def close(self) -> None:
-        """Asks nothing more."""
+        """Stops submitting queries."""
         if self.timer.active():
             self.timer.cancel()
         if self.queries.next_turn is not None and self.queries.next_turn.active():
--- a/lichenquay/testbed/scale/impairment.py
+++ b/lichenquay/testbed/scale/impairment.py
@@ -1,6 +1,6 @@
-"""A bad network between processes on loopback: datagrams that are lost, late, doubled, reordered or cut off.
+"""Network impairment between processes on loopback: loss, delay, duplication, reordering and partitions.
 
-Applied by the sender to each datagram that it is about to send. Chance comes from a seed; times are
+Applied by the sender to each datagram before it is sent. Random draws come from a seed; times are
 milliseconds.
 """
 
@@ -12,7 +12,9 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """What happens to datagrams from `source` to `target`, both zones, or ANY. Shares are 0 to 1."""
+    """Describes the impairment of datagrams from `source` to `target`, both zones, or ANY_ZONE. Probabilities
+    are 0 to 1.
+    """
 
     source: str = ANY_ZONE
     target: str = ANY_ZONE
@@ -22,12 +24,14 @@
     cut: bool = False
 
     def matches(self, source: str, target: str) -> bool:
-        """Whether the rule is about datagrams from one zone to another."""
+        """Whether the rule applies to datagrams from one zone to another."""
         return self.source in (ANY_ZONE, source) and self.target in (ANY_ZONE, target)
 
 
 def partition_rules(zones: list[str], others: list[str]) -> list[Rule]:
-    """The rules that cut zones from others, both ways. Among themselves nothing changes."""
+    """Returns the rules that partition zones from others, both ways. Traffic within each side is
+    unaffected.
+    """
     rules = []
     for zone in zones:
         for other in others:
@@ -37,16 +41,16 @@
 
 
 class Impairment:
-    """Decides the fate of each datagram by the first rule that matches it."""
+    """Decides on each datagram by the first rule that matches it."""
 
     def __init__(self, seed: str):
-        """`seed`: of its chance; one seed and one order of datagrams give one run."""
+        """`seed`: of the random draws; the same seed and order of datagrams give the same decisions."""
         self.rng = random.Random(seed)
         self.rules: list[Rule] = []
         self.lost = self.doubled = 0
 
     def delays_for(self, source: str, target: str) -> list[float]:
-        """The delays in ms of each copy that is to be sent; none: the datagram is lost."""
+        """Returns the delay in ms of each copy to be sent; empty where the datagram is lost."""
         rule = self._matching_rule(source, target)
         if rule is None:
             return [0.0]
--- a/lichenquay/testbed/scale/lab_post.py
+++ b/lichenquay/testbed/scale/lab_post.py
@@ -1,4 +1,4 @@
-"""The socket of a production host amid the faults of a network, with what it takes in counted."""
+"""The datagram transport of a production host with network impairment, and counts of received bytes."""
 
 from dataclasses import dataclass
 
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True)
 class SharedNetwork:
-    """What all sockets of one process share."""
+    """Holds what all sockets of one process share."""
 
     reactor: object
     impairment: Impairment
 
 
 class ImpairedTransport(DatagramTransport):
-    """Takes the place of a host's own post, before the host opens its socket."""
+    """Replaces a host's own transport before the host opens its socket."""
 
     def __init__(self, transport: DatagramTransport, network: SharedNetwork):
-        """All that `post` has."""
+        """Copies the configuration of `transport`."""
         super().__init__(
             transport.envelope,
             transport.addresses,
@@ -33,7 +33,7 @@
         self.bytes_in = 0
 
     def send(self, incarnation, name, layer, message):
-        """Sends none, one or two copies, at once or later."""
+        """Sends zero, one or two copies, at once or delayed."""
         for delay_ms in self.network.impairment.delays_for(self.zone, zone_of_name(name)):
             if delay_ms:
                 later = self.network.reactor.callLater
@@ -42,19 +42,19 @@
                 super().send(incarnation, name, layer, message)
 
     def datagramReceived(self, data, address):
-        """Counts the bytes."""
+        """Counts the bytes, and handles the datagram."""
         self.bytes_in += len(data)
         super().datagramReceived(data, address)
 
     def read_slowly(self, on):
-        """Stops to read the socket, whose buffer in the kernel then fills; or reads on."""
+        """Stops reading the socket if `on`, so that its kernel buffer fills; else resumes reading."""
         if on:
             self.transport.stopReading()
         else:
             self.transport.startReading()
 
     def added_to(self, counts):
-        """The counts with this socket's own added."""
+        """Returns the counts with this socket's own added."""
         dropped = sum(n for what, n in self.counters.items() if what.startswith("datagrams dropped"))
         return Counts(
             sent=counts.sent + self.counters["datagrams sent"],
--- a/lichenquay/testbed/scale/latency.py
+++ b/lichenquay/testbed/scale/latency.py
@@ -1,4 +1,4 @@
-"""How long changes took until they were in force at the fronts, by the one clock of the machine."""
+"""Computes how long changes took until they were in force at the gateways, by the machine's single clock."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class UnreachablePeriod:
-    """Fronts that could not be reached for a while; a pair that touches the time is left out of the
+    """Holds gateways that were unreachable for a while; pairs that overlap it are left out of the
     percentiles.
     """
 
@@ -23,8 +23,8 @@
 
 @dataclass(frozen=True)
 class ConfigFigures:
-    """Of the changes proposed in some time. A pair is one change at one front that had a version in force
-    when the change was proposed; times run from its first proposal, in ms.
+    """Holds the figures of the changes proposed in some period. A pair is one change at one gateway that had
+    a version in force when the change was proposed; times run from its first proposal, in ms.
     """
 
     changes: int
@@ -42,7 +42,7 @@
     lifetimes: list[GatewayLifetime],
     unreachable_periods: list[UnreachablePeriod] = (),
 ) -> ConfigFigures:
-    """The figures of accepted changes."""
+    """Returns the figures of accepted changes."""
     if not changes:
         return ConfigFigures(0, 0, 0, None, None, None, None, 0)
     ordered = sorted(changes, key=lambda change: change.version)
@@ -73,20 +73,20 @@
 
 
 def times_in_force(lifetime: GatewayLifetime, versions: np.ndarray) -> np.ndarray:
-    """When each version was in force at a front first, by itself or by a later one; inf: never."""
+    """Returns when each version, or a later one, first came in force at a gateway; inf where it never did."""
     highest = np.maximum.accumulate(np.array(lifetime.versions, dtype=np.int64))
     at_ms = np.append(np.array(lifetime.at_ms), np.inf)
     return at_ms[np.searchsorted(highest, versions, side="left")]
 
 
 def had_version(lifetime: GatewayLifetime, proposed_ms: np.ndarray) -> np.ndarray:
-    """Whether the front had some version in force at these times."""
+    """Returns whether the gateway had some version in force at these times."""
     joined_ms = first_version_ms(lifetime)
     return (proposed_ms >= joined_ms) & (proposed_ms < lifetime.ended_ms)
 
 
 def first_version_ms(lifetime: GatewayLifetime) -> float:
-    """When the front had a version in force first; inf: never."""
+    """Returns when the gateway first had a version in force; inf where it never had."""
     for version, at_ms in zip(lifetime.versions, lifetime.at_ms, strict=True):
         if version > 0:
             return at_ms
@@ -96,7 +96,7 @@
 def overlapping_pairs(
     name: str, proposed_ms: np.ndarray, in_force_ms: np.ndarray, unreachable_periods: list[UnreachablePeriod]
 ) -> np.ndarray:
-    """Which pairs overlap a time at which the front could not be reached."""
+    """Returns which pairs overlap a period in which the gateway was unreachable."""
     found = np.zeros(len(proposed_ms), dtype=bool)
     for one in unreachable_periods:
         if name in one.names:
@@ -107,7 +107,9 @@
 def recovery_seconds(
     lifetimes: list[GatewayLifetime], names: frozenset[str], recovered_ms: float, version: int
 ) -> float | None:
-    """Seconds from a heal until all of these fronts had a version in force; None: some never had."""
+    """Returns the seconds from a recovery until all of these gateways had a version in force; None where some
+    never had.
+    """
     versions = np.array([version], dtype=np.int64)
     latest_ms = recovered_ms
     for lifetime in lifetimes:
@@ -119,8 +121,8 @@
 def startup_seconds(
     lifetimes: list[GatewayLifetime], names: frozenset[str], started_ms: float, version: int
 ) -> float | None:
-    """Seconds from a start until all of these fronts had a version in force; None: some never had, or did
-    not start.
+    """Returns the seconds from a start until all of these gateways had a version in force; None where some
+    never had, or did not start.
     """
     versions = np.array([version], dtype=np.int64)
     started = {}
@@ -134,5 +136,5 @@
 
 
 def percentile(values: np.ndarray, share: float) -> float | None:
-    """Rounded to microseconds; None of nothing."""
+    """Returns a percentile rounded to microseconds; None where there are no values."""
     return round(float(np.percentile(values, share)), 3) if len(values) else None
--- a/lichenquay/testbed/scale/measure.py
+++ b/lichenquay/testbed/scale/measure.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, as the kernel accounts them (/proc)."""
+"""Reads processor time and memory of processes as the kernel accounts them (/proc)."""
 
 import os
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """Of one process: seconds of processor time since its start, and resident kilobytes."""
+    """Holds one process's processor time since its start in seconds, and its resident memory in kilobytes."""
 
     cpu_s: float = 0.0
     kb: float = 0.0
 
 
 def usage_of(pid: int) -> Usage:
-    """A process's usage; nothing where it has ended."""
+    """Returns a process's usage, all zero where it has ended."""
     try:
         return Usage(cpu_seconds(pid), resident_kb(pid))
     except (OSError, IndexError, ValueError):
@@ -25,7 +25,9 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Time on a processor of all threads that the process has now. Raises OSError where it has ended."""
+    """Returns the processor time of all threads that the process has now. Raises OSError where it
+    has ended.
+    """
     run_ns = 0
     for task in (PROC / str(pid) / "task").iterdir():
         run_ns += int((task / "schedstat").read_text().split()[0])
@@ -33,13 +35,13 @@
 
 
 def resident_kb(pid: int) -> float:
-    """Resident memory. Raises OSError where the process has ended."""
+    """Returns the resident memory in kilobytes. Raises OSError where the process has ended."""
     pages = int((PROC / str(pid) / "statm").read_text().split()[1])
     return pages * PAGE_BYTES / 1024
 
 
 def memory_total_kb() -> float:
-    """The machine's memory."""
+    """Returns the machine's memory in kilobytes."""
     for line in (PROC / "meminfo").read_text().splitlines():
         if line.startswith("MemTotal:"):
             return float(line.split()[1])
--- a/lichenquay/testbed/scale/order_reader.py
+++ b/lichenquay/testbed/scale/order_reader.py
@@ -1,4 +1,4 @@
-"""Takes orders from standard input into a process's reactor."""
+"""Passes commands from standard input to a process's reactor."""
 
 import sys
 import threading
@@ -7,7 +7,7 @@
 
 
 def start_command_reader(reactor, execute, ended):
-    """Starts a thread that calls `take(order)` in the reactor for each line, and `ended()` at the end of
+    """Starts a thread that calls `execute(command)` in the reactor for each line, and `ended()` at the end of
     input.
     """
 
@@ -25,11 +25,11 @@
 
 
 def stop(reactor):
-    """Ends a reactor that may have ended already."""
+    """Stops a reactor, unless it has stopped already."""
     if reactor.running:
         reactor.stop()
 
 
 def write_answer(line):
-    """One line to whoever gives the orders."""
+    """Writes one line to the run that sends the commands."""
     print(line, flush=True)
--- a/lichenquay/testbed/scale/orders.py
+++ b/lichenquay/testbed/scale/orders.py
@@ -1,5 +1,5 @@
-"""What a run tells its processes and what they answer: one JSON object a line, on standard input and
-output.
+"""The commands that a run sends to its processes and their answers: one JSON object a line, on standard input
+and output.
 """
 
 import json
@@ -9,26 +9,26 @@
 
 
 class UnknownCommandError(ValueError):
-    """A line that is no order."""
+    """Raised for a line that is not a command."""
 
 
 @dataclass(frozen=True)
 class StartFronts:
-    """Start these hollow fronts; whole numbers as in `Shape`."""
+    """Starts these lightweight gateways; names are as in `Shape`."""
 
     names: list[str]
 
 
 @dataclass(frozen=True)
 class StopFronts:
-    """End these hollow fronts without a word, as a process that dies."""
+    """Ends these lightweight gateways without notification, as when a process is killed."""
 
     names: list[str]
 
 
 @dataclass(frozen=True)
 class ReadSlowly:
-    """These fronts stop reading their sockets (`on`), or read on."""
+    """Makes these gateways stop reading their sockets (`on`), or resume."""
 
     names: list[str]
     on: bool
@@ -36,14 +36,16 @@
 
 @dataclass(frozen=True)
 class Impair:
-    """From now on the network is this, for what this process sends."""
+    """Replaces the impairment rules for what this process sends."""
 
     rules: list[Rule] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class FailDisk:
-    """The disk refuses writes (`full`), takes `delay_ms` longer for each, or neither."""
+    """Makes the disk refuse writes (`full`), or delays each fsync by `delay_ms`; by default clears both
+    faults.
+    """
 
     full: bool = False
     delay_ms: float = 0.0
@@ -51,12 +53,12 @@
 
 @dataclass(frozen=True)
 class Count:
-    """Answer with `Counts`."""
+    """Requests `Counts` as the answer."""
 
 
 @dataclass(frozen=True)
 class End:
-    """Write the report, and exit."""
+    """Ends the process, after it has written its record."""
 
 
 COMMANDS = {
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Counts:
-    """What a process has sent and received since its start, in datagrams and bytes of them."""
+    """Holds what a process has sent and received since its start, in datagrams and their bytes."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -79,12 +81,12 @@
 
 
 def encode_command(order) -> str:
-    """An order as a line."""
+    """Returns a command as a line."""
     return json.dumps({"order": type(order).__name__, **asdict(order)})
 
 
 def decode_command(line: str):
-    """The order that a line says. Raises UnknownOrderError."""
+    """Returns the command of a line. Raises UnknownCommandError."""
     try:
         fields = json.loads(line)
         command_class = COMMANDS[fields.pop("order")]
@@ -96,10 +98,10 @@
 
 
 def encode_counts(counts: Counts) -> str:
-    """Counts as a line."""
+    """Returns counts as a line."""
     return json.dumps(asdict(counts))
 
 
 def decode_counts(line: str) -> Counts:
-    """The counts that a line says."""
+    """Returns the counts of a line."""
     return Counts(**json.loads(line))
--- a/lichenquay/testbed/scale/plan.py
+++ b/lichenquay/testbed/scale/plan.py
@@ -1,4 +1,6 @@
-"""The size that the installation is planned for, and what a front may spend on control (issue 37)."""
+"""The size that the installation is planned for, and a gateway's budget for its control traffic
+(issue 37).
+"""
 
 GATEWAYS = 4_400
 ENGINES = 25_000
--- a/lichenquay/testbed/scale/plans.py
+++ b/lichenquay/testbed/scale/plans.py
@@ -11,7 +11,9 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What a run measures and plays. Times are seconds, rates changes a second."""
+    """Describes what a run measures and which scenarios it runs. Times are seconds, rates changes a
+    second.
+    """
 
     shape: s.Shape
     sizes: tuple[int, ...]  # Of the fit.
@@ -26,13 +28,13 @@
 
     @property
     def seconds(self) -> float:
-        """About how long it takes, for the progress bar."""
+        """Returns the approximate duration, for the progress bar."""
         measured = (len(self.sizes) + 1) * (self.settle_s + self.windows * self.window_s + 1.0)
         return 6.0 + measured + sum(one.seconds + 1.0 for one in self.scenarios) + 2.0
 
 
 def short(seed: int, engines: int = 100) -> Plan:
-    """Under a minute: 120 fronts, the calm and the faults that aims are stated for."""
+    """Returns a run of under a minute: 120 gateways, and the faults for which latency targets are stated."""
     shape = s.Shape(fronts=120, engines=engines, hosts=2, seed=seed)
     scenarios = [
         s.failover(shape, 14.0, 2.0),
@@ -45,7 +47,7 @@
 
 
 def full(seed: int, held_out: int = 4400, engines: int = 100) -> Plan:
-    """Four sizes fitted, a larger one held out, and every scenario."""
+    """Returns a run that fits four sizes, holds a larger one out, and runs every scenario."""
     shape = s.Shape(fronts=held_out, engines=engines, hosts=8, seed=seed)
     sizes = LARGE_SIZES if held_out > LARGE_SIZES[-1] else MIDDLE_SIZES
     scenarios = [
@@ -74,7 +76,7 @@
 
 
 def small(seed: int, gateways: int, scenarios: list[s.Scenario]) -> Plan:
-    """For tests: one host, two zones, short windows."""
+    """Returns a plan for tests: one host, two zones, short windows."""
     shape = s.Shape(fronts=gateways, engines=20, hosts=1, voters=3, relays_of_zone=2, seed=seed)
     sizes = tuple(max(1, gateways * part // 5) for part in range(1, 5))
     return Plan(
--- a/lichenquay/testbed/scale/player.py
+++ b/lichenquay/testbed/scale/player.py
@@ -1,4 +1,4 @@
-"""Plays a scenario's events on a stage: processes of this machine in real time, or virtual time."""
+"""Runs a scenario's faults in an environment: processes of this machine in real time, or virtual time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,56 +11,54 @@
 
 
 class ScenarioEnvironment(Protocol):
-    """What a scenario needs of the world that it is played in. Every fault ends by itself after its
-    seconds.
-    """
+    """The interface of the world that a scenario runs in. Every fault ends by itself after its duration."""
 
     shape: Shape
     now_ms: float  # Of the clock that the fronts' records use.
 
     def run(self, seconds: float, progress: Callable[[float], None]) -> None:
-        """Goes on for so long, and until all that was put off is done."""
+        """Runs for so many seconds, and on until all scheduled calls are done."""
 
     def call_later(self, seconds: float, call: Callable, *arguments) -> None:
-        """Calls so much later, while the stage runs."""
+        """Schedules a call after so many seconds, while the environment runs."""
 
     def set_rate(self, per_s: float) -> None:
-        """Changes a second that the client proposes."""
+        """Sets the rate of changes a second that the client proposes."""
 
     def newest_version(self) -> int:
-        """The highest accepted version."""
+        """Returns the highest accepted version."""
 
     def leader(self) -> str:
-        """The publisher that leads, as far as that is known."""
+        """Returns the leading publisher, as far as it is known."""
 
     def kill(self, name: str, seconds: float) -> None:
-        """Kills a control process, and starts it again."""
+        """Kills a control process, and starts it again after so many seconds."""
 
     def pause(self, name: str, seconds: float) -> None:
-        """A control process stands still, and goes on."""
+        """Pauses a control process for so many seconds."""
 
     def fail_disk(self, name: str, seconds: float, full: bool, delay_ms: float) -> None:
-        """A publisher's disk is full or slow."""
+        """Makes a publisher's disk full or slow for so many seconds."""
 
     def pause_reading(self, names: list[str], seconds: float) -> None:
-        """Fronts do not read their sockets."""
+        """Makes gateways stop reading their sockets for so many seconds."""
 
     def impair(self, rules: list) -> None:
-        """The network's rules, from now on."""
+        """Replaces the network's impairment rules."""
 
     def running_among(self, names) -> list[str]:
-        """Those of the fronts that run."""
+        """Returns those of the gateways that run."""
 
     def start_gateways(self, names: list[str]) -> None:
-        """Starts fronts, all at once."""
+        """Starts gateways, all at once."""
 
     def stop_gateways(self, names: list[str]) -> None:
-        """Ends fronts without a word."""
+        """Ends gateways without notifying anyone."""
 
 
 @dataclass
 class ScenarioResult:
-    """What a scenario did, and when. Versions are the highest that were accepted at that time."""
+    """Holds what a scenario did, and when. Versions are the highest accepted ones at that time."""
 
     scenario: Scenario
     started_at_ms: float
@@ -76,17 +74,17 @@
 
 
 def no_progress(seconds: float) -> None:
-    """Nobody wants to know how far it is."""
+    """Ignores the progress."""
 
 
 @dataclass
 class ScenarioRunner:
-    """One scenario at a time."""
+    """Runs scenarios one at a time."""
 
     environment: ScenarioEnvironment
 
     def run(self, scenario: Scenario, progress: Callable[[float], None] = no_progress) -> ScenarioResult:
-        """Plays it to its end, and leaves everything running."""
+        """Runs a scenario to its end, and leaves everything running."""
         self.result = ScenarioResult(scenario, self.environment.now_ms)
         for event in scenario.events:
             self.environment.call_later(event.at_s, self._start_event, event)
@@ -124,7 +122,7 @@
                 self.environment.fail_disk(name, event.duration_s, False, SLOW_DISK_MS)
 
     def _names_of(self, targets) -> list[str]:
-        """Names, with those that are only known now filled in."""
+        """Returns the targets' names, with LEADER and FOLLOWER resolved at the time of the fault."""
         leader = self.environment.leader()
         names = []
         for target in targets:
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -1,4 +1,4 @@
-"""Runs the client of a scale run: a thread of the run's own process, on one UDP socket."""
+"""Runs the client of a scale run in a thread of the run's own process, on one UDP socket."""
 
 import random
 import socket
@@ -18,10 +18,12 @@
 
 
 class Proposer:
-    """`make_entries` as in Client. Every method may be called from any thread."""
+    """Runs a Client in a thread; `make_entries` is as in Client. Every method may be called from
+    any thread.
+    """
 
     def __init__(self, spec: WorldSpec, make_entries):
-        """Opens the socket; `start` begins the thread."""
+        """Opens the socket; `start` starts the thread."""
         self.spec = spec
         rng = random.Random(f"{spec.shape.seed}/proposer")
         self.client = Client(spec.shape.publisher_names(), rng, make_entries)
@@ -34,44 +36,44 @@
         self.thread = threading.Thread(target=self._run, name="proposer", daemon=True)
 
     def start(self):
-        """Begins to send and hear."""
+        """Starts sending and receiving."""
         self.thread.start()
 
     def close(self):
-        """Ends the thread and the socket."""
+        """Ends the thread and closes the socket."""
         self.ending.set()
         if self.thread.is_alive():
             self.thread.join(2.0)
         self.socket.close()
 
     def propose(self, entries) -> Proposal:
-        """As Client's."""
+        """Queues a change, as Client does."""
         with self.lock:
             return self.client.propose(entries)
 
     def set_rate(self, per_s: float):
-        """As Client's, from now on."""
+        """Sets the rate of changes a second from now on, as Client does."""
         with self.lock:
             self.client.set_rate(boot_ms(), per_s)
 
     def is_idle(self) -> bool:
-        """As Client's."""
+        """Whether the outcome of every change is known."""
         with self.lock:
             return self.client.is_idle
 
     def newest_version(self) -> int:
-        """As Client's."""
+        """Returns the highest accepted version."""
         with self.lock:
             return self.client.newest_version()
 
     @property
     def leader(self) -> str:
-        """The publisher that is asked now."""
+        """Returns the publisher to which proposals are sent now."""
         return self.client.leader
 
     @property
     def proposals(self) -> list[Proposal]:
-        """All of them; to be read once no more are made."""
+        """Returns all proposals; to be read only when no more are made."""
         return self.client.proposals
 
     def _run(self):
--- a/lichenquay/testbed/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_fronts.py
@@ -1,4 +1,4 @@
-"""Real fronts beside the hollow ones: they follow the same relays, amid emulated engines and under load."""
+"""Real gateways beside the lightweight ones: they follow the same relays, with emulated engines and load."""
 
 import re
 import signal
@@ -27,16 +27,18 @@
 
 
 class FollowerWorld(World):
-    """A world whose fronts follow distributed configuration."""
+    """A world whose gateways follow distributed configuration."""
 
     def __init__(self, lab, out, spec: WorldSpec):
-        """`spec`: of the relays."""
+        """`spec`: the world of the relays."""
         super().__init__(lab, out)
         self.spec = spec
         self.listens = free_addresses([f"real{i}" for i in range(lab.front.count)])
 
     def settings_of_front(self, i):
-        """With relays, a zone in turn, a socket of its own, and the engines of its own world."""
+        """Returns settings with the relays, a zone in turn, a socket of its own, and the engines of its own
+        world.
+        """
         following = gateway_settings(self.spec)
         zones = self.spec.shape.zones
         following.name, following.zone = f"real{i}", zones[i % len(zones)]
@@ -47,7 +49,9 @@
 
 @dataclass
 class RealGateway:
-    """What one real front did. `in_force`: its version at the end, None where it did not tell."""
+    """Holds what one real gateway did. `in_force`: its version at the end, None where it did not
+    report one.
+    """
 
     name: str
     in_force: int | None = None
@@ -59,10 +63,10 @@
 
 
 class RealGateways:
-    """A context: the engines and fronts run; `load` begins the queries, `end` waits for them."""
+    """Runs engines and gateways as a context; `load` starts the queries, `end` waits for them."""
 
     def __init__(self, count: int, spec: WorldSpec, out: Path, seconds: float):
-        """`seconds`: of the load."""
+        """`seconds`: the duration of the load."""
         seed = spec.shape.seed
         text = f"seed: {seed} load {{ seconds: {seconds} rate: {RATE} }} front {{ count: {count} }}"
         self.lab = read_testbed(text)
@@ -73,7 +77,7 @@
         self.load_results: dict[int, object] = {}
 
     def __enter__(self):
-        """Starts engines and fronts, and connects the load. Raises CannotStart, RunError."""
+        """Starts engines and gateways, and connects the load. Raises CannotStart, RunError."""
         self.world.__enter__()
         try:
             self.workers = [
@@ -88,18 +92,18 @@
         return self
 
     def __exit__(self, *exception):
-        """Ends all of it."""
+        """Ends load, gateways and engines."""
         for workers in getattr(self, "workers", ()):
             workers.close()
         self.world.__exit__(*exception)
 
     @property
     def processes(self) -> int:
-        """Emulator, fronts and load."""
+        """Returns the number of processes: emulator, gateways and load."""
         return 1 + len(self.gateways) * (1 + WORKERS_PER_GATEWAY)
 
     def load(self):
-        """Begins the queries; they go on by themselves."""
+        """Starts the queries, which run in the background."""
         self.world.start_script()
         self.started_at_s = time.monotonic()
         self.cpu_before_s = [measure.usage_of(gateway.pid).cpu_s for gateway in self.world.fronts]
@@ -110,7 +114,7 @@
             thread.start()
 
     def end(self) -> list[RealGateway]:
-        """Waits for the load, asks each front what it has in force, and ends it in order."""
+        """Waits for the load, reads the version in force at each gateway, and shuts it down gracefully."""
         until = self.started_at_s + self.seconds + LOAD_END_TIMEOUT_S
         for thread in self.threads:
             thread.join(max(0.1, until - time.monotonic()))
@@ -128,7 +132,7 @@
         self.load_results[i] = self.workers[i].run()
 
     def _version_in_force(self, i) -> int | None:
-        """By SIGUSR1, in the front's log."""
+        """Returns the version that the gateway writes to its log on SIGUSR1, or None."""
         log = self.out / f"front-{i}.log"
         log_length = len(log.read_text())
         self.world.fronts[i].send_signal(signal.SIGUSR1)
@@ -141,7 +145,9 @@
         return None
 
     def _check(self):
-        """By the laboratory's own audit, where one front alone uses the engines whose ledger it is."""
+        """Checks the reports, and runs the test bed's audit where one gateway alone uses the engines of the
+        ledger.
+        """
         for i, gateway in enumerate(self.gateways):
             if i in self.load_results:
                 gateway.report = reported(report_of(self.load_results[i], self.lab))
@@ -155,12 +161,12 @@
 
 
 def reported(report: dict) -> dict:
-    """The part of a load's report that a scale run tells."""
+    """Returns the part of a load's report that a scale run reports."""
     return {key: report.get(key) for key in REPORT_FIELDS}
 
 
 def broken_rules_of(gateway: RealGateway) -> list[str]:
-    """Queries without one answer, and a front that did not end in order."""
+    """Returns a line for queries without exactly one answer, and for a gateway that exited with an error."""
     lines = []
     if gateway.report["silent"] or gateway.report["twice"]:
         counts = f"{gateway.report['silent']} queries without an answer, {gateway.report['twice']} with two"
--- a/lichenquay/testbed/scale/real_stage.py
+++ b/lichenquay/testbed/scale/real_stage.py
@@ -1,4 +1,4 @@
-"""Real time and real processes, for the player of scenarios."""
+"""The environment of scenarios in real time, with real processes."""
 
 import heapq
 import time
@@ -13,21 +13,21 @@
 
 
 class ProcessEnvironment:
-    """A `Stage` on the processes of a world."""
+    """A `ScenarioEnvironment` on the processes of a world."""
 
     def __init__(self, world: World, proposer: Proposer):
-        """Of a world that runs."""
+        """`world` runs already."""
         self.world, self.proposer, self.shape = world, proposer, world.shape
         self.sequence = count()
         self.scheduled = []  # Heap of (time, order, call, arguments).
 
     @property
     def now_ms(self):
-        """CLOCK_BOOTTIME."""
+        """Returns CLOCK_BOOTTIME in milliseconds."""
         return boot_ms()
 
     def run(self, seconds, progress):
-        """Steps until the time is over and nothing is put off."""
+        """Runs until the time is over and no scheduled call is left."""
         started_at_s = time.monotonic()
         while (elapsed_s := time.monotonic() - started_at_s) < seconds or self.scheduled:
             while self.scheduled and self.scheduled[0][0] <= time.monotonic():
@@ -38,58 +38,58 @@
             time.sleep(STEP_S)
 
     def call_later(self, seconds, call, *arguments):
-        """By the monotonic clock."""
+        """Schedules a call by the monotonic clock."""
         heapq.heappush(self.scheduled, (time.monotonic() + seconds, next(self.sequence), call, arguments))
 
     def set_rate(self, per_s):
-        """Of the client."""
+        """Sets the client's rate of changes a second."""
         self.proposer.set_rate(per_s)
 
     def newest_version(self):
-        """By the client."""
+        """Returns the highest version that the client knows to be accepted."""
         return self.proposer.newest_version()
 
     def leader(self):
-        """Who leads by its own word, else who answered the client last."""
+        """Returns the publisher that reports that it leads, else the one that the client uses."""
         return self.world.leader() or self.proposer.leader
 
     def kill(self, name, seconds):
-        """SIGKILL."""
+        """Sends SIGKILL, and starts the process again later."""
         child = self.world.control[name]
         child.kill()
         self.call_later(seconds, child.start)
 
     def pause(self, name, seconds):
-        """SIGSTOP."""
+        """Sends SIGSTOP, and SIGCONT later."""
         child = self.world.control[name]
         child.pause()
         self.call_later(seconds, child.resume)
 
     def fail_disk(self, name, seconds, full, delay_ms):
-        """By an order."""
+        """Makes the disk full or slow by a command."""
         child = self.world.control[name]
         child.send_command(FailDisk(full, delay_ms))
         self.call_later(seconds, self._restore_disk, child)
 
     def pause_reading(self, names, seconds):
-        """By an order."""
+        """Stops the gateways' reading by a command."""
         self.world.read_slowly(names, True)
         self.call_later(seconds, self.world.read_slowly, names, False)
 
     def impair(self, rules):
-        """By an order to every process."""
+        """Sends the rules to every process."""
         self.world.impair(rules)
 
     def running_among(self, names):
-        """Those that were started last."""
+        """Returns those of the gateways that were started and not stopped since."""
         return [name for name in names if name in self.world.running]
 
     def start_gateways(self, names):
-        """By an order."""
+        """Starts the gateways by a command."""
         self.world.start_gateways(names)
 
     def stop_gateways(self, names):
-        """By an order."""
+        """Ends the gateways by a command."""
         self.world.stop_gateways(names)
 
     def _restore_disk(self, child):
--- a/lichenquay/testbed/scale/record.py
+++ b/lichenquay/testbed/scale/record.py
@@ -1,5 +1,5 @@
-"""What hollow fronts keep of the versions in force at them: compact, bounded, written as one NumPy file a
-process.
+"""The records that lightweight gateways keep of their versions in force: compact, bounded, written as one
+NumPy file for each process.
 """
 
 import json
@@ -15,8 +15,8 @@
 
 @dataclass
 class GatewayLifetime:
-    """One front from its start to its end: when which version came in force. Times: milliseconds of
-    CLOCK_BOOTTIME.
+    """Holds when which version came in force at one gateway, from its start to its end. Times: milliseconds
+    of CLOCK_BOOTTIME.
     """
 
     name: str
@@ -30,7 +30,7 @@
     truncated: bool = False
 
     def record_version(self, version: int, now_ms: float) -> None:
-        """Another version is in force."""
+        """Records the version in force, if it changed."""
         if self.versions and self.versions[-1] == version:
             return
         if len(self.versions) >= MAX_STEPS:
@@ -41,12 +41,12 @@
 
     @property
     def last_version(self) -> int:
-        """The version in force last."""
+        """Returns the last version in force, 0 if there is none."""
         return self.versions[-1] if self.versions else 0
 
 
 def write(path: Path, lifetimes: list[GatewayLifetime]) -> None:
-    """Writes all lives of a process."""
+    """Writes all lifetimes of a process."""
     heads = []
     for lifetime in lifetimes:
         head = asdict(lifetime)
@@ -60,7 +60,7 @@
 
 
 def read(path: Path) -> list[GatewayLifetime]:
-    """The lives that `write` wrote."""
+    """Returns the lifetimes that `write` wrote."""
     lifetimes, begin = [], 0
     with np.load(path, allow_pickle=False) as archive:
         versions, at_ms = archive["versions"], archive["at_ms"]
--- a/lichenquay/testbed/scale/report.py
+++ b/lichenquay/testbed/scale/report.py
@@ -1,6 +1,7 @@
-"""The page of a scale run: need against budget by size on log scales, prediction beside outcome, scenarios.
+"""The HTML page of a scale run: need against budget by size on log scales, predictions and outcomes,
+scenarios.
 
-Pictures are made as `load` makes them.
+Plots are rendered as those of the load report.
 """
 
 import html
@@ -19,7 +20,7 @@
 
 
 def write_page(path: Path, figures: dict) -> None:
-    """Writes one HTML file with its pictures in it."""
+    """Writes one HTML file with its plots embedded."""
     parts = [
         "<!doctype html><meta charset=utf-8><title>Scale run</title>",
         f"<style>{STYLE}</style><h1>Scale run: {figures['fronts_hollow']} hollow fronts</h1>",
@@ -38,7 +39,9 @@
 
 
 def need_against_budget(figures: dict, cost: str) -> str:
-    """What one member of each role takes, by the number of fronts; a line is the front's budget."""
+    """Plots the cost of one member of each role by the number of gateways, with the gateway's budget as a
+    line.
+    """
     figure, plot = plt.subplots(figsize=(9, 4))
     for role in Role:
         points = [(size["fronts"], size[role][cost]) for size in figures["sizes"] if role in size]
@@ -55,7 +58,7 @@
 
 
 def in_force(figures: dict) -> str:
-    """Percentiles of each scenario's changes, from proposal to in force."""
+    """Plots percentiles of each scenario's changes, from proposal to in force."""
     measured = {name: one for name, one in figures["scenarios"].items() if one["in_force_p99_ms"] is not None}
     figure, plot = plt.subplots(figsize=(9, 4))
     names = list(measured)
@@ -69,7 +72,7 @@
 
 
 def predictions_table(figures: dict) -> str:
-    """Each metric's prediction, its interval, and the outcome."""
+    """Returns a table of each metric's prediction, its interval, and the outcome."""
     rows = []
     for name, predicted in figures["predicted"].items():
         holds = "yes" if figures["prediction_holds"][name] else "no"
@@ -79,7 +82,7 @@
 
 
 def scenarios_table(figures: dict) -> str:
-    """Each scenario's figures and what was done in it."""
+    """Returns a table of each scenario's figures and faults."""
     keys = ("changes", "pairs", "in_force_p50_ms", "in_force_p99_ms", "in_force_max_ms", "heal_s", "start_s")
     rows = [
         (name, *(cell_text(one[key]) for key in keys), "; ".join(one["done"]))
@@ -89,7 +92,7 @@
 
 
 def plain_table(figures: dict) -> str:
-    """All figures that are not tables themselves."""
+    """Returns a table of all figures that are single values."""
     rows = [(name, value) for name, value in figures.items() if not isinstance(value, dict | list)]
     rows += [("broken rule", line) for line in figures["broken_rules"]]
     rows += [("note", line) for line in figures["notes"]]
@@ -97,7 +100,7 @@
 
 
 def table(heads, rows) -> str:
-    """An HTML table."""
+    """Returns an HTML table."""
     head = "".join(f"<th>{html.escape(str(cell))}</th>" for cell in heads)
     body = "".join(
         "<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows
@@ -106,5 +109,5 @@
 
 
 def cell_text(value) -> str:
-    """A number for a cell."""
+    """Returns a value as the text of a cell."""
     return "-" if value is None else f"{value:.4g}" if isinstance(value, float) else str(value)
--- a/lichenquay/testbed/scale/roles.py
+++ b/lichenquay/testbed/scale/roles.py
@@ -1,4 +1,6 @@
-"""What each role costs: processor time, memory, bytes and messages, between two readings of the counters."""
+"""Computes each role's cost in processor time, memory, bytes and messages from two readings of the
+counters.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +12,7 @@
 
 
 class Role(StrEnum):
-    """The kinds of process. A publisher leads; a voter is a publisher that does not."""
+    """Names the kinds of process. A publisher leads; a voter is a publisher that does not."""
 
     GATEWAY = "front"
     RELAY = "relay"
@@ -20,8 +22,8 @@
 
 @dataclass(frozen=True)
 class RoleCost:
-    """Of all members of a role together. `cpu_share`: of one core; bytes and messages: sent and received, a
-    second.
+    """Holds the cost of all members of a role together. `cpu_share`: of one core; bytes and messages: sent
+    and received, a second.
     """
 
     members: int
@@ -31,7 +33,7 @@
     messages_per_s: float
 
     def of_one(self) -> "RoleCost":
-        """The mean of one member."""
+        """Returns the mean cost of one member."""
         members = max(1, self.members)
         each = {name: round(getattr(self, name) / members, digits) for name, digits in COST_DIGITS.items()}
         return RoleCost(members=self.members, **each)
@@ -39,18 +41,18 @@
 
 @dataclass(frozen=True)
 class Reading:
-    """The counters of every process at one time, in seconds of a monotonic clock."""
+    """Holds the counters of every process at one time, in seconds of a monotonic clock."""
 
     at_s: float
     usage: list[RoleUsage]
 
     def by_name(self) -> dict[str, RoleUsage]:
-        """Readings by the process's name."""
+        """Returns the readings by the process's name."""
         return {one.name: one for one in self.usage}
 
 
 def role_of(one: RoleUsage, shape: Shape) -> Role:
-    """The role that a process plays now."""
+    """Returns the role that a process has now."""
     if one.name.startswith("hollow"):
         return Role.GATEWAY
     if one.name in shape.publisher_names():
@@ -59,8 +61,11 @@
 
 
 def costs_between(before: Reading, after: Reading, base: Reading, shape: Shape) -> dict[Role, RoleCost]:
-    """The cost of each role between two readings. `base`: before any front ran; what a host took then is the
-    interpreter's own memory, and is not counted to its fronts."""
+    """Returns the cost of each role between two readings.
+
+    `base`: a reading before any gateway ran; the memory of a gateway host in it is the interpreter's own, and
+    is not counted to its gateways.
+    """
     earlier, at_base = before.by_name(), base.by_name()
     seconds = after.at_s - before.at_s
     costs = {}
@@ -87,10 +92,10 @@
 
 
 def bytes_of(one: RoleUsage) -> int:
-    """Bytes of datagrams, both ways."""
+    """Returns the bytes of datagrams sent and received."""
     return one.counts.sent_bytes + one.counts.heard_bytes
 
 
 def messages_of(one: RoleUsage) -> int:
-    """Datagrams, both ways."""
+    """Returns the datagrams sent and received."""
     return one.counts.sent + one.counts.heard
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -1,4 +1,6 @@
-"""The rows of the capacity table: a role's need at the planned size, its budget, and what carries it."""
+"""The rows of the capacity table: a role's need at the planned size, its budget, and the mechanism that
+provides it.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,9 +18,10 @@
 
 @dataclass(frozen=True)
 class Row:
-    """`what`: the quantity whose slope is shown; `size`: where it is read; `need`: in `unit`, by `at`.
+    """Holds one row. `what`: the quantity whose slope is shown; `size`: where it is read; `need`: in `unit`,
+    computed from `at`.
 
-    Without `need` nothing was measured. Without `budget` the plan names none.
+    `need` is None where nothing was measured, `budget` is None where the plan has none.
     """
 
     role: str
@@ -32,7 +35,9 @@
 
 
 def membership_processor(at: At, loss: int) -> float:
-    """Milliseconds a second for one front's talk: decisions; datagrams sealed, sent, received, opened."""
+    """Returns a gateway's processor time for membership in ms/s: decisions, and datagrams sealed, sent,
+    received and opened.
+    """
     name = f"members.lost_{loss}"
     messages = at(f"{name}.messages", plan.GATEWAYS)
     size = at(f"{name}.bytes", plan.GATEWAYS) / max(1e-9, messages)
@@ -41,7 +46,7 @@
 
 
 def membership_bytes(at: At, loss: int) -> float:
-    """Bytes a second of one front's talk, both ways, with the envelope."""
+    """Returns a gateway's bytes a second for membership, sent and received, with the envelope."""
     name = f"members.lost_{loss}"
     messages = at(f"{name}.messages", plan.GATEWAYS)
     size = at(f"{name}.bytes", plan.GATEWAYS) / max(1e-9, messages)
@@ -49,9 +54,9 @@
 
 
 def list_events_processor(at: At) -> float:
-    """Milliseconds a second for list events at a front.
+    """Returns a gateway's processor time for list events in ms/s.
 
-    A set of tables is ranked anew only where one of its homes left the list.
+    The preferred engines of a set of tables are ranked again only when one of them leaves the list.
     """
     homes = (
         plan.TABLE_SETS_ASSUMED
@@ -63,20 +68,24 @@
 
 
 def gateway_memory(at: At) -> float:
-    """Bytes that a front holds for engines and members."""
+    """Returns the bytes that a gateway holds for engines and members."""
     engines = at("controller.state", plan.ENGINES) + at("discovery.engines", plan.ENGINES)
     return engines + at("members.state", plan.GATEWAYS)
 
 
 def gateway_processor(at: At) -> float:
-    """Milliseconds a second of a front's control on a calm day; its talk as real processes had it."""
+    """Returns a gateway's processor time for control without faults in ms/s, with membership as measured on
+    real processes.
+    """
     quota = at("quota.front.processor", plan.TENANTS_ASSUMED)
     beats = at("controller.beats", plan.ENGINES)
     return beats + list_events_processor(at) + at("host.quota.processor", plan.GATEWAYS) + quota
 
 
 def gateway_bytes(at: At) -> float:
-    """Bytes a second of a front's control on a calm day, both ways; the list's events are not in it."""
+    """Returns a gateway's bytes a second for control without faults, sent and received, without
+    list events.
+    """
     quota = sum(at(f"quota.front.bytes_{way}", plan.TENANTS_ASSUMED) for way in ("out", "in"))
     idle = sum(at(f"discovery.idle_bytes_{way}", plan.ENGINES) for way in ("out", "in"))
     return membership_bytes(at, 0) + quota + idle
@@ -89,7 +98,7 @@
 
 
 def not_implemented(role: str, title: str) -> Row:
-    """A need that nothing in the tree carries."""
+    """Returns a row for a need that no mechanism provides yet."""
     return Row(role, title, None, None, None, "", None, NONE_TODAY)
 
 
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -1,6 +1,4 @@
-"""A scale run from its start to its end: sizes measured, the held-out one predicted, scenarios played, all
-audited.
-"""
+"""Executes a scale run: measures sizes, predicts the held-out one, runs scenarios, and audits the records."""
 
 import time
 from collections.abc import Callable
@@ -21,7 +19,7 @@
 
 @dataclass
 class ScaleRunResult:
-    """All that a run kept, for its figures."""
+    """Holds the results of a run, from which its figures are computed."""
 
     plan: Plan
     samples: list[SizeSample] = field(default_factory=list)
@@ -39,17 +37,17 @@
 
 
 class Runner:
-    """One run. `progress` is told the share that is done."""
+    """Executes one run. `progress` receives the completed share, 0 to 1."""
 
     def __init__(self, plan: Plan, folder: Path, progress: Callable[[float], None] = lambda share: None):
-        """`folder`: for what the processes keep."""
+        """`folder`: for the files of the processes."""
         self.plan, self.progress, self.folder = plan, progress, Path(folder)
         self.driver = WorldDriver(plan.shape, folder, plan.settle_timeout_s)
         self.result = ScaleRunResult(plan)
         self.done_s = 0.0
 
     def run(self) -> ScaleRunResult:
-        """Runs all of it. Raises CannotStart where a process does not."""
+        """Executes the run. Raises CannotStart where a process does not start."""
         with self.driver:
             self.driver.list_engines(0, self.plan.shape.engines)
             self._advance(START_S)
@@ -60,7 +58,7 @@
         return self.result
 
     def _run_scenarios_beside_real_gateways(self):
-        """Real fronts run and are under load while scenarios are played, where the plan has any."""
+        """Runs the scenarios, with the plan's real gateways under load meanwhile, if it has any."""
         if not self.plan.real_fronts:
             self._run_scenarios()
             return
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -13,7 +13,9 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """Repeated measurements of one quantity at one size; none where nothing came within the bound."""
+    """Holds repeated measurements of one quantity at one size; none where nothing finished within the time
+    limit.
+    """
 
     size: int
     what: str
@@ -27,7 +29,7 @@
 
 @dataclass
 class Stopwatch:
-    """Processor time of this thread, summed over what runs within `running`; nested use counts once."""
+    """Sums the processor time of this thread within `running`; nested use counts once."""
 
     spent_ms: float = 0.0
     calls: int = 0
@@ -35,7 +37,7 @@
 
     @contextmanager
     def running(self) -> Iterator[None]:
-        """Counts what runs within."""
+        """Measures the code of the `with` block."""
         self._depth += 1
         started_ns = time.thread_time_ns()
         try:
@@ -47,34 +49,36 @@
                 self.calls += 1
 
     def reset(self) -> None:
-        """Starts afresh: a warm-up is not counted."""
+        """Clears the sums, so that a warm-up is not counted."""
         self.spent_ms, self.calls = 0.0, 0
 
 
 class TimedPart:
-    """A decision module without I/O (docs/design/fleet.md) whose calls are timed, for a host of FleetNet."""
+    """Wraps a decision module without I/O (docs/design/fleet.md) and times its calls, for a host of
+    FleetNet.
+    """
 
     def __init__(self, part: Any, stopwatch: Stopwatch):
-        """`part` has heard, tick, due_ms and outbox."""
+        """`part` has on_message, tick, due_ms and outbox."""
         self.part, self.stopwatch = part, stopwatch
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message: Any) -> None:
-        """As the part's."""
+        """Times the module's `on_message`."""
         with self.stopwatch.running():
             self.part.on_message(now_ms, sender, message)
 
     def tick(self, now_ms: float) -> None:
-        """As the part's."""
+        """Times the module's `tick`."""
         with self.stopwatch.running():
             self.part.tick(now_ms)
 
     def __getattr__(self, name: str) -> Any:
-        """Everything else is the part's own, and not timed."""
+        """Returns any other attribute of the module, untimed."""
         return getattr(self.part, name)
 
 
 def state_bytes(make: Callable[[], Any]) -> tuple[Any, int]:
-    """What `make` returns, and the bytes that were allocated in it and are still held (tracemalloc)."""
+    """Returns the result of `make`, and the bytes allocated in it that are still held (tracemalloc)."""
     started = not tracemalloc.is_tracing()
     if started:
         tracemalloc.start()
@@ -89,7 +93,7 @@
 
 
 def processor_ms(call: Callable[[], Any]) -> float:
-    """Processor time of one call, in milliseconds."""
+    """Returns the processor time of one call in milliseconds."""
     started_ns = time.thread_time_ns()
     call()
     return (time.thread_time_ns() - started_ns) / 1e6
--- a/lichenquay/testbed/scale/scenario.py
+++ b/lichenquay/testbed/scale/scenario.py
@@ -1,4 +1,4 @@
-"""What a scale run plays: the shape of its world, and scenarios of timed faults made from a seed.
+"""The shape of a scale run's world, and scenarios of timed faults made from a seed.
 
 Everything here is data. Times are seconds from the start of a scenario.
 """
@@ -20,7 +20,7 @@
 
 
 class FaultKind(StrEnum):
-    """What an event does to its targets."""
+    """Names what a fault does to its targets."""
 
     KILL = "kill"  # SIGKILL of a control process; started again after `for_s`.
     PAUSE = "pause"  # SIGSTOP for `for_s`.
@@ -32,7 +32,7 @@
 
 
 class Target(StrEnum):
-    """Targets that are only known while a scenario runs."""
+    """Names targets that are resolved while a scenario runs."""
 
     LEADER = "the publisher that leads"
     FOLLOWER = "a voter that does not lead"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """The size of a world. Zones are as full as they get when all `fronts` run."""
+    """Describes the size of a world. Zones are as large as they are when all `fronts` run."""
 
     fronts: int
     engines: int = 100
@@ -53,58 +53,58 @@
 
     @cached_property
     def zones(self) -> list[str]:
-        """Names of the zones that hold fronts and relays."""
+        """Returns the names of the zones that hold gateways and relays."""
         needed = -(-self.fronts // MAX_GATEWAYS_PER_ZONE)
         return [f"z{i}" for i in range(max(self.least_zones, needed))]
 
     @property
     def largest_zone_size(self) -> int:
-        """Fronts of the fullest zone."""
+        """Returns the number of gateways in the largest zone."""
         return -(-self.fronts // len(self.zones))
 
     def region_of(self, zone: str) -> str:
-        """The region of a zone: three regions at most, each a run of zones."""
+        """Returns the region of a zone: at most three regions, each of consecutive zones."""
         regions = min(MAX_REGIONS, len(self.zones))
         return f"r{self.zones.index(zone) * regions // len(self.zones)}"
 
     def zones_of_region(self, region: str) -> list[str]:
-        """Names of the zones of a region."""
+        """Returns the names of the zones of a region."""
         return [zone for zone in self.zones if self.region_of(zone) == region]
 
     def zone_of(self, number: int) -> str:
-        """The zone of a front, by its number: zones fill side by side."""
+        """Returns the zone of a gateway by its number; gateways are assigned to zones in turn."""
         return self.zones[number % len(self.zones)]
 
     def gateway_name(self, number: int) -> str:
-        """The name of a front, by its number."""
+        """Returns the name of a gateway by its number."""
         return f"{self.zone_of(number)}-f{number}"
 
     def gateway_names(self) -> list[str]:
-        """Names of all fronts that the world may hold."""
+        """Returns the names of all gateways that the world may hold."""
         return [self.gateway_name(number) for number in range(self.fronts)]
 
     def relay_names(self, zone: str) -> list[str]:
-        """Names of the relays of a zone."""
+        """Returns the names of the relays of a zone."""
         return [f"{zone}-relay{i}" for i in range(self.relays_of_zone)]
 
     def publisher_names(self) -> list[str]:
-        """Names of the voters, each of which may lead."""
+        """Returns the names of the voters, each of which may lead."""
         return [f"{CONTROL_ZONE}-p{i}" for i in range(self.voters)]
 
     def control_names(self) -> list[str]:
-        """Names of all control processes."""
+        """Returns the names of all control processes."""
         relays = [name for zone in self.zones for name in self.relay_names(zone)]
         return self.publisher_names() + relays
 
 
 def zone_of_name(name: str) -> str:
-    """The zone that a process's name begins with."""
+    """Returns the zone that a process's name starts with."""
     return name.partition("-")[0]
 
 
 @dataclass(frozen=True)
 class FaultEvent:
-    """One fault: what happens to which targets, when, and for how long."""
+    """Describes one fault: its kind, its targets, when it starts, and how long it lasts."""
 
     at_s: float
     kind: FaultKind
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Faults over some time, amid changes that are proposed at a steady rate."""
+    """Describes faults over some time, while changes are proposed at a steady rate."""
 
     name: str
     seconds: float
@@ -126,14 +126,15 @@
 
 
 def calm(seconds: float, changes_per_s: float) -> Scenario:
-    """No faults."""
+    """Returns a scenario without faults."""
     return Scenario("calm", seconds, changes_per_s)
 
 
 def failover(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """The leading publisher, another voter and one relay of each zone are killed at once, and stay down.
+    """Kills the leading publisher, another voter and one relay of each zone at once, until the scenario's
+    end.
 
-    Risk: a leader that is back soon hides how long the others take without it.
+    A leader that returned early would hide how long the others take without it.
     """
     relays = tuple(shape.relay_names(zone)[0] for zone in shape.zones)
     targets = (Target.LEADER, Target.FOLLOWER, *relays)
@@ -142,13 +143,13 @@
 
 
 def publisher_paused(seconds: float, changes_per_s: float) -> Scenario:
-    """The leading publisher stands still for longer than its lease, and goes on."""
+    """Pauses the leading publisher for longer than its lease."""
     pause = FaultEvent(FIRST_FAULT_S, FaultKind.PAUSE, (Target.LEADER,), PAUSE_S)
     return Scenario("publisher paused", seconds, changes_per_s, [pause])
 
 
 def disk_faults(seconds: float, changes_per_s: float) -> Scenario:
-    """The leading publisher's disk is full; then the disk of another voter is slow."""
+    """Fills the leading publisher's disk, then slows the disk of another voter."""
     third = seconds / 3
     full = FaultEvent(FIRST_FAULT_S, FaultKind.DISK_FULL, (Target.LEADER,), third)
     slow = FaultEvent(FIRST_FAULT_S + third, FaultKind.DISK_SLOW, (Target.FOLLOWER,), third)
@@ -156,14 +157,14 @@
 
 
 def zone_start(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """All fronts of one zone go down together, and start at once with nothing."""
+    """Stops all gateways of one zone together, and starts them at once with no state."""
     gateways = gateways_in_zone(shape, shape.zones[0])
     start = FaultEvent(FIRST_FAULT_S, FaultKind.RESTART_GATEWAYS, gateways, 0.5)
     return Scenario("zone start", seconds, changes_per_s, [start])
 
 
 def region_cut(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """A region's zones, their relays included, are cut off from all others and come back."""
+    """Partitions a region's zones, with their relays, from all others, and heals the partition."""
     zones = shape.zones_of_region(shape.region_of(shape.zones[-1]))
     others = [zone for zone in (CONTROL_ZONE, *shape.zones) if zone not in zones]
     rules = tuple(partition_rules(zones, others))
@@ -172,21 +173,21 @@
 
 
 def bad_network(seconds: float, changes_per_s: float) -> Scenario:
-    """Loss, delay, doubling and reordering on every link."""
+    """Impairs every link by loss, delay, duplication and reordering."""
     rule = Rule(loss=0.05, delay_ms=80.0, doubled=0.05)
     impairment = FaultEvent(FIRST_FAULT_S, FaultKind.IMPAIR_NETWORK, (), seconds - 2 * FIRST_FAULT_S, (rule,))
     return Scenario("bad network", seconds, changes_per_s, [impairment])
 
 
 def slow_reader(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """A front of each zone does not read its socket for most of the time."""
+    """Makes one gateway of each zone stop reading its socket for half of the time."""
     gateways = tuple(gateways_in_zone(shape, zone)[0] for zone in shape.zones)
     slow = FaultEvent(FIRST_FAULT_S, FaultKind.SLOW_READER, gateways, seconds / 2)
     return Scenario("slow reader", seconds, changes_per_s, [slow])
 
 
 def rolling_deploy(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """Every front is started anew once, in equal groups one after the other."""
+    """Restarts every gateway once, in equal groups one after the other."""
     names = shape.gateway_names()
     steps = 10
     between_s = (seconds - 2 * FIRST_FAULT_S) / steps
@@ -200,7 +201,7 @@
 
 
 def rack_lost(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """A quarter of a zone's fronts, one of its relays and one voter go down together."""
+    """Stops a quarter of a zone's gateways, one of its relays and one voter together."""
     zone = shape.zones[0]
     quarter = gateways_in_zone(shape, zone)[::4]
     down_s = seconds / 2
@@ -212,7 +213,7 @@
 
 
 def ordinary_day(shape: Shape, seconds: float, changes_per_s: float) -> Scenario:
-    """A day's restarts of fronts and relays by chance, compressed into `seconds`."""
+    """Restarts random gateways and a relay, as within a day compressed into `seconds`."""
     rng = random.Random(f"{shape.seed}/day")
     names = shape.gateway_names()
     last_s = seconds - 2 * FIRST_FAULT_S
@@ -227,5 +228,5 @@
 
 
 def gateways_in_zone(shape: Shape, zone: str) -> tuple[str, ...]:
-    """Names of the fronts of a zone."""
+    """Returns the names of the gateways of a zone."""
     return tuple(name for name in shape.gateway_names() if zone_of_name(name) == zone)
--- a/lichenquay/testbed/scale/session.py
+++ b/lichenquay/testbed/scale/session.py
@@ -1,4 +1,4 @@
-"""A world of processes with its client: what every run in real time does with them."""
+"""Drives a world of processes and its client, as every run in real time does."""
 
 import time
 from collections.abc import Callable
@@ -21,16 +21,18 @@
 
 
 class WorldDriver:
-    """A context. Every wait has an end."""
+    """Runs the world and its client as a context. Every wait is bounded."""
 
     def __init__(self, shape: Shape, folder: Path, settle_timeout_s: float):
-        """`rest_s`: in which all fronts must come to hold one version. Nothing runs yet."""
+        """Prepares the world without starting it. `settle_timeout_s`: the time in which all gateways must
+        have one version in force.
+        """
         self.shape, self.settle_timeout_s = shape, settle_timeout_s
         self.world = World(shape, Path(folder))
         self.memory_share = 0.0  # Of the machine, the highest that was read.
 
     def __enter__(self):
-        """Starts the processes and the client. Raises CannotStart where one does not."""
+        """Starts the processes and the client. Raises CannotStart where one does not start."""
         self.world.__enter__()
         try:
             self.proposer = Proposer(self.world.spec, engines.BackgroundChanges(self.shape))
@@ -48,7 +50,7 @@
         self.world.__exit__(*exception)
 
     def list_engines(self, first: int, count: int) -> float:
-        """Proposes engines, and waits until all are accepted; the seconds that it took."""
+        """Proposes engines, waits until all are accepted, and returns the seconds that this took."""
         started_at_s = time.monotonic()
         for entries in engines.engine_changes(first, count, self.shape):
             self.proposer.propose(entries)
@@ -57,7 +59,7 @@
         return time.monotonic() - started_at_s
 
     def grow_to(self, gateways: int) -> bool:
-        """Starts fronts until so many run; False: not all came to hold the newest version in time."""
+        """Starts gateways until so many run; returns False where not all had the newest version in time."""
         names = self.shape.gateway_names()[len(self.world.running) : gateways]
         for first in range(0, len(names), START_BATCH):
             self.world.start_gateways(names[first : first + START_BATCH])
@@ -65,7 +67,9 @@
         return self.settle()
 
     def window(self, seconds: float, changes_per_s: float) -> tuple[Reading, Reading]:
-        """Readings before and after some time. Each window has the same number of changes, to be compared."""
+        """Returns readings before and after some time. Each window has the same number of changes, so that
+        windows are comparable.
+        """
         self.proposer.set_rate(changes_per_s)
         before = self.read()
         time.sleep(seconds)
@@ -76,7 +80,7 @@
     def run_scenario(
         self, scenario: Scenario, progress: Callable[[float], None] = no_progress
     ) -> ScenarioResult:
-        """Plays a scenario, and waits until all that it ended runs and holds the newest version."""
+        """Runs a scenario, and waits until every process it ended runs again and has the newest version."""
         result = ScenarioRunner(ProcessEnvironment(self.world, self.proposer)).run(scenario, progress)
         for child in self.world.children():
             child.wait_ready()
@@ -85,7 +89,9 @@
         return result
 
     def settle(self) -> bool:
-        """Waits until every change has its outcome and is in force at every front; False: not in time."""
+        """Waits until every change has its outcome and is in force at every gateway; returns False on a
+        timeout.
+        """
         until = time.monotonic() + self.settle_timeout_s
         while time.monotonic() < until:
             self.world.poll_ready()
@@ -95,19 +101,19 @@
         return False
 
     def read(self) -> Reading:
-        """The counters of every process now."""
+        """Returns the counters of every process now."""
         reading = Reading(time.monotonic(), self.world.usage())
         kb = sum(one.usage.kb for one in reading.usage)
         self.memory_share = max(self.memory_share, kb / measure.memory_total_kb())
         return reading
 
     def end(self) -> list[record.GatewayLifetime]:
-        """Ends the fronts' processes in order; the records of all fronts."""
+        """Ends the gateways' processes gracefully, and returns the records of all gateways."""
         self.world.end_hosts()
         return [lifetime for path in self.world.record_paths() for lifetime in record.read(path)]
 
     def wait_for(self, condition, seconds: float, failure: str):
-        """Raises CannotStart, which says `otherwise`, where it is not so in time."""
+        """Waits for `condition()`. Raises CannotStart with the text `failure` on a timeout."""
         until = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > until:
--- a/lichenquay/testbed/scale/settings_files.py
+++ b/lichenquay/testbed/scale/settings_files.py
@@ -1,4 +1,4 @@
-"""Production's settings of the control processes and fronts of a scale run."""
+"""Builds production's settings for the control processes and gateways of a scale run."""
 
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape, zone_of_name
@@ -8,13 +8,13 @@
 
 
 def address_text(address) -> str:
-    """As settings say it."""
+    """Returns an address in the form of the settings."""
     host, port = address
     return f"{host}:{port}"
 
 
 def voters_of(spec: WorldSpec) -> list[pb.Voter]:
-    """All voters, in a region of their own."""
+    """Returns the settings of all voters, in a region of their own."""
     return [
         pb.Voter(name=name, address=address_text(spec.addresses[name]), region=CONTROL_ZONE)
         for name in spec.shape.publisher_names()
@@ -22,7 +22,7 @@
 
 
 def relays_of(spec: WorldSpec) -> list[pb.ZoneRelay]:
-    """All relays."""
+    """Returns the settings of all relays."""
     shape = spec.shape
     return [
         pb.ZoneRelay(
@@ -37,7 +37,7 @@
 
 
 def control_settings(spec: WorldSpec, name: str) -> pb.Settings:
-    """Of one control process."""
+    """Returns the settings of one control process."""
     is_voter = name in spec.shape.publisher_names()
     control = pb.Control(
         fleet=FLEET,
@@ -55,11 +55,11 @@
 
 
 def gateway_settings(spec: WorldSpec) -> pb.Distribution:
-    """What all fronts of one host share: all but name, zone and listen."""
+    """Returns the settings that all gateways of one host share: all but name, zone and listen."""
     return pb.Distribution(fleet=FLEET, relays=relays_of(spec), prefixes=PREFIXES, engines=True)
 
 
 def gateway_listen_address(shape: Shape, loopback: str, name: str) -> str:
-    """Where a front listens: on its host's own loopback address, the port by its number."""
+    """Returns a gateway's listen address: its host's own loopback address, with a port by its number."""
     number = int(name.rpartition("f")[2])
     return f"{loopback}:{LOOPBACK_PORT + number // shape.hosts}"
--- a/lichenquay/testbed/scale/slopes.py
+++ b/lichenquay/testbed/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Fits of each role's cost over the number of fronts, and the prediction for the size that was held out."""
+"""Fits each role's cost over the number of gateways, and predicts the held-out size."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class SizeSample:
-    """One window of measurement at one number of fronts."""
+    """Holds one window of measurement at one number of gateways."""
 
     fronts: int
     costs: dict[Role, RoleCost]
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """A prediction beside what was measured then, of one metric at the held-out size."""
+    """Holds a prediction and the later measurement of one metric at the held-out size."""
 
     value: float
     low: float
@@ -32,12 +32,12 @@
 
 
 def metric_of(role: Role, cost: str) -> str:
-    """The name of a metric: all members of the role together."""
+    """Returns the name of a metric, which sums over all members of the role."""
     return f"{role.value}_{cost}_total"
 
 
 def values_of(sample: SizeSample) -> dict[str, float]:
-    """Every metric of a sample."""
+    """Returns every metric of a sample."""
     values = {}
     for role in FITTED_ROLES:
         if role in sample.costs:
@@ -47,7 +47,7 @@
 
 
 def fits_of(samples: list[SizeSample]) -> dict[str, Fit]:
-    """A line over the sizes for each metric that every sample has."""
+    """Returns a linear fit over the sizes for each metric that every sample has."""
     measured = [values_of(sample) for sample in samples]
     shared = [name for name in measured[0] if all(name in values for values in measured)] if measured else []
     fits = {}
@@ -60,7 +60,7 @@
 
 
 def predictions_of(fits: dict[str, Fit], gateways: int) -> dict[str, Outcome]:
-    """What each metric will be at a size."""
+    """Returns the prediction of each metric at a size."""
     found = {}
     for name, one in fits.items():
         prediction = one.predict(gateways)
@@ -69,7 +69,7 @@
 
 
 def outcomes_of(predictions: dict[str, Outcome], samples: list[SizeSample]) -> dict[str, Outcome]:
-    """Predictions with the mean of what was measured."""
+    """Returns the predictions with the mean of the measurements."""
     measured = [values_of(sample) for sample in samples]
     found = {}
     for name, one in predictions.items():
--- a/lichenquay/testbed/scale/talker.py
+++ b/lichenquay/testbed/scale/talker.py
@@ -1,8 +1,8 @@
-"""A process that is a front's part in the fleet and nothing else: what its talk costs on real sockets.
+"""A process that runs only a gateway's fleet runtime, to measure its cost on real sockets.
 
-    python -m lichenquay.testbed.scale.talker SETTINGS WARM_S MEASURED_S
+    python -m lichenquay.testbed.scale.talker SETTINGS WARM_UP_S MEASURED_S
 
-Prints one line of JSON when the time is over: processor time, datagrams and bytes sent, each a second.
+Prints one line of JSON at the end: processor time, datagrams and bytes sent, each a second.
 """
 
 import json
@@ -16,13 +16,13 @@
 
 
 def spent(fleet: GatewayRuntime) -> tuple[float, int, int]:
-    """Processor time in milliseconds, datagrams and bytes sent so far."""
+    """Returns processor time in milliseconds, datagrams and bytes sent so far."""
     post = fleet.datagrams
     return time.process_time() * 1_000, post.counters["datagrams sent"], post.bytes_out
 
 
 def main(path: str, warm_up_s: float, measured_s: float) -> None:
-    """Talks for the two times, then tells of the second one."""
+    """Runs for the warm-up and the measured time, then prints the rates of the latter."""
     fleet = GatewayRuntime(reactor, read_file(path, read_settings).fleet, 1, lambda: False)
     trouble = fleet.open()
     if trouble:
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -1,8 +1,8 @@
 """The same decision classes, client, scenarios and audit in virtual time, for sizes that can't run in real
 time.
 
-Networks are FleetNet's: each message is serialised and parsed, none has an envelope. What virtual time does
-not show is the processors' time and queues in sockets.
+The network is FleetNet's: each message is serialised and parsed, none has an envelope. Virtual time does not
+show processor time and socket queues.
 """
 
 import random
@@ -31,10 +31,12 @@
 
 
 class VirtualVoter:
-    """A voter's group and its publisher as one part; `disk` keeps its records from one start to the next."""
+    """Combines a voter's group, publisher and lease candidate as one decision module; `disk` keeps its
+    records across restarts.
+    """
 
     def __init__(self, host, shape: Shape, settings: Settings, disk: "Disk"):
-        """Claims the lease while nobody holds it."""
+        """Campaigns for the lease while it has no holder."""
         self.disk = disk
         self.group, self.publisher = make_voter(
             host.name,
@@ -51,28 +53,28 @@
 
     @property
     def due_ms(self):
-        """Of whichever is due first."""
+        """Returns when the first of its parts is due."""
         return min(part.due_ms for part in self.parts())
 
     def tick(self, now_ms):
-        """All that are due."""
+        """Runs all parts that are due."""
         for part in self.parts():
             if part.due_ms <= now_ms:
                 part.tick(now_ms)
         self._gather()
 
     def parts(self):
-        """As production's voter has them."""
+        """Returns the parts in production's order."""
         return self.group, self.publisher, self.candidate
 
     def on_message(self, now_ms, sender, message):
-        """By the kind of message."""
+        """Passes a message to the part that handles its type."""
         part = self.group if isinstance(message, lease_pb2.Message) else self.publisher
         part.on_message(now_ms, sender, message)
         self._gather()
 
     def stored(self, now_ms, number, is_stored):
-        """The disk's answer."""
+        """Passes the result of a write to the group."""
         self.group.on_stored(now_ms, number, is_stored)
         self._gather()
 
@@ -84,7 +86,7 @@
 
 @dataclass
 class Disk:
-    """What a voter has on disk, and its faults."""
+    """Holds the records on a voter's disk, and the disk's faults."""
 
     records: dict = field(default_factory=dict)
     full: bool = False
@@ -92,10 +94,10 @@
 
 
 class VirtualWorld:
-    """Publishers, relays, fronts and the client: a `Stage` in virtual time."""
+    """Holds publishers, relays, gateways and the client: a `ScenarioEnvironment` in virtual time."""
 
     def __init__(self, shape: Shape, settings: Settings = DEFAULT_SETTINGS):
-        """Control processes and the client run; no front yet. `settings`: of distribution."""
+        """Starts control processes and the client, but no gateway. `settings`: of distribution."""
         self.shape, self.settings = shape, settings
         self.net = FleetNet(f"{shape.seed}/virtual")
         self.impairment = Impairment(f"{shape.seed}/virtual")
@@ -115,7 +117,7 @@
         self.net.host(CLIENT, lambda host: {Layer.DISTRIBUTION: self.client})
 
     def run_until(self, condition, timeout_ms: float) -> bool:
-        """Runs until `is_so()`, for `most_ms` at most; False: it was not."""
+        """Runs until `condition()`, for `timeout_ms` at most; returns False on a timeout."""
         until_ms = self.net.now_ms + timeout_ms
         while not condition():
             if self.net.now_ms >= until_ms:
@@ -125,11 +127,11 @@
 
     @property
     def now_ms(self):
-        """Virtual time."""
+        """Returns the virtual time in milliseconds."""
         return self.net.now_ms
 
     def run(self, seconds, progress):
-        """Virtual seconds, and until all that was put off is done."""
+        """Runs for so many virtual seconds, and on until all scheduled calls are done."""
         started_at_ms = self.net.now_ms
         until_ms = started_at_ms + seconds * 1000
         while self.net.now_ms < max(until_ms, self.last_ms):
@@ -137,53 +139,53 @@
             progress(min(seconds, (self.net.now_ms - started_at_ms) / 1000))
 
     def call_later(self, seconds, call, *arguments):
-        """By virtual time."""
+        """Schedules a call in virtual time."""
         at_ms = self.net.now_ms + seconds * 1000
         self.last_ms = max(self.last_ms, at_ms)
         self.net.at(at_ms, call, *arguments)
 
     def set_rate(self, per_s):
-        """Of the client."""
+        """Sets the client's rate of changes a second."""
         self.net.call(CLIENT, Layer.DISTRIBUTION, "set_rate", per_s)
 
     def newest_version(self):
-        """By the client."""
+        """Returns the highest version that the client knows to be accepted."""
         return self.client.newest_version()
 
     def kill(self, name, seconds):
-        """With all that it has not stored."""
+        """Kills a host with all that it has not stored, and starts it again later."""
         self.net.kill(name)
         self.call_later(seconds, self.net.start, name)
 
     def pause(self, name, seconds):
-        """What comes meanwhile waits, as in a socket's buffer."""
+        """Pauses a host; messages queue meanwhile, as in a socket's buffer."""
         self.net.pause(name, seconds * 1000)
 
     def fail_disk(self, name, seconds, full, delay_ms):
-        """The disk outlives the process."""
+        """Makes a disk full or slow; the disk outlives the process."""
         disk = self.disks[name]
         disk.full, disk.delay_ms = full, DISK_MS + delay_ms
         self.call_later(seconds, self._restore_disk, disk)
 
     def pause_reading(self, names, seconds):
-        """They stand still altogether."""
+        """Pauses the gateways altogether."""
         for name in names:
             self.net.pause(name, seconds * 1000)
 
     def impair(self, rules):
-        """For every message from now on."""
+        """Replaces the rules for every message from now on."""
         self.impairment.rules = rules
 
     def running_among(self, names):
-        """Those that run."""
+        """Returns those of the gateways that run."""
         return [name for name in names if name in self.running]
 
     def leader(self) -> str:
-        """The publisher that holds the lease, else whom the client asks."""
+        """Returns the publisher that holds the lease, else the one that the client uses."""
         return self.holder() or self.client.leader
 
     def holder(self) -> str | None:
-        """The publisher that holds the lease."""
+        """Returns the publisher that holds the lease, or None."""
         for name in self.shape.publisher_names():
             host = self.net.hosts[name]
             if host.up and not host.paused and host.parts[Layer.DISTRIBUTION].group.holds(host.now_ms()):
@@ -191,19 +193,19 @@
         return None
 
     def settled(self) -> bool:
-        """Whether every change has its outcome, and all fronts have the newest version."""
+        """Whether every change has its outcome, and all gateways have the newest version in force."""
         newest_version = self.client.newest_version()
         return self.client.is_idle and all(
             lifetime.last_version == newest_version for lifetime in self.running.values()
         )
 
     def propose(self, entries):
-        """A change of the run's own."""
+        """Proposes a change and runs the client's tick."""
         self.client.propose(entries)
         self.net.call(CLIENT, Layer.DISTRIBUTION, "tick")
 
     def start_gateways(self, names):
-        """Starts those that do not run."""
+        """Starts those of the gateways that do not run."""
         for name in names:
             if name in self.running:
                 continue
@@ -215,7 +217,7 @@
                 self.net.host(name, self._make_front)
 
     def stop_gateways(self, names):
-        """Ends those that run, without a word."""
+        """Ends those of the gateways that run, without notifying anyone."""
         for name in names:
             lifetime = self.running.pop(name, None)
             if lifetime is not None:
@@ -223,7 +225,7 @@
                 self.net.kill(name)
 
     def end(self):
-        """Keeps what the fronts hold."""
+        """Records the final state of the gateways."""
         for name, lifetime in self.running.items():
             subscriber = self.net.hosts[name].parts[Layer.DISTRIBUTION]
             lifetime.values_digest = values_digest(subscriber.applied_values)
@@ -246,7 +248,7 @@
         return {Layer.DISTRIBUTION: subscriber}
 
     def _delivery_copies(self, number, source, target, layer, message):
-        """The impairment's word for a message; None: FleetNet's own usual delay."""
+        """Returns the copies to deliver under the impairment rules; None for FleetNet's default delay."""
         if not self.impairment.rules:
             return None
         delays = self.impairment.delays_for(zone_of_name(source), zone_of_name(target))
@@ -267,7 +269,7 @@
         disk.full, disk.delay_ms = False, DISK_MS
 
     def _store(self, name, host_life, number, changes):
-        """Risk: a store of an earlier life must not be answered to a later one."""
+        """Stores a write's changes; a write of an earlier start is not answered to a later one."""
         disk, host = self.disks[name], self.net.hosts[name]
         if host.life != host_life:
             return
@@ -278,7 +280,7 @@
 
 @dataclass(frozen=True)
 class RelayLocation:
-    """A relay, as production's ranking takes it."""
+    """Holds a relay's name, zone and region, as production's ranking requires them."""
 
     name: str
     zone: str
@@ -286,7 +288,7 @@
 
 
 def relay_locations(shape: Shape) -> list[RelayLocation]:
-    """All relays."""
+    """Returns the locations of all relays."""
     return [
         RelayLocation(name, zone, shape.region_of(zone))
         for zone in shape.zones
@@ -295,5 +297,5 @@
 
 
 def accept_all(now_ms, changed, whole):
-    """Puts every change in force."""
+    """Accepts every change; a subscriber calls it before it puts changes in force."""
     return None
--- a/lichenquay/testbed/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class VirtualPlan:
-    """What a virtual run plays. Times are virtual seconds."""
+    """Describes which scenarios a virtual run has. Times are virtual seconds."""
 
     shape: s.Shape
     scenarios: list[s.Scenario]
@@ -26,7 +26,7 @@
 
 @dataclass
 class VirtualRunResult:
-    """All that a virtual run kept, for its figures."""
+    """Holds the results of a virtual run, from which its figures are computed."""
 
     plan: VirtualPlan
     scenario_results: list[ScenarioResult] = field(default_factory=list)
@@ -41,7 +41,9 @@
 
 
 def plan_of(gateways: int, engine_count: int, seed: int) -> VirtualPlan:
-    """The scenarios whose aims are stated, and a pause past the lease."""
+    """Returns a plan with the scenarios for which targets are stated, a pause past the lease, and a bad
+    network.
+    """
     shape = s.Shape(fronts=gateways, engines=engine_count, seed=seed)
     scenarios = [
         s.failover(shape, 20.0, 1.0),
@@ -54,16 +56,16 @@
 
 
 class VirtualRunner:
-    """One run. `progress` is told the share that is done."""
+    """Executes one run. `progress` receives the completed share, 0 to 1."""
 
     def __init__(self, plan: VirtualPlan, progress: Callable[[float], None] = lambda share: None):
-        """Nothing runs yet."""
+        """Prepares the world without running it."""
         self.plan, self.progress = plan, progress
         self.result = VirtualRunResult(plan)
         self.world = VirtualWorld(plan.shape)
 
     def run(self) -> VirtualRunResult:
-        """Runs all of it. Raises CannotStart where no publisher leads."""
+        """Executes the run. Raises CannotStart where no publisher leads."""
         started_at_s = time.process_time()
         self._prepare()
         self._measure_calm()
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: started, told what to do, killed and paused by process id, and ended."""
+"""The processes of a scale run: starts, commands, kills, pauses and ends them, always by process id."""
 
 import os
 import signal
@@ -23,7 +23,7 @@
 
 @dataclass
 class ChildProcess:
-    """A process of the run, which may have been started several times."""
+    """Holds a process of the run, which may be started several times."""
 
     name: str
     arguments: list[str]
@@ -33,7 +33,7 @@
     ready: bool = False
 
     def start(self):
-        """Starts it; `wait_ready` waits for its first word."""
+        """Starts the process; `wait_ready` waits until it is ready."""
         with open(self.log, "a", encoding="utf-8") as log:
             self.process = subprocess.Popen(
                 [sys.executable, *self.arguments],
@@ -49,42 +49,42 @@
 
     @property
     def runs(self) -> bool:
-        """Whether there is a process now."""
+        """Whether the process runs now."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def answers(self) -> bool:
-        """Whether it takes orders now."""
+        """Whether it accepts commands now."""
         return self.runs and self.ready and not self.paused
 
     def wait_ready(self, seconds=READY_S):
-        """Raises CannotStart where it does not say so in time."""
+        """Waits for READY. Raises CannotStart on a timeout."""
         if not self.ready and read_line(self.process, seconds) != READY:
             lines = self.log.read_text().strip().splitlines()
             raise CannotStart(f"{self.name} did not start: {lines[-1] if lines else 'no word of it'}")
         self.ready = True
 
     def poll_ready(self) -> bool:
-        """Whether it said READY just now."""
+        """Reads READY if it has been written, and returns whether the process became ready by it."""
         if self.ready or not self.runs or self.paused or read_line(self.process, 0.0) != READY:
             return False
         self.ready = True
         return True
 
     def pause(self):
-        """SIGSTOP."""
+        """Sends SIGSTOP."""
         if self.runs:
             self.paused = True
             self.process.send_signal(signal.SIGSTOP)
 
     def resume(self):
-        """SIGCONT."""
+        """Sends SIGCONT."""
         if self.runs:
             self.process.send_signal(signal.SIGCONT)
             self.paused = False
 
     def send_command(self, order) -> bool:
-        """Gives an order; False: it has ended."""
+        """Sends a command; returns False where the process has ended."""
         try:
             self.process.stdin.write(orders.encode_command(order) + "\n")
             self.process.stdin.flush()
@@ -93,14 +93,14 @@
         return True
 
     def count(self) -> orders.Counts | None:
-        """Its counts; None where it does not answer."""
+        """Requests the counts; returns None where it does not answer."""
         if not self.answers or not self.send_command(orders.Count()):
             return None
         line = read_line(self.process, ANSWER_S)
         return orders.decode_counts(line) if line else None
 
     def kill(self):
-        """SIGKILL, and waits for its end."""
+        """Sends SIGKILL, and waits for the process to end."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True)
 class RoleUsage:
-    """Counters of one process at one time."""
+    """Holds the counters of one process at one time."""
 
     name: str
     usage: measure.Usage
@@ -120,7 +120,7 @@
 
 @dataclass
 class World:
-    """All processes; a context that ends them whatever happens."""
+    """Holds all processes; as a context it ends them in every case."""
 
     shape: Shape
     folder: Path
@@ -131,7 +131,7 @@
     rules: list = field(default_factory=list)  # Of the network, now.
 
     def __enter__(self):
-        """Starts the control processes and the hosts, without a front yet."""
+        """Starts the control processes and the gateway hosts, without any gateway."""
         self.folder.mkdir(parents=True, exist_ok=True)
         names = self.shape.control_names()
         loopbacks = loopback_addresses(self.shape.hosts)
@@ -153,7 +153,7 @@
         return self
 
     def __exit__(self, *exception):
-        """Ends every process by its id."""
+        """Kills every process by its id."""
         for child in self.children():
             child.kill()
 
@@ -161,42 +161,42 @@
         return ChildProcess(name, ["-m", *arguments], self.folder / f"{name}.log")
 
     def children(self) -> list[ChildProcess]:
-        """Of all roles."""
+        """Returns the processes of all roles."""
         return [*self.control.values(), *self.hosts]
 
     def host_of(self, gateway: str) -> ChildProcess:
-        """The process that holds a front."""
+        """Returns the process that holds a gateway."""
         return self.hosts[int(gateway.rpartition("f")[2]) % len(self.hosts)]
 
     def start_gateways(self, names):
-        """Starts hollow fronts, all at once."""
+        """Starts lightweight gateways, all at once."""
         self._send_to_hosts(orders.StartFronts, names)
         self.running.update(names)
 
     def stop_gateways(self, names):
-        """Ends hollow fronts without a word."""
+        """Ends lightweight gateways without notifying anyone."""
         self._send_to_hosts(orders.StopFronts, names)
         self.running.difference_update(names)
 
     def read_slowly(self, names, on):
-        """Fronts stop reading their sockets, or read on."""
+        """Makes gateways stop reading their sockets, or resume."""
         self._send_to_hosts(orders.ReadSlowly, names, on)
 
     def impair(self, rules):
-        """The network's rules, for all processes."""
+        """Replaces the network's rules in all processes."""
         self.rules = list(rules)
         for child in self.children():
             if child.runs:
                 child.send_command(orders.Impair(self.rules))
 
     def poll_ready(self):
-        """Processes that were started anew and are ready get the network's rules."""
+        """Sends the network's rules to processes that were restarted and became ready."""
         for child in self.children():
             if child.poll_ready():
                 child.send_command(orders.Impair(self.rules))
 
     def usage(self) -> list[RoleUsage]:
-        """Of every process that answers."""
+        """Returns the counters of every process that answers."""
         found = []
         for child in self.children():
             counts = child.count()
@@ -205,7 +205,7 @@
         return found
 
     def leader(self) -> str | None:
-        """The publisher that says that it leads."""
+        """Returns the publisher that reports that it leads, or None."""
         for name in self.shape.publisher_names():
             counts = self.control[name].count()
             if counts is not None and counts.leads:
@@ -213,12 +213,12 @@
         return None
 
     def settled(self, version: int) -> bool:
-        """Whether every hollow front has a version in force."""
+        """Whether every lightweight gateway has this version in force."""
         counts = [host.count() for host in self.hosts]
         return all(c is not None and (not c.fronts or c.oldest >= version) for c in counts)
 
     def end_hosts(self):
-        """The hosts write their records and exit."""
+        """Makes the gateway hosts write their records and exit."""
         for host in self.hosts:
             host.send_command(orders.End())
         until = time.monotonic() + END_S
@@ -229,7 +229,7 @@
                 raise CannotStart(f"{host.name} did not end in {END_S:g} s") from None
 
     def record_paths(self) -> list[Path]:
-        """Where the hosts' records are, after `end_hosts`."""
+        """Returns the paths of the hosts' records, which exist after `end_hosts`."""
         return [self.folder / f"{host.name}.npz" for host in self.hosts]
 
     def _send_to_hosts(self, order, names, *more):
@@ -240,15 +240,15 @@
 
 
 def loopback_addresses(hosts: int) -> list[str]:
-    """Addresses for the fronts of each host, which another run on this machine does not have at the same
-    time.
+    """Returns a loopback address for each host's gateways, which no other run on this machine uses at the
+    same time.
     """
     own = os.getpid()
     return [f"127.{100 + own // 250 % 100}.{own % 250}.{2 + number}" for number in range(hosts)]
 
 
 def free_addresses(names) -> dict[str, tuple[str, int]]:
-    """Loopback addresses whose UDP ports are free now, for these names."""
+    """Returns loopback addresses for these names, with UDP ports that are free now."""
     sockets, addresses = [], {}
     try:
         for name in names:
--- a/lichenquay/testbed/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -1,4 +1,6 @@
-"""What each process of a scale run is told at its start: a JSON file that all of them share."""
+"""The specification that each process of a scale run reads at its start: a JSON file that all of
+them share.
+"""
 
 import json
 from dataclasses import asdict, dataclass
@@ -18,9 +20,9 @@
 
 @dataclass(frozen=True)
 class WorldSpec:
-    """The world's shape, where its processes listen, and where reports go.
+    """Holds the world's shape, where its processes listen, and the folder of its files.
 
-    `addresses`: of control processes. `loopbacks`: the address of each host's fronts.
+    `addresses`: of control processes. `loopbacks`: the address of each host's gateways.
     """
 
     shape: Shape
@@ -30,16 +32,16 @@
 
     @property
     def path(self) -> Path:
-        """Where the processes read it."""
+        """Returns the path of the file."""
         return Path(self.folder) / "world.json"
 
     def write(self) -> None:
-        """Writes the file that `read` takes."""
+        """Writes the file that `read` reads."""
         self.path.write_text(json.dumps(asdict(self)))
 
 
 def read(path: str) -> WorldSpec:
-    """The spec that `write` wrote."""
+    """Returns the spec that `write` wrote."""
     spec = json.loads(Path(path).read_text())
     addresses = {name: (host, port) for name, (host, port) in spec["addresses"].items()}
     return WorldSpec(Shape(**spec["shape"]), addresses, spec["loopbacks"], spec["folder"])
