--- a/lichenquay/testbed/scale/audit.py
+++ b/lichenquay/testbed/scale/audit.py
@@ -14,7 +14,7 @@
 from lichenquay.testbed.scale.record import NEVER, GatewayLifetime
 
 ANSWERED = ("queries finished", "queries deferred", "queries killed")
-MAX_LINES_PER_RULE = 40  # Of breaks of one rule; the rest is counted.
+MAX_VIOLATIONS_PER_RULE = 40  # For each rule; further violations are only counted.
 
 
 @dataclass
@@ -33,59 +33,65 @@
     """
     findings = Findings()
     accepted = sorted((p for p in proposals if p.accepted_ms is not None), key=lambda p: p.version)
-    lines = check_proposals(proposals, accepted)
-    lines += check_order(lifetimes, findings)
-    lines += check_queries(lifetimes)
-    lines += check_final_state(accepted, lifetimes, gateways_up, findings)
+    violations = check_proposals(proposals, accepted)
+    violations += check_order(lifetimes, findings)
+    violations += check_queries(lifetimes)
+    violations += check_final_state(accepted, lifetimes, gateways_up, findings)
     findings.never_in_force = config_figures(accepted, lifetimes).never_in_force
     if findings.never_in_force:
-        lines.append(f"{findings.never_in_force} pairs of accepted change and front were never in force")
-    findings.broken_rules = lines
+        violations.append(
+            f"{findings.never_in_force} pairs of accepted change and gateway were never in force"
+        )
+    findings.broken_rules = violations
     return findings
 
 
 def check_proposals(proposals: list[Proposal], accepted: list[Proposal]) -> list[str]:
     """Checks that every proposal has an outcome and that no two accepted changes share a version."""
-    lines = []
+    violations = []
     unknown = sum(not proposal.is_decided for proposal in proposals)
     if unknown:
-        lines.append(f"{unknown} of {len(proposals)} proposals have no outcome")
+        violations.append(f"{unknown} of {len(proposals)} proposals have no outcome")
     for before, after in zip(accepted, accepted[1:], strict=False):
         if before.version == after.version:
-            lines.append(f"two accepted changes have version {after.version}")
-    return shortened(lines)
+            violations.append(f"two accepted changes have version {after.version}")
+    return truncated_list(violations)
 
 
 def check_order(lifetimes: list[GatewayLifetime], findings: Findings) -> list[str]:
     """Checks that the version in force never goes back within a lifetime."""
-    lines = []
+    violations = []
     for lifetime in lifetimes:
         regressions = sum(
             after < before for before, after in zip(lifetime.versions, lifetime.versions[1:], strict=False)
         )
         findings.out_of_order += regressions
         if regressions:
-            lines.append(f"{lifetime.name}: its version went back {regressions} times")
+            violations.append(f"{lifetime.name}: its version went back {regressions} times")
         if lifetime.truncated:
-            lines.append(f"{lifetime.name}: more steps than are kept, so it can't be judged")
+            violations.append(f"{lifetime.name}: its record is truncated, so its order can't be checked")
         if lifetime.prefixes_wrong:
-            lines.append(f"{lifetime.name}: holds {lifetime.prefixes_wrong} keys that it did not ask for")
-    return shortened(lines)
+            violations.append(
+                f"{lifetime.name}: holds {lifetime.prefixes_wrong} keys outside its subscription"
+            )
+    return truncated_list(violations)
 
 
 def check_queries(lifetimes: list[GatewayLifetime]) -> list[str]:
     """Checks that every query submitted at a lightweight gateway is answered once or still open, and that its
     controller raised no exception.
     """
-    lines = []
+    violations = []
     for lifetime in lifetimes:
         counts = Counter(lifetime.counts)
         answered = sum(counts[what] for what in ANSWERED)
         if counts["queries asked"] != answered + counts["queries open"]:
-            lines.append(f"{lifetime.name}: {counts['queries asked']} queries asked, {answered} answered")
+            violations.append(
+                f"{lifetime.name}: {counts['queries asked']} queries asked, {answered} answered"
+            )
         if counts["faults"]:
-            lines.append(f"{lifetime.name}: its controller met {counts['faults']} faults")
-    return shortened(lines)
+            violations.append(f"{lifetime.name}: its controller raised {counts['faults']} exceptions")
+    return truncated_list(violations)
 
 
 def check_final_state(
@@ -96,21 +102,22 @@
     """
     newest = accepted[-1].version if accepted else 0
     expected = expected_digest(accepted)
-    up = [lifetime for lifetime in lifetimes if lifetime.ended_ms == NEVER]
-    lines = []
-    if len(up) != gateways_up:
-        lines.append(f"{len(up)} fronts kept a record to the end, {gateways_up} were up")
-    for lifetime in up:
+    running = [lifetime for lifetime in lifetimes if lifetime.ended_ms == NEVER]
+    violations = []
+    if len(running) != gateways_up:
+        violations.append(f"{len(running)} gateways wrote a record up to the end, {gateways_up} were running")
+    for lifetime in running:
         if lifetime.last_version != newest:
-            lines.append(
-                f"{lifetime.name}: version {lifetime.last_version} after rest, {newest} is the newest"
+            violations.append(
+                f"{lifetime.name}: version {lifetime.last_version} after the settling time, "
+                f"{newest} is the newest"
             )
         elif lifetime.values_digest != expected:
-            lines.append(f"{lifetime.name}: holds other values than version {newest} has")
+            violations.append(f"{lifetime.name}: holds other values than version {newest} has")
         else:
             continue
         findings.two_versions_after_rest += 1
-    return shortened(lines)
+    return truncated_list(violations)
 
 
 def expected_digest(accepted: list[Proposal]) -> str:
@@ -127,8 +134,11 @@
     return values_digest(values)
 
 
-def shortened(lines: list[str]) -> list[str]:
-    """Returns the first `MAX_LINES_PER_RULE` lines and a count of the others."""
-    if len(lines) <= MAX_LINES_PER_RULE:
-        return lines
-    return [*lines[:MAX_LINES_PER_RULE], f"and {len(lines) - MAX_LINES_PER_RULE} more of the kind"]
+def truncated_list(violations: list[str]) -> list[str]:
+    """Returns the first `MAX_VIOLATIONS_PER_RULE` violations and a count of the others."""
+    if len(violations) <= MAX_VIOLATIONS_PER_RULE:
+        return violations
+    return [
+        *violations[:MAX_VIOLATIONS_PER_RULE],
+        f"and {len(violations) - MAX_VIOLATIONS_PER_RULE} more of the kind",
+    ]
--- a/lichenquay/testbed/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -171,7 +171,7 @@
 
 def slope_json(slope: Slope) -> dict:
     """Returns one quantity with its samples and fit as plain values."""
-    held = slope.held_out
+    held_out = slope.held_out
     return {
         "what": slope.what,
         "unit": slope.unit,
@@ -179,10 +179,10 @@
         "sizes": sorted({s.size for s in slope.samples}),
         "fit": asdict(slope.fit) if slope.fit else None,
         "held_out": {
-            "size": held.size,
-            "predicted": asdict(held.predicted) if held.predicted else None,
-            "measured": held.measured,
-            "within": held.within,
+            "size": held_out.size,
+            "predicted": asdict(held_out.predicted) if held_out.predicted else None,
+            "measured": held_out.measured,
+            "within": held_out.within,
         },
         "samples": [{"size": s.size, "values": s.values} for s in slope.samples],
     }
--- a/lichenquay/testbed/scale/client.py
+++ b/lichenquay/testbed/scale/client.py
@@ -13,7 +13,7 @@
 from lichenquay.distribution import distribution_pb2 as pb
 
 RETRY_MS = 400.0
-REDIRECT_MS = 20.0  # Until the publisher that another one named is asked.
+REDIRECT_MS = 20.0  # Delay before a retry at the publisher that another one named.
 MAX_IN_FLIGHT = 32
 INF = float("inf")
 
@@ -50,7 +50,7 @@
         self.outbox = []
         self._waiting: deque[Proposal] = deque()
         self._in_flight: dict[int, Proposal] = {}
-        self._per_s, self._next_ms = 0.0, INF
+        self._changes_per_s, self._next_ms = 0.0, INF
 
     def propose(self, entries) -> Proposal:
         """Queues a change, which is sent at the next tick."""
@@ -59,10 +59,10 @@
         self._waiting.append(proposal)
         return proposal
 
-    def set_rate(self, now_ms: float, per_s: float):
+    def set_rate(self, now_ms: float, changes_per_s: float):
         """Sets the rate of changes a second, the first after half an interval; 0 stops them."""
-        self._per_s = per_s
-        self._next_ms = now_ms + 500 / per_s if per_s else INF
+        self._changes_per_s = changes_per_s
+        self._next_ms = now_ms + 500 / changes_per_s if changes_per_s else INF
 
     @property
     def is_idle(self) -> bool:
@@ -89,13 +89,13 @@
     def tick(self, now_ms: float):
         """Creates the change that is due, and sends or retries proposals that are due."""
         if now_ms >= self._next_ms:
-            self._next_ms += 1000 / self._per_s
+            self._next_ms += 1000 / self._changes_per_s
             self.propose(self.make_entries(len(self.proposals), self.rng))
         while self._waiting and len(self._in_flight) < MAX_IN_FLIGHT:
             proposal = self._waiting.popleft()
             proposal.proposed_ms = now_ms
             self._in_flight[proposal.request_id] = proposal
-        due = [one for one in self._in_flight.values() if one.sent_ms + RETRY_MS <= now_ms]
+        due = [proposal for proposal in self._in_flight.values() if proposal.sent_ms + RETRY_MS <= now_ms]
         if any(proposal.attempts for proposal in due):
             self._select_another()
         for proposal in due:
@@ -135,6 +135,6 @@
             return
         self.leader = not_leader.leader
         for proposal in self._in_flight.values():
-            # Risk: two publishers that name each other are asked as fast as they answer.
+            # The delay bounds the retries between two publishers that name each other as the leader.
             proposal.sent_ms = min(proposal.sent_ms, now_ms - RETRY_MS + REDIRECT_MS)
             proposal.attempts = 0
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -44,7 +44,7 @@
         self.host.new_store = partial(DurableStore, file_system=self.disk)
 
     def start(self):
-        """Opens folder and socket and joins the group; a problem ends the process with one line."""
+        """Opens folder and socket and starts the host; a problem ends the process with one line."""
         problem = self.host.open()
         if problem is not None:
             print(problem, file=sys.stderr, flush=True)
@@ -53,9 +53,9 @@
         self.host.begin()
         write_answer("READY")
 
-    def execute(self, order):
+    def execute(self, command):
         """Executes one command."""
-        match order:
+        match command:
             case orders.Impair(rules):
                 self.network.impairment.rules = list(rules)
             case orders.FailDisk(full, delay_ms):
@@ -77,7 +77,7 @@
     """Runs the process until it receives `End` or its input ends."""
     from twisted.internet import reactor
 
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # On Ctrl-C the run ends its processes itself.
     process = ControlProcess(reactor, read(arguments[0]), arguments[1])
     gc.freeze()
     reactor.callWhenRunning(process.start)
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -19,7 +19,7 @@
 HELD_OUT = 25_000
 GATEWAYS = 24
 WINDOW_S = 5.0
-DOWN_S = 0.5
+RESTART_PAUSE_S = 0.5
 START_WAIT_S = 3.0
 SETTLE_TIMEOUT_S = 90.0
 
@@ -69,7 +69,7 @@
     def run(self) -> EngineSweepResult:
         """Runs the sweep. Raises CannotStart where a process does not start or engines can't be listed."""
         with self.driver:
-            self.base = self.driver.read()
+            self.base = self.driver.read_usage()
             self.driver.grow_to(GATEWAYS)
             listed = 0
             for number, size in enumerate((*self.sizes, self.held_out)):
@@ -88,7 +88,7 @@
                 f"{size} engines were not in force everywhere after {SETTLE_TIMEOUT_S:g} s"
             )
         behind_s = time.monotonic() - started_at_s
-        before, after = self.driver.window(WINDOW_S, 0.0)
+        before, after = self.driver.measure_window(WINDOW_S, 0.0)
         costs = costs_between(before, after, self.base, self.shape)
         metrics = {"listing_s": listing_s, "behind_after_listing_s": behind_s}
         for role in (Role.GATEWAY, Role.RELAY, Role.PUBLISHER):
@@ -96,13 +96,13 @@
                 metrics[f"{role.value}_kb"] = costs[role].of_one().kb
                 metrics[f"{role.value}_cpu_share_at_rest"] = costs[role].of_one().cpu_share
         names = tuple(self.shape.gateway_names())
-        restart = s.FaultEvent(0.0, s.FaultKind.RESTART_GATEWAYS, names, DOWN_S)
+        restart = s.FaultEvent(0.0, s.FaultKind.RESTART_GATEWAYS, names, RESTART_PAUSE_S)
         scenario_result = self.driver.run_scenario(s.Scenario("restart", START_WAIT_S, 0.0, [restart]))
         return EngineSample(size, metrics, scenario_result.restarted_ms, scenario_result.version_at_restart)
 
     def _finish(self):
         result, driver = self.result, self.driver
-        driver.read()
+        driver.read_usage()
         result.processes, result.memory_share = len(driver.world.children()) + 1, driver.memory_share
         lifetimes = driver.end()
         result.findings = audit(driver.proposer.proposals, lifetimes, len(driver.world.running))
@@ -117,11 +117,11 @@
         for name in fitted[0].metrics:
             points = [(sample.engines, sample.metrics[name]) for sample in fitted if name in sample.metrics]
             try:
-                one = fit([x for x, _ in points], [y for _, y in points], Model.LINEAR)
-            except FitError:  # Too few sizes: nothing is said of this metric.
+                metric_fit = fit([x for x, _ in points], [y for _, y in points], Model.LINEAR)
+            except FitError:  # Too few sizes for a fit of this metric.
                 continue
-            predicted = one.predict(held_out.engines)
-            self.result.fits[name] = one
+            predicted = metric_fit.predict(held_out.engines)
+            self.result.fits[name] = metric_fit
             self.result.outcomes[name] = Outcome(
                 predicted.value, predicted.low, predicted.high, held_out.metrics.get(name)
             )
--- a/lichenquay/testbed/scale/engines.py
+++ b/lichenquay/testbed/scale/engines.py
@@ -9,11 +9,11 @@
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import CONFIG_PREFIX
 
-ENTRIES_PER_CHANGE = 5  # While engines are listed: a change is 720 bytes at most.
-CONFIG_KEYS = 200  # Different keys that the trickle changes.
+ENTRIES_PER_CHANGE = 5  # While engines are listed; keeps a change within 720 bytes.
+CONFIG_KEYS = 200  # Number of distinct keys among background changes.
 CONFIG_VALUE_BYTES = 120
-MAX_START_UNIX_MS = 10**12  # Unix milliseconds.
-ENGINE_CHANGE_SHARE = 0.5  # Share of the trickle that is about engines.
+MAX_START_UNIX_MS = 10**12
+ENGINE_CHANGE_SHARE = 0.5  # Share of background changes that change an engine.
 STATES = (domain.EndpointState.SERVING, domain.EndpointState.DRAINING)
 
 
--- a/lichenquay/testbed/scale/figures.py
+++ b/lichenquay/testbed/scale/figures.py
@@ -63,7 +63,9 @@
 def outcome_of(result: ScaleRunResult | VirtualRunResult) -> dict:
     """Returns the outcome of the changes, in the same form for real and virtual time."""
     unreachable_periods = [
-        one for scenario_result in result.scenario_results for one in scenario_result.unreachable_periods
+        period
+        for scenario_result in result.scenario_results
+        for period in scenario_result.unreachable_periods
     ]
     accepted = [proposal for proposal in result.proposals if proposal.accepted_ms is not None]
     background = accepted[loading_changes(result) :]
@@ -127,13 +129,13 @@
     """Returns what one more gateway (or engine) costs, and the sizes that were fitted."""
     return {
         name: {
-            "value": one.slope,
-            "low": one.low,
-            "high": one.high,
-            "intercept": one.intercept,
+            "value": fitted.slope,
+            "low": fitted.low,
+            "high": fitted.high,
+            "intercept": fitted.intercept,
             "sizes": list(sizes),
         }
-        for name, one in fits.items()
+        for name, fitted in fits.items()
     }
 
 
@@ -141,10 +143,11 @@
     """Returns predictions and outcomes at the held-out size."""
     return {
         "predicted": {
-            name: {"value": one.value, "low": one.low, "high": one.high} for name, one in outcomes.items()
+            name: {"value": outcome.value, "low": outcome.low, "high": outcome.high}
+            for name, outcome in outcomes.items()
         },
-        "measured": {name: one.measured for name, one in outcomes.items()},
-        "prediction_holds": {name: one.holds for name, one in outcomes.items()},
+        "measured": {name: outcome.measured for name, outcome in outcomes.items()},
+        "prediction_holds": {name: outcome.holds for name, outcome in outcomes.items()},
     }
 
 
@@ -158,8 +161,8 @@
         "memory_share": round(result.memory_share, 4),
         "load_average": load_average(),
         "held_out": result.samples[-1].engines,
-        "engine_sizes": [{"engines": one.engines, **one.metrics} for one in result.samples],
-        "slopes": slopes_of(result.fits, [one.engines for one in result.samples[:-1]]),
+        "engine_sizes": [{"engines": sample.engines, **sample.metrics} for sample in result.samples],
+        "slopes": slopes_of(result.fits, [sample.engines for sample in result.samples[:-1]]),
         **predictions_of(result.outcomes),
         "never_in_force": findings.never_in_force,
         "out_of_order": findings.out_of_order,
@@ -199,7 +202,7 @@
     """
     if scenario_result.recovered_ms is None:
         return None
-    names = frozenset().union(*(one.names for one in scenario_result.unreachable_periods))
+    names = frozenset().union(*(period.names for period in scenario_result.unreachable_periods))
     return recovery_seconds(
         result.lifetimes, names, scenario_result.recovered_ms, scenario_result.version_at_recovery
     )
@@ -222,7 +225,11 @@
 def zone_startup_seconds(result: ScaleRunResult | VirtualRunResult) -> float | None:
     """Returns the startup time in the scenario "zone start"."""
     return next(
-        (startup_seconds_of(p, result) for p in result.scenario_results if p.scenario.name == "zone start"),
+        (
+            startup_seconds_of(scenario_result, result)
+            for scenario_result in result.scenario_results
+            if scenario_result.scenario.name == "zone start"
+        ),
         None,
     )
 
@@ -230,6 +237,10 @@
 def region_recovery_seconds(result: ScaleRunResult | VirtualRunResult) -> float | None:
     """Returns the recovery time in the scenario "region cut"."""
     return next(
-        (recovery_seconds_of(p, result) for p in result.scenario_results if p.scenario.name == "region cut"),
+        (
+            recovery_seconds_of(scenario_result, result)
+            for scenario_result in result.scenario_results
+            if scenario_result.scenario.name == "region cut"
+        ),
         None,
     )
--- a/lichenquay/testbed/scale/fit.py
+++ b/lichenquay/testbed/scale/fit.py
@@ -91,14 +91,14 @@
     def predict(self, size: float) -> Prediction:
         """Returns the value at a size, with the prediction interval of one further measurement."""
         value = self.at(size)
-        away = REGRESSORS[self.model](size) - self.regressor_mean
-        lever = away * away / self.regressor_spread if self.regressor_spread else 0.0
-        half = (
+        deviation = REGRESSORS[self.model](size) - self.regressor_mean
+        leverage = deviation * deviation / self.regressor_spread if self.regressor_spread else 0.0
+        half_width = (
             student_t(self.points - parameters(self.model))
             * self.residual
-            * sqrt(1 + 1 / self.points + lever)
+            * sqrt(1 + 1 / self.points + leverage)
         )
-        return Prediction(value, value - half, value + half)
+        return Prediction(value, value - half_width, value + half_width)
 
     def extrapolates(self, size: float) -> bool:
         """Whether a size is beyond the largest measured one."""
@@ -137,21 +137,21 @@
         raise FitError("all measurements are of one size")
     slope = float(((x - x_mean) * (y - y_mean)).sum()) / spread if spread else 0.0
     intercept = y_mean - slope * x_mean
-    left = float(((y - intercept - slope * x) ** 2).sum())
-    total = float(((y - y_mean) ** 2).sum())
-    residual = sqrt(left / degrees)
-    slope_half = quantile * residual / sqrt(spread) if spread else 0.0
-    intercept_half = quantile * residual * sqrt(1 / len(y) + (x_mean**2 / spread if spread else 0.0))
+    residual_sum = float(((y - intercept - slope * x) ** 2).sum())
+    total_sum = float(((y - y_mean) ** 2).sum())
+    residual = sqrt(residual_sum / degrees)
+    slope_half_width = quantile * residual / sqrt(spread) if spread else 0.0
+    intercept_half_width = quantile * residual * sqrt(1 / len(y) + (x_mean**2 / spread if spread else 0.0))
     return Fit(
         model=model,
         intercept=intercept,
         slope=slope,
-        low=slope - slope_half,
-        high=slope + slope_half,
-        intercept_low=intercept - intercept_half,
-        intercept_high=intercept + intercept_half,
+        low=slope - slope_half_width,
+        high=slope + slope_half_width,
+        intercept_low=intercept - intercept_half_width,
+        intercept_high=intercept + intercept_half_width,
         residual=residual,
-        r_squared=1 - left / total if total else 1.0,
+        r_squared=1 - residual_sum / total_sum if total_sum else 1.0,
         points=len(y),
         smallest=float(min(sizes)),
         largest=float(max(sizes)),
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -27,9 +27,9 @@
 from lichenquay.testbed.scale.settings_files import gateway_listen_address, gateway_settings
 from lichenquay.testbed.scale.world_spec import PREFIXES, WorldSpec, read
 
-MAX_LIFETIMES = 50_000  # Of one process's fronts.
-LISTEN_RETRY_S = 0.05  # Before a front whose address is still taken is started again ...
-MAX_LISTEN_RETRIES = 100  # ... so often at most.
+MAX_LIFETIMES = 50_000  # Over all gateways of one process.
+LISTEN_RETRY_S = 0.05  # Before another start of a gateway whose address is still in use.
+MAX_LISTEN_RETRIES = 100
 
 
 class CannotListenError(Exception):
@@ -100,12 +100,12 @@
         self.settings = gateway_settings(spec)
         self.gateways: dict[str, LightweightGateway] = {}
         self.lifetimes: list[record.GatewayLifetime] = []
-        self.deployment = None  # Of all controllers, made with the first.
-        self.ended_counts = orders.Counts()  # What fronts that have ended sent and heard.
+        self.deployment = None  # Shared by all controllers; created with the first one.
+        self.ended_counts = orders.Counts()  # Counts of gateways that have ended.
 
-    def execute(self, order):
+    def execute(self, command):
         """Executes one command."""
-        match order:
+        match command:
             case orders.StartFronts(names):
                 self.start_gateways(names)
             case orders.StopFronts(names):
@@ -198,7 +198,7 @@
     """Runs the process until it receives `End` or its input ends."""
     from twisted.internet import reactor
 
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # On Ctrl-C the run ends its processes itself.
     spec, number = read(arguments[0]), int(arguments[1])
     host = LightweightGatewayHost(reactor, spec, number)
     gc.freeze()
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -16,7 +16,7 @@
 from lichenquay.gateway.controller_adapter import ControllerAdapter, GatewayQuery
 from lichenquay.testbed.world import settings_of
 
-WORK_MS = 20.0  # Of every query.
+WORK_MS = 20.0  # The work time of every query.
 SUBMITTED, OPEN, FAULTS = "queries asked", "queries open", "faults"
 ANSWERS = {
     frames.AnswerCode.COMPLETED: "queries finished",
--- a/lichenquay/testbed/scale/impairment.py
+++ b/lichenquay/testbed/scale/impairment.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass
 
-ANY_ZONE = ""  # A zone that matches every zone.
+ANY_ZONE = ""  # Matches every zone.
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,7 @@
     source: str = ANY_ZONE
     target: str = ANY_ZONE
     loss: float = 0.0
-    delay_ms: float = 0.0  # Each datagram is late by up to so much, and so they are reordered.
+    delay_ms: float = 0.0  # The maximum; a random delay for each datagram also reorders them.
     doubled: float = 0.0
     cut: bool = False
 
--- a/lichenquay/testbed/scale/latency.py
+++ b/lichenquay/testbed/scale/latency.py
@@ -33,7 +33,7 @@
     in_force_p50_ms: float | None
     in_force_p99_ms: float | None
     in_force_max_ms: float | None
-    accepted_p99_ms: float | None  # From the proposal to the publisher's word that it is accepted.
+    accepted_p99_ms: float | None  # From the proposal to the publisher's acceptance.
     never_in_force: int
 
 
@@ -49,26 +49,26 @@
     versions = np.array([change.version for change in ordered], dtype=np.int64)
     proposed_ms = np.array([change.proposed_ms for change in ordered])
     accepted = [change.accepted_ms - change.proposed_ms for change in ordered]
-    parts, left_out, never = [], 0, 0
+    durations_by_gateway, left_out_count, never_count = [], 0, 0
     for lifetime in lifetimes:
         in_force_ms = times_in_force(lifetime, versions)
         counted = had_version(lifetime, proposed_ms)
         if lifetime.ended_ms == NEVER:
-            never += int((counted & np.isinf(in_force_ms)).sum())
+            never_count += int((counted & np.isinf(in_force_ms)).sum())
         counted &= np.isfinite(in_force_ms)
         excluded = counted & overlapping_pairs(lifetime.name, proposed_ms, in_force_ms, unreachable_periods)
-        left_out += int(excluded.sum())
-        parts.append((in_force_ms - proposed_ms)[counted & ~excluded])
-    took_ms = np.concatenate(parts) if parts else np.empty(0)
+        left_out_count += int(excluded.sum())
+        durations_by_gateway.append((in_force_ms - proposed_ms)[counted & ~excluded])
+    elapsed_ms = np.concatenate(durations_by_gateway) if durations_by_gateway else np.empty(0)
     return ConfigFigures(
         changes=len(ordered),
-        pairs=len(took_ms),
-        pairs_left_out=left_out,
-        in_force_p50_ms=percentile(took_ms, P50),
-        in_force_p99_ms=percentile(took_ms, P99),
-        in_force_max_ms=percentile(took_ms, 100),
+        pairs=len(elapsed_ms),
+        pairs_left_out=left_out_count,
+        in_force_p50_ms=percentile(elapsed_ms, P50),
+        in_force_p99_ms=percentile(elapsed_ms, P99),
+        in_force_max_ms=percentile(elapsed_ms, 100),
         accepted_p99_ms=percentile(np.array(accepted), P99),
-        never_in_force=never,
+        never_in_force=never_count,
     )
 
 
@@ -97,11 +97,11 @@
     name: str, proposed_ms: np.ndarray, in_force_ms: np.ndarray, unreachable_periods: list[UnreachablePeriod]
 ) -> np.ndarray:
     """Returns which pairs overlap a period in which the gateway was unreachable."""
-    found = np.zeros(len(proposed_ms), dtype=bool)
-    for one in unreachable_periods:
-        if name in one.names:
-            found |= (proposed_ms <= one.until_ms) & (in_force_ms >= one.from_ms)
-    return found
+    overlapping = np.zeros(len(proposed_ms), dtype=bool)
+    for period in unreachable_periods:
+        if name in period.names:
+            overlapping |= (proposed_ms <= period.until_ms) & (in_force_ms >= period.from_ms)
+    return overlapping
 
 
 def recovery_seconds(
@@ -128,13 +128,13 @@
     started = {}
     for lifetime in sorted(lifetimes, key=lambda lifetime: lifetime.started_ms):
         if lifetime.name in names and lifetime.started_ms >= started_ms:
-            started.setdefault(lifetime.name, lifetime)  # A later life is of another start.
+            started.setdefault(lifetime.name, lifetime)  # A later lifetime belongs to another start.
     if not names or set(started) != set(names):
         return None
     latest_ms = max(float(times_in_force(lifetime, versions)[0]) for lifetime in started.values())
     return round((latest_ms - started_ms) / 1000, 3) if np.isfinite(latest_ms) else None
 
 
-def percentile(values: np.ndarray, share: float) -> float | None:
+def percentile(values: np.ndarray, percent: float) -> float | None:
     """Returns a percentile rounded to microseconds; None where there are no values."""
-    return round(float(np.percentile(values, share)), 3) if len(values) else None
+    return round(float(np.percentile(values, percent)), 3) if len(values) else None
--- a/lichenquay/testbed/scale/order_reader.py
+++ b/lichenquay/testbed/scale/order_reader.py
@@ -16,7 +16,7 @@
             try:
                 command = decode_command(line)
             except UnknownCommandError as error:
-                print(f"no order: {error}", file=sys.stderr, flush=True)
+                print(f"unknown command: {error}", file=sys.stderr, flush=True)
                 continue
             reactor.callFromThread(execute, command)
         reactor.callFromThread(ended)
--- a/lichenquay/testbed/scale/orders.py
+++ b/lichenquay/testbed/scale/orders.py
@@ -62,7 +62,8 @@
 
 
 COMMANDS = {
-    order.__name__: order for order in (StartFronts, StopFronts, ReadSlowly, Impair, FailDisk, Count, End)
+    command.__name__: command
+    for command in (StartFronts, StopFronts, ReadSlowly, Impair, FailDisk, Count, End)
 }
 
 
@@ -75,14 +76,14 @@
     heard: int = 0
     heard_bytes: int = 0
     dropped: int = 0
-    fronts: int = 0  # Hollow fronts that run now.
-    oldest: int = 0  # The lowest version in force among them; of a relay, its own.
+    fronts: int = 0  # Lightweight gateways that run now.
+    oldest: int = 0  # The lowest version in force among them; for a relay, its own.
     leads: bool = False
 
 
-def encode_command(order) -> str:
+def encode_command(command) -> str:
     """Returns a command as a line."""
-    return json.dumps({"order": type(order).__name__, **asdict(order)})
+    return json.dumps({"order": type(command).__name__, **asdict(command)})
 
 
 def decode_command(line: str):
--- a/lichenquay/testbed/scale/plan.py
+++ b/lichenquay/testbed/scale/plan.py
@@ -13,15 +13,15 @@
 PRIMARY_CHANGE_TARGET_MS, CONFIGURATION_TARGET_MS = 10_000.0, 7_000.0
 DAY_S = 86_400
 
-# A front's budget for control, of all its parts together; bytes are counted both ways.
+# A gateway's budget for all its control functions together; bytes are sent and received.
 GATEWAY_PROCESSOR_MS_PER_S = 38.0
 GATEWAY_MEMORY_BYTES = 128_000_000
 GATEWAY_BYTES_PER_S = 5_000.0
 
-# A process has one thread: what it can spend a second.
+# A process has one thread, which bounds its processor time a second.
 PROCESS_MS_PER_S = 1_000.0
 
-# Assumed; the plan does not say.
+# Assumptions, as the plan gives no figures.
 EVENTS_PER_RESTART = 3  # draining, withdrawn, listed again
 TENANTS_ASSUMED = 100
 TABLE_SETS_ASSUMED = 20
--- a/lichenquay/testbed/scale/plans.py
+++ b/lichenquay/testbed/scale/plans.py
@@ -6,7 +6,7 @@
 
 REAL_GATEWAYS = 2
 LARGE_SIZES = (50, 200, 800, 2000)
-MIDDLE_SIZES = (50, 200, 400, 800)  # Where 2,000 or less is held out.
+MIDDLE_SIZES = (50, 200, 400, 800)  # Used where at most 2,000 gateways are held out.
 
 
 @dataclass(frozen=True)
@@ -16,21 +16,21 @@
     """
 
     shape: s.Shape
-    sizes: tuple[int, ...]  # Of the fit.
-    held_out: int  # Predicted before it is run; the scenarios are played at it.
+    sizes: tuple[int, ...]  # Sizes that are fitted.
+    held_out: int  # Predicted before it is measured; the scenarios run at this size.
     window_s: float
-    windows: int = 2  # At each size.
-    settle_s: float = 1.0  # After fronts were started and hold everything, before a window.
+    windows: int = 2  # Measurements at each size.
+    settle_s: float = 1.0  # Before a window, after all gateways have the newest version.
     changes_per_s: float = 1.0
     scenarios: list[s.Scenario] = field(default_factory=list)
-    settle_timeout_s: float = 20.0  # In which all fronts must come to hold one version.
-    real_fronts: int = 0  # Beside the hollow ones, under load while scenarios are played.
+    settle_timeout_s: float = 20.0  # Until all gateways must have the same version.
+    real_fronts: int = 0  # Run under load beside the lightweight ones, while scenarios run.
 
     @property
     def seconds(self) -> float:
         """Returns the approximate duration, for the progress bar."""
         measured = (len(self.sizes) + 1) * (self.settle_s + self.windows * self.window_s + 1.0)
-        return 6.0 + measured + sum(one.seconds + 1.0 for one in self.scenarios) + 2.0
+        return 6.0 + measured + sum(scenario.seconds + 1.0 for scenario in self.scenarios) + 2.0
 
 
 def short(seed: int, engines: int = 100) -> Plan:
--- a/lichenquay/testbed/scale/player.py
+++ b/lichenquay/testbed/scale/player.py
@@ -7,14 +7,14 @@
 from lichenquay.testbed.scale.latency import UnreachablePeriod
 from lichenquay.testbed.scale.scenario import FaultEvent, FaultKind, Scenario, Shape, Target, gateways_in_zone
 
-SLOW_DISK_MS = 300.0  # Longer for each fsync.
+SLOW_DISK_MS = 300.0  # Additional time of each fsync.
 
 
 class ScenarioEnvironment(Protocol):
     """The interface of the world that a scenario runs in. Every fault ends by itself after its duration."""
 
     shape: Shape
-    now_ms: float  # Of the clock that the fronts' records use.
+    now_ms: float  # By the clock that the gateways' records use.
 
     def run(self, seconds: float, progress: Callable[[float], None]) -> None:
         """Runs for so many seconds, and on until all scheduled calls are done."""
@@ -63,14 +63,14 @@
     scenario: Scenario
     started_at_ms: float
     ended_ms: float = 0.0
-    done: list[str] = field(default_factory=list)  # Lines: what was done to whom.
+    done: list[str] = field(default_factory=list)  # One line for each fault.
     unreachable_periods: list[UnreachablePeriod] = field(default_factory=list)
     recovered_ms: float | None = None
     version_at_recovery: int = 0
-    restarted: frozenset[str] = frozenset()  # The fronts of the last restart.
+    restarted: frozenset[str] = frozenset()  # The gateways of the last restart.
     restarted_ms: float | None = None
     version_at_restart: int = 0
-    settled: bool = False  # All fronts had the newest version in force at the end.
+    settled: bool = False  # Whether all gateways had the newest version in force at the end.
 
 
 def no_progress(seconds: float) -> None:
--- a/lichenquay/testbed/scale/probes/datagram.py
+++ b/lichenquay/testbed/scale/probes/datagram.py
@@ -1,22 +1,21 @@
-"""What one datagram between fronts costs by the size of its message: sealed, sent, received, opened."""
+"""Measures one datagram between gateways by the size of its message: sealed, sent, received, opened."""
 
 import random
 import socket
 from collections.abc import Callable, Sequence
 
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
-from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms
+from lichenquay.testbed.scale.sample import Progress, Sample, measure_processor_ms
 
 FLEET, FINGERPRINT, INCARNATION = "scale", 1, 1_700_000_000_000
-CALLS_PER_RUN, RUNS, TRIALS_PER_RUN = (
-    300,
-    5,
-    3,
-)  # datagrams a run; a value is the least of three: other load only adds
+CALLS_PER_RUN, RUNS = 300, 5
+TRIALS_PER_RUN = 3  # A value is the minimum of these: other load on the machine only adds time.
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: bytes of the message, up to `message_envelope.MAX_BODY_BYTES`. Sockets on 127.0.0.1 alone."""
+    """Returns the samples. `sizes`: bytes of the message, up to `message_envelope.MAX_BODY_BYTES`. Sockets
+    are on 127.0.0.1.
+    """
     rng, samples = random.Random(f"datagram/{seed}"), []
     names = ["front-0001", "front-0002"]
     sending_envelope, receiving_envelope = (
@@ -52,12 +51,15 @@
 
 
 def time_call(size: int, what: str, call: Callable[[], object]) -> Sample:
-    """Processor time of one call, by runs of many calls; the first run only warms up."""
+    """Returns the processor time of one call, from runs of many calls; the first run is a warm-up."""
 
     def run_calls() -> None:
         for _ in range(CALLS_PER_RUN):
             call()
 
     run_calls()
-    spent = [min(processor_ms(run_calls) for _ in range(TRIALS_PER_RUN)) / CALLS_PER_RUN for _ in range(RUNS)]
+    spent = [
+        min(measure_processor_ms(run_calls) for _ in range(TRIALS_PER_RUN)) / CALLS_PER_RUN
+        for _ in range(RUNS)
+    ]
     return Sample(size, what, "ms", tuple(spent))
--- a/lichenquay/testbed/scale/probes/discovery.py
+++ b/lichenquay/testbed/scale/probes/discovery.py
@@ -1,4 +1,4 @@
-"""What following the list of engines costs: a whole list by engines, and asking when nothing changes."""
+"""Measures following the list of engines: a whole list by its engines, and polling while nothing changes."""
 
 import json
 from collections.abc import Sequence
@@ -9,15 +9,15 @@
 from lichenquay.gateway.discovery import Discovery, DiscoveryConnection
 from lichenquay.gateway.engine_pool import GatewayEngine
 from lichenquay.gateway.http import ReplyError, ReplyReader
-from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms, state_bytes
+from lichenquay.testbed.scale.sample import Progress, Sample, measure_processor_ms, measure_state_bytes
 
 RUNS = 3
-IDLE_S = 20  # of following without news
+IDLE_POLLS = 20  # Polls without changes, one a second.
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 
 
-def whole_list(engines: int, number: int = 1) -> bytes:
-    """The bulletin's answer with one event: a whole list, as its protocol writes it."""
+def encode_whole_list(engines: int, number: int = 1) -> bytes:
+    """Returns the discovery service's answer with one event: a whole list, in its wire format."""
     targets = [
         {
             "uid": f"{i:08x}-aa9c-4d52",
@@ -36,7 +36,7 @@
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: engines. Nothing here is left to chance: the seed is not used."""
+    """Returns the samples. `sizes`: engines. Nothing here is random: the seed is not used."""
     samples = []
     for done, size in enumerate(sizes):
         samples += [*measure_list(size), *measure_idle(size)]
@@ -45,37 +45,39 @@
 
 
 def measure_list(size: int) -> list[Sample]:
-    """Processor time from an answer's bytes to rows; its length; whether a front reads it; state."""
-    body, times = whole_list(size), []
+    """Measures the processor time from an answer's bytes to rows, the answer's length, whether a gateway
+    accepts it, and the state.
+    """
+    body, times = encode_whole_list(size), []
     rows = []
 
     def follow() -> None:
         rows.clear()
-        following = Discovery({"no": 0, "items": []}, lambda whole, row: rows.append(row), lambda *_: None)
-        following.on_answer(json.loads(body))
+        discovery = Discovery({"no": 0, "items": []}, lambda whole, row: rows.append(row), lambda *_: None)
+        discovery.on_answer(json.loads(body))
 
     for _ in range(RUNS):
-        times.append(processor_ms(follow))
+        times.append(measure_processor_ms(follow))
     follow()
-    _, held = state_bytes(lambda: engines_of(rows[0]))
+    _, state_size = measure_state_bytes(lambda: engines_of(rows[0]))
     return [
         Sample(size, "discovery.whole_list", "ms", tuple(times)),
         Sample(size, "discovery.body", "bytes", (float(len(body)),)),
-        Sample(size, "discovery.engines", "bytes", (float(held),)),
-        Sample(size, "discovery.accepted", "0 or 1", (float(accepted(body)),)),
+        Sample(size, "discovery.engines", "bytes", (float(state_size),)),
+        Sample(size, "discovery.accepted", "0 or 1", (float(is_accepted(body)),)),
     ]
 
 
 def engines_of(rows: list[tuple]) -> dict[str, GatewayEngine]:
-    """The engines as a front's service keeps them, with connections to none of them."""
+    """Returns the engines as a gateway's service holds them, without connections."""
     return {
-        uid: GatewayEngine(uid, place, kind, cell, state, units, started, address=address)
-        for uid, address, place, kind, cell, state, units, started in rows
+        uid: GatewayEngine(uid, zone, kind, cell, state, weight, started, address=address)
+        for uid, address, zone, kind, cell, state, weight, started in rows
     }
 
 
-def accepted(body: bytes) -> bool:
-    """Whether the front's reader takes an answer of this length (http.MAX_BODY_BYTES)."""
+def is_accepted(body: bytes) -> bool:
+    """Whether the gateway's reader accepts an answer of this length (http.MAX_BODY_BYTES)."""
     try:
         reply = ReplyReader().feed(HEAD % len(body) + body)
     except ReplyError:
@@ -84,17 +86,19 @@
 
 
 class IdleFactory:
-    """What a connection needs of its factory, on a clock that is driven by hand."""
+    """The factory that a connection requires, on a clock that is advanced by hand."""
 
     def __init__(self, clock: Clock):
-        """A list that was told already."""
+        """Starts with a list that was received already."""
         self.reactor, self.host, self.stopped = clock, "127.0.0.1:80", False
         self.discovery = Discovery({"no": 1, "items": []}, lambda *_: None, lambda *_: None)
         self.discovery.on_answer({"no": 1, "items": []})
 
 
 def measure_idle(size: int) -> list[Sample]:
-    """Calls and bytes a second of one front in calm; the bulletin answers when its patience is over."""
+    """Measures one idle gateway's calls and bytes a second; the service answers when the poll's wait time
+    ends.
+    """
     clock, transport = Clock(), StringTransport()
     connection = DiscoveryConnection(IdleFactory(clock))
     transport.setTcpKeepAlive = transport.setTcpNoDelay = lambda on: None
@@ -102,15 +106,15 @@
     answer = HEAD % len(answer) + answer
     connection.makeConnection(transport)
     calls = sent = 0
-    for _ in range(IDLE_S):
-        asked = transport.value()
+    for _ in range(IDLE_POLLS):
+        request_bytes = transport.value()
         transport.clear()
-        calls, sent = calls + asked.count(b"GET "), sent + len(asked)
+        calls, sent = calls + request_bytes.count(b"GET "), sent + len(request_bytes)
         clock.advance(connection.poll_wait_ms / 1_000)
         connection.dataReceived(answer)
     connection.stop_timer()
     return [
-        Sample(size, "discovery.idle_calls", "1/s", (calls / IDLE_S,)),
-        Sample(size, "discovery.idle_bytes_out", "B/s", (sent / IDLE_S,)),
-        Sample(size, "discovery.idle_bytes_in", "B/s", (len(answer) * calls / IDLE_S,)),
+        Sample(size, "discovery.idle_calls", "1/s", (calls / IDLE_POLLS,)),
+        Sample(size, "discovery.idle_bytes_out", "B/s", (sent / IDLE_POLLS,)),
+        Sample(size, "discovery.idle_bytes_in", "B/s", (len(answer) * calls / IDLE_POLLS,)),
     ]
--- a/lichenquay/testbed/scale/probes/door.py
+++ b/lichenquay/testbed/scale/probes/door.py
@@ -1,4 +1,4 @@
-"""A front's door in virtual time, to measure a controller against: each query ends after its work."""
+"""A gateway in virtual time, in which a controller is measured: each query completes after its work time."""
 
 import heapq
 import random
@@ -9,10 +9,11 @@
 from lichenquay.admission.controller import Controller
 from lichenquay.testbed.scale.sample import Stopwatch
 
-GATEWAYS_PER_ENGINE = 4_400 / 25_000  # of the plan; the share of an engine that a front may use depends on it
+# As planned; a gateway's share of an engine depends on it.
+GATEWAYS_PER_ENGINE = 4_400 / 25_000
 STEP_MS = 5.0
 TABLE_SETS = 20
-REPORT_SHARE = 0.5  # of the queries; the others are dashboards
+REPORT_SHARE = 0.5  # Share of report queries; the others are dashboard queries.
 STATUS_GROUP = domain.ResourceGroup(
     "status", domain.Effect.READ_ONLY, 500.0, 2.0, 2_500.0, 1.0, 0.3, threads=1
 )
@@ -37,7 +38,7 @@
 
 
 def make_engines(number: int) -> list[domain.Engine]:
-    """Warm engines of 8 cores in three zones."""
+    """Returns warm engines of 8 cores in three zones."""
     return [
         domain.Engine(f"engine-{i:05d}", f"zone-{i % 3}", "usual", i % 64, cores=8.0, memory_mb=16_000.0)
         for i in range(number)
@@ -45,23 +46,25 @@
 
 
 class VirtualGateway:
-    """A `GatewayPort`; `beats` and `queries` sum the controller's processor time by what called it."""
+    """A `GatewayPort`; `tick_stopwatch` and `query_stopwatch` sum the controller's processor time by its
+    caller.
+    """
 
     def __init__(self, engines: list[domain.Engine], seed: int, rate_per_s: float):
-        """Queries come at `rate_per_s` by a Poisson process once `play` is called."""
+        """Queries arrive at `rate_per_s` by a Poisson process once `run` is called."""
         self.now_ms, self.rng, self.rate_per_s = 1_000.0, random.Random(f"door/{seed}"), rate_per_s
         self.timers, self.order, self.ids = [], count(), count(1)
         self.tick_stopwatch, self.query_stopwatch = Stopwatch(), Stopwatch()
         self.arrived = self.finished = self.rejected = 0
-        gateways = max(2, round(len(engines) * GATEWAYS_PER_ENGINE))
-        gateway = domain.GatewayIdentity("zone-0", gateways, seed, STEP_MS)
+        gateway_count = max(2, round(len(engines) * GATEWAYS_PER_ENGINE))
+        gateway = domain.GatewayIdentity("zone-0", gateway_count, seed, STEP_MS)
         self.controller = Controller(
             self, gateway, [STATUS_GROUP, REPORT_GROUP], [], PERMISSIONS, SAFETY_LIMITS, CAPABILITIES
         )
         self.controller.endpoints_updated(engines, True)
 
     def run(self, for_ms: float) -> None:
-        """Queries come for so long in virtual time."""
+        """Runs for so much virtual time, with queries arriving."""
         until_ms = self.now_ms + for_ms
         self.at(self.now_ms + self._gap_ms(), lambda: self._arrive(until_ms))
         while self.timers and self.timers[0][0] <= until_ms:
@@ -70,7 +73,7 @@
         self.now_ms = until_ms
 
     def at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """An event of the world around the controller."""
+        """Schedules an event outside the controller."""
         heapq.heappush(self.timers, (at_ms, next(self.order), call))
 
     def _gap_ms(self) -> float:
@@ -102,18 +105,18 @@
         with self.query_stopwatch.running():
             self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, REPORTED_LOAD)
 
-    # What the controller asks of its front.
+    # The calls of `GatewayPort` that the controller makes.
 
     def start_attempt(self, query: domain.Query, engine: domain.Engine, timeout_ms: float) -> domain.Attempt:
-        """The engine answers after the query's work."""
+        """Starts an attempt, which the engine answers after the query's work time."""
         attempt = domain.Attempt(query, len(query.attempts), engine, self.now_ms)
         query.attempts.append(attempt)
-        took_ms = query.estimated_work_ms / query.group.threads * self.rng.uniform(0.9, 1.1)
-        self.at(self.now_ms + took_ms, lambda: self._finish(attempt))
+        elapsed_ms = query.estimated_work_ms / query.group.threads * self.rng.uniform(0.9, 1.1)
+        self.at(self.now_ms + elapsed_ms, lambda: self._finish(attempt))
         return attempt
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """A timer of the controller's: its beats are counted apart."""
+        """Schedules a timer of the controller; its ticks are measured apart."""
         stopwatch = self.tick_stopwatch if call == self.controller.tick else self.query_stopwatch
         self.at(max(at_ms, self.now_ms + STEP_MS), lambda: self._run_timed(stopwatch, call))
 
@@ -123,16 +126,16 @@
             call()
 
     def fail(self, q: domain.Query) -> None:
-        """The query ends without an answer of an engine."""
+        """Ends the query without an answer of an engine."""
         q.is_done = True
         self.rejected += 1
 
     def reject(self, q: domain.Query, pause_ms: float) -> None:
-        """Likewise."""
+        """Ends the query, as `fail` does."""
         self.fail(q)
 
     def cancel_attempt(self, attempt: domain.Attempt) -> None:
-        """The engine stops, and says so at once."""
+        """Cancels an attempt; the engine confirms it at once."""
         self.at(self.now_ms + STEP_MS, lambda: self._cancelled(attempt))
 
     def _cancelled(self, attempt: domain.Attempt) -> None:
@@ -142,13 +145,13 @@
                 self.controller.on_attempt_ended(attempt, self.now_ms - attempt.sent_ms, None, None)
 
     def set_grant(self, q: domain.Query, memory_mb: float, priority: int) -> None:
-        """Nothing here depends on grants."""
+        """Ignores the grant: nothing here depends on grants."""
 
     def send_health_check(self, engine: domain.Engine) -> None:
-        """No engine is silent here."""
+        """Does nothing: every engine here responds."""
 
     def watch_endpoints(self, on: bool = True) -> None:
-        """The list comes by the probe's own calls."""
+        """Does nothing: the probe itself supplies the list."""
 
     def log(self, text: str) -> None:
-        """Nothing is logged."""
+        """Discards the text."""
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -1,4 +1,4 @@
-"""What the fleet's talk costs a front on real sockets, a process each: reactor, timers and disk too."""
+"""Measures fleet traffic on real sockets, one process for each gateway: reactor, timers and disk included."""
 
 import json
 import socket
@@ -14,25 +14,23 @@
 
 WARM_UP_S, MEASURED_S, EXIT_TIMEOUT_S = 3.0, 3.0, 60.0
 ACCOUNT = 'accounts { tenant: "tenant" rate_ms: 1000 bucket_ms: 5000 }'
-SETTINGS_BY_KIND = {
-    "members": "",
-    "quota": ACCOUNT,
-}  # what the fronts talk of: members alone, or an idle account too
+# Gateways with membership alone, and with an idle account too.
+SETTINGS_BY_KIND = {"members": "", "quota": ACCOUNT}
 
 
 def free_ports(number: int) -> list[int]:
-    """UDP ports that nothing listens on now."""
+    """Returns UDP ports on which nothing listens now."""
     with ExitStack() as stack:
         sockets = [
             stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in range(number)
         ]
-        for one in sockets:
-            one.bind(("127.0.0.1", 0))
-        return [one.getsockname()[1] for one in sockets]
+        for opened in sockets:
+            opened.bind(("127.0.0.1", 0))
+        return [opened.getsockname()[1] for opened in sockets]
 
 
 def settings_of(folder: Path, ports: Sequence[int], number: int, more: str) -> str:
-    """One front's settings, in protobuf text format."""
+    """Returns one gateway's settings, in protobuf text format."""
     peers = "".join(
         f'peers {{ name: "front-{i}" address: "127.0.0.1:{port}" }} '
         for i, port in enumerate(ports)
@@ -43,7 +41,9 @@
 
 
 def run_gateways(size: int, kind: str) -> list[dict[str, float]]:
-    """What each of so many fronts tells of itself. Raises RuntimeError where one of them fails."""
+    """Runs so many gateways and returns the rates that each reports. Raises RuntimeError where one of them
+    fails.
+    """
     ports, running = free_ports(size), []
     with tempfile.TemporaryDirectory(prefix="lichenquay-scale-") as name:
         folder = Path(name)
@@ -61,7 +61,7 @@
                 ]
                 running.append(
                     subprocess.Popen(
-                        [str(word) for word in command],
+                        [str(argument) for argument in command],
                         env=environment(),
                         stdout=subprocess.PIPE,
                         stderr=subprocess.DEVNULL,
@@ -76,11 +76,11 @@
     try:
         return [json.loads(line) for line in outputs]
     except ValueError:
-        raise RuntimeError(f"a front of {size} ended without its figures") from None
+        raise RuntimeError(f"one of {size} gateways exited without its figures") from None
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: fronts, all on 127.0.0.1. Real time: the seed is not used."""
+    """Returns the samples. `sizes`: gateways, all on 127.0.0.1. Real time: the seed is not used."""
     samples, steps = [], len(sizes) * len(SETTINGS_BY_KIND)
     for size in sizes:
         for kind in SETTINGS_BY_KIND:
--- a/lichenquay/testbed/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -1,4 +1,6 @@
-"""What membership costs a front by the number of fronts, in virtual time; how long a kill goes unseen."""
+"""Measures membership by the number of gateways in virtual time: its cost for a gateway, and the detection
+time.
+"""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,23 +9,21 @@
 from lichenquay.membership.member_table import MAX_MEMBERS, MemberTable
 from lichenquay.testbed.detectors import watch
 from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
-from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, state_bytes
+from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, measure_state_bytes
 
 LOSSES = (0.0, 0.2)
 WARM_UP_MS, CALM_MS = 1_500.0, 3_000.0
-MAX_LOSSY_SIZE, SHORT_CALM_MS = (
-    200,
-    1_000.0,
-)  # with losses, a larger fleet is measured for less, and not to a detection
-DETECTION_TIMEOUT_MS = 30_000.0  # of virtual time in which a killed front has to be seen by all
-REPEATED_UP_TO, RUNS = 20, 2  # up to so many fronts, so many runs; else one
+# With losses, a larger fleet is measured for a shorter time, and its detection time is not measured.
+MAX_LOSSY_SIZE, SHORT_CALM_MS = 200, 1_000.0
+DETECTION_TIMEOUT_MS = 30_000.0  # Virtual time in which all must detect a killed gateway.
+REPEATED_UP_TO, RUNS = 20, 2  # Fleets of at most 20 gateways are measured twice, others once.
 
 
 class Fleet:
-    """So many watches that know each other, one network."""
+    """Runs the failure detectors of a fleet of gateways on one network."""
 
     def __init__(self, gateways: int, seed: int, loss: float):
-        """All are up and know all others, as after a calm start."""
+        """Starts all gateways with all others known, as after a start without faults."""
         self.net = FleetNet(f"scale/{gateways}/{seed}/{loss}", Weather(loss=loss))
         self.stopwatch, self.names = Stopwatch(), [f"front-{i:04d}" for i in range(gateways)]
         self.killed_name, self.detected_by = "", set()
@@ -42,12 +42,14 @@
         part.changes.clear()
 
     def sent(self) -> tuple[int, int]:
-        """Messages and bytes of body so far, of all fronts."""
+        """Returns the messages and bytes of bodies that all gateways have sent."""
         hosts = self.net.hosts.values()
         return sum(h.sent for h in hosts), sum(h.sent_bytes for h in hosts)
 
     def detection_ms(self) -> float | None:
-        """From the kill of one front until all others hold it for cut; None where that passes the bound."""
+        """Returns the time from the kill of one gateway until all others have it as faulty or removed; None
+        after `DETECTION_TIMEOUT_MS`.
+        """
         self.killed_name = self.names[self.net.rng.randrange(len(self.names))]
         killed_at_ms, other_count = self.net.now_ms, len(self.names) - 1
         self.net.kill(self.killed_name)
@@ -56,7 +58,7 @@
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: fronts, two at least."""
+    """Returns the samples. `sizes`: gateways, at least two."""
     samples = []
     for done, size in enumerate(sizes):
         for loss in LOSSES:
@@ -67,10 +69,12 @@
 
 
 def measure_traffic(size: int, seed: int, loss: float) -> list[Sample]:
-    """Messages, bytes and processor time a front and second in calm; then the time to detect."""
+    """Measures messages, bytes and processor time of a gateway a second without faults, then the detection
+    time.
+    """
     messages, sizes, spent, detected = [], [], [], []
-    short = loss > 0 and size > MAX_LOSSY_SIZE
-    calm_ms = SHORT_CALM_MS if short else CALM_MS
+    is_shortened = loss > 0 and size > MAX_LOSSY_SIZE
+    calm_ms = SHORT_CALM_MS if is_shortened else CALM_MS
     for run in range(RUNS if size <= REPEATED_UP_TO else 1):
         fleet = Fleet(size, seed + run, loss)
         fleet.net.run(WARM_UP_MS)
@@ -81,8 +85,8 @@
         messages.append((fleet.sent()[0] - sent) / gateway_seconds)
         sizes.append((fleet.sent()[1] - sent_bytes) / gateway_seconds)
         spent.append(fleet.stopwatch.spent_ms / gateway_seconds)
-        took_ms = None if short else fleet.detection_ms()
-        detected += [] if took_ms is None else [took_ms / 1_000]
+        elapsed_ms = None if is_shortened else fleet.detection_ms()
+        detected += [] if elapsed_ms is None else [elapsed_ms / 1_000]
     name = f"members.lost_{round(100 * loss)}"
     return [
         Sample(size, f"{name}.messages", "1/s", tuple(messages)),
@@ -93,7 +97,7 @@
 
 
 def measure_table_memory(size: int) -> Sample:
-    """Bytes of a table of so many members, as far as it takes them (`MAX_MEMBERS`)."""
+    """Returns the bytes of a table of so many members, up to `MAX_MEMBERS`."""
 
     def fill() -> MemberTable:
         table = MemberTable()
@@ -102,4 +106,4 @@
         table.changes.clear()
         return table
 
-    return Sample(size, "members.state", "bytes", (float(state_bytes(fill)[1]),))
+    return Sample(size, "members.state", "bytes", (float(measure_state_bytes(fill)[1]),))
--- a/lichenquay/testbed/scale/probes/query_rate.py
+++ b/lichenquay/testbed/scale/probes/query_rate.py
@@ -1,4 +1,4 @@
-"""What a query costs one front's controller by the rate of queries there, with many engines."""
+"""Measures a query's cost in a gateway's controller by the rate of queries, with many engines."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: queries a second at one front, best in rising order."""
+    """Returns the samples. `sizes`: queries a second at one gateway, best in ascending order."""
     samples, gateway = [], VirtualGateway(make_engines(ENGINES), seed, float(sizes[0]))
     for done, rate in enumerate(sizes):
         gateway.rate_per_s = float(rate)
--- a/lichenquay/testbed/scale/probes/quota.py
+++ b/lichenquay/testbed/scale/probes/quota.py
@@ -1,4 +1,4 @@
-"""What the fleet's quota costs: a front by tenants, and the ledger's keeper by fronts, in virtual time."""
+"""Measures the fleet's quota in virtual time: a gateway by tenants, and the ledger leader by gateways."""
 
 from collections.abc import Callable, Sequence
 from itertools import count
@@ -14,58 +14,58 @@
 
 LEDGER_LEADER, LAYER = "keeper", "quota"
 TERM_MS, WRITE_MS = 4_000.0, 10.0
-QUERIES_PER_S, WORK_MS = 10.0, 20.0  # at each front, over all tenants
-RATE_MS, BUCKET_MS = 100.0, 1_000.0  # of a tenant and front, a second: the quota grows with the fleet
+QUERIES_PER_S, WORK_MS = 10.0, 20.0  # At each gateway, over all tenants.
+RATE_MS, BUCKET_MS = 100.0, 1_000.0  # Work a second, for each tenant and gateway.
 WARM_UP_MS, MEASURED_MS = 2_000.0, 4_000.0
 GATEWAYS_FOR_TENANT_SIZES, TENANTS_FOR_GATEWAY_SIZES = 2, 4
 
 
 class LedgerLeaderPart(TimedPart):
-    """The keeper with a group that it always holds: a record is kept by its voters after `WRITE_MS`."""
+    """The ledger leader with a group whose lease it always holds: a record is committed after `WRITE_MS`."""
 
     generation = 1
 
     def __init__(self, net: FleetNet, figures: list[Any], stopwatch: Stopwatch):
-        """`records`, `record_bytes` and `pieces` count what the group's voters would be sent."""
+        """`records`, `record_bytes` and `pieces` count what the group's voters would receive."""
         super().__init__(LedgerLeader(self, figures, TERM_MS), stopwatch)
         self.net, self.records, self.record_bytes, self.pieces = net, 0, 0, 0
 
     def holds(self, now_ms: float) -> bool:
-        """The group is never lost here."""
+        """Returns True: the lease is never lost here."""
         return True
 
     def snapshot(self) -> tuple[bytes, list[bytes]]:
-        """A new ledger."""
+        """Returns an empty ledger."""
         return b"", []
 
     def append(self, now_ms: float, record: bytes, done: Callable[[float, bool], None]) -> None:
-        """Kept later."""
+        """Counts a record, and schedules its commit."""
         self.records, self.record_bytes = self.records + 1, self.record_bytes + len(record)
         self.pieces += len(split(record))
         self.net.at(self.net.now_ms + WRITE_MS, self.net.call, LEDGER_LEADER, LAYER, "written", done)
 
     def written(self, now_ms: float, done: Callable[[float, bool], None]) -> None:
-        """The group's answer."""
+        """Reports the commit of a record."""
         with self.stopwatch.running():
             done(now_ms, True)
 
 
 class EscrowPart(TimedPart):
-    """A front's rights, with the calls that its queries make."""
+    """A gateway's token escrow, with the calls of its queries."""
 
     def take(self, now_ms: float, tenant: str, ticket: int) -> None:
-        """A query comes."""
+        """Reserves tokens for a query that arrives."""
         with self.stopwatch.running():
             self.part.reserve(now_ms, tenant, WORK_MS, ticket)
 
     def settle(self, now_ms: float, ticket: int) -> None:
-        """Its work is told."""
+        """Settles a query with its actual work."""
         with self.stopwatch.running():
             self.part.settle(now_ms, ticket, WORK_MS)
 
 
 class Quota:
-    """A keeper and fronts, each front with a trickle of queries of all tenants."""
+    """Runs a ledger leader and gateways, each gateway with queries of all tenants at a low rate."""
 
     def __init__(self, gateways: int, tenants: int, seed: int):
         """Messages take 1 to 5 ms; none is lost."""
@@ -96,16 +96,16 @@
 
     @property
     def leader(self) -> LedgerLeaderPart:
-        """The keeper's part."""
+        """Returns the ledger leader's part."""
         return self.net.hosts[LEDGER_LEADER].parts[LAYER]
 
     def sent(self, names: Sequence[str]) -> tuple[int, int]:
-        """Messages and bytes of body that these have sent."""
+        """Returns the messages and bytes of bodies that these hosts have sent."""
         hosts = [self.net.hosts[n] for n in names]
         return sum(h.sent for h in hosts), sum(h.sent_bytes for h in hosts)
 
     def run_and_measure(self) -> dict[str, float]:
-        """A warm-up, then figures a second of what follows."""
+        """Runs a warm-up, then measures; returns figures a second."""
         self.net.run(WARM_UP_MS)
         self.gateway_stopwatch.reset()
         self.leader_stopwatch.reset()
@@ -128,7 +128,9 @@
 
 
 def measure_gateway_escrow(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: tenants. What one front sends, and its processor time, queries included."""
+    """Returns the samples. `sizes`: tenants. Measures what one gateway sends, and its processor time, queries
+    included.
+    """
     samples = []
     for done, size in enumerate(sizes):
         found = Quota(GATEWAYS_FOR_TENANT_SIZES, size, seed).run_and_measure()
@@ -144,7 +146,9 @@
 
 
 def measure_ledger_leader(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: fronts, with queries of `TENANTS_FOR_FRONTS` tenants each. What the one keeper does."""
+    """Returns the samples. `sizes`: gateways with queries of `TENANTS_FOR_GATEWAY_SIZES` tenants each.
+    Measures the one ledger leader.
+    """
     samples = []
     for done, size in enumerate(sizes):
         found = Quota(size, TENANTS_FOR_GATEWAY_SIZES, seed).run_and_measure()
--- a/lichenquay/testbed/scale/probes/starved.py
+++ b/lichenquay/testbed/scale/probes/starved.py
@@ -1,4 +1,6 @@
-"""Whether a front's host still runs its timer under many messages: turns and messages sent."""
+"""Measures whether a gateway's fleet runtime still runs its timer under many messages: ticks and messages
+sent.
+"""
 
 from collections.abc import Sequence
 from typing import Any
@@ -16,37 +18,37 @@
 
 
 class Reactor(Clock):
-    """A clock by hand that opens no socket."""
+    """A clock advanced by hand that opens no socket."""
 
     def listenUDP(self, *_: Any, **__: Any) -> None:
-        """Nothing listens."""
+        """Does nothing."""
 
 
 class NullLog:
-    """A log, and a transport, that keep nothing."""
+    """A log, and a transport, that discard everything."""
 
     def bind(self, **_: Any) -> "NullLog":
-        """The same."""
+        """Returns itself."""
         return self
 
     def info(self, *_: Any, **__: Any) -> None:
-        """Nothing is logged, and nothing sent."""
+        """Discards the entry or datagram."""
 
     warning = write = info
 
 
 class PingedGateway:
-    """One front's host that knows the others, and hears pings of theirs at a steady rate."""
+    """Runs one gateway's fleet runtime that knows its peers and receives their pings at a steady rate."""
 
     def __init__(self, seed: int):
-        """The host has had a calm start."""
+        """Starts the runtime and runs the warm-up."""
         names = [f"front-{i}" for i in range(GATEWAYS)]
         self.peers = names[1:]
         peers = "".join(
             f'peers {{ name: "{n}" address: "127.0.0.1:{9_001 + i}" }} ' for i, n in enumerate(self.peers)
         )
         text = f'fleet {{ fleet: "scale" name: "{names[0]}" listen: "127.0.0.1:9000" {peers} }}'
-        self.clock, self.turns = Reactor(), 0
+        self.clock, self.tick_count = Reactor(), 0
         self.fleet = GatewayRuntime(
             self.clock,
             read_settings(text).fleet,
@@ -66,17 +68,17 @@
         self.tick, self.fleet.detector.tick = self.fleet.detector.tick, self.count_tick
 
     def count_tick(self, now_ms: float) -> None:
-        """The watch's own tick, counted."""
-        self.turns += 1
+        """Counts a tick, and runs the failure detector's own."""
+        self.tick_count += 1
         self.tick(now_ms)
 
     def receive(self, name: str, message: pb.Message) -> None:
-        """One message of another front."""
+        """Delivers one message of a peer."""
         self.fleet.on_message(Layer.MEMBERS, (name, INCARNATION), message)
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: messages heard a second."""
+    """Returns the samples. `sizes`: messages received a second."""
     samples = []
     for done, size in enumerate(sizes):
         gateway = PingedGateway(seed)
@@ -87,7 +89,7 @@
             gateway.clock.advance(1 / size)
         sent = gateway.fleet.datagrams.counters["datagrams sent"] - before
         samples += [
-            Sample(size, "starved.turns", "1/s", (gateway.turns / MEASURED_S,)),
+            Sample(size, "starved.turns", "1/s", (gateway.tick_count / MEASURED_S,)),
             Sample(size, "starved.sent", "1/s", (sent / MEASURED_S,)),
         ]
         progress((done + 1) / len(sizes))
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -13,7 +13,7 @@
 from lichenquay.testbed.scale.client import Client, Proposal
 from lichenquay.testbed.scale.world_spec import CLIENT, FLEET, OPEN_LAYERS, WorldSpec
 
-STEP_S = 0.01  # Between two looks at what is due.
+RECEIVE_TIMEOUT_S = 0.01  # Receive timeout, and so the interval between ticks.
 INCARNATION = 1
 
 
@@ -32,7 +32,7 @@
         self.ending = threading.Event()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
-        self.socket.settimeout(STEP_S)
+        self.socket.settimeout(RECEIVE_TIMEOUT_S)
         self.thread = threading.Thread(target=self._run, name="proposer", daemon=True)
 
     def start(self):
@@ -90,7 +90,7 @@
         datagram = self.envelope.seal(INCARNATION, name, Layer.DISTRIBUTION, message.SerializeToString())
         try:
             self.socket.sendto(datagram, self.spec.addresses[name])
-        except OSError:  # As good as lost.
+        except OSError:  # Treated as a lost datagram, which is retried.
             return
 
     def _receive(self):
@@ -98,7 +98,7 @@
             datagram, _ = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             name, incarnation, _, body = self.envelope.open(datagram)
             message = pb.Message.FromString(body)
-        except (OSError, DroppedDatagramError, DecodeError):  # Nothing came, or nothing that makes sense.
+        except (OSError, DroppedDatagramError, DecodeError):  # Timeout, or an invalid datagram.
             return
         with self.lock:
             self.client.on_message(boot_ms(), (name, incarnation), message)
--- a/lichenquay/testbed/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_fronts.py
@@ -18,10 +18,10 @@
 from lichenquay.testbed.scale.world_spec import WorldSpec
 from lichenquay.testbed.world import World
 
-RATE = 30.0  # Queries a second at each front.
+QUERIES_PER_S = 30.0  # Queries a second at each gateway.
 WORKERS_PER_GATEWAY = 1
-STATUS_TIMEOUT_S = 5.0  # In which a front tells what it has in force.
-LOAD_END_TIMEOUT_S = 60.0  # After its last query, in which a load has to end.
+STATUS_TIMEOUT_S = 5.0  # For a gateway to log its version in force.
+LOAD_END_TIMEOUT_S = 60.0  # For a load to end after its last query.
 REPORT_FIELDS = ("asked", "finished", "deferred", "killed", "silent", "twice", "p99_ms", "void", "why_void")
 IN_FORCE = re.compile(r"distribution version (\d+) in force (\d+)")
 
@@ -43,7 +43,9 @@
         zones = self.spec.shape.zones
         following.name, following.zone = f"real{i}", zones[i % len(zones)]
         following.listen = address_text(self.listens[following.name])
-        following.engines = False  # those of the list stand for others; its own are real
+        following.engines = (
+            False  # The distributed list is synthetic; this gateway uses its own emulated engines.
+        )
         return pb.Settings(distribution=following)
 
 
@@ -55,7 +57,7 @@
 
     name: str
     in_force: int | None = None
-    cpu_share: float = 0.0  # Under load, its ordinary work included.
+    cpu_share: float = 0.0  # Under load, query processing included.
     peak_mb: float = 0.0
     exit_code: int | None = None
     report: dict = field(default_factory=dict)
@@ -68,7 +70,7 @@
     def __init__(self, count: int, spec: WorldSpec, out: Path, seconds: float):
         """`seconds`: the duration of the load."""
         seed = spec.shape.seed
-        text = f"seed: {seed} load {{ seconds: {seconds} rate: {RATE} }} front {{ count: {count} }}"
+        text = f"seed: {seed} load {{ seconds: {seconds} rate: {QUERIES_PER_S} }} front {{ count: {count} }}"
         self.lab = read_testbed(text)
         self.lab.load.workers = WORKERS_PER_GATEWAY
         self.out, self.seconds = Path(out), seconds
@@ -150,7 +152,7 @@
         """
         for i, gateway in enumerate(self.gateways):
             if i in self.load_results:
-                gateway.report = reported(report_of(self.load_results[i], self.lab))
+                gateway.report = selected_report(report_of(self.load_results[i], self.lab))
                 gateway.broken_rules += broken_rules_of(gateway)
             else:
                 gateway.broken_rules.append(f"{gateway.name}: its load did not end in time")
@@ -160,17 +162,17 @@
                 self.gateways[0].broken_rules.append(f"{self.gateways[0].name}: {check}: {number}")
 
 
-def reported(report: dict) -> dict:
+def selected_report(report: dict) -> dict:
     """Returns the part of a load's report that a scale run reports."""
     return {key: report.get(key) for key in REPORT_FIELDS}
 
 
 def broken_rules_of(gateway: RealGateway) -> list[str]:
     """Returns a line for queries without exactly one answer, and for a gateway that exited with an error."""
-    lines = []
+    violations = []
     if gateway.report["silent"] or gateway.report["twice"]:
         counts = f"{gateway.report['silent']} queries without an answer, {gateway.report['twice']} with two"
-        lines.append(f"{gateway.name}: {counts}")
+        violations.append(f"{gateway.name}: {counts}")
     if gateway.exit_code != 0:
-        lines.append(f"{gateway.name}: exit code {gateway.exit_code}")
-    return lines
+        violations.append(f"{gateway.name}: exit code {gateway.exit_code}")
+    return violations
--- a/lichenquay/testbed/scale/real_stage.py
+++ b/lichenquay/testbed/scale/real_stage.py
@@ -19,7 +19,7 @@
         """`world` runs already."""
         self.world, self.proposer, self.shape = world, proposer, world.shape
         self.sequence = count()
-        self.scheduled = []  # Heap of (time, order, call, arguments).
+        self.scheduled = []  # Heap of (time, sequence number, call, arguments).
 
     @property
     def now_ms(self):
--- a/lichenquay/testbed/scale/record.py
+++ b/lichenquay/testbed/scale/record.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-MAX_STEPS = 20_000  # Of one life: a front that steps more often keeps the first ones, and says so.
+MAX_STEPS = 20_000  # Of one lifetime; later versions are dropped and `truncated` is set.
 NEVER = float("inf")
 
 
@@ -24,8 +24,8 @@
     ended_ms: float = NEVER
     versions: array = field(default_factory=lambda: array("q"))
     at_ms: array = field(default_factory=lambda: array("d"))
-    values_digest: str = ""  # Of all keys and values held at the end, by the lab's own hash.
-    prefixes_wrong: int = 0  # Keys held at the end that it did not subscribe to.
+    values_digest: str = ""  # Of all keys and values at the end, by the test bed's own digest.
+    prefixes_wrong: int = 0  # Keys held at the end that are outside its subscription.
     counts: dict = field(default_factory=dict)
     truncated: bool = False
 
--- a/lichenquay/testbed/scale/report.py
+++ b/lichenquay/testbed/scale/report.py
@@ -10,7 +10,7 @@
 from lichenquay.load.page import picture, plt
 from lichenquay.testbed.scale.roles import Role
 
-# Half of each budget of a front: the aims of what control may take of it.
+# Half of each of a gateway's budgets: the targets for its control functions.
 GATEWAY_BUDGET = {"cpu_share": 0.019, "kb": 64 * 1024, "bytes_per_s": 2500.0}
 LABELS = {"cpu_share": "share of a core", "kb": "KB", "bytes_per_s": "bytes a second"}
 STYLE = (
@@ -23,7 +23,7 @@
     """Writes one HTML file with its plots embedded."""
     parts = [
         "<!doctype html><meta charset=utf-8><title>Scale run</title>",
-        f"<style>{STYLE}</style><h1>Scale run: {figures['fronts_hollow']} hollow fronts</h1>",
+        f"<style>{STYLE}</style><h1>Scale run: {figures['fronts_hollow']} lightweight gateways</h1>",
         "<h2>Need against budget</h2>",
         *(need_against_budget(figures, cost) for cost in GATEWAY_BUDGET),
         "<h2>In force</h2>",
@@ -48,10 +48,10 @@
         points = [(gateways, need) for gateways, need in points if need > 0]
         if points:
             plot.plot(*zip(*points, strict=True), marker="o", label=f"one {role.value}")
-    plot.axhline(GATEWAY_BUDGET[cost], linestyle="--", color="black", label="half of a front's budget")
+    plot.axhline(GATEWAY_BUDGET[cost], linestyle="--", color="black", label="half of a gateway's budget")
     plot.set_xscale("log")
     plot.set_yscale("log")
-    plot.set_xlabel("fronts")
+    plot.set_xlabel("gateways")
     plot.set_ylabel(LABELS[cost])
     plot.legend(fontsize="small")
     return picture(figure)
@@ -59,7 +59,11 @@
 
 def in_force(figures: dict) -> str:
     """Plots percentiles of each scenario's changes, from proposal to in force."""
-    measured = {name: one for name, one in figures["scenarios"].items() if one["in_force_p99_ms"] is not None}
+    measured = {
+        name: scenario
+        for name, scenario in figures["scenarios"].items()
+        if scenario["in_force_p99_ms"] is not None
+    }
     figure, plot = plt.subplots(figsize=(9, 4))
     names = list(measured)
     for key, label in (("in_force_p50_ms", "p50"), ("in_force_p99_ms", "p99"), ("in_force_max_ms", "max")):
@@ -85,8 +89,8 @@
     """Returns a table of each scenario's figures and faults."""
     keys = ("changes", "pairs", "in_force_p50_ms", "in_force_p99_ms", "in_force_max_ms", "heal_s", "start_s")
     rows = [
-        (name, *(cell_text(one[key]) for key in keys), "; ".join(one["done"]))
-        for name, one in figures["scenarios"].items()
+        (name, *(cell_text(scenario[key]) for key in keys), "; ".join(scenario["done"]))
+        for name, scenario in figures["scenarios"].items()
     ]
     return table(("scenario", *keys, "done"), rows)
 
--- a/lichenquay/testbed/scale/roles.py
+++ b/lichenquay/testbed/scale/roles.py
@@ -6,9 +6,9 @@
 from enum import StrEnum
 
 from lichenquay.testbed.scale.scenario import Shape
-from lichenquay.testbed.scale.world import RoleUsage
+from lichenquay.testbed.scale.world import ProcessUsage
 
-COST_DIGITS = {"cpu_share": 6, "kb": 1, "bytes_per_s": 1, "messages_per_s": 3}  # Each cost, and digits kept.
+COST_DIGITS = {"cpu_share": 6, "kb": 1, "bytes_per_s": 1, "messages_per_s": 3}  # Decimal digits of each cost.
 
 
 class Role(StrEnum):
@@ -44,19 +44,19 @@
     """Holds the counters of every process at one time, in seconds of a monotonic clock."""
 
     at_s: float
-    usage: list[RoleUsage]
+    usage: list[ProcessUsage]
 
-    def by_name(self) -> dict[str, RoleUsage]:
+    def by_name(self) -> dict[str, ProcessUsage]:
         """Returns the readings by the process's name."""
-        return {one.name: one for one in self.usage}
+        return {process.name: process for process in self.usage}
 
 
-def role_of(one: RoleUsage, shape: Shape) -> Role:
+def role_of(process: ProcessUsage, shape: Shape) -> Role:
     """Returns the role that a process has now."""
-    if one.name.startswith("hollow"):
+    if process.name.startswith("hollow"):
         return Role.GATEWAY
-    if one.name in shape.publisher_names():
-        return Role.PUBLISHER if one.counts.leads else Role.VOTER
+    if process.name in shape.publisher_names():
+        return Role.PUBLISHER if process.counts.leads else Role.VOTER
     return Role.RELAY
 
 
@@ -71,9 +71,9 @@
     costs = {}
     for role in Role:
         pairs = [
-            (earlier[one.name], one)
-            for one in after.usage
-            if one.name in earlier and role_of(one, shape) is role
+            (earlier[process.name], process)
+            for process in after.usage
+            if process.name in earlier and role_of(process, shape) is role
         ]
         if not pairs:
             continue
@@ -91,11 +91,11 @@
     return costs
 
 
-def bytes_of(one: RoleUsage) -> int:
+def bytes_of(process: ProcessUsage) -> int:
     """Returns the bytes of datagrams sent and received."""
-    return one.counts.sent_bytes + one.counts.heard_bytes
+    return process.counts.sent_bytes + process.counts.heard_bytes
 
 
-def messages_of(one: RoleUsage) -> int:
+def messages_of(process: ProcessUsage) -> int:
     """Returns the datagrams sent and received."""
-    return one.counts.sent + one.counts.heard
+    return process.counts.sent + process.counts.heard
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -11,7 +11,7 @@
 from lichenquay.testbed.scale import plan
 
 NONE_TODAY = "none today"
-PREFERRED_ENGINES_PER_TABLE_SET = 4  # engines that a set of tables has for its readers and its loads
+PREFERRED_ENGINES_PER_TABLE_SET = 4  # For reads and loads together.
 At = Callable[[str, float], float]
 """at(quantity, size): a fitted quantity's value at a size."""
 
@@ -58,13 +58,13 @@
 
     The preferred engines of a set of tables are ranked again only when one of them leaves the list.
     """
-    homes = (
+    preferred = (
         plan.TABLE_SETS_ASSUMED
         * at("controller.homes", plan.ENGINES)
         * PREFERRED_ENGINES_PER_TABLE_SET
         / plan.ENGINES
     )
-    return plan.LIST_EVENTS_PER_S * (at("controller.list_event", plan.ENGINES) + homes)
+    return plan.LIST_EVENTS_PER_S * (at("controller.list_event", plan.ENGINES) + preferred)
 
 
 def gateway_memory(at: At) -> float:
@@ -93,8 +93,8 @@
 
 GATEWAY_MS, GATEWAY_B = plan.GATEWAY_PROCESSOR_MS_PER_S, plan.GATEWAY_BYTES_PER_S
 ENGINES, GATEWAYS = plan.ENGINES, plan.GATEWAYS
-LIST_ADDRESS = "discovery: every front asks the one address of the bulletin"
-INCREMENTS = "admission: kept by increments, no pass over all engines"
+SINGLE_LIST_ADDRESS = "discovery: every gateway polls the single address of the service"
+INCREMENTAL_STATE = "admission: maintained incrementally, no pass over all engines"
 
 
 def not_implemented(role: str, title: str) -> Row:
@@ -105,21 +105,21 @@
 NOT_IMPLEMENTED = (
     not_implemented("publisher", "50,000 configuration changes a day to all within 7 s"),
     not_implemented("relay", "a zone's copy of list and configuration"),
-    not_implemented("voter", "who may publish: a lease over 3 regions"),
-    not_implemented("subscriber", "versions at a front: in force, confirmed, kept"),
-    not_implemented("failure detector", "a region or zone that is cut off, told as one"),
+    not_implemented("voter", "leader election of publishers: a lease over 3 regions"),
+    not_implemented("subscriber", "versions at a gateway: in force, confirmed, stored"),
+    not_implemented("failure detector", "a partitioned region or zone, reported as one"),
 )
 
 MEASURED = (
     Row(
         "front",
-        "processor: beats and looks over the engines",
+        "processor: ticks and scans over the engines",
         "controller.beats",
         ENGINES,
         lambda at: at("controller.beats", ENGINES),
         "ms/s",
         GATEWAY_MS,
-        INCREMENTS,
+        INCREMENTAL_STATE,
     ),
     Row(
         "front",
@@ -129,11 +129,11 @@
         list_events_processor,
         "ms/s",
         GATEWAY_MS,
-        INCREMENTS,
+        INCREMENTAL_STATE,
     ),
     Row(
         "front",
-        "processor: talk, decisions and datagrams alone, nothing lost",
+        "processor: membership, decisions and datagrams alone, no loss",
         "members.lost_0.processor",
         GATEWAYS,
         lambda at: membership_processor(at, 0),
@@ -143,7 +143,7 @@
     ),
     Row(
         "front",
-        "processor: talk, decisions and datagrams alone, 20% lost",
+        "processor: membership, decisions and datagrams alone, 20% loss",
         "members.lost_20.processor",
         GATEWAYS,
         lambda at: membership_processor(at, 20),
@@ -153,7 +153,7 @@
     ),
     Row(
         "front",
-        "processor: talk of members, real process",
+        "processor: membership, real process",
         "host.members.processor",
         GATEWAYS,
         lambda at: at("host.members.processor", GATEWAYS),
@@ -163,7 +163,7 @@
     ),
     Row(
         "front",
-        "processor: talk of members and an idle account, real process",
+        "processor: membership and an idle account, real process",
         "host.quota.processor",
         GATEWAYS,
         lambda at: at("host.quota.processor", GATEWAYS),
@@ -179,11 +179,11 @@
         lambda at: at("quota.front.processor", plan.TENANTS_ASSUMED),
         "ms/s",
         GATEWAY_MS,
-        "quota rights",
+        "quota escrow",
     ),
     Row(
         "front",
-        "processor: all control, calm",
+        "processor: all control, no faults",
         "controller.beats",
         ENGINES,
         gateway_processor,
@@ -203,7 +203,7 @@
     ),
     Row(
         "front",
-        "bytes: all control, calm, both ways",
+        "bytes: all control, no faults, sent and received",
         "members.lost_0.bytes",
         GATEWAYS,
         gateway_bytes,
@@ -213,7 +213,7 @@
     ),
     Row(
         "front",
-        "bytes: talk with fronts, 20% lost, both ways",
+        "bytes: membership, 20% loss, sent and received",
         "members.lost_20.bytes",
         GATEWAYS,
         lambda at: membership_bytes(at, 20),
@@ -223,17 +223,17 @@
     ),
     Row(
         "front",
-        "a whole list's length, of what a front reads",
+        "a whole list's length, against a gateway's limit",
         "discovery.body",
         ENGINES,
         lambda at: at("discovery.body", ENGINES),
         "bytes",
         float(MAX_BODY_BYTES),
-        LIST_ADDRESS,
+        SINGLE_LIST_ADDRESS,
     ),
     Row(
         "front",
-        "a whole list: parsed and taken, of 7 s",
+        "a whole list: parsed and applied, within 7 s",
         "controller.whole_list",
         ENGINES,
         lambda at: at("discovery.whole_list", ENGINES) + at("controller.whole_list", ENGINES),
@@ -249,11 +249,11 @@
         lambda at: plan.STATEMENTS_PER_S_PER_GATEWAY * at("controller.query", ENGINES),
         "ms/s",
         plan.PROCESS_MS_PER_S,
-        INCREMENTS,
+        INCREMENTAL_STATE,
     ),
     Row(
         "failure detector",
-        "fronts that one fleet may have",
+        "gateways in one fleet",
         None,
         GATEWAYS,
         lambda at: float(GATEWAYS),
@@ -263,23 +263,23 @@
     ),
     Row(
         "failure detector",
-        "a killed front is cut everywhere, of 10 s",
+        "a killed gateway is detected by all, within 10 s",
         "members.lost_0.detect",
         GATEWAYS,
         lambda at: at("members.lost_0.detect", GATEWAYS),
         "s",
         plan.PRIMARY_CHANGE_TARGET_MS / 1_000,
-        "members: hold grows with log10",
+        "members: suspicion time grows with log10",
     ),
     Row(
         "account keeper",
-        "processor of the one keeper, 4 tenants a front",
+        "processor of the single ledger leader, 4 tenants a gateway",
         "quota.keeper.processor",
         GATEWAYS,
         lambda at: at("quota.keeper.processor", GATEWAYS),
         "ms/s",
         plan.PROCESS_MS_PER_S,
-        "quota keeper: one process",
+        "ledger leader: one process",
     ),
     Row(
         "account keeper",
@@ -303,7 +303,7 @@
     ),
     Row(
         "voter",
-        "a record made over 60 ms round trips, of 10 s",
+        "a record committed over 60 ms round trips, within 10 s",
         "lease.record_made",
         plan.REGIONS_ROUND_TRIP_MS,
         lambda at: at("lease.record_made", plan.REGIONS_ROUND_TRIP_MS),
@@ -313,7 +313,7 @@
     ),
     Row(
         "voter",
-        "another holder after a kill, 60 ms round trips, of 10 s",
+        "another lease holder after a kill, 60 ms round trips, within 10 s",
         "lease.takeover",
         plan.REGIONS_ROUND_TRIP_MS,
         lambda at: at("lease.takeover", plan.REGIONS_ROUND_TRIP_MS),
@@ -323,22 +323,22 @@
     ),
     Row(
         "publisher",
-        "calls at the bulletin's one address, calm",
+        "calls at the discovery service, no faults",
         "discovery.idle_calls",
         ENGINES,
         lambda at: GATEWAYS * at("discovery.idle_calls", ENGINES),
         "1/s",
         None,
-        LIST_ADDRESS,
+        SINGLE_LIST_ADDRESS,
     ),
     Row(
         "publisher",
-        "lists when a zone's 367 fronts start",
+        "lists when a zone's 367 gateways start",
         "discovery.body",
         ENGINES,
         lambda at: plan.GATEWAYS_PER_ZONE * at("discovery.body", ENGINES),
         "bytes",
         None,
-        LIST_ADDRESS,
+        SINGLE_LIST_ADDRESS,
     ),
 )
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -13,8 +13,8 @@
 from lichenquay.testbed.scale.session import WorldDriver
 from lichenquay.testbed.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
 
-MIN_LOAD_S = 2.0  # Of the load on real fronts.
-START_S = 6.0  # About how long the processes take to start, for the progress bar.
+MIN_LOAD_S = 2.0  # Minimum duration of the load on real gateways.
+START_S = 6.0  # Approximate start time of the processes, for the progress bar.
 
 
 @dataclass
@@ -51,7 +51,7 @@
         with self.driver:
             self.driver.list_engines(0, self.plan.shape.engines)
             self._advance(START_S)
-            self.base = self.driver.read()
+            self.base = self.driver.read_usage()
             self._measure_sizes()
             self._run_scenarios_beside_real_gateways()
             self._finish()
@@ -74,7 +74,7 @@
         for gateway in self.result.real_fronts:
             if gateway.in_force != newest_version:
                 gateway.broken_rules.append(
-                    f"{gateway.name}: version {gateway.in_force} in force after rest, "
+                    f"{gateway.name}: version {gateway.in_force} in force after the settling time, "
                     f"{newest_version} is the newest"
                 )
 
@@ -88,14 +88,14 @@
 
     def _measure(self, size) -> list[SizeSample]:
         if not self.driver.grow_to(size):
-            self.result.notes.append(f"at {size} fronts not all had the newest version when it was measured")
+            self.result.notes.append(f"at {size} gateways, not all had the newest version when measured")
         time.sleep(self.plan.settle_s)
         samples = [self._window(size) for _ in range(self.plan.windows)]
         self._advance(self.plan.settle_s + self.plan.windows * self.plan.window_s + 1.0)
         return samples
 
     def _window(self, size) -> SizeSample:
-        before, after = self.driver.window(self.plan.window_s, self.plan.changes_per_s)
+        before, after = self.driver.measure_window(self.plan.window_s, self.plan.changes_per_s)
         return SizeSample(size, costs_between(before, after, self.base, self.plan.shape))
 
     def _run_scenarios(self):
@@ -105,7 +105,9 @@
                 scenario, lambda at_s, done_s=done_s: self._report_progress(done_s + at_s)
             )
             if not scenario_result.settled:
-                self.result.notes.append(f"after {scenario.name} not all had the newest version in time")
+                self.result.notes.append(
+                    f"after {scenario.name}, not all gateways had the newest version in time"
+                )
             self.result.scenario_results.append(scenario_result)
             self._advance(scenario.seconds + 1.0)
 
@@ -113,9 +115,9 @@
         result, driver = self.result, self.driver
         if not driver.settle():
             result.notes.append(
-                f"after {self.plan.settle_timeout_s:g} s of rest not all had the newest version"
+                f"after {self.plan.settle_timeout_s:g} s, not all gateways had the newest version"
             )
-        driver.read()
+        driver.read_usage()
         result.processes += len(driver.world.children()) + 1
         result.memory_share = driver.memory_share
         result.lifetimes = driver.end()
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -77,7 +77,7 @@
         return getattr(self.part, name)
 
 
-def state_bytes(make: Callable[[], Any]) -> tuple[Any, int]:
+def measure_state_bytes(make: Callable[[], Any]) -> tuple[Any, int]:
     """Returns the result of `make`, and the bytes allocated in it that are still held (tracemalloc)."""
     started = not tracemalloc.is_tracing()
     if started:
@@ -92,7 +92,7 @@
             tracemalloc.stop()
 
 
-def processor_ms(call: Callable[[], Any]) -> float:
+def measure_processor_ms(call: Callable[[], Any]) -> float:
     """Returns the processor time of one call in milliseconds."""
     started_ns = time.thread_time_ns()
     call()
--- a/lichenquay/testbed/scale/scenario.py
+++ b/lichenquay/testbed/scale/scenario.py
@@ -10,25 +10,25 @@
 
 from lichenquay.testbed.scale.impairment import Rule, partition_rules
 
-MAX_GATEWAYS_PER_ZONE = 367  # 4,400 fronts in 12 zones.
+MAX_GATEWAYS_PER_ZONE = 367  # 4,400 gateways in 12 zones.
 RELAYS_PER_ZONE = 2
 MAX_REGIONS = 3
-VOTERS = 5  # A publisher and one voter more may be down.
-CONTROL_ZONE = "control"  # Where the publishers stand, and the client that proposes changes.
-FIRST_FAULT_S = 2.0  # Scenarios begin with so much calm.
-PAUSE_S = 5.0  # Over the longest lease that is set here.
+VOTERS = 5  # Tolerates the failure of a publisher and another voter.
+CONTROL_ZONE = "control"  # The zone of the publishers and of the client that proposes changes.
+FIRST_FAULT_S = 2.0  # Time without faults at the start of a scenario.
+PAUSE_S = 5.0  # Longer than the longest lease set here.
 
 
 class FaultKind(StrEnum):
     """Names what a fault does to its targets."""
 
-    KILL = "kill"  # SIGKILL of a control process; started again after `for_s`.
-    PAUSE = "pause"  # SIGSTOP for `for_s`.
+    KILL = "kill"  # SIGKILL of a control process; restarted after `duration_s`.
+    PAUSE = "pause"  # SIGSTOP for `duration_s`.
     DISK_FULL = "disk full"
     DISK_SLOW = "disk slow"
-    RESTART_GATEWAYS = "restart fronts"  # Down for `for_s`, then all started at once.
-    SLOW_READER = "slow reader"  # A front that does not read its socket for `for_s`.
-    IMPAIR_NETWORK = "weather"  # Rules of the network, for `for_s`.
+    RESTART_GATEWAYS = "restart fronts"  # Stopped for `duration_s`, then all started at once.
+    SLOW_READER = "slow reader"  # Gateways that do not read their sockets for `duration_s`.
+    IMPAIR_NETWORK = "weather"  # Applies impairment rules for `duration_s`.
 
 
 class Target(StrEnum):
@@ -44,11 +44,11 @@
 
     fronts: int
     engines: int = 100
-    hosts: int = 2  # Processes that hold hollow fronts.
+    hosts: int = 2  # Processes that hold lightweight gateways.
     voters: int = VOTERS
     relays_of_zone: int = RELAYS_PER_ZONE
     least_zones: int = 2
-    queries_per_s: float = 0.0  # At each hollow front, of its controller; 0: fronts without controllers.
+    queries_per_s: float = 0.0  # At each lightweight gateway's controller; 0: no controllers.
     seed: int = 1
 
     @cached_property
@@ -121,8 +121,8 @@
     seconds: float
     changes_per_s: float
     events: list[FaultEvent] = field(default_factory=list)
-    time_compression: float = 1.0  # By how much time is compressed against an ordinary day.
-    cut_zones: tuple[str, ...] = ()  # Whose fronts are out of reach for a while.
+    time_compression: float = 1.0  # Factor by which a day is compressed.
+    cut_zones: tuple[str, ...] = ()  # Zones whose gateways are unreachable for a while.
 
 
 def calm(seconds: float, changes_per_s: float) -> Scenario:
--- a/lichenquay/testbed/scale/session.py
+++ b/lichenquay/testbed/scale/session.py
@@ -13,11 +13,11 @@
 from lichenquay.testbed.scale.world import World
 from lichenquay.testbed.world import CannotStart
 
-LEADER_S = 30.0  # In which a publisher must lead.
-LOAD_S = 180.0  # In which the engines must be listed.
-POLL_S = 0.1
-START_BATCH = 200  # Fronts that are started at once while a world grows; a zone's start is a scenario.
-BATCH_S = 0.25
+LEADER_TIMEOUT_S = 30.0  # Until a publisher must lead.
+LISTING_TIMEOUT_S = 180.0  # Until the engines must be listed.
+POLL_INTERVAL_S = 0.1
+START_BATCH = 200  # Gateways started at once while a world grows; whole zones start in a scenario.
+BATCH_INTERVAL_S = 0.25
 
 
 class WorldDriver:
@@ -29,7 +29,7 @@
         """
         self.shape, self.settle_timeout_s = shape, settle_timeout_s
         self.world = World(shape, Path(folder))
-        self.memory_share = 0.0  # Of the machine, the highest that was read.
+        self.memory_share = 0.0  # The highest reading, as a share of the machine's memory.
 
     def __enter__(self):
         """Starts the processes and the client. Raises CannotStart where one does not start."""
@@ -37,7 +37,7 @@
         try:
             self.proposer = Proposer(self.world.spec, engines.BackgroundChanges(self.shape))
             self.proposer.start()
-            self.wait_for(lambda: self.world.leader() is not None, LEADER_S, "no publisher leads")
+            self.wait_for(lambda: self.world.leader() is not None, LEADER_TIMEOUT_S, "no publisher leads")
         except BaseException:
             self.__exit__(None, None, None)
             raise
@@ -54,8 +54,8 @@
         started_at_s = time.monotonic()
         for entries in engines.engine_changes(first, count, self.shape):
             self.proposer.propose(entries)
-        self.wait_for(self.proposer.is_idle, LOAD_S, f"{count} engines could not be listed")
-        self.proposer.propose(engines.list_complete_change())  # Fronts take engines from here on.
+        self.wait_for(self.proposer.is_idle, LISTING_TIMEOUT_S, f"{count} engines could not be listed")
+        self.proposer.propose(engines.list_complete_change())  # From here on gateways apply the engines.
         return time.monotonic() - started_at_s
 
     def grow_to(self, gateways: int) -> bool:
@@ -63,17 +63,17 @@
         names = self.shape.gateway_names()[len(self.world.running) : gateways]
         for first in range(0, len(names), START_BATCH):
             self.world.start_gateways(names[first : first + START_BATCH])
-            time.sleep(BATCH_S)
+            time.sleep(BATCH_INTERVAL_S)
         return self.settle()
 
-    def window(self, seconds: float, changes_per_s: float) -> tuple[Reading, Reading]:
+    def measure_window(self, seconds: float, changes_per_s: float) -> tuple[Reading, Reading]:
         """Returns readings before and after some time. Each window has the same number of changes, so that
         windows are comparable.
         """
         self.proposer.set_rate(changes_per_s)
-        before = self.read()
+        before = self.read_usage()
         time.sleep(seconds)
-        after = self.read()
+        after = self.read_usage()
         self.proposer.set_rate(0.0)
         return before, after
 
@@ -97,13 +97,13 @@
             self.world.poll_ready()
             if self.proposer.is_idle() and self.world.settled(self.proposer.newest_version()):
                 return True
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         return False
 
-    def read(self) -> Reading:
+    def read_usage(self) -> Reading:
         """Returns the counters of every process now."""
         reading = Reading(time.monotonic(), self.world.usage())
-        kb = sum(one.usage.kb for one in reading.usage)
+        kb = sum(process.usage.kb for process in reading.usage)
         self.memory_share = max(self.memory_share, kb / measure.memory_total_kb())
         return reading
 
@@ -118,4 +118,4 @@
         while not condition():
             if time.monotonic() > until:
                 raise CannotStart(f"{failure} within {seconds:g} s")
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
--- a/lichenquay/testbed/scale/settings_files.py
+++ b/lichenquay/testbed/scale/settings_files.py
@@ -4,7 +4,7 @@
 from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape, zone_of_name
 from lichenquay.testbed.scale.world_spec import FLEET, PREFIXES, WorldSpec
 
-LOOPBACK_PORT = 10_000  # The first of a host's fronts; under the range from which ports are given by chance.
+LOOPBACK_PORT = 10_000  # Port of a host's first gateway; below the ephemeral port range.
 
 
 def address_text(address) -> str:
--- a/lichenquay/testbed/scale/slopes.py
+++ b/lichenquay/testbed/scale/slopes.py
@@ -54,26 +54,26 @@
     for name in shared:
         try:
             fits[name] = fit([s.fronts for s in samples], [values[name] for values in measured], Model.LINEAR)
-        except FitError:  # Too few sizes: nothing is said of this metric.
+        except FitError:  # Too few sizes for a fit of this metric.
             continue
     return fits
 
 
 def predictions_of(fits: dict[str, Fit], gateways: int) -> dict[str, Outcome]:
     """Returns the prediction of each metric at a size."""
-    found = {}
-    for name, one in fits.items():
-        prediction = one.predict(gateways)
-        found[name] = Outcome(prediction.value, prediction.low, prediction.high)
-    return found
+    outcomes = {}
+    for name, fitted in fits.items():
+        prediction = fitted.predict(gateways)
+        outcomes[name] = Outcome(prediction.value, prediction.low, prediction.high)
+    return outcomes
 
 
 def outcomes_of(predictions: dict[str, Outcome], samples: list[SizeSample]) -> dict[str, Outcome]:
     """Returns the predictions with the mean of the measurements."""
     measured = [values_of(sample) for sample in samples]
-    found = {}
-    for name, one in predictions.items():
+    outcomes = {}
+    for name, prediction in predictions.items():
         values = [each[name] for each in measured if name in each]
         mean = sum(values) / len(values) if values else None
-        found[name] = Outcome(one.value, one.low, one.high, mean)
-    return found
+        outcomes[name] = Outcome(prediction.value, prediction.low, prediction.high, mean)
+    return outcomes
--- a/lichenquay/testbed/scale/talker.py
+++ b/lichenquay/testbed/scale/talker.py
@@ -15,25 +15,25 @@
 from lichenquay.fleet.gateway_runtime import GatewayRuntime
 
 
-def spent(fleet: GatewayRuntime) -> tuple[float, int, int]:
+def read_counters(fleet: GatewayRuntime) -> tuple[float, int, int]:
     """Returns processor time in milliseconds, datagrams and bytes sent so far."""
-    post = fleet.datagrams
-    return time.process_time() * 1_000, post.counters["datagrams sent"], post.bytes_out
+    transport = fleet.datagrams
+    return time.process_time() * 1_000, transport.counters["datagrams sent"], transport.bytes_out
 
 
 def main(path: str, warm_up_s: float, measured_s: float) -> None:
     """Runs for the warm-up and the measured time, then prints the rates of the latter."""
     fleet = GatewayRuntime(reactor, read_file(path, read_settings).fleet, 1, lambda: False)
-    trouble = fleet.open()
-    if trouble:
-        sys.exit(trouble)
+    problem = fleet.open()
+    if problem:
+        sys.exit(problem)
     fleet.begin()
-    marks: list[tuple[float, int, int]] = []
-    reactor.callLater(warm_up_s, lambda: marks.append(spent(fleet)))
-    reactor.callLater(warm_up_s + measured_s, lambda: (marks.append(spent(fleet)), reactor.stop()))
+    readings: list[tuple[float, int, int]] = []
+    reactor.callLater(warm_up_s, lambda: readings.append(read_counters(fleet)))
+    reactor.callLater(warm_up_s + measured_s, lambda: (readings.append(read_counters(fleet)), reactor.stop()))
     reactor.run()
     fleet.close()
-    rates = [(after - before) / measured_s for before, after in zip(*marks, strict=True)]
+    rates = [(after - before) / measured_s for before, after in zip(*readings, strict=True)]
     print(json.dumps(dict(zip(("processor", "datagrams", "bytes"), rates, strict=True))))
 
 
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -24,10 +24,10 @@
 from lichenquay.testbed.scale.scenario import Shape, zone_of_name
 from lichenquay.testbed.scale.world_spec import CLIENT, PREFIXES
 
-DISK_MS = 2.0  # A voter's store.
+DISK_MS = 2.0  # Time of a voter's write.
 LINK_MS = (0.2, 1.0)
 DEFAULT_SETTINGS = Settings()
-STEP_MS = 100.0  # Between two looks at whether all have settled.
+STEP_MS = 100.0  # Interval at which conditions and progress are checked.
 
 
 class VirtualVoter:
@@ -106,7 +106,7 @@
         self.relays = relay_locations(shape)
         self.lifetimes: list[record.GatewayLifetime] = []
         self.running: dict[str, record.GatewayLifetime] = {}
-        self.last_ms = 0.0  # When the last thing that was put off is due.
+        self.last_ms = 0.0  # When the last scheduled call is due.
         rng = random.Random(f"{shape.seed}/proposer")
         self.client = Client(shape.publisher_names(), rng, engines.BackgroundChanges(shape))
         for name in shape.publisher_names():
@@ -259,8 +259,8 @@
         if lifetime is not None:
             lifetime.record_version(part.applied_version, self.net.now_ms)
         elif isinstance(part, VirtualVoter):
-            wanted, part.group.store_requests[:] = list(part.group.store_requests), []
-            for number, changes in wanted:
+            writes, part.group.store_requests[:] = list(part.group.store_requests), []
+            for number, changes in writes:
                 self.net.at(
                     self.net.now_ms + part.disk.delay_ms, self._store, host.name, host.life, number, changes
                 )
--- a/lichenquay/testbed/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -11,8 +11,8 @@
 from lichenquay.testbed.scale.virtual import VirtualWorld
 from lichenquay.testbed.world import CannotStart
 
-WINDOW_S = 5.0  # Virtual, of the calm in which messages are counted.
-LEADER_MS, LOAD_MS, SETTLE_MS = 30_000.0, 300_000.0, 60_000.0
+WINDOW_S = 5.0  # Virtual time without faults in which messages are counted.
+LEADER_TIMEOUT_MS, LISTING_TIMEOUT_MS, SETTLE_TIMEOUT_MS = 30_000.0, 300_000.0, 60_000.0
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
     proposals: list = field(default_factory=list)
     lifetimes: list = field(default_factory=list)
     findings: Findings = field(default_factory=Findings)
-    messages_per_s: dict[str, float] = field(default_factory=dict)  # Sent by one of each role.
+    messages_per_s: dict[str, float] = field(default_factory=dict)  # Sent by one member of each role.
     bytes_per_s: dict[str, float] = field(default_factory=dict)  # Without the envelope.
     virtual_s: float = 0.0
     cpu_s: float = 0.0
@@ -83,11 +83,11 @@
 
     def _prepare(self):
         world, shape = self.world, self.plan.shape
-        if not world.run_until(lambda: world.holder() is not None, LEADER_MS):
+        if not world.run_until(lambda: world.holder() is not None, LEADER_TIMEOUT_MS):
             raise CannotStart("no publisher leads")
         for entries in engines.engine_changes(0, shape.engines, shape):
             world.propose(entries)
-        if not world.run_until(lambda: world.client.is_idle, LOAD_MS):
+        if not world.run_until(lambda: world.client.is_idle, LISTING_TIMEOUT_MS):
             raise CannotStart("the engines could not be listed")
         world.start_gateways(shape.gateway_names())
         self._wait_settled("the first start")
@@ -110,7 +110,9 @@
             self.result.bytes_per_s[role] = round(size / seconds / len(names), 1)
 
     def _wait_settled(self, what) -> bool:
-        settled = self.world.run_until(self.world.settled, SETTLE_MS)
+        settled = self.world.run_until(self.world.settled, SETTLE_TIMEOUT_MS)
         if not settled:
-            self.result.notes.append(f"after {what} not all had the newest version in {SETTLE_MS:g} ms")
+            self.result.notes.append(
+                f"after {what}, not all gateways had the newest version in {SETTLE_TIMEOUT_MS:g} ms"
+            )
         return settled
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -15,9 +15,9 @@
 from lichenquay.testbed.scale.world_spec import WorldSpec
 from lichenquay.testbed.world import CannotStart
 
-READY_S = 60.0  # A busy machine starts many processes slowly.
-ANSWER_S = 10.0
-END_S = 20.0
+READY_TIMEOUT_S = 60.0  # A loaded machine starts many processes slowly.
+ANSWER_TIMEOUT_S = 10.0
+END_TIMEOUT_S = 20.0
 READY = "READY"
 
 
@@ -57,11 +57,11 @@
         """Whether it accepts commands now."""
         return self.runs and self.ready and not self.paused
 
-    def wait_ready(self, seconds=READY_S):
+    def wait_ready(self, seconds=READY_TIMEOUT_S):
         """Waits for READY. Raises CannotStart on a timeout."""
         if not self.ready and read_line(self.process, seconds) != READY:
             lines = self.log.read_text().strip().splitlines()
-            raise CannotStart(f"{self.name} did not start: {lines[-1] if lines else 'no word of it'}")
+            raise CannotStart(f"{self.name} did not start: {lines[-1] if lines else 'its log is empty'}")
         self.ready = True
 
     def poll_ready(self) -> bool:
@@ -83,10 +83,10 @@
             self.process.send_signal(signal.SIGCONT)
             self.paused = False
 
-    def send_command(self, order) -> bool:
+    def send_command(self, command) -> bool:
         """Sends a command; returns False where the process has ended."""
         try:
-            self.process.stdin.write(orders.encode_command(order) + "\n")
+            self.process.stdin.write(orders.encode_command(command) + "\n")
             self.process.stdin.flush()
         except (OSError, ValueError):
             return False
@@ -96,7 +96,7 @@
         """Requests the counts; returns None where it does not answer."""
         if not self.answers or not self.send_command(orders.Count()):
             return None
-        line = read_line(self.process, ANSWER_S)
+        line = read_line(self.process, ANSWER_TIMEOUT_S)
         return orders.decode_counts(line) if line else None
 
     def kill(self):
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True)
-class RoleUsage:
+class ProcessUsage:
     """Holds the counters of one process at one time."""
 
     name: str
@@ -127,8 +127,8 @@
     spec: WorldSpec = None
     control: dict[str, ChildProcess] = field(default_factory=dict)
     hosts: list[ChildProcess] = field(default_factory=list)
-    running: set[str] = field(default_factory=set)  # Hollow fronts.
-    rules: list = field(default_factory=list)  # Of the network, now.
+    running: set[str] = field(default_factory=set)  # Names of lightweight gateways.
+    rules: list = field(default_factory=list)  # The impairment rules now.
 
     def __enter__(self):
         """Starts the control processes and the gateway hosts, without any gateway."""
@@ -137,11 +137,14 @@
         loopbacks = loopback_addresses(self.shape.hosts)
         self.spec = WorldSpec(self.shape, free_addresses(names), loopbacks, str(self.folder))
         self.spec.write()
-        module = "lichenquay.testbed.scale"
         for name in names:
-            self.control[name] = self._child(name, [f"{module}.control", str(self.spec.path), name])
+            self.control[name] = self._child(
+                name, ["lichenquay.testbed.scale.control", str(self.spec.path), name]
+            )
         for i in range(self.shape.hosts):
-            self.hosts.append(self._child(f"hollow-{i}", [f"{module}.hollow", str(self.spec.path), str(i)]))
+            self.hosts.append(
+                self._child(f"hollow-{i}", ["lichenquay.testbed.scale.hollow", str(self.spec.path), str(i)])
+            )
         try:
             for child in self.children():
                 child.start()
@@ -195,14 +198,14 @@
             if child.poll_ready():
                 child.send_command(orders.Impair(self.rules))
 
-    def usage(self) -> list[RoleUsage]:
+    def usage(self) -> list[ProcessUsage]:
         """Returns the counters of every process that answers."""
-        found = []
+        usages = []
         for child in self.children():
             counts = child.count()
             if counts is not None:
-                found.append(RoleUsage(child.name, measure.usage_of(child.process.pid), counts))
-        return found
+                usages.append(ProcessUsage(child.name, measure.usage_of(child.process.pid), counts))
+        return usages
 
     def leader(self) -> str | None:
         """Returns the publisher that reports that it leads, or None."""
@@ -221,22 +224,22 @@
         """Makes the gateway hosts write their records and exit."""
         for host in self.hosts:
             host.send_command(orders.End())
-        until = time.monotonic() + END_S
+        until = time.monotonic() + END_TIMEOUT_S
         for host in self.hosts:
             try:
                 host.process.wait(max(0.1, until - time.monotonic()))
             except subprocess.TimeoutExpired:
-                raise CannotStart(f"{host.name} did not end in {END_S:g} s") from None
+                raise CannotStart(f"{host.name} did not end in {END_TIMEOUT_S:g} s") from None
 
     def record_paths(self) -> list[Path]:
         """Returns the paths of the hosts' records, which exist after `end_hosts`."""
         return [self.folder / f"{host.name}.npz" for host in self.hosts]
 
-    def _send_to_hosts(self, order, names, *more):
+    def _send_to_hosts(self, command_class, names, *more):
         for host in self.hosts:
-            mine = [name for name in names if self.host_of(name) is host]
-            if mine:
-                host.send_command(order(mine, *more))
+            own_names = [name for name in names if self.host_of(name) is host]
+            if own_names:
+                host.send_command(command_class(own_names, *more))
 
 
 def loopback_addresses(hosts: int) -> list[str]:
@@ -256,6 +259,6 @@
             sockets[-1].bind(("127.0.0.1", 0))
             addresses[name] = sockets[-1].getsockname()
     finally:
-        for one in sockets:
-            one.close()
+        for opened in sockets:
+            opened.close()
     return addresses
--- a/lichenquay/testbed/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -12,9 +12,9 @@
 from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape
 
 FLEET = "scale"
-CLIENT = f"{CONTROL_ZONE}-client"  # Who proposes changes.
+CLIENT = f"{CONTROL_ZONE}-client"  # The client that proposes changes.
 CONFIG_PREFIX = "config/"
-PREFIXES = (CONFIG_PREFIX, ENGINE_PREFIX)  # What a front subscribes to.
+PREFIXES = (CONFIG_PREFIX, ENGINE_PREFIX)  # The subscription of a gateway.
 OPEN_LAYERS = {Layer.DISTRIBUTION: distribution_fingerprint(FLEET)}
 
 
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -1,4 +1,6 @@
-"""The capacity probes: one seed gives one run, units and bounds hold, and rows are ranked as said."""
+"""The capacity probes: the same seed gives the same run, units and limits hold, and rows are ranked by need
+over budget.
+"""
 
 import json
 import math
@@ -26,7 +28,7 @@
 )
 from lichenquay.testbed.scale.probes.door import VirtualGateway, make_engines
 from lichenquay.testbed.scale.rows import MEASURED, NONE_TODAY, NOT_IMPLEMENTED, Row
-from lichenquay.testbed.scale.sample import Sample, Stopwatch, state_bytes
+from lichenquay.testbed.scale.sample import Sample, Stopwatch, measure_state_bytes
 
 pytestmark = pytest.mark.together
 
@@ -57,16 +59,16 @@
 
 
 def no_progress(done):
-    """A progress that nobody looks at."""
+    """Ignores the progress."""
 
 
 def values(samples, what):
-    """{size: values} of one quantity."""
+    """Returns {size: values} of one quantity."""
     return {s.size: s.values for s in samples if s.what == what}
 
 
 def small(monkeypatch):
-    """The catalogue at sizes of a second or two."""
+    """Returns the catalogue at sizes that take a second or two."""
     monkeypatch.setattr("lichenquay.testbed.scale.probes.query_rate.ENGINES", 50)
     return [replace(probe, short=SMALL[probe.name]) for probe in PROBES if probe.short]
 
@@ -84,8 +86,8 @@
         (discovery.measure, (25,)),
     ],
 )
-def test_the_same_seed_gives_the_same_figures_but_for_the_machines(measure, sizes):
-    """Messages, bytes and virtual times are functions of the seed."""
+def test_the_same_seed_gives_the_same_figures_except_machine_costs(measure, sizes):
+    """Messages, bytes and virtual times depend on the seed alone."""
 
     def measure_once():
         return [
@@ -95,15 +97,15 @@
     assert measure_once() == measure_once()
 
 
-def test_another_seed_gives_other_events():
-    """Otherwise runs over seeds would be one run."""
+def test_another_seed_gives_different_events():
+    """Otherwise runs with several seeds would repeat one run."""
     one, other = (members.measure((5,), seed, no_progress) for seed in (1, 2))
     assert values(one, "members.lost_0.bytes") != values(other, "members.lost_0.bytes")
 
 
 @pytest.mark.parametrize("probe", PROBES, ids=lambda p: p.name)
-def test_samples_are_of_the_catalogue_and_of_sane_units(probe, monkeypatch):
-    """Each quantity comes at each size, finite and not negative; progress rises to 1."""
+def test_samples_match_the_catalogue_and_have_known_units(probe, monkeypatch):
+    """Each quantity is sampled at each size, finite and not negative; progress rises to 1."""
     monkeypatch.setattr("lichenquay.testbed.scale.probes.query_rate.ENGINES", 50)
     monkeypatch.setattr(host, "WARM_UP_S", 0.3)
     monkeypatch.setattr(host, "MEASURED_S", 0.5)
@@ -116,7 +118,7 @@
     assert set(probe.models) <= {s.what for s in samples}
 
 
-def test_sizes_rise_and_end_at_the_bounds_that_were_set():
+def test_sizes_ascend_to_the_planned_largest_size():
     """The held-out size is the largest; at least three smaller ones leave a degree of freedom."""
     for probe in PROBES:
         for sizes in (probe.short, probe.full):
@@ -127,20 +129,20 @@
     assert largest["members"] == 800
 
 
-def test_a_front_asks_for_the_list_once_a_second():
-    """As its patience says, of 1,000 ms."""
+def test_an_idle_gateway_polls_the_list_once_a_second():
+    """The wait time of a poll is 1,000 ms."""
     samples = discovery.measure((10,), 1, no_progress)
     assert values(samples, "discovery.idle_calls") == {10: (1.0,)}
 
 
-def test_a_list_of_the_size_to_design_for_is_read_and_one_of_twice_that_refused():
-    """http.MAX_BODY_BYTES bounds it: 8 MB, at 174 bytes an engine 48,000 engines."""
-    assert discovery.accepted(discovery.whole_list(25_000))
-    assert not discovery.accepted(discovery.whole_list(50_000))
+def test_a_list_of_the_planned_size_is_accepted_and_one_of_twice_the_size_rejected():
+    """http.MAX_BODY_BYTES is the limit: 8 MB, which at 174 bytes an engine is 48,000 engines."""
+    assert discovery.is_accepted(discovery.encode_whole_list(25_000))
+    assert not discovery.is_accepted(discovery.encode_whole_list(50_000))
 
 
-def test_queries_of_the_virtual_door_all_end():
-    """What is measured is a controller that works: nearly all queries finish, and none is sent twice."""
+def test_queries_of_the_virtual_gateway_all_complete():
+    """The measured controller must work: nearly all queries finish, and none is rejected."""
     gateway = VirtualGateway(make_engines(50), 1, 40.0)
     gateway.run(5_000.0)
     assert gateway.arrived > 100
@@ -149,44 +151,44 @@
     assert gateway.tick_stopwatch.calls > 0 and gateway.query_stopwatch.calls > 0
 
 
-def test_the_controllers_state_grows_by_engines():
-    """By one to four KB each."""
+def test_the_controllers_memory_grows_with_engines():
+    """Each engine takes one to four KB."""
     held = {
         s.size: s.values[0] for s in controller.measure((50, 150), 1, no_progress) if s.what.endswith("state")
     }
     assert 1_000 < (held[150] - held[50]) / 100 < 4_000
 
 
-def test_a_record_takes_a_round_trip_and_the_disk():
-    """Of three voters the holder and one other: a round trip and one write of 2 ms."""
+def test_a_record_takes_one_round_trip_and_one_write():
+    """The holder and one other of three voters commit: a round trip and one write of 2 ms."""
     made = values(lease.measure_round_trips((1, 20), 1, no_progress), "lease.record_made")
     assert all(abs(t - 3.0) < 0.2 for t in made[1])
     assert all(abs(t - 22.0) < 0.2 for t in made[20])
 
 
-def test_a_killed_front_is_seen_within_the_bound():
-    """By all others, at no loss and at 20% lost."""
+def test_a_killed_gateway_is_detected_in_time():
+    """All other gateways detect it, without loss and at 20% loss."""
     samples = members.measure((5,), 1, no_progress)
     for loss in (0, 20):
         (detected,) = values(samples, f"members.lost_{loss}.detect").values()
         assert len(detected) == members.RUNS and all(1.5 < t < 5.0 for t in detected)
 
 
-def test_a_datagram_has_its_envelope():
-    """Longer than its message by under 80 bytes."""
+def test_a_datagram_includes_its_envelope():
+    """It is longer than its message by less than 80 bytes."""
     ((length,),) = values(datagram.measure((300,), 1, no_progress), "datagram.length").values()
     assert 300 < length < 380
 
 
-def test_a_front_that_cannot_talk_is_told_so(monkeypatch):
-    """Not left out of the mean."""
+def test_a_gateway_that_fails_to_start_raises_an_error(monkeypatch):
+    """A gateway that fails must not be left out of the mean."""
     monkeypatch.setattr(host, "SETTINGS_BY_KIND", {"members": "accounts { }"})
     with pytest.raises(RuntimeError, match="without its figures"):
         host.run_gateways(2, "members")
 
 
-def test_a_probe_without_sizes_is_left_out_and_its_rows_have_no_need():
-    """The short form has no processes of its own."""
+def test_a_probe_without_sizes_is_skipped_and_its_rows_have_no_need():
+    """The short form starts no processes, so that the host probe has no sizes there."""
 
     def measure(sizes, seed, progress):
         raise AssertionError("not wanted")
@@ -197,8 +199,8 @@
     assert all(r.need is None for r in found.ranked if r.row.what is not None)
 
 
-def test_one_probe_can_be_run_alone(monkeypatch):
-    """Rows of the others stand without figures."""
+def test_one_probe_can_run_alone(monkeypatch):
+    """Rows of the other probes are shown without figures."""
     monkeypatch.setattr("lichenquay.testbed.scale.catalogue.PROBES", small(monkeypatch))
     result = CliRunner().invoke(cli, ["lab", "capacity", "--only", "datagram"])
     assert result.exit_code == 0, result.output
@@ -206,28 +208,28 @@
     assert CliRunner().invoke(cli, ["lab", "capacity", "--only", "nothing"]).exit_code == 2
 
 
-def test_other_commands_start_without_the_probes():
-    """They reach over the whole tree."""
+def test_other_commands_do_not_import_the_probes():
+    """The probes import most of the tree, which slows down every start."""
     code = "import sys, lichenquay.cli.main; sys.exit(any('testbed.scale' in name for name in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code], env=environment(), check=False).returncode == 0
 
 
 def test_a_stopwatch_counts_nested_use_once():
-    """A part that calls another timed one does not count that time twice."""
+    """A timed part that calls another timed one does not count that time twice."""
     stopwatch = Stopwatch()
     with stopwatch.running(), stopwatch.running():
         sum(range(1_000))
     assert stopwatch.calls == 1 and stopwatch.spent_ms > 0
 
 
-def test_state_counts_what_is_held():
-    """And not what was let go."""
-    _, held = state_bytes(lambda: bytearray(100_000))
-    _, let_go = state_bytes(lambda: len(bytearray(100_000)))
+def test_state_bytes_counts_only_memory_still_held():
+    """Memory that was released is not counted."""
+    _, held = measure_state_bytes(lambda: bytearray(100_000))
+    _, let_go = measure_state_bytes(lambda: len(bytearray(100_000)))
     assert 100_000 <= held < 102_000 and let_go < 2_000
 
 
-def test_the_largest_size_is_foretold_before_it_is_run():
+def test_the_largest_size_is_predicted_before_it_is_measured():
     """The smaller sizes are measured first, in one call; then the largest alone."""
     asked = []
 
@@ -243,8 +245,8 @@
     assert slope.fit.points == 8 and slope.fit.largest == 10
 
 
-def test_a_quantity_that_was_never_seen_has_no_need():
-    """Nothing is made up for it: the row stands without a figure."""
+def test_a_quantity_without_measurements_has_no_need():
+    """The row is shown without a figure."""
 
     def measure(sizes, seed, progress):
         return [Sample(n, "made-up", "ms", ()) for n in sizes]
@@ -255,7 +257,7 @@
     assert capacity.rank(row, slopes).need is None and capacity.rank(row, slopes).ratio is None
 
 
-def test_rows_are_ranked_none_today_first_then_by_need_over_budget():
+def test_rows_without_a_mechanism_rank_first_then_by_need_over_budget():
     """Rows without a budget come last."""
 
     def ranked(title, need, budget, mechanism="some"):
@@ -273,14 +275,14 @@
 
 
 def test_rows_name_quantities_of_the_catalogue():
-    """And only the missing ones have no need."""
+    """Only the rows without a mechanism have no need."""
     known = {what for probe in PROBES for what in probe.models}
     assert all(row.need is not None and (row.what in known or row.what is None) for row in MEASURED)
     assert all(row.need is None and row.mechanism == NONE_TODAY for row in NOT_IMPLEMENTED)
 
 
-def test_needs_are_sums_of_their_parts():
-    """By hand: list events a day, with 20 sets of tables ranked anew."""
+def test_a_need_is_the_sum_of_its_parts():
+    """Computed by hand: the list events of a day, with 20 sets of tables ranked again."""
     row = next(r for r in MEASURED if r.what == "controller.list_event")
     assert math.isclose(
         row.need(lambda what, size: 100.0), (1 + 20 * 4 / 25_000) * 100.0 * 7_000 * 3 / 86_400
@@ -289,7 +291,7 @@
 
 
 def test_the_command_writes_json_and_prints_the_ranked_table(monkeypatch, tmp_path):
-    """At small sizes, whole."""
+    """Runs the whole command at small sizes."""
     monkeypatch.setattr("lichenquay.testbed.scale.catalogue.PROBES", small(monkeypatch))
     path = tmp_path / "capacity.json"
     result = CliRunner().invoke(cli, ["lab", "capacity", "--json", str(path)])
--- a/tests/test_scale_findings.py
+++ b/tests/test_scale_findings.py
@@ -1,4 +1,4 @@
-"""What scale runs found: each test fails for one fault of distribution as it was."""
+"""Regression tests for two faults of distribution that scale runs found."""
 
 from dataclasses import replace
 
@@ -13,11 +13,11 @@
 
 pytestmark = pytest.mark.together
 
-AIM_MS = 7000.0
+TARGET_MS = 7000.0
 
 
-def test_a_snapshot_that_takes_longer_than_a_session_lasts_arrives():
-    """Risk: a relay forgets who only fetches pages, so that the snapshot begins anew for ever."""
+def test_a_snapshot_that_takes_longer_than_the_subscription_timeout_arrives():
+    """A relay that expired a subscriber which only fetched pages made the snapshot start over forever."""
     settings = replace(Settings(), most_changes=16, snapshot_bytes_per_s=40_000.0)
     shape = s.Shape(fronts=12, engines=1000, least_zones=1)
     world = VirtualWorld(shape, settings)
@@ -30,8 +30,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_changes_are_in_force_within_the_aim_amid_a_failover(seed):
+def test_changes_are_in_force_within_the_target_during_a_failover(seed):
     """A publisher, another voter and one relay of each zone are killed at once."""
     shape = s.Shape(fronts=12, engines=10, seed=seed)
     figures = virtual_figures_of(VirtualRunner(VirtualPlan(shape, [s.failover(shape, 24.0, 2.0)])).run())
-    assert figures["scenarios"]["failover"]["in_force_p99_ms"] < AIM_MS
+    assert figures["scenarios"]["failover"]["in_force_p99_ms"] < TARGET_MS
--- a/tests/test_scale_fit.py
+++ b/tests/test_scale_fit.py
@@ -1,4 +1,6 @@
-"""Fits over sizes: known lines are found, intervals cover what they should, and bad input is refused."""
+"""Fits over sizes: known lines are recovered, intervals have their coverage, and invalid input is
+rejected.
+"""
 
 import random
 from math import isclose, log, log10
@@ -21,7 +23,7 @@
         (Model.LOG10, lambda n: 3 + 0.25 * log10(n)),
     ],
 )
-def test_exact_values_give_the_coefficients_back(model, shape):
+def test_exact_values_recover_the_coefficients(model, shape):
     """Without noise the interval shrinks to the slope, and predictions at unmeasured sizes are exact."""
     found = fit(SIZES, [shape(n) for n in SIZES], model)
     assert isclose(found.intercept, 3, rel_tol=1e-9)
@@ -39,7 +41,7 @@
     assert isclose(found.predict(5000).high - 2, 4.303 * (4 / 3) ** 0.5, rel_tol=1e-3)
 
 
-def test_a_textbook_line():
+def test_a_reference_data_set():
     """Anscombe's first data set: slope 0.5001, standard error 0.1179, intercept 3.0001, r squared 0.6665."""
     x = (10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5)
     y = (8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68)
@@ -51,19 +53,19 @@
     assert isclose(found.residual, 1.237, abs_tol=1e-3)
 
 
-def test_intervals_cover_as_often_as_they_say():
+def test_intervals_have_their_nominal_coverage():
     """Over 600 seeded lines with normal noise, about 95% of slopes and of held-out values lie within."""
-    chance, slopes, values = random.Random(7), 0, 0
+    rng, slopes, values = random.Random(7), 0, 0
     for _ in range(600):
-        found = fit(SIZES, [1 + 0.01 * n + chance.gauss(0, 1) for n in SIZES], Model.LINEAR)
+        found = fit(SIZES, [1 + 0.01 * n + rng.gauss(0, 1) for n in SIZES], Model.LINEAR)
         slopes += found.low <= 0.01 <= found.high
-        values += found.predict(400).holds(1 + 0.01 * 400 + chance.gauss(0, 1))
+        values += found.predict(400).holds(1 + 0.01 * 400 + rng.gauss(0, 1))
     assert 0.92 < slopes / 600 < 0.98
     assert 0.92 < values / 600 < 0.98
 
 
-def test_a_prediction_widens_away_from_what_was_measured():
-    """And a size beyond the largest is said to be extrapolated."""
+def test_a_prediction_interval_widens_away_from_the_measured_sizes():
+    """A size beyond the largest one counts as extrapolated."""
     found = fit(SIZES, (1.1, 2.2, 4.9, 20.3, 79.8), Model.LINEAR)
     near, far = found.predict(200), found.predict(4400)
     assert far.high - far.low > near.high - near.low
@@ -89,13 +91,13 @@
         ((1,), (1.0,), Model.CONSTANT),
     ],
 )
-def test_what_cannot_be_fitted_is_refused(sizes, values, model):
-    """Too few points, one size only, differing lengths, numbers that are none, a logarithm of zero."""
+def test_input_that_cannot_be_fitted_is_rejected(sizes, values, model):
+    """Too few points, one size only, different lengths, a NaN, a logarithm of zero."""
     with pytest.raises(FitError):
         fit(sizes, values, model)
 
 
-def test_an_unknown_model_is_refused():
-    """A model's name that is not one of the four."""
+def test_an_unknown_model_is_rejected():
+    """The name is not one of the models."""
     with pytest.raises(ValueError):
         fit(SIZES, SIZES, "cubic")
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -1,4 +1,4 @@
-"""A process of hollow fronts: one that ends and starts again in one turn of the reactor comes up again."""
+"""A process of lightweight gateways restarts a gateway that stops and starts within one reactor iteration."""
 
 import json
 import subprocess
@@ -18,8 +18,8 @@
 WAIT_S = 30.0
 
 
-def test_fronts_that_end_and_start_at_once_come_up_again(tmp_path):
-    """Risk: their sockets are not closed yet when they listen again."""
+def test_gateways_that_stop_and_start_at_once_run_again(tmp_path):
+    """The reactor has not closed the old sockets yet when the gateways listen again."""
     shape = Shape(fronts=6, hosts=1, least_zones=1)
     addresses = free_addresses(shape.control_names())
     spec = WorldSpec(shape, addresses, loopback_addresses(1), str(tmp_path))
@@ -35,8 +35,8 @@
     try:
         assert read_line(process, WAIT_S) == "READY"
         names = shape.gateway_names()
-        commands = [orders.StartFronts(names), orders.StopFronts(names), orders.StartFronts(names)]
-        process.stdin.write("".join(orders.encode_command(order) + "\n" for order in commands))
+        sent_commands = [orders.StartFronts(names), orders.StopFronts(names), orders.StartFronts(names)]
+        process.stdin.write("".join(orders.encode_command(command) + "\n" for command in sent_commands))
         until = time.monotonic() + WAIT_S
         while count(process)["fronts"] < len(names):
             assert time.monotonic() < until
@@ -48,7 +48,7 @@
 
 
 def count(process):
-    """The process's counts, a moment later."""
+    """Returns the process's counts after a short wait."""
     time.sleep(0.1)
     process.stdin.write(orders.encode_command(orders.Count()) + "\n")
     process.stdin.flush()
--- a/tests/test_scale_scenario.py
+++ b/tests/test_scale_scenario.py
@@ -1,4 +1,4 @@
-"""Impairment and scenarios are the same for the same seed; orders arrive as they were given."""
+"""Impairment and scenarios depend on the seed alone; commands are encoded and decoded without loss."""
 
 import pytest
 
@@ -12,22 +12,22 @@
 pytestmark = pytest.mark.together
 
 
-def fates(seed, number=2000):
-    """What happens to so many datagrams on a bad link."""
+def sample_delays(seed, number=2000):
+    """Returns the delays of the copies of so many datagrams on an impaired link."""
     one = Impairment(seed)
     one.rules = [Rule(loss=0.1, delay_ms=20.0, doubled=0.1)]
     return [one.delays_for("z0", "z1") for _ in range(number)]
 
 
-def test_impairment_is_by_its_seed():
-    """The same seed gives the same fates, another one others."""
-    assert fates("a") == fates("a")
-    assert fates("a") != fates("b")
+def test_impairment_depends_on_its_seed():
+    """The same seed gives the same decisions, another seed gives others."""
+    assert sample_delays("a") == sample_delays("a")
+    assert sample_delays("a") != sample_delays("b")
 
 
-def test_loss_and_doubling_have_their_shares():
-    """Within four standard deviations of a tenth."""
-    found = fates("shares")
+def test_loss_and_duplication_have_their_probabilities():
+    """Both lie within four standard deviations of a tenth."""
+    found = sample_delays("shares")
     lost = sum(not copies for copies in found)
     doubled = sum(len(copies) == 2 for copies in found)
     deviation = (2000 * 0.1 * 0.9) ** 0.5
@@ -36,8 +36,8 @@
     assert all(0.0 <= delay <= 20.0 for copies in found for delay in copies)
 
 
-def test_a_cut_zone_talks_within_itself_only():
-    """Both ways; others talk on."""
+def test_a_partitioned_zone_reaches_only_itself():
+    """The partition works both ways; other zones are not affected."""
     one = Impairment("cut")
     one.rules = partition_rules(["z1"], ["control", "z0"])
     assert one.delays_for("z1", "z1") == [0.0]
@@ -45,14 +45,14 @@
     assert one.delays_for("control", "z0") == [0.0]
 
 
-def test_no_rule_leaves_the_network_alone():
-    """One copy, at once."""
+def test_without_rules_the_network_is_not_impaired():
+    """One copy is sent at once."""
     assert Impairment("none").delays_for("z0", "z1") == [0.0]
 
 
 @pytest.mark.parametrize("gateways, zones", [(50, 2), (734, 2), (735, 3), (2000, 6), (4400, 12)])
-def test_zones_hold_what_a_zone_may(gateways, zones):
-    """4,400 fronts are 12 zones of 367 at most."""
+def test_zones_do_not_exceed_their_maximum_size(gateways, zones):
+    """4,400 gateways are 12 zones of at most 367."""
     shape = Shape(fronts=gateways)
     assert len(shape.zones) == zones
     sizes = [len(scenario.gateways_in_zone(shape, zone)) for zone in shape.zones]
@@ -61,8 +61,8 @@
     assert {zone_of_name(name) for name in shape.control_names()} == {"control", *shape.zones}
 
 
-def test_the_ordinary_day_is_by_its_seed():
-    """Its events lie within its time, in order."""
+def test_the_ordinary_day_depends_on_its_seed():
+    """Its events are ordered and lie within its duration."""
     days = [scenario.ordinary_day(Shape(fronts=500, seed=seed), 30.0, 1.0) for seed in (1, 1, 2)]
     assert days[0] == days[1] != days[2]
     times = [event.at_s for event in days[0].events]
@@ -70,15 +70,15 @@
     assert days[0].time_compression == pytest.approx(2880.0)
 
 
-def test_a_rolling_deploy_restarts_every_front_once():
-    """Each name in one group."""
+def test_a_rolling_deploy_restarts_every_gateway_once():
+    """Each name is in one group."""
     shape = Shape(fronts=123)
     names = [name for e in scenario.rolling_deploy(shape, 20.0, 1.0).events for name in e.targets]
     assert sorted(names) == sorted(shape.gateway_names())
 
 
 def test_both_forms_of_a_run_fit_four_sizes_and_hold_one_out():
-    """As the aims ask."""
+    """The short form takes less than a minute."""
     for plan in (plans.short(1), plans.full(1)):
         assert len(set(plan.sizes)) == 4
         assert plan.held_out > max(plan.sizes)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    "order",
+    "command",
     [
         orders.StartFronts(["z0-f0"]),
         orders.StopFronts([]),
@@ -98,20 +98,20 @@
         orders.End(),
     ],
 )
-def test_orders_arrive_as_they_were_given(order):
-    """Over a line of JSON."""
-    assert orders.decode_command(orders.encode_command(order)) == order
+def test_commands_are_decoded_as_they_were_encoded(command):
+    """A command survives its encoding as a line of JSON."""
+    assert orders.decode_command(orders.encode_command(command)) == command
 
 
 @pytest.mark.parametrize("line", ["", "{}", "[]", '{"order": "Dance"}', '{"order": "Count", "x": 1}', "7"])
-def test_what_is_no_order_is_refused(line):
-    """One error for all of it."""
+def test_an_invalid_command_is_rejected(line):
+    """Every invalid line raises the same error."""
     with pytest.raises(orders.UnknownCommandError):
         orders.decode_command(line)
 
 
-def test_engines_are_listed_by_seed_and_within_a_change():
-    """Every engine once; no change over its bytes."""
+def test_engine_changes_depend_on_the_seed_and_stay_within_their_size():
+    """Every engine is listed once; no change exceeds its size limit."""
     shape = Shape(fronts=50, engines=103)
     changes = engine_changes(0, 103, shape)
     keys = [entry.key for entries in changes for entry in entries]
@@ -120,8 +120,8 @@
     assert max(sum(entry.ByteSize() + 2 for entry in entries) for entries in changes) < 700
 
 
-def test_the_trickle_changes_one_key_at_a_time():
-    """Of the configuration or of an engine that is listed."""
+def test_background_changes_have_one_key_each():
+    """The key is of the configuration or of a listed engine."""
     import random
 
     shape = Shape(fronts=50, engines=10)
@@ -133,15 +133,15 @@
 
 
 def sample(gateways, noise=0.0):
-    """A window in which fronts and relays cost as much as there are fronts."""
+    """Returns a window in which the costs of gateways and relays are proportional to the gateways."""
     cost = RoleCost(
         gateways, 0.01 * gateways + 0.1 + noise, 50.0 * gateways, 1000.0 * gateways, 3.0 * gateways
     )
     return SizeSample(gateways, {Role.GATEWAY: cost, Role.RELAY: cost})
 
 
-def test_slopes_and_predictions_are_of_what_every_sample_has():
-    """A line is found again, and foretells the held-out size."""
+def test_only_metrics_of_every_sample_are_fitted():
+    """A known line is recovered, and predicts the held-out size."""
     fits = fits_of([sample(n, noise) for n, noise in ((10, 0.001), (20, -0.001), (40, 0.001), (80, 0.0))])
     assert set(fits) == {
         f"{role}_{cost}_total"
--- a/tests/test_scale_virtual.py
+++ b/tests/test_scale_virtual.py
@@ -1,5 +1,5 @@
-"""A scale run in virtual time: every scenario ends with all fronts at one version, and the same seed gives
-the same.
+"""A scale run in virtual time: every scenario ends with all gateways at one version, and depends on the seed
+alone.
 """
 
 from functools import cache
@@ -29,12 +29,12 @@
 
 @cache
 def run_figures():
-    """The figures of all scenarios."""
+    """Returns the figures of a run of all scenarios."""
     return virtual_figures_of(VirtualRunner(VirtualPlan(SHAPE, SCENARIOS, 2.0)).run())
 
 
-def test_nothing_is_broken_in_any_scenario():
-    """Each fault was done, and all fronts settled after it."""
+def test_no_rule_is_broken_in_any_scenario():
+    """Each fault was injected, and all gateways settled after it."""
     figures = run_figures()
     assert figures["broken_rules"] == []
     assert figures["notes"] == []
@@ -45,22 +45,22 @@
         assert one["done"] or name == "calm"
 
 
-def test_a_region_and_a_zone_come_back():
-    """Virtual seconds; the aims are 20 s for a zone's start."""
+def test_a_region_and_a_zone_recover():
+    """Virtual seconds; the target for a zone's start is 20 s."""
     figures = run_figures()
     assert 0 < figures["region_heal_s"] < 10
     assert 0 < figures["zone_start_s"] < 20
 
 
-def test_a_seed_gives_one_run():
-    """But for the processor's time."""
+def test_the_same_seed_gives_the_same_run():
+    """Only the processor time differs."""
     first, again = (short_run(5) for _ in range(2))
     assert first.pop("cpu_s") > 0 and again.pop("cpu_s") > 0
     assert first == again
 
 
 def short_run(seed):
-    """Chance decides who leads, and what is lost."""
+    """Returns the figures of a run in which leadership and loss are random."""
     shape = s.Shape(fronts=4, engines=10, seed=seed)
     scenarios = [s.failover(shape, 8.0, 2.0), s.bad_network(6.0, 2.0)]
     return virtual_figures_of(VirtualRunner(VirtualPlan(shape, scenarios, 2.0)).run())
--- a/tests/test_scale_world.py
+++ b/tests/test_scale_world.py
@@ -1,4 +1,4 @@
-"""A small scale run with real processes and sockets: its figures are whole, and nothing is broken amid a
+"""A small scale run with real processes and sockets: its figures are complete, and no rule is broken in a
 failover.
 """
 
@@ -40,7 +40,7 @@
 
 
 def small_plan(seed, engines):
-    """The shape of a short run, in little."""
+    """Returns a short run's plan at a small size."""
     shape = s.Shape(fronts=GATEWAYS, engines=20, hosts=1, voters=3, seed=seed)
     relays = tuple(shape.relay_names(zone)[0] for zone in shape.zones)
     kill = s.FaultEvent(0.3, s.FaultKind.KILL, (s.Target.LEADER, *relays), 1.0)
@@ -52,8 +52,8 @@
     return plans.small(seed, GATEWAYS, scenarios)
 
 
-def test_the_command_measures_plays_and_audits(tmp_path, monkeypatch):
-    """By the command line, into JSON and a page."""
+def test_the_command_measures_sizes_runs_scenarios_and_audits(tmp_path, monkeypatch):
+    """Runs the command, which writes JSON and an HTML page."""
     monkeypatch.setattr(plans, "short", small_plan)
     out = tmp_path / "figures.json"
     options = ["--real-fronts", "1", "--queries", "2", "--json", str(out), "--out", str(tmp_path / "run")]
@@ -79,8 +79,8 @@
     assert page.count("<img") == len(report.GATEWAY_BUDGET) + 1
 
 
-def test_engines_are_swept_and_the_largest_number_is_foretold(tmp_path, monkeypatch):
-    """In little: a handful of engines, one zone."""
+def test_an_engine_sweep_predicts_the_largest_number(tmp_path, monkeypatch):
+    """Uses a few engines and one zone."""
     monkeypatch.setattr(engine_sweep, "WINDOW_S", 0.3)
     monkeypatch.setattr(engine_sweep, "START_WAIT_S", 1.0)
     sweep = engine_sweep.EngineSweep(tmp_path, seed=1, sizes=(10, 20, 30, 40), held_out=60)
