--- a/lichenquay/testbed/scale/audit.py
+++ b/lichenquay/testbed/scale/audit.py
@@ -84,7 +84,7 @@
     violations = []
     for lifetime in lifetimes:
         counts = Counter(lifetime.counts)
-        answered = sum(counts[what] for what in ANSWERED)
+        answered = sum(counts[counter] for counter in ANSWERED)
         if counts["queries asked"] != answered + counts["queries open"]:
             violations.append(
                 f"{lifetime.name}: {counts['queries asked']} queries asked, {answered} answered"
--- a/lichenquay/testbed/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -84,14 +84,18 @@
     """Measures the smaller sizes, fits them, and only then measures the largest size."""
     *smaller, largest = probe.sizes(full)
     first = probe.measure(smaller, seed, lambda part: progress(part / 2))
-    predicted = {what: predict_largest(first, what, model, largest) for what, model in probe.models.items()}
+    predicted = {
+        quantity: predict_largest(first, quantity, model, largest) for quantity, model in probe.models.items()
+    }
     last = probe.measure([largest], seed, lambda part: progress((1 + part) / 2))
     slopes = {}
-    for what, model in probe.models.items():
-        samples = tuple(s for s in (*first, *last) if s.what == what)
-        measured = tuple(v for s in last if s.what == what for v in s.values)
-        held_out = HeldOut(largest, predicted[what], measured)
-        slopes[what] = Slope(what, samples[0].unit, probe.size_of, samples, fitted(samples, model), held_out)
+    for quantity, model in probe.models.items():
+        samples = tuple(s for s in (*first, *last) if s.what == quantity)
+        measured = tuple(v for s in last if s.what == quantity for v in s.values)
+        held_out = HeldOut(largest, predicted[quantity], measured)
+        slopes[quantity] = Slope(
+            quantity, samples[0].unit, probe.size_of, samples, fitted(samples, model), held_out
+        )
     return slopes
 
 
@@ -104,9 +108,9 @@
         return None
 
 
-def predict_largest(samples: Sequence[Sample], what: str, model: Model, size: int) -> Prediction | None:
+def predict_largest(samples: Sequence[Sample], quantity: str, model: Model, size: int) -> Prediction | None:
     """Returns the prediction for a larger size from the samples of one quantity."""
-    found = fitted([s for s in samples if s.what == what], model)
+    found = fitted([s for s in samples if s.what == quantity], model)
     return found and found.predict(size)
 
 
@@ -118,10 +122,10 @@
         return Ranked(row, None, None, None)
 
     def need_at_bound(end: str) -> float | None:
-        def quantity_at(what: str, size: float) -> float:
-            found = slopes[what].fit
+        def quantity_at(quantity: str, size: float) -> float:
+            found = slopes[quantity].fit
             if found is None:
-                raise FitError(what)
+                raise FitError(quantity)
             return max(0.0, getattr(found.predict(size), end))
 
         try:
--- a/lichenquay/testbed/scale/catalogue.py
+++ b/lichenquay/testbed/scale/catalogue.py
@@ -107,9 +107,9 @@
         (),
         (2, 3, 5, 8),
         {
-            f"host.{kind}.{what}": Model.CONSTANT
+            f"host.{kind}.{quantity}": Model.CONSTANT
             for kind in host.SETTINGS_BY_KIND
-            for what in ("processor", "datagrams", "bytes_out")
+            for quantity in ("processor", "datagrams", "bytes_out")
         },
     ),
     Probe(
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -69,7 +69,7 @@
     def run(self) -> EngineSweepResult:
         """Runs the sweep. Raises CannotStart where a process does not start or engines can't be listed."""
         with self.driver:
-            self.base = self.driver.read_usage()
+            self.baseline = self.driver.read_usage()
             self.driver.grow_to(GATEWAYS)
             listed = 0
             for number, size in enumerate((*self.sizes, self.held_out)):
@@ -87,10 +87,10 @@
             self.result.notes.append(
                 f"{size} engines were not in force everywhere after {SETTLE_TIMEOUT_S:g} s"
             )
-        behind_s = time.monotonic() - started_at_s
+        settling_s = time.monotonic() - started_at_s
         before, after = self.driver.measure_window(WINDOW_S, 0.0)
-        costs = costs_between(before, after, self.base, self.shape)
-        metrics = {"listing_s": listing_s, "behind_after_listing_s": behind_s}
+        costs = costs_between(before, after, self.baseline, self.shape)
+        metrics = {"listing_s": listing_s, "behind_after_listing_s": settling_s}
         for role in (Role.GATEWAY, Role.RELAY, Role.PUBLISHER):
             if role in costs:
                 metrics[f"{role.value}_kb"] = costs[role].of_one().kb
--- a/lichenquay/testbed/scale/figures.py
+++ b/lichenquay/testbed/scale/figures.py
@@ -92,7 +92,9 @@
     """Returns the queries of all lightweight gateways' controllers, counted by their outcome."""
     total = Counter()
     for lifetime in lifetimes:
-        total.update({what: number for what, number in lifetime.counts.items() if what.startswith("queries")})
+        total.update(
+            {counter: number for counter, number in lifetime.counts.items() if counter.startswith("queries")}
+        )
     return dict(total)
 
 
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -50,10 +50,10 @@
         """Stores the connection rules in force, which nothing here enforces."""
         self.gate = gate
 
-    def apply_endpoints(self, whole, rows):
+    def apply_endpoints(self, is_whole, rows):
         """Passes the engines in force to the controller, if there is one."""
         if self.controller is not None:
-            self.controller.update_endpoints(whole, rows)
+            self.controller.update_endpoints(is_whole, rows)
 
     def begin(self):
         """Opens the socket and starts. Raises CannotListenError."""
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -32,9 +32,9 @@
         """Starts with no counts."""
         self.counts = Counter()
 
-    def count(self, what):
+    def count(self, counter):
         """Adds one to a counter."""
-        self.counts[what] += 1
+        self.counts[counter] += 1
 
 
 @dataclass(eq=False)
@@ -106,17 +106,17 @@
         self.submitted = 0
         self.timer = reactor.callLater(rng.uniform(0, 1 / per_s), self._submit_query)
 
-    def update_endpoints(self, whole: bool, rows: list[EndpointRecord]) -> None:
-        """Applies rows of the list: all engines if `whole`, else those that changed."""
-        if whole:
+    def update_endpoints(self, is_whole: bool, rows: list[EndpointRecord]) -> None:
+        """Applies rows of the list: all engines if `is_whole`, else those that changed."""
+        if is_whole:
             self.engines = {}
-        self.queries.endpoints_updated([self._engine(row) for row in rows], whole)
+        self.queries.endpoints_updated([self._engine(row) for row in rows], is_whole)
 
     def counts(self) -> dict[str, int]:
         """Returns queries by outcome, and the exceptions of the controller that `ControllerAdapter`
         caught.
         """
-        counts = {what: self.queries.metrics.counts[what] for what in (*ANSWERS.values(), FAULTS)}
+        counts = {counter: self.queries.metrics.counts[counter] for counter in (*ANSWERS.values(), FAULTS)}
         return {SUBMITTED: self.submitted, OPEN: len(self.queries.open_queries), **counts}
 
     def close(self) -> None:
--- a/lichenquay/testbed/scale/lab_post.py
+++ b/lichenquay/testbed/scale/lab_post.py
@@ -55,7 +55,7 @@
 
     def added_to(self, counts):
         """Returns the counts with this socket's own added."""
-        dropped = sum(n for what, n in self.counters.items() if what.startswith("datagrams dropped"))
+        dropped = sum(n for counter, n in self.counters.items() if counter.startswith("datagrams dropped"))
         return Counts(
             sent=counts.sent + self.counters["datagrams sent"],
             sent_bytes=counts.sent_bytes + self.bytes_out,
--- a/lichenquay/testbed/scale/player.py
+++ b/lichenquay/testbed/scale/player.py
@@ -160,7 +160,7 @@
 
     def _end_impairment(self, from_ms):
         self.environment.impair([])
-        zones = self.result.scenario.cut_zones
+        zones = self.result.scenario.partitioned_zones
         if zones:
             names = [name for zone in zones for name in gateways_in_zone(self.environment.shape, zone)]
             self._record_recovery(names, from_ms)
--- a/lichenquay/testbed/scale/probes/datagram.py
+++ b/lichenquay/testbed/scale/probes/datagram.py
@@ -50,7 +50,7 @@
     return samples
 
 
-def time_call(size: int, what: str, call: Callable[[], object]) -> Sample:
+def time_call(size: int, quantity: str, call: Callable[[], object]) -> Sample:
     """Returns the processor time of one call, from runs of many calls; the first run is a warm-up."""
 
     def run_calls() -> None:
@@ -62,4 +62,4 @@
         min(measure_processor_ms(run_calls) for _ in range(TRIALS_PER_RUN)) / CALLS_PER_RUN
         for _ in range(RUNS)
     ]
-    return Sample(size, what, "ms", tuple(spent))
+    return Sample(size, quantity, "ms", tuple(spent))
--- a/lichenquay/testbed/scale/record.py
+++ b/lichenquay/testbed/scale/record.py
@@ -61,14 +61,14 @@
 
 def read(path: Path) -> list[GatewayLifetime]:
     """Returns the lifetimes that `write` wrote."""
-    lifetimes, begin = [], 0
+    lifetimes, start = [], 0
     with np.load(path, allow_pickle=False) as archive:
         versions, at_ms = archive["versions"], archive["at_ms"]
         for head in json.loads(str(archive["heads"])):
-            end = begin + head.pop("steps")
+            end = start + head.pop("steps")
             lifetime = GatewayLifetime(**head)
-            lifetime.versions = array("q", versions[begin:end].astype(np.int64).tolist())
-            lifetime.at_ms = array("d", at_ms[begin:end].tolist())
+            lifetime.versions = array("q", versions[start:end].astype(np.int64).tolist())
+            lifetime.at_ms = array("d", at_ms[start:end].tolist())
             lifetimes.append(lifetime)
-            begin = end
+            start = end
     return lifetimes
--- a/lichenquay/testbed/scale/roles.py
+++ b/lichenquay/testbed/scale/roles.py
@@ -35,8 +35,10 @@
     def of_one(self) -> "RoleCost":
         """Returns the mean cost of one member."""
         members = max(1, self.members)
-        each = {name: round(getattr(self, name) / members, digits) for name, digits in COST_DIGITS.items()}
-        return RoleCost(members=self.members, **each)
+        per_member = {
+            name: round(getattr(self, name) / members, digits) for name, digits in COST_DIGITS.items()
+        }
+        return RoleCost(members=self.members, **per_member)
 
 
 @dataclass(frozen=True)
@@ -60,13 +62,13 @@
     return Role.RELAY
 
 
-def costs_between(before: Reading, after: Reading, base: Reading, shape: Shape) -> dict[Role, RoleCost]:
+def costs_between(before: Reading, after: Reading, baseline: Reading, shape: Shape) -> dict[Role, RoleCost]:
     """Returns the cost of each role between two readings.
 
-    `base`: a reading before any gateway ran; the memory of a gateway host in it is the interpreter's own, and
-    is not counted to its gateways.
+    `baseline`: a reading before any gateway ran; the memory of a gateway host in it is the interpreter's
+    own, and is not counted to its gateways.
     """
-    earlier, at_base = before.by_name(), base.by_name()
+    earlier, at_baseline = before.by_name(), baseline.by_name()
     seconds = after.at_s - before.at_s
     costs = {}
     for role in Role:
@@ -77,16 +79,31 @@
         ]
         if not pairs:
             continue
-        members = sum(late.counts.fronts for _, late in pairs) if role is Role.GATEWAY else len(pairs)
-        kb = sum(late.usage.kb for _, late in pairs)
+        members = (
+            sum(later_usage.counts.fronts for _, later_usage in pairs) if role is Role.GATEWAY else len(pairs)
+        )
+        kb = sum(later_usage.usage.kb for _, later_usage in pairs)
         if role is Role.GATEWAY:
-            kb -= sum(at_base[late.name].usage.kb for _, late in pairs if late.name in at_base)
+            kb -= sum(
+                at_baseline[later_usage.name].usage.kb
+                for _, later_usage in pairs
+                if later_usage.name in at_baseline
+            )
         costs[role] = RoleCost(
             members=members,
-            cpu_share=sum(late.usage.cpu_s - early.usage.cpu_s for early, late in pairs) / seconds,
+            cpu_share=sum(
+                later_usage.usage.cpu_s - earlier_usage.usage.cpu_s for earlier_usage, later_usage in pairs
+            )
+            / seconds,
             kb=kb,
-            bytes_per_s=sum(bytes_of(late) - bytes_of(early) for early, late in pairs) / seconds,
-            messages_per_s=sum(messages_of(late) - messages_of(early) for early, late in pairs) / seconds,
+            bytes_per_s=sum(
+                bytes_of(later_usage) - bytes_of(earlier_usage) for earlier_usage, later_usage in pairs
+            )
+            / seconds,
+            messages_per_s=sum(
+                messages_of(later_usage) - messages_of(earlier_usage) for earlier_usage, later_usage in pairs
+            )
+            / seconds,
         )
     return costs
 
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -51,7 +51,7 @@
         with self.driver:
             self.driver.list_engines(0, self.plan.shape.engines)
             self._advance(START_S)
-            self.base = self.driver.read_usage()
+            self.baseline = self.driver.read_usage()
             self._measure_sizes()
             self._run_scenarios_beside_real_gateways()
             self._finish()
@@ -64,12 +64,14 @@
             return
         driver = self.driver
         seconds = max(MIN_LOAD_S, sum(scenario.seconds for scenario in self.plan.scenarios))
-        with RealGateways(self.plan.real_fronts, driver.world.spec, self.folder / "real", seconds) as real:
-            self.result.processes += real.processes
-            real.load()
+        with RealGateways(
+            self.plan.real_fronts, driver.world.spec, self.folder / "real", seconds
+        ) as real_gateways:
+            self.result.processes += real_gateways.processes
+            real_gateways.load()
             self._run_scenarios()
             driver.settle()
-            self.result.real_fronts = real.end()
+            self.result.real_fronts = real_gateways.end()
         newest_version = driver.proposer.newest_version()
         for gateway in self.result.real_fronts:
             if gateway.in_force != newest_version:
@@ -96,7 +98,7 @@
 
     def _window(self, size) -> SizeSample:
         before, after = self.driver.measure_window(self.plan.window_s, self.plan.changes_per_s)
-        return SizeSample(size, costs_between(before, after, self.base, self.plan.shape))
+        return SizeSample(size, costs_between(before, after, self.baseline, self.plan.shape))
 
     def _run_scenarios(self):
         for scenario in self.plan.scenarios:
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -84,9 +84,9 @@
         tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        made = make()
+        result = make()
         after, _ = tracemalloc.get_traced_memory()
-        return made, after - before
+        return result, after - before
     finally:
         if started:
             tracemalloc.stop()
--- a/lichenquay/testbed/scale/scenario.py
+++ b/lichenquay/testbed/scale/scenario.py
@@ -122,7 +122,7 @@
     changes_per_s: float
     events: list[FaultEvent] = field(default_factory=list)
     time_compression: float = 1.0  # Factor by which a day is compressed.
-    cut_zones: tuple[str, ...] = ()  # Zones whose gateways are unreachable for a while.
+    partitioned_zones: tuple[str, ...] = ()  # Zones whose gateways are unreachable for a while.
 
 
 def calm(seconds: float, changes_per_s: float) -> Scenario:
@@ -138,8 +138,8 @@
     """
     relays = tuple(shape.relay_names(zone)[0] for zone in shape.zones)
     targets = (Target.LEADER, Target.FOLLOWER, *relays)
-    kill = FaultEvent(FIRST_FAULT_S, FaultKind.KILL, targets, seconds - FIRST_FAULT_S)
-    return Scenario("failover", seconds, changes_per_s, [kill])
+    failure = FaultEvent(FIRST_FAULT_S, FaultKind.KILL, targets, seconds - FIRST_FAULT_S)
+    return Scenario("failover", seconds, changes_per_s, [failure])
 
 
 def publisher_paused(seconds: float, changes_per_s: float) -> Scenario:
@@ -168,8 +168,8 @@
     zones = shape.zones_of_region(shape.region_of(shape.zones[-1]))
     others = [zone for zone in (CONTROL_ZONE, *shape.zones) if zone not in zones]
     rules = tuple(partition_rules(zones, others))
-    cut = FaultEvent(FIRST_FAULT_S, FaultKind.IMPAIR_NETWORK, (), seconds / 2, rules)
-    return Scenario("region cut", seconds, changes_per_s, [cut], cut_zones=tuple(zones))
+    partition = FaultEvent(FIRST_FAULT_S, FaultKind.IMPAIR_NETWORK, (), seconds / 2, rules)
+    return Scenario("region cut", seconds, changes_per_s, [partition], partitioned_zones=tuple(zones))
 
 
 def bad_network(seconds: float, changes_per_s: float) -> Scenario:
--- a/lichenquay/testbed/scale/slopes.py
+++ b/lichenquay/testbed/scale/slopes.py
@@ -73,7 +73,7 @@
     measured = [values_of(sample) for sample in samples]
     outcomes = {}
     for name, prediction in predictions.items():
-        values = [each[name] for each in measured if name in each]
+        values = [metrics[name] for metrics in measured if name in metrics]
         mean = sum(values) / len(values) if values else None
         outcomes[name] = Outcome(prediction.value, prediction.low, prediction.high, mean)
     return outcomes
--- a/lichenquay/testbed/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -109,10 +109,10 @@
             self.result.messages_per_s[role] = round(messages / seconds / len(names), 3)
             self.result.bytes_per_s[role] = round(size / seconds / len(names), 1)
 
-    def _wait_settled(self, what) -> bool:
+    def _wait_settled(self, stage) -> bool:
         settled = self.world.run_until(self.world.settled, SETTLE_TIMEOUT_MS)
         if not settled:
             self.result.notes.append(
-                f"after {what}, not all gateways had the newest version in {SETTLE_TIMEOUT_MS:g} ms"
+                f"after {stage}, not all gateways had the newest version in {SETTLE_TIMEOUT_MS:g} ms"
             )
         return settled
