--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/hollow_controller.py
@@ -128,7 +128,9 @@
 
     def _engine(self, row):
         engine = self.engines.setdefault(row.uid, domain.Engine(row.uid))
-        self.deployment.describe(engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None)
+        self.deployment.update_engine(
+            engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None
+        )
         if row.state == domain.EndpointState.REMOVED:
             del self.engines[row.uid]
         return engine
