--- a/lichenquay/testbed/scale/audit.py
+++ b/lichenquay/testbed/scale/audit.py
@@ -1,7 +1,8 @@
-"""What must hold at the end of a scale run, checked against the records of every front; one line for each
-break.
+"""Checks the invariants of a scale run against the records of every gateway, with one line for each
+violation.
 
-A front's record is compared with what the client was told, never with what the processes say of themselves.
+A gateway's record is compared with the outcomes that the client received, never with what the processes
+report about themselves.
 """
 
 from collections import Counter
@@ -10,15 +11,15 @@
 from lichenquay.testbed.scale.client import Proposal
 from lichenquay.testbed.scale.digest import values_digest
 from lichenquay.testbed.scale.latency import config_figures
-from lichenquay.testbed.scale.record import NEVER, Life
+from lichenquay.testbed.scale.record import NEVER, GatewayLifetime
 
 ANSWERED = ("queries finished", "queries deferred", "queries killed")
-MOST_LINES = 40  # Of breaks of one rule; the rest is counted.
+MAX_VIOLATIONS_PER_RULE = 40  # For each rule; further violations are only counted.
 
 
 @dataclass
 class Findings:
-    """Counts, and the lines of the breaks."""
+    """Holds the counts of violations and one line for each of them."""
 
     out_of_order: int = 0
     two_versions_after_rest: int = 0
@@ -26,90 +27,105 @@
     broken_rules: list[str] = field(default_factory=list)
 
 
-def audit(proposals: list[Proposal], lives: list[Life], fronts_up: int) -> Findings:
-    """`lives`: every start of every front; `fronts_up`: how many were meant to be up at the end, after
-    rest.
+def audit(proposals: list[Proposal], lifetimes: list[GatewayLifetime], gateways_up: int) -> Findings:
+    """Returns the findings of a run. `lifetimes`: every start of every gateway; `gateways_up`: how many
+    should be running at the end, after the settling time.
     """
     findings = Findings()
-    made = sorted((p for p in proposals if p.accepted_ms is not None), key=lambda p: p.version)
-    lines = check_proposals(proposals, made)
-    lines += check_order(lives, findings)
-    lines += check_queries(lives)
-    lines += check_rest(made, lives, fronts_up, findings)
-    findings.never_in_force = config_figures(made, lives).never_in_force
+    accepted = sorted((p for p in proposals if p.accepted_ms is not None), key=lambda p: p.version)
+    violations = check_proposals(proposals, accepted)
+    violations += check_order(lifetimes, findings)
+    violations += check_queries(lifetimes)
+    violations += check_final_state(accepted, lifetimes, gateways_up, findings)
+    findings.never_in_force = config_figures(accepted, lifetimes).never_in_force
     if findings.never_in_force:
-        lines.append(f"{findings.never_in_force} pairs of accepted change and front were never in force")
-    findings.broken_rules = lines
+        violations.append(
+            f"{findings.never_in_force} pairs of accepted change and gateway were never in force"
+        )
+    findings.broken_rules = violations
     return findings
 
 
-def check_proposals(proposals: list[Proposal], made: list[Proposal]) -> list[str]:
-    """Every proposal has an outcome, and no two changes one version."""
-    lines = []
-    unknown = sum(not proposal.is_over for proposal in proposals)
+def check_proposals(proposals: list[Proposal], accepted: list[Proposal]) -> list[str]:
+    """Checks that every proposal has an outcome and that no two accepted changes share a version."""
+    violations = []
+    unknown = sum(not proposal.is_decided for proposal in proposals)
     if unknown:
-        lines.append(f"{unknown} of {len(proposals)} proposals have no outcome")
-    for before, after in zip(made, made[1:], strict=False):
+        violations.append(f"{unknown} of {len(proposals)} proposals have no outcome")
+    for before, after in zip(accepted, accepted[1:], strict=False):
         if before.version == after.version:
-            lines.append(f"two accepted changes have version {after.version}")
-    return shortened(lines)
-
-
-def check_order(lives: list[Life], findings: Findings) -> list[str]:
-    """A version in force never goes back within a life."""
-    lines = []
-    for life in lives:
-        back = sum(after < before for before, after in zip(life.versions, life.versions[1:], strict=False))
-        findings.out_of_order += back
-        if back:
-            lines.append(f"{life.name}: its version went back {back} times")
-        if life.truncated:
-            lines.append(f"{life.name}: more steps than are kept, so it can't be judged")
-        if life.prefixes_wrong:
-            lines.append(f"{life.name}: holds {life.prefixes_wrong} keys that it did not ask for")
-    return shortened(lines)
-
-
-def check_queries(lives: list[Life]) -> list[str]:
-    """Every query that a hollow front's controller was asked is answered once or still open; no fault was
-    caught.
+            violations.append(f"two accepted changes have version {after.version}")
+    return truncated_list(violations)
+
+
+def check_order(lifetimes: list[GatewayLifetime], findings: Findings) -> list[str]:
+    """Checks that the version in force never goes back within a lifetime."""
+    violations = []
+    for lifetime in lifetimes:
+        regressions = sum(
+            after < before for before, after in zip(lifetime.versions, lifetime.versions[1:], strict=False)
+        )
+        findings.out_of_order += regressions
+        if regressions:
+            violations.append(f"{lifetime.name}: its version went back {regressions} times")
+        if lifetime.truncated:
+            violations.append(f"{lifetime.name}: its record is truncated, so its order can't be checked")
+        if lifetime.prefixes_wrong:
+            violations.append(
+                f"{lifetime.name}: holds {lifetime.prefixes_wrong} keys outside its subscription"
+            )
+    return truncated_list(violations)
+
+
+def check_queries(lifetimes: list[GatewayLifetime]) -> list[str]:
+    """Checks that every query submitted at a lightweight gateway is answered once or still open, and that its
+    controller raised no exception.
     """
-    lines = []
-    for life in lives:
-        counts = Counter(life.counts)
-        answered = sum(counts[what] for what in ANSWERED)
+    violations = []
+    for lifetime in lifetimes:
+        counts = Counter(lifetime.counts)
+        answered = sum(counts[counter] for counter in ANSWERED)
         if counts["queries asked"] != answered + counts["queries open"]:
-            lines.append(f"{life.name}: {counts['queries asked']} queries asked, {answered} answered")
+            violations.append(
+                f"{lifetime.name}: {counts['queries asked']} queries asked, {answered} answered"
+            )
         if counts["faults"]:
-            lines.append(f"{life.name}: its controller met {counts['faults']} faults")
-    return shortened(lines)
+            violations.append(f"{lifetime.name}: its controller raised {counts['faults']} exceptions")
+    return truncated_list(violations)
 
 
-def check_rest(made: list[Proposal], lives: list[Life], fronts_up: int, findings: Findings) -> list[str]:
-    """After rest every front that is up holds the newest version, and exactly the values of the accepted
+def check_final_state(
+    accepted: list[Proposal], lifetimes: list[GatewayLifetime], gateways_up: int, findings: Findings
+) -> list[str]:
+    """Checks that every running gateway holds the newest version, and exactly the values of the accepted
     changes.
     """
-    newest = made[-1].version if made else 0
-    expected = expected_digest(made)
-    up = [life for life in lives if life.ended_ms == NEVER]
-    lines = []
-    if len(up) != fronts_up:
-        lines.append(f"{len(up)} fronts kept a record to the end, {fronts_up} were up")
-    for life in up:
-        if life.last != newest:
-            lines.append(f"{life.name}: version {life.last} after rest, {newest} is the newest")
-        elif life.values_digest != expected:
-            lines.append(f"{life.name}: holds other values than version {newest} has")
+    newest = accepted[-1].version if accepted else 0
+    expected = expected_digest(accepted)
+    running = [lifetime for lifetime in lifetimes if lifetime.ended_ms == NEVER]
+    violations = []
+    if len(running) != gateways_up:
+        violations.append(f"{len(running)} gateways wrote a record up to the end, {gateways_up} were running")
+    for lifetime in running:
+        if lifetime.last_version != newest:
+            violations.append(
+                f"{lifetime.name}: version {lifetime.last_version} after the settling time, "
+                f"{newest} is the newest"
+            )
+        elif lifetime.values_digest != expected:
+            violations.append(f"{lifetime.name}: holds other values than version {newest} has")
         else:
             continue
         findings.two_versions_after_rest += 1
-    return shortened(lines)
+    return truncated_list(violations)
 
 
-def expected_digest(made: list[Proposal]) -> str:
-    """The lab's hash of what accepted changes, applied by version, lead to."""
+def expected_digest(accepted: list[Proposal]) -> str:
+    """Returns the test bed's digest of the values that result from the accepted changes in order of
+    version.
+    """
     values = {}
-    for proposal in made:
+    for proposal in accepted:
         for entry in proposal.entries:
             if entry.deleted:
                 values.pop(entry.key, None)
@@ -118,8 +134,11 @@
     return values_digest(values)
 
 
-def shortened(lines: list[str]) -> list[str]:
-    """The first lines, and how many more there are."""
-    if len(lines) <= MOST_LINES:
-        return lines
-    return [*lines[:MOST_LINES], f"and {len(lines) - MOST_LINES} more of the kind"]
+def truncated_list(violations: list[str]) -> list[str]:
+    """Returns the first `MAX_VIOLATIONS_PER_RULE` violations and a count of the others."""
+    if len(violations) <= MAX_VIOLATIONS_PER_RULE:
+        return violations
+    return [
+        *violations[:MAX_VIOLATIONS_PER_RULE],
+        f"and {len(violations) - MAX_VIOLATIONS_PER_RULE} more of the kind",
+    ]
--- a/lichenquay/testbed/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -1,4 +1,6 @@
-"""Runs the probes, fits slopes, foretells the largest size before it is run, ranks needs by their budgets."""
+"""Runs the probes, fits slopes, predicts the largest size before it is measured, ranks needs by their
+budgets.
+"""
 
 import time
 from collections.abc import Sequence
@@ -6,13 +8,13 @@
 
 from lichenquay.testbed.scale.catalogue import Probe
 from lichenquay.testbed.scale.fit import Fit, FitError, Model, Prediction, fit
-from lichenquay.testbed.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
+from lichenquay.testbed.scale.rows import MEASURED, NONE_TODAY, NOT_IMPLEMENTED, Row
 from lichenquay.testbed.scale.sample import Progress, Sample
 
 
 @dataclass(frozen=True)
 class HeldOut:
-    """The largest size: what the smaller ones foretold, and what was then measured."""
+    """Holds what the smaller sizes predict for the largest size, and what was then measured there."""
 
     size: int
     predicted: Prediction | None
@@ -20,7 +22,9 @@
 
     @property
     def within(self) -> bool | None:
-        """Whether the mean of what was measured lies in the interval; None where either is missing."""
+        """Whether the mean of the measurements lies in the prediction interval; None where either
+        is missing.
+        """
         if self.predicted is None or not self.measured:
             return None
         return self.predicted.holds(sum(self.measured) / len(self.measured))
@@ -28,7 +32,9 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """One quantity: its samples at all sizes, the fit of all of them, and how the largest was foretold."""
+    """Holds one quantity: its samples at all sizes, the fit of all of them, and the check of the held-out
+    size.
+    """
 
     what: str
     unit: str
@@ -40,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Ranked:
-    """A row with its need at the planned size (and its 95% bounds), and need / budget."""
+    """Holds a row with its need at the planned size and the 95% bounds of that need."""
 
     row: Row
     need: float | None
@@ -49,13 +55,13 @@
 
     @property
     def ratio(self) -> float | None:
-        """Need over budget; None where either is missing."""
+        """Returns need divided by budget; None where either is missing."""
         return self.need / self.row.budget if self.need is not None and self.row.budget else None
 
 
 @dataclass(frozen=True)
 class Capacity:
-    """All of one run."""
+    """Holds the results of one run."""
 
     full: bool
     seed: int
@@ -66,31 +72,35 @@
 
 def run(full: bool, seed: int, progress: Progress, probes: Sequence[Probe]) -> Capacity:
     """Runs the probes, the largest size of each last, and ranks the rows."""
-    began, slopes = time.process_time(), {}
+    started_s, slopes = time.process_time(), {}
     probes = [probe for probe in probes if probe.sizes(full)]
     for done, probe in enumerate(probes):
         slopes |= run_probe(probe, full, seed, lambda part, d=done: progress((d + part) / len(probes)))
-    ranked = tuple(sorted((rank(row, slopes) for row in (*MISSING, *MEASURED)), key=order))
-    return Capacity(full, seed, time.process_time() - began, slopes, ranked)
+    ranked = tuple(sorted((rank(row, slopes) for row in (*NOT_IMPLEMENTED, *MEASURED)), key=sort_key))
+    return Capacity(full, seed, time.process_time() - started_s, slopes, ranked)
 
 
 def run_probe(probe: Probe, full: bool, seed: int, progress: Progress) -> dict[str, Slope]:
-    """Smaller sizes, their fits, and only then the largest size."""
+    """Measures the smaller sizes, fits them, and only then measures the largest size."""
     *smaller, largest = probe.sizes(full)
     first = probe.measure(smaller, seed, lambda part: progress(part / 2))
-    predicted = {what: foretell(first, what, model, largest) for what, model in probe.models.items()}
+    predicted = {
+        quantity: predict_largest(first, quantity, model, largest) for quantity, model in probe.models.items()
+    }
     last = probe.measure([largest], seed, lambda part: progress((1 + part) / 2))
     slopes = {}
-    for what, model in probe.models.items():
-        samples = tuple(s for s in (*first, *last) if s.what == what)
-        measured = tuple(v for s in last if s.what == what for v in s.values)
-        held_out = HeldOut(largest, predicted[what], measured)
-        slopes[what] = Slope(what, samples[0].unit, probe.size_of, samples, fitted(samples, model), held_out)
+    for quantity, model in probe.models.items():
+        samples = tuple(s for s in (*first, *last) if s.what == quantity)
+        measured = tuple(v for s in last if s.what == quantity for v in s.values)
+        held_out = HeldOut(largest, predicted[quantity], measured)
+        slopes[quantity] = Slope(
+            quantity, samples[0].unit, probe.size_of, samples, fitted(samples, model), held_out
+        )
     return slopes
 
 
 def fitted(samples: Sequence[Sample], model: Model) -> Fit | None:
-    """The fit of all values of these samples; None where they are too few for it."""
+    """Returns the fit of all values of these samples; None where they are too few for it."""
     points = [(sample.size, value) for sample in samples for value in sample.values]
     try:
         return fit([size for size, _ in points], [value for _, value in points], model)
@@ -98,39 +108,41 @@
         return None
 
 
-def foretell(samples: Sequence[Sample], what: str, model: Model, size: int) -> Prediction | None:
-    """What the samples of a quantity say of a larger size."""
-    found = fitted([s for s in samples if s.what == what], model)
+def predict_largest(samples: Sequence[Sample], quantity: str, model: Model, size: int) -> Prediction | None:
+    """Returns the prediction for a larger size from the samples of one quantity."""
+    found = fitted([s for s in samples if s.what == quantity], model)
     return found and found.predict(size)
 
 
 def rank(row: Row, slopes: dict[str, Slope]) -> Ranked:
-    """The row's need by the fits, and by the low and high ends of their prediction intervals."""
+    """Returns the row with its need by the fits, and by the low and high ends of their prediction
+    intervals.
+    """
     if row.need is None:
         return Ranked(row, None, None, None)
 
-    def by(end: str) -> float | None:
-        def at(what: str, size: float) -> float:
-            found = slopes[what].fit
+    def need_at_bound(end: str) -> float | None:
+        def quantity_at(quantity: str, size: float) -> float:
+            found = slopes[quantity].fit
             if found is None:
-                raise FitError(what)
+                raise FitError(quantity)
             return max(0.0, getattr(found.predict(size), end))
 
         try:
-            return row.need(at)
+            return row.need(quantity_at)
         except (KeyError, FitError):
             return None
 
-    return Ranked(row, by("value"), by("low"), by("high"))
+    return Ranked(row, need_at_bound("value"), need_at_bound("low"), need_at_bound("high"))
 
 
-def order(ranked: Ranked) -> tuple[bool, bool, float]:
-    """None today first, then by need over budget; rows without a budget last."""
+def sort_key(ranked: Ranked) -> tuple[bool, bool, float]:
+    """Orders rows without a mechanism first, then by need over budget, rows without a budget last."""
     return ranked.row.mechanism != NONE_TODAY, ranked.ratio is None, -(ranked.ratio or 0.0)
 
 
 def as_json(capacity: Capacity) -> dict:
-    """The whole run as plain values."""
+    """Returns the whole run as plain values."""
     return {
         "form": "full" if capacity.full else "short",
         "seed": capacity.seed,
@@ -141,7 +153,7 @@
 
 
 def row_json(ranked: Ranked, slopes: dict[str, Slope]) -> dict:
-    """One row of the table."""
+    """Returns one row of the table as plain values."""
     row, slope = ranked.row, slopes.get(ranked.row.what or "")
     extrapolated = bool(slope and slope.fit and row.size and slope.fit.extrapolates(row.size))
     return {
@@ -162,8 +174,8 @@
 
 
 def slope_json(slope: Slope) -> dict:
-    """One quantity with its samples and fit."""
-    held = slope.held_out
+    """Returns one quantity with its samples and fit as plain values."""
+    held_out = slope.held_out
     return {
         "what": slope.what,
         "unit": slope.unit,
@@ -171,10 +183,10 @@
         "sizes": sorted({s.size for s in slope.samples}),
         "fit": asdict(slope.fit) if slope.fit else None,
         "held_out": {
-            "size": held.size,
-            "predicted": asdict(held.predicted) if held.predicted else None,
-            "measured": held.measured,
-            "within": held.within,
+            "size": held_out.size,
+            "predicted": asdict(held_out.predicted) if held_out.predicted else None,
+            "measured": held_out.measured,
+            "within": held_out.within,
         },
         "samples": [{"size": s.size, "values": s.values} for s in slope.samples],
     }
--- a/lichenquay/testbed/scale/catalogue.py
+++ b/lichenquay/testbed/scale/catalogue.py
@@ -1,4 +1,6 @@
-"""Which probes there are, at which sizes they run, and by which model each of their quantities is fitted."""
+"""Lists the probes, the sizes at which they run, and the model by which each of their quantities is
+fitted.
+"""
 
 from dataclasses import dataclass
 
@@ -19,9 +21,10 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """One probe: sizes of its short and full form, the last of each held out; a model for each quantity.
+    """Holds one probe: the sizes of its short and full form, the last of each held out, and a model for each
+    quantity.
 
-    Without sizes of a form it is left out of that.
+    A probe without sizes for a form is left out of that form.
     """
 
     name: str
@@ -32,12 +35,12 @@
     models: dict[str, Model]
 
     def sizes(self, full: bool) -> tuple[int, ...]:
-        """The sizes of one form."""
+        """Returns the sizes of one form."""
         return self.full if full else self.short
 
 
 def of_loss(loss: int, messages: Model) -> dict[str, Model]:
-    """Models of what members cost at so many of 100 datagrams lost."""
+    """Returns the models of the cost of membership where `loss` of 100 datagrams are lost."""
     name = f"members.lost_{loss}"
     return {
         f"{name}.messages": messages,
@@ -104,9 +107,9 @@
         (),
         (2, 3, 5, 8),
         {
-            f"host.{kind}.{what}": Model.CONSTANT
-            for kind in host.KINDS
-            for what in ("processor", "datagrams", "bytes_out")
+            f"host.{kind}.{quantity}": Model.CONSTANT
+            for kind in host.SETTINGS_BY_KIND
+            for quantity in ("processor", "datagrams", "bytes_out")
         },
     ),
     Probe(
@@ -134,7 +137,7 @@
     ),
     Probe(
         "quota, a front",
-        quota.measure_fronts_part,
+        quota.measure_gateway_escrow,
         "tenants",
         (1, 4, 16, 48),
         (1, 4, 16, 64, 128),
@@ -147,7 +150,7 @@
     ),
     Probe(
         "quota, the keeper",
-        quota.measure_keeper,
+        quota.measure_ledger_leader,
         "fronts",
         (2, 8, 24, 64),
         (5, 20, 50, 200, 800),
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -1,10 +1,10 @@
-"""A control process of a scale run: production's voter or relay (`lichenquay.control_plane`), which can be
-told of faults.
+"""A control process of a scale run: production's voter or relay (`lichenquay.control_plane`) with injected
+faults.
 
     python -m lichenquay.testbed.scale.control WORLD NAME
 
-WORLD is the file of a `WorldSpec`, NAME one of its control processes. Orders come on standard input. Added to
-production's host are the network's faults, a disk that can be full or slow, and counts.
+WORLD is the file of a `WorldSpec`, NAME one of its control processes. Commands come on standard input.
+Production's host is extended by network impairment, a disk that can be full or slow, and counts.
 """
 
 import gc
@@ -24,64 +24,64 @@
 from lichenquay.testbed.scale import orders
 from lichenquay.testbed.scale.faulty_disk import FaultyOs
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import LabPost, Network
-from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
+from lichenquay.testbed.scale.lab_post import ImpairedTransport, SharedNetwork
+from lichenquay.testbed.scale.order_reader import start_command_reader, stop, write_answer
 from lichenquay.testbed.scale.settings_files import control_settings
 from lichenquay.testbed.scale.world_spec import WorldSpec, read
 
 
 class ControlProcess:
-    """A production host, and orders."""
+    """Runs a production host and executes the run's commands on it."""
 
     def __init__(self, reactor, spec: WorldSpec, name: str):
-        """The settings go through production's own reading and checks."""
+        """Reads and checks the settings as production does."""
         self.reactor = reactor
         process_settings = read_control(text_format.MessageToString(control_settings(spec, name)), name)
         self.host: ControlRuntime = make_runtime(reactor, process_settings)
-        self.network = Network(reactor, Impairment(f"{spec.shape.seed}/{name}"))
-        self.host.datagrams = LabPost(self.host.datagrams, self.network)
+        self.network = SharedNetwork(reactor, Impairment(f"{spec.shape.seed}/{name}"))
+        self.host.datagrams = ImpairedTransport(self.host.datagrams, self.network)
         self.disk = FaultyOs()
         self.host.new_store = partial(DurableStore, file_system=self.disk)
 
     def start(self):
-        """Opens folder and socket, and takes part; a problem ends the process with one line."""
+        """Opens folder and socket and starts the host; a problem ends the process with one line."""
         problem = self.host.open()
         if problem is not None:
             print(problem, file=sys.stderr, flush=True)
             stop(self.reactor)
             return
         self.host.begin()
-        answer("READY")
+        write_answer("READY")
 
-    def take(self, order):
-        """Does one order."""
-        match order:
+    def execute(self, command):
+        """Executes one command."""
+        match command:
             case orders.Impair(rules):
                 self.network.impairment.rules = list(rules)
             case orders.FailDisk(full, delay_ms):
                 self.disk.full, self.disk.delay_ms = full, delay_ms
             case orders.Count():
-                answer(orders.line_of_counts(self.counts()))
+                write_answer(orders.encode_counts(self.counts()))
             case orders.End():
                 stop(self.reactor)
 
     def counts(self):
-        """Of this process."""
-        counts = self.host.datagrams.add_to(orders.Counts())
+        """Returns the counts of this process."""
+        counts = self.host.datagrams.added_to(orders.Counts())
         if isinstance(self.host, VoterRuntime):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
         return replace(counts, oldest=self.host.relay.subscriber.applied_version)
 
 
 def main(arguments):
-    """Runs the process until it is told to end, or its input ends."""
+    """Runs the process until it receives `End` or its input ends."""
     from twisted.internet import reactor
 
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # On Ctrl-C the run ends its processes itself.
     process = ControlProcess(reactor, read(arguments[0]), arguments[1])
     gc.freeze()
     reactor.callWhenRunning(process.start)
-    read_orders(reactor, process.take, lambda: stop(reactor))
+    start_command_reader(reactor, process.execute, lambda: stop(reactor))
     reactor.run(installSignalHandlers=False)
 
 
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/hollow.py
@@ -1,11 +1,12 @@
-"""A process of many hollow fronts: each follows the configuration and the engines' list on a socket of its
-own.
+"""A process of many lightweight gateways: each follows the configuration and the list of engines on a socket
+of its own.
 
     python -m lichenquay.testbed.scale.hollow WORLD NUMBER
 
-WORLD is the file of a `WorldSpec`; NUMBER tells this process from its likes. Orders come on standard input.
-A hollow front is production's `FollowerRuntime`, as a front that follows distributed configuration has it.
-It has no membership (at most 1,024 names), no account client, no controller, and no clients.
+WORLD is the file of a `WorldSpec`; NUMBER is the index of this process among its kind. Commands come on
+standard input. A lightweight gateway is production's `FollowerRuntime`, as a gateway that follows distributed
+configuration runs it. It has no membership (at most 1,024 names), no account client and no clients, and a
+controller only where the world has queries.
 """
 
 import gc
@@ -20,187 +21,189 @@
 from lichenquay.testbed.scale import orders, record
 from lichenquay.testbed.scale.digest import values_digest
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import LabPost, Network
-from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
+from lichenquay.testbed.scale.lab_post import ImpairedTransport, SharedNetwork
+from lichenquay.testbed.scale.order_reader import start_command_reader, stop, write_answer
 from lichenquay.testbed.scale.scenario import zone_of_name
-from lichenquay.testbed.scale.settings_files import front_listen, front_settings
+from lichenquay.testbed.scale.settings_files import gateway_listen_address, gateway_settings
 from lichenquay.testbed.scale.world_spec import PREFIXES, WorldSpec, read
 
-MOST_LIVES = 50_000  # Of one process's fronts.
-AGAIN_S = 0.05  # Before a front whose address is still taken is started again ...
-MOST_TRIES = 100  # ... so often at most.
+MAX_LIFETIMES = 50_000  # Over all gateways of one process.
+LISTEN_RETRY_S = 0.05  # Before another start of a gateway whose address is still in use.
+MAX_LISTEN_RETRIES = 100
 
 
 class CannotListenError(Exception):
-    """A hollow front has no socket. The text is one line."""
+    """Raised where a lightweight gateway can't open its socket. The text is one line."""
 
 
-class HollowFront(FollowerRuntime):
-    """One front without traffic, from its start to its end."""
+class LightweightGateway(FollowerRuntime):
+    """A gateway without client traffic, from its start to its end."""
 
     def __init__(self, reactor, settings, seed, network, controller=None):
-        """`settings`: the `distribution` part of its own. `controller`: takes the engines, where there is
-        one.
-        """
+        """`settings`: its own `distribution` settings. `controller`: receives the engines, or None."""
         super().__init__(reactor, settings, seed, self)
-        self.datagrams = LabPost(self.datagrams, network)
-        self.life = record.Life(settings.name, boot_ms())
+        self.datagrams = ImpairedTransport(self.datagrams, network)
+        self.lifetime = record.GatewayLifetime(settings.name, boot_ms())
         self.gate, self.controller = None, controller
 
     def apply_connection_rules(self, gate):
-        """The gate that is in force, where a front's own would be put."""
+        """Stores the connection rules in force, which nothing here enforces."""
         self.gate = gate
 
-    def apply_endpoints(self, whole, rows):
-        """The engines that are in force go to the controller, where there is one."""
+    def apply_endpoints(self, is_whole, rows):
+        """Passes the engines in force to the controller, if there is one."""
         if self.controller is not None:
-            self.controller.take(whole, rows)
+            self.controller.update_endpoints(is_whole, rows)
 
     def begin(self):
-        """Raises CannotListenError."""
+        """Opens the socket and starts. Raises CannotListenError."""
         fault = self.open()
         if fault is not None:
-            self.end_controller()
+            self.close_controller()
             raise CannotListenError(fault)
         super().begin()
 
     def after_flush(self):
-        """Keeps the version in force, whichever way it moved."""
+        """Records the version in force, whether it rose or fell."""
         super().after_flush()
-        self.life.step(self.applied_configuration.subscriber.applied_version, boot_ms())
+        self.lifetime.record_version(self.applied_configuration.subscriber.applied_version, boot_ms())
 
     def end(self):
-        """Closes the socket without a word, and keeps what was held."""
-        self.life.ended_ms = boot_ms()
+        """Closes the socket without notifying anyone, and records the final state."""
+        self.lifetime.ended_ms = boot_ms()
         self.close()
-        self.end_controller()
-        self.keep_state()
+        self.close_controller()
+        self.record_final_state()
 
-    def end_controller(self):
-        """It asks nothing more."""
+    def close_controller(self):
+        """Stops the controller's queries."""
         if self.controller is not None:
             self.controller.close()
 
-    def keep_state(self):
-        """What is held now goes into the record."""
+    def record_final_state(self):
+        """Records the values held now, and the counts."""
         subscriber = self.applied_configuration.subscriber
-        self.life.values_digest = values_digest(subscriber.applied_values)
-        self.life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
-        self.life.counts = dict(subscriber.counts)
+        self.lifetime.values_digest = values_digest(subscriber.applied_values)
+        self.lifetime.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
+        self.lifetime.counts = dict(subscriber.counts)
         if self.controller is not None:
-            self.life.counts |= self.controller.counts()
+            self.lifetime.counts |= self.controller.counts()
 
 
-class HollowHost:
-    """All hollow fronts of this process."""
+class LightweightGatewayHost:
+    """Runs all lightweight gateways of this process."""
 
     def __init__(self, reactor, spec: WorldSpec, number: int):
-        """`number`: of this process among its likes."""
+        """`number`: the index of this process among its kind."""
         self.reactor, self.spec, self.number = reactor, spec, number
-        self.network = Network(reactor, Impairment(f"{spec.shape.seed}/hollow/{number}"))
-        self.settings = front_settings(spec)
-        self.fronts: dict[str, HollowFront] = {}
-        self.lives: list[record.Life] = []
-        self.opening = None  # Of all controllers, made with the first.
-        self.gone = orders.Counts()  # What fronts that have ended sent and heard.
-
-    def take(self, order):
-        """Does one order."""
-        match order:
+        self.network = SharedNetwork(reactor, Impairment(f"{spec.shape.seed}/hollow/{number}"))
+        self.settings = gateway_settings(spec)
+        self.gateways: dict[str, LightweightGateway] = {}
+        self.lifetimes: list[record.GatewayLifetime] = []
+        self.deployment = None  # Shared by all controllers; created with the first one.
+        self.ended_counts = orders.Counts()  # Counts of gateways that have ended.
+
+    def execute(self, command):
+        """Executes one command."""
+        match command:
             case orders.StartFronts(names):
-                self.start(names)
+                self.start_gateways(names)
             case orders.StopFronts(names):
-                self.stop(names)
+                self.stop_gateways(names)
             case orders.ReadSlowly(names, on):
                 for name in names:
-                    if name in self.fronts:
-                        self.fronts[name].datagrams.read_slowly(on)
+                    if name in self.gateways:
+                        self.gateways[name].datagrams.read_slowly(on)
             case orders.Impair(rules):
                 self.network.impairment.rules = list(rules)
             case orders.Count():
-                answer(orders.line_of_counts(self.counts()))
+                write_answer(orders.encode_counts(self.counts()))
             case orders.End():
                 self.end()
 
-    def start(self, names):
-        """Starts the fronts that do not run."""
+    def start_gateways(self, names):
+        """Starts those of the gateways that do not run."""
         for name in names:
-            if name not in self.fronts and len(self.lives) < MOST_LIVES:
-                self.start_one(name, MOST_TRIES)
+            if name not in self.gateways and len(self.lifetimes) < MAX_LIFETIMES:
+                self.start_gateway(name, MAX_LISTEN_RETRIES)
+
+    def start_gateway(self, name, retries_left):
+        """Starts one gateway, and retries up to `retries_left` times where it can't listen.
 
-    def start_one(self, name, tries):
-        """Risk: a socket is closed only after the reactor's turn, so that a busy process can't listen there
-        again at once. Then it is tried again, `tries` times at most.
+        The reactor closes a socket only in its next iteration, so that a busy process can't listen on the
+        same address at once.
         """
-        if name in self.fronts:
+        if name in self.gateways:
             return
-        front = self.new_front(name)
+        gateway = self.new_gateway(name)
         try:
-            front.begin()
+            gateway.begin()
         except CannotListenError as fault:
-            if tries:
-                self.reactor.callLater(AGAIN_S, self.start_one, name, tries - 1)
+            if retries_left:
+                self.reactor.callLater(LISTEN_RETRY_S, self.start_gateway, name, retries_left - 1)
             else:
                 print(f"{name}: {fault}", file=sys.stderr, flush=True)
             return
-        self.fronts[name] = front
-        self.lives.append(front.life)
+        self.gateways[name] = gateway
+        self.lifetimes.append(gateway.lifetime)
 
-    def new_front(self, name):
-        """A front of this name, not begun."""
+    def new_gateway(self, name):
+        """Returns a gateway of this name that has not started."""
         settings = type(self.settings)()
         settings.CopyFrom(self.settings)
         settings.name, settings.zone = name, zone_of_name(name)
-        settings.listen = front_listen(self.spec.shape, self.spec.loopbacks[self.number], name)
-        seed = f"{self.spec.shape.seed}/{len(self.lives)}"
-        return HollowFront(self.reactor, settings, seed, self.network, self.new_controller(name, seed))
+        settings.listen = gateway_listen_address(self.spec.shape, self.spec.loopbacks[self.number], name)
+        seed = f"{self.spec.shape.seed}/{len(self.lifetimes)}"
+        return LightweightGateway(self.reactor, settings, seed, self.network, self.new_controller(name, seed))
 
     def new_controller(self, name, seed):
-        """Where the shape has queries; the module is not imported otherwise."""
+        """Returns a controller where the shape has queries, else None; the module is imported only then."""
         per_s = self.spec.shape.queries_per_s
         if not per_s:
             return None
         from lichenquay.testbed.scale import hollow_controller
 
-        if self.opening is None:
-            self.opening = hollow_controller.opening_of(self.spec.shape.seed)
+        if self.deployment is None:
+            self.deployment = hollow_controller.deployment_settings(self.spec.shape.seed)
         rng = random.Random(f"{name}/{seed}")
-        return hollow_controller.HollowController(self.reactor, self.opening, rng, per_s)
+        return hollow_controller.LightweightController(self.reactor, self.deployment, rng, per_s)
 
-    def stop(self, names):
-        """Ends the fronts that run."""
+    def stop_gateways(self, names):
+        """Ends those of the gateways that run."""
         for name in names:
-            front = self.fronts.pop(name, None)
-            if front is not None:
-                front.end()
-                self.gone = front.datagrams.add_to(self.gone)
+            gateway = self.gateways.pop(name, None)
+            if gateway is not None:
+                gateway.end()
+                self.ended_counts = gateway.datagrams.added_to(self.ended_counts)
 
     def counts(self):
-        """Of all fronts that run or ran here."""
-        counts = self.gone
-        for front in self.fronts.values():
-            counts = front.datagrams.add_to(counts)
-        in_force = [front.applied_configuration.subscriber.applied_version for front in self.fronts.values()]
-        return replace(counts, fronts=len(self.fronts), oldest=min(in_force, default=0))
+        """Returns the counts of all gateways that run or ran here."""
+        counts = self.ended_counts
+        for gateway in self.gateways.values():
+            counts = gateway.datagrams.added_to(counts)
+        in_force = [
+            gateway.applied_configuration.subscriber.applied_version for gateway in self.gateways.values()
+        ]
+        return replace(counts, fronts=len(self.gateways), oldest=min(in_force, default=0))
 
     def end(self):
         """Writes the record and stops the reactor."""
-        for front in self.fronts.values():
-            front.keep_state()
-        record.write(Path(self.spec.folder) / f"hollow-{self.number}.npz", self.lives)
+        for gateway in self.gateways.values():
+            gateway.record_final_state()
+        record.write(Path(self.spec.folder) / f"hollow-{self.number}.npz", self.lifetimes)
         stop(self.reactor)
 
 
 def main(arguments):
-    """Runs the process until it is told to end, or its input ends."""
+    """Runs the process until it receives `End` or its input ends."""
     from twisted.internet import reactor
 
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C goes to the run, which ends its processes in order.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # On Ctrl-C the run ends its processes itself.
     spec, number = read(arguments[0]), int(arguments[1])
-    host = HollowHost(reactor, spec, number)
+    host = LightweightGatewayHost(reactor, spec, number)
     gc.freeze()
-    read_orders(reactor, host.take, lambda: stop(reactor))
-    reactor.callWhenRunning(answer, "READY")
+    start_command_reader(reactor, host.execute, lambda: stop(reactor))
+    reactor.callWhenRunning(write_answer, "READY")
     reactor.run(installSignalHandlers=False)
 
 
--- a/lichenquay/testbed/scale/lab_post.py
+++ b/lichenquay/testbed/scale/lab_post.py
@@ -1,4 +1,4 @@
-"""The socket of a production host amid the faults of a network, with what it takes in counted."""
+"""The datagram transport of a production host with network impairment, and counts of received bytes."""
 
 from dataclasses import dataclass
 
@@ -9,26 +9,32 @@
 
 
 @dataclass(frozen=True)
-class Network:
-    """What all sockets of one process share."""
+class SharedNetwork:
+    """Holds what all sockets of one process share."""
 
     reactor: object
     impairment: Impairment
 
 
-class LabPost(DatagramTransport):
-    """Takes the place of a host's own post, before the host opens its socket."""
+class ImpairedTransport(DatagramTransport):
+    """Replaces a host's own transport before the host opens its socket."""
 
-    def __init__(self, post: DatagramTransport, network: Network):
-        """All that `post` has."""
-        super().__init__(post.envelope, post.addresses, post.message_types, post.on_message, post.on_address)
+    def __init__(self, transport: DatagramTransport, network: SharedNetwork):
+        """Copies the configuration of `transport`."""
+        super().__init__(
+            transport.envelope,
+            transport.addresses,
+            transport.message_types,
+            transport.on_message,
+            transport.on_address,
+        )
         self.network = network
-        self.zone = zone_of_name(post.envelope.name)
+        self.zone = zone_of_name(transport.envelope.name)
         self.bytes_in = 0
 
     def send(self, incarnation, name, layer, message):
-        """Sends none, one or two copies, at once or later."""
-        for delay_ms in self.network.impairment.delays_of(self.zone, zone_of_name(name)):
+        """Sends zero, one or two copies, at once or delayed."""
+        for delay_ms in self.network.impairment.delays_for(self.zone, zone_of_name(name)):
             if delay_ms:
                 later = self.network.reactor.callLater
                 later(delay_ms / 1000, super().send, incarnation, name, layer, message)
@@ -36,20 +42,20 @@
                 super().send(incarnation, name, layer, message)
 
     def datagramReceived(self, data, address):
-        """Counts the bytes."""
+        """Counts the bytes, and handles the datagram."""
         self.bytes_in += len(data)
         super().datagramReceived(data, address)
 
     def read_slowly(self, on):
-        """Stops to read the socket, whose buffer in the kernel then fills; or reads on."""
+        """Stops reading the socket if `on`, so that its kernel buffer fills; else resumes reading."""
         if on:
             self.transport.stopReading()
         else:
             self.transport.startReading()
 
-    def add_to(self, counts):
-        """The counts with this socket's own added."""
-        dropped = sum(n for what, n in self.counters.items() if what.startswith("datagrams dropped"))
+    def added_to(self, counts):
+        """Returns the counts with this socket's own added."""
+        dropped = sum(n for counter, n in self.counters.items() if counter.startswith("datagrams dropped"))
         return Counts(
             sent=counts.sent + self.counters["datagrams sent"],
             sent_bytes=counts.sent_bytes + self.bytes_out,
--- a/lichenquay/testbed/scale/orders.py
+++ b/lichenquay/testbed/scale/orders.py
@@ -1,5 +1,5 @@
-"""What a run tells its processes and what they answer: one JSON object a line, on standard input and
-output.
+"""The commands that a run sends to its processes and their answers: one JSON object a line, on standard input
+and output.
 """
 
 import json
@@ -8,27 +8,27 @@
 from lichenquay.testbed.scale.impairment import Rule
 
 
-class UnknownOrderError(ValueError):
-    """A line that is no order."""
+class UnknownCommandError(ValueError):
+    """Raised for a line that is not a command."""
 
 
 @dataclass(frozen=True)
 class StartFronts:
-    """Start these hollow fronts; whole numbers as in `Shape`."""
+    """Starts these lightweight gateways; names are as in `Shape`."""
 
     names: list[str]
 
 
 @dataclass(frozen=True)
 class StopFronts:
-    """End these hollow fronts without a word, as a process that dies."""
+    """Ends these lightweight gateways without notification, as when a process is killed."""
 
     names: list[str]
 
 
 @dataclass(frozen=True)
 class ReadSlowly:
-    """These fronts stop reading their sockets (`on`), or read on."""
+    """Makes these gateways stop reading their sockets (`on`), or resume."""
 
     names: list[str]
     on: bool
@@ -36,14 +36,16 @@
 
 @dataclass(frozen=True)
 class Impair:
-    """From now on the network is this, for what this process sends."""
+    """Replaces the impairment rules for what this process sends."""
 
     rules: list[Rule] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class FailDisk:
-    """The disk refuses writes (`full`), takes `delay_ms` longer for each, or neither."""
+    """Makes the disk refuse writes (`full`), or delays each fsync by `delay_ms`; by default clears both
+    faults.
+    """
 
     full: bool = False
     delay_ms: float = 0.0
@@ -51,55 +53,56 @@
 
 @dataclass(frozen=True)
 class Count:
-    """Answer with `Counts`."""
+    """Requests `Counts` as the answer."""
 
 
 @dataclass(frozen=True)
 class End:
-    """Write the report, and exit."""
+    """Ends the process, after it has written its record."""
 
 
-ORDERS = {
-    order.__name__: order for order in (StartFronts, StopFronts, ReadSlowly, Impair, FailDisk, Count, End)
+COMMANDS = {
+    command.__name__: command
+    for command in (StartFronts, StopFronts, ReadSlowly, Impair, FailDisk, Count, End)
 }
 
 
 @dataclass(frozen=True)
 class Counts:
-    """What a process has sent and received since its start, in datagrams and bytes of them."""
+    """Holds what a process has sent and received since its start, in datagrams and their bytes."""
 
     sent: int = 0
     sent_bytes: int = 0
     heard: int = 0
     heard_bytes: int = 0
     dropped: int = 0
-    fronts: int = 0  # Hollow fronts that run now.
-    oldest: int = 0  # The lowest version in force among them; of a relay, its own.
+    fronts: int = 0  # Lightweight gateways that run now.
+    oldest: int = 0  # The lowest version in force among them; for a relay, its own.
     leads: bool = False
 
 
-def line_of(order) -> str:
-    """An order as a line."""
-    return json.dumps({"order": type(order).__name__, **asdict(order)})
+def encode_command(command) -> str:
+    """Returns a command as a line."""
+    return json.dumps({"order": type(command).__name__, **asdict(command)})
 
 
-def order_of(line: str):
-    """The order that a line says. Raises UnknownOrderError."""
+def decode_command(line: str):
+    """Returns the command of a line. Raises UnknownCommandError."""
     try:
-        said = json.loads(line)
-        kind = ORDERS[said.pop("order")]
-        if kind is Impair:
-            return Impair([Rule(**rule) for rule in said["rules"]])
-        return kind(**said)
+        fields = json.loads(line)
+        command_class = COMMANDS[fields.pop("order")]
+        if command_class is Impair:
+            return Impair([Rule(**rule) for rule in fields["rules"]])
+        return command_class(**fields)
     except (ValueError, KeyError, TypeError, AttributeError):
-        raise UnknownOrderError(line[:80]) from None
+        raise UnknownCommandError(line[:80]) from None
 
 
-def line_of_counts(counts: Counts) -> str:
-    """Counts as a line."""
+def encode_counts(counts: Counts) -> str:
+    """Returns counts as a line."""
     return json.dumps(asdict(counts))
 
 
-def counts_of(line: str) -> Counts:
-    """The counts that a line says."""
+def decode_counts(line: str) -> Counts:
+    """Returns the counts of a line."""
     return Counts(**json.loads(line))
--- a/lichenquay/testbed/scale/plans.py
+++ b/lichenquay/testbed/scale/plans.py
@@ -4,35 +4,37 @@
 
 from lichenquay.testbed.scale import scenario as s
 
-REAL_FRONTS = 2
+REAL_GATEWAYS = 2
 LARGE_SIZES = (50, 200, 800, 2000)
-MIDDLE_SIZES = (50, 200, 400, 800)  # Where 2,000 or less is held out.
+MIDDLE_SIZES = (50, 200, 400, 800)  # Used where at most 2,000 gateways are held out.
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What a run measures and plays. Times are seconds, rates changes a second."""
+    """Describes what a run measures and which scenarios it runs. Times are seconds, rates changes a
+    second.
+    """
 
     shape: s.Shape
-    sizes: tuple[int, ...]  # Of the fit.
-    held_out: int  # Predicted before it is run; the scenarios are played at it.
+    sizes: tuple[int, ...]  # Sizes that are fitted.
+    held_out: int  # Predicted before it is measured; the scenarios run at this size.
     window_s: float
-    windows: int = 2  # At each size.
-    settle_s: float = 1.0  # After fronts were started and hold everything, before a window.
+    windows: int = 2  # Measurements at each size.
+    settle_s: float = 1.0  # Before a window, after all gateways have the newest version.
     changes_per_s: float = 1.0
     scenarios: list[s.Scenario] = field(default_factory=list)
-    rest_s: float = 20.0  # In which all fronts must come to hold one version.
-    real_fronts: int = 0  # Beside the hollow ones, under load while scenarios are played.
+    settle_timeout_s: float = 20.0  # Until all gateways must have the same version.
+    real_fronts: int = 0  # Run under load beside the lightweight ones, while scenarios run.
 
     @property
     def seconds(self) -> float:
-        """About how long it takes, for the progress bar."""
+        """Returns the approximate duration, for the progress bar."""
         measured = (len(self.sizes) + 1) * (self.settle_s + self.windows * self.window_s + 1.0)
-        return 6.0 + measured + sum(one.seconds + 1.0 for one in self.scenarios) + 2.0
+        return 6.0 + measured + sum(scenario.seconds + 1.0 for scenario in self.scenarios) + 2.0
 
 
 def short(seed: int, engines: int = 100) -> Plan:
-    """Under a minute: 120 fronts, the calm and the faults that aims are stated for."""
+    """Returns a run of under a minute: 120 gateways, and the faults for which latency targets are stated."""
     shape = s.Shape(fronts=120, engines=engines, hosts=2, seed=seed)
     scenarios = [
         s.failover(shape, 14.0, 2.0),
@@ -45,7 +47,7 @@
 
 
 def full(seed: int, held_out: int = 4400, engines: int = 100) -> Plan:
-    """Four sizes fitted, a larger one held out, and every scenario."""
+    """Returns a run that fits four sizes, holds a larger one out, and runs every scenario."""
     shape = s.Shape(fronts=held_out, engines=engines, hosts=8, seed=seed)
     sizes = LARGE_SIZES if held_out > LARGE_SIZES[-1] else MIDDLE_SIZES
     scenarios = [
@@ -68,23 +70,23 @@
         window_s=6.0,
         settle_s=3.0,
         scenarios=scenarios,
-        rest_s=60.0,
-        real_fronts=REAL_FRONTS,
+        settle_timeout_s=60.0,
+        real_fronts=REAL_GATEWAYS,
     )
 
 
-def small(seed: int, fronts: int, scenarios: list[s.Scenario]) -> Plan:
-    """For tests: one host, two zones, short windows."""
-    shape = s.Shape(fronts=fronts, engines=20, hosts=1, voters=3, relays_of_zone=2, seed=seed)
-    sizes = tuple(max(1, fronts * part // 5) for part in range(1, 5))
+def small(seed: int, gateways: int, scenarios: list[s.Scenario]) -> Plan:
+    """Returns a plan for tests: one host, two zones, short windows."""
+    shape = s.Shape(fronts=gateways, engines=20, hosts=1, voters=3, relays_of_zone=2, seed=seed)
+    sizes = tuple(max(1, gateways * part // 5) for part in range(1, 5))
     return Plan(
         shape,
         sizes,
-        fronts,
+        gateways,
         window_s=0.5,
         windows=1,
         settle_s=0.2,
         changes_per_s=4.0,
         scenarios=scenarios,
-        rest_s=15.0,
+        settle_timeout_s=15.0,
     )
--- a/lichenquay/testbed/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -1,4 +1,6 @@
-"""What membership costs a front by the number of fronts, in virtual time; how long a kill goes unseen."""
+"""Measures membership by the number of gateways in virtual time: its cost for a gateway, and the detection
+time.
+"""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,26 +9,24 @@
 from lichenquay.membership.member_table import MAX_MEMBERS, MemberTable
 from lichenquay.testbed.detectors import watch
 from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
-from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, state_bytes
+from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, measure_state_bytes
 
 LOSSES = (0.0, 0.2)
-WARM_MS, CALM_MS = 1_500.0, 3_000.0
-MOST_LOSSY, SHORT_MS = (
-    200,
-    1_000.0,
-)  # with losses, a larger fleet is measured for less, and not to a detection
-BOUND_MS = 30_000.0  # of virtual time in which a killed front has to be seen by all
-FEW, RUNS = 20, 2  # up to so many fronts, so many runs; else one
+WARM_UP_MS, CALM_MS = 1_500.0, 3_000.0
+# With losses, a larger fleet is measured for a shorter time, and its detection time is not measured.
+MAX_LOSSY_SIZE, SHORT_CALM_MS = 200, 1_000.0
+DETECTION_TIMEOUT_MS = 30_000.0  # Virtual time in which all must detect a killed gateway.
+REPEATED_UP_TO, RUNS = 20, 2  # Fleets of at most 20 gateways are measured twice, others once.
 
 
 class Fleet:
-    """So many watches that know each other, one network."""
+    """Runs the failure detectors of a fleet of gateways on one network."""
 
-    def __init__(self, fronts: int, seed: int, loss: float):
-        """All are up and know all others, as after a calm start."""
-        self.net = FleetNet(f"scale/{fronts}/{seed}/{loss}", Weather(loss=loss))
-        self.stopwatch, self.names = Stopwatch(), [f"front-{i:04d}" for i in range(fronts)]
-        self.victim, self.seen_by = "", set()
+    def __init__(self, gateways: int, seed: int, loss: float):
+        """Starts all gateways with all others known, as after a start without faults."""
+        self.net = FleetNet(f"scale/{gateways}/{seed}/{loss}", Weather(loss=loss))
+        self.stopwatch, self.names = Stopwatch(), [f"front-{i:04d}" for i in range(gateways)]
+        self.killed_name, self.detected_by = "", set()
         self.net.after = self._after
         for name in self.names:
             self.net.host(name, self._parts, offset_ms=self.net.rng.uniform(0, 1e6))
@@ -37,52 +37,56 @@
 
     def _after(self, host: Host, _: str, part: Any) -> None:
         for change in part.changes:
-            if change.name == self.victim and change.new_state in ("faulty", "removed"):
-                self.seen_by.add(host.name)
+            if change.name == self.killed_name and change.new_state in ("faulty", "removed"):
+                self.detected_by.add(host.name)
         part.changes.clear()
 
     def sent(self) -> tuple[int, int]:
-        """Messages and bytes of body so far, of all fronts."""
+        """Returns the messages and bytes of bodies that all gateways have sent."""
         hosts = self.net.hosts.values()
         return sum(h.sent for h in hosts), sum(h.sent_bytes for h in hosts)
 
-    def detect_ms(self) -> float | None:
-        """From the kill of one front until all others hold it for cut; None where that passes the bound."""
-        self.victim = self.names[self.net.rng.randrange(len(self.names))]
-        began, others = self.net.now_ms, len(self.names) - 1
-        self.net.kill(self.victim)
-        seen = self.net.run(began + BOUND_MS, lambda: len(self.seen_by) == others)
-        return self.net.now_ms - began if seen else None
+    def detection_ms(self) -> float | None:
+        """Returns the time from the kill of one gateway until all others have it as faulty or removed; None
+        after `DETECTION_TIMEOUT_MS`.
+        """
+        self.killed_name = self.names[self.net.rng.randrange(len(self.names))]
+        killed_at_ms, other_count = self.net.now_ms, len(self.names) - 1
+        self.net.kill(self.killed_name)
+        seen = self.net.run(killed_at_ms + DETECTION_TIMEOUT_MS, lambda: len(self.detected_by) == other_count)
+        return self.net.now_ms - killed_at_ms if seen else None
 
 
 def measure(sizes: Sequence[int], seed: int, progress: Progress) -> list[Sample]:
-    """`sizes`: fronts, two at least."""
+    """Returns the samples. `sizes`: gateways, at least two."""
     samples = []
     for done, size in enumerate(sizes):
         for loss in LOSSES:
-            samples += talk(size, seed, loss)
-        samples.append(table_state(size))
+            samples += measure_traffic(size, seed, loss)
+        samples.append(measure_table_memory(size))
         progress((done + 1) / len(sizes))
     return samples
 
 
-def talk(size: int, seed: int, loss: float) -> list[Sample]:
-    """Messages, bytes and processor time a front and second in calm; then the time to detect."""
+def measure_traffic(size: int, seed: int, loss: float) -> list[Sample]:
+    """Measures messages, bytes and processor time of a gateway a second without faults, then the detection
+    time.
+    """
     messages, sizes, spent, detected = [], [], [], []
-    short = loss > 0 and size > MOST_LOSSY
-    calm_ms = SHORT_MS if short else CALM_MS
-    for run in range(RUNS if size <= FEW else 1):
+    is_shortened = loss > 0 and size > MAX_LOSSY_SIZE
+    calm_ms = SHORT_CALM_MS if is_shortened else CALM_MS
+    for run in range(RUNS if size <= REPEATED_UP_TO else 1):
         fleet = Fleet(size, seed + run, loss)
-        fleet.net.run(WARM_MS)
+        fleet.net.run(WARM_UP_MS)
         fleet.stopwatch.reset()
         sent, sent_bytes = fleet.sent()
-        fleet.net.run(WARM_MS + calm_ms)
-        front_seconds = size * calm_ms / 1_000
-        messages.append((fleet.sent()[0] - sent) / front_seconds)
-        sizes.append((fleet.sent()[1] - sent_bytes) / front_seconds)
-        spent.append(fleet.stopwatch.spent_ms / front_seconds)
-        took_ms = None if short else fleet.detect_ms()
-        detected += [] if took_ms is None else [took_ms / 1_000]
+        fleet.net.run(WARM_UP_MS + calm_ms)
+        gateway_seconds = size * calm_ms / 1_000
+        messages.append((fleet.sent()[0] - sent) / gateway_seconds)
+        sizes.append((fleet.sent()[1] - sent_bytes) / gateway_seconds)
+        spent.append(fleet.stopwatch.spent_ms / gateway_seconds)
+        elapsed_ms = None if is_shortened else fleet.detection_ms()
+        detected += [] if elapsed_ms is None else [elapsed_ms / 1_000]
     name = f"members.lost_{round(100 * loss)}"
     return [
         Sample(size, f"{name}.messages", "1/s", tuple(messages)),
@@ -92,8 +96,8 @@
     ]
 
 
-def table_state(size: int) -> Sample:
-    """Bytes of a table of so many members, as far as it takes them (`MAX_MEMBERS`)."""
+def measure_table_memory(size: int) -> Sample:
+    """Returns the bytes of a table of so many members, up to `MAX_MEMBERS`."""
 
     def fill() -> MemberTable:
         table = MemberTable()
@@ -102,4 +106,4 @@
         table.changes.clear()
         return table
 
-    return Sample(size, "members.state", "bytes", (float(state_bytes(fill)[1]),))
+    return Sample(size, "members.state", "bytes", (float(measure_state_bytes(fill)[1]),))
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -1,4 +1,4 @@
-"""Runs the client of a scale run: a thread of the run's own process, on one UDP socket."""
+"""Runs the client of a scale run in a thread of the run's own process, on one UDP socket."""
 
 import random
 import socket
@@ -13,15 +13,17 @@
 from lichenquay.testbed.scale.client import Client, Proposal
 from lichenquay.testbed.scale.world_spec import CLIENT, FLEET, OPEN_LAYERS, WorldSpec
 
-STEP_S = 0.01  # Between two looks at what is due.
+RECEIVE_TIMEOUT_S = 0.01  # Receive timeout, and so the interval between ticks.
 INCARNATION = 1
 
 
 class Proposer:
-    """`make_entries` as in Client. Every method may be called from any thread."""
+    """Runs a Client in a thread; `make_entries` is as in Client. Every method may be called from
+    any thread.
+    """
 
     def __init__(self, spec: WorldSpec, make_entries):
-        """Opens the socket; `start` begins the thread."""
+        """Opens the socket; `start` starts the thread."""
         self.spec = spec
         rng = random.Random(f"{spec.shape.seed}/proposer")
         self.client = Client(spec.shape.publisher_names(), rng, make_entries)
@@ -30,48 +32,48 @@
         self.ending = threading.Event()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
-        self.socket.settimeout(STEP_S)
+        self.socket.settimeout(RECEIVE_TIMEOUT_S)
         self.thread = threading.Thread(target=self._run, name="proposer", daemon=True)
 
     def start(self):
-        """Begins to send and hear."""
+        """Starts sending and receiving."""
         self.thread.start()
 
     def close(self):
-        """Ends the thread and the socket."""
+        """Ends the thread and closes the socket."""
         self.ending.set()
         if self.thread.is_alive():
             self.thread.join(2.0)
         self.socket.close()
 
     def propose(self, entries) -> Proposal:
-        """As Client's."""
+        """Queues a change, as Client does."""
         with self.lock:
             return self.client.propose(entries)
 
     def set_rate(self, per_s: float):
-        """As Client's, from now on."""
+        """Sets the rate of changes a second from now on, as Client does."""
         with self.lock:
             self.client.set_rate(boot_ms(), per_s)
 
     def is_idle(self) -> bool:
-        """As Client's."""
+        """Whether the outcome of every change is known."""
         with self.lock:
             return self.client.is_idle
 
-    def newest(self) -> int:
-        """As Client's."""
+    def newest_version(self) -> int:
+        """Returns the highest accepted version."""
         with self.lock:
-            return self.client.newest()
+            return self.client.newest_version()
 
     @property
     def leader(self) -> str:
-        """The publisher that is asked now."""
+        """Returns the publisher to which proposals are sent now."""
         return self.client.leader
 
     @property
     def proposals(self) -> list[Proposal]:
-        """All of them; to be read once no more are made."""
+        """Returns all proposals; to be read only when no more are made."""
         return self.client.proposals
 
     def _run(self):
@@ -82,21 +84,21 @@
                 sent, self.client.outbox = self.client.outbox, []
             for name, message in sent:
                 self._send(name, message)
-            self._hear()
+            self._receive()
 
     def _send(self, name, message):
         datagram = self.envelope.seal(INCARNATION, name, Layer.DISTRIBUTION, message.SerializeToString())
         try:
             self.socket.sendto(datagram, self.spec.addresses[name])
-        except OSError:  # As good as lost.
+        except OSError:  # Treated as a lost datagram, which is retried.
             return
 
-    def _hear(self):
+    def _receive(self):
         try:
             datagram, _ = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             name, incarnation, _, body = self.envelope.open(datagram)
             message = pb.Message.FromString(body)
-        except (OSError, DroppedDatagramError, DecodeError):  # Nothing came, or nothing that makes sense.
+        except (OSError, DroppedDatagramError, DecodeError):  # Timeout, or an invalid datagram.
             return
         with self.lock:
             self.client.on_message(boot_ms(), (name, incarnation), message)
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -1,4 +1,6 @@
-"""The rows of the capacity table: a role's need at the planned size, its budget, and what carries it."""
+"""The rows of the capacity table: a role's need at the planned size, its budget, and the mechanism that
+provides it.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,16 +11,17 @@
 from lichenquay.testbed.scale import plan
 
 NONE_TODAY = "none today"
-HOMES = 4  # engines that a set of tables has for its readers and its loads
+PREFERRED_ENGINES_PER_TABLE_SET = 4  # For reads and loads together.
 At = Callable[[str, float], float]
 """at(quantity, size): a fitted quantity's value at a size."""
 
 
 @dataclass(frozen=True)
 class Row:
-    """`what`: the quantity whose slope is shown; `size`: where it is read; `need`: in `unit`, by `at`.
+    """Holds one row. `what`: the quantity whose slope is shown; `size`: where it is read; `need`: in `unit`,
+    computed from `at`.
 
-    Without `need` nothing was measured. Without `budget` the plan names none.
+    `need` is None where nothing was measured, `budget` is None where the plan has none.
     """
 
     role: str
@@ -31,130 +34,141 @@
     mechanism: str
 
 
-def datagrams_processor(at: At, loss: int) -> float:
-    """Milliseconds a second for one front's talk: decisions; datagrams sealed, sent, received, opened."""
+def membership_processor(at: At, loss: int) -> float:
+    """Returns a gateway's processor time for membership in ms/s: decisions, and datagrams sealed, sent,
+    received and opened.
+    """
     name = f"members.lost_{loss}"
-    messages = at(f"{name}.messages", plan.FRONTS)
-    size = at(f"{name}.bytes", plan.FRONTS) / max(1e-9, messages)
+    messages = at(f"{name}.messages", plan.GATEWAYS)
+    size = at(f"{name}.bytes", plan.GATEWAYS) / max(1e-9, messages)
     each = sum(at(f"datagram.{step}", size) for step in ("seal", "socket", "open"))
-    return at(f"{name}.processor", plan.FRONTS) + messages * each
+    return at(f"{name}.processor", plan.GATEWAYS) + messages * each
 
 
-def datagrams_bytes(at: At, loss: int) -> float:
-    """Bytes a second of one front's talk, both ways, with the envelope."""
+def membership_bytes(at: At, loss: int) -> float:
+    """Returns a gateway's bytes a second for membership, sent and received, with the envelope."""
     name = f"members.lost_{loss}"
-    messages = at(f"{name}.messages", plan.FRONTS)
-    size = at(f"{name}.bytes", plan.FRONTS) / max(1e-9, messages)
+    messages = at(f"{name}.messages", plan.GATEWAYS)
+    size = at(f"{name}.bytes", plan.GATEWAYS) / max(1e-9, messages)
     return 2 * messages * at("datagram.length", size)
 
 
 def list_events_processor(at: At) -> float:
-    """Milliseconds a second for list events at a front.
+    """Returns a gateway's processor time for list events in ms/s.
 
-    A set of tables is ranked anew only where one of its homes left the list.
+    The preferred engines of a set of tables are ranked again only when one of them leaves the list.
     """
-    homes = plan.TABLE_SETS_ASSUMED * at("controller.homes", plan.ENGINES) * HOMES / plan.ENGINES
-    return plan.LIST_EVENTS_PER_S * (at("controller.list_event", plan.ENGINES) + homes)
+    preferred = (
+        plan.TABLE_SETS_ASSUMED
+        * at("controller.homes", plan.ENGINES)
+        * PREFERRED_ENGINES_PER_TABLE_SET
+        / plan.ENGINES
+    )
+    return plan.LIST_EVENTS_PER_S * (at("controller.list_event", plan.ENGINES) + preferred)
 
 
-def front_memory(at: At) -> float:
-    """Bytes that a front holds for engines and members."""
+def gateway_memory(at: At) -> float:
+    """Returns the bytes that a gateway holds for engines and members."""
     engines = at("controller.state", plan.ENGINES) + at("discovery.engines", plan.ENGINES)
-    return engines + at("members.state", plan.FRONTS)
+    return engines + at("members.state", plan.GATEWAYS)
 
 
-def front_processor(at: At) -> float:
-    """Milliseconds a second of a front's control on a calm day; its talk as real processes had it."""
+def gateway_processor(at: At) -> float:
+    """Returns a gateway's processor time for control without faults in ms/s, with membership as measured on
+    real processes.
+    """
     quota = at("quota.front.processor", plan.TENANTS_ASSUMED)
     beats = at("controller.beats", plan.ENGINES)
-    return beats + list_events_processor(at) + at("host.quota.processor", plan.FRONTS) + quota
+    return beats + list_events_processor(at) + at("host.quota.processor", plan.GATEWAYS) + quota
 
 
-def front_bytes(at: At) -> float:
-    """Bytes a second of a front's control on a calm day, both ways; the list's events are not in it."""
+def gateway_bytes(at: At) -> float:
+    """Returns a gateway's bytes a second for control without faults, sent and received, without
+    list events.
+    """
     quota = sum(at(f"quota.front.bytes_{way}", plan.TENANTS_ASSUMED) for way in ("out", "in"))
     idle = sum(at(f"discovery.idle_bytes_{way}", plan.ENGINES) for way in ("out", "in"))
-    return datagrams_bytes(at, 0) + quota + idle
+    return membership_bytes(at, 0) + quota + idle
 
 
-FRONT_MS, FRONT_B = plan.FRONT_PROCESSOR_MS_PER_S, plan.FRONT_BYTES_PER_S
-E, F = plan.ENGINES, plan.FRONTS
-LIST_ADDRESS = "discovery: every front asks the one address of the bulletin"
-INCREMENTS = "admission: kept by increments, no pass over all engines"
+GATEWAY_MS, GATEWAY_B = plan.GATEWAY_PROCESSOR_MS_PER_S, plan.GATEWAY_BYTES_PER_S
+ENGINES, GATEWAYS = plan.ENGINES, plan.GATEWAYS
+SINGLE_LIST_ADDRESS = "discovery: every gateway polls the single address of the service"
+INCREMENTAL_STATE = "admission: maintained incrementally, no pass over all engines"
 
 
-def missing(role: str, title: str) -> Row:
-    """A need that nothing in the tree carries."""
+def not_implemented(role: str, title: str) -> Row:
+    """Returns a row for a need that no mechanism provides yet."""
     return Row(role, title, None, None, None, "", None, NONE_TODAY)
 
 
-MISSING = (
-    missing("publisher", "50,000 configuration changes a day to all within 7 s"),
-    missing("relay", "a zone's copy of list and configuration"),
-    missing("voter", "who may publish: a lease over 3 regions"),
-    missing("subscriber", "versions at a front: in force, confirmed, kept"),
-    missing("failure detector", "a region or zone that is cut off, told as one"),
+NOT_IMPLEMENTED = (
+    not_implemented("publisher", "50,000 configuration changes a day to all within 7 s"),
+    not_implemented("relay", "a zone's copy of list and configuration"),
+    not_implemented("voter", "leader election of publishers: a lease over 3 regions"),
+    not_implemented("subscriber", "versions at a gateway: in force, confirmed, stored"),
+    not_implemented("failure detector", "a partitioned region or zone, reported as one"),
 )
 
 MEASURED = (
     Row(
         "front",
-        "processor: beats and looks over the engines",
+        "processor: ticks and scans over the engines",
         "controller.beats",
-        E,
-        lambda at: at("controller.beats", E),
+        ENGINES,
+        lambda at: at("controller.beats", ENGINES),
         "ms/s",
-        FRONT_MS,
-        INCREMENTS,
+        GATEWAY_MS,
+        INCREMENTAL_STATE,
     ),
     Row(
         "front",
         "processor: list events of a day",
         "controller.list_event",
-        E,
+        ENGINES,
         list_events_processor,
         "ms/s",
-        FRONT_MS,
-        INCREMENTS,
+        GATEWAY_MS,
+        INCREMENTAL_STATE,
     ),
     Row(
         "front",
-        "processor: talk, decisions and datagrams alone, nothing lost",
+        "processor: membership, decisions and datagrams alone, no loss",
         "members.lost_0.processor",
-        F,
-        lambda at: datagrams_processor(at, 0),
+        GATEWAYS,
+        lambda at: membership_processor(at, 0),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "members",
     ),
     Row(
         "front",
-        "processor: talk, decisions and datagrams alone, 20% lost",
+        "processor: membership, decisions and datagrams alone, 20% loss",
         "members.lost_20.processor",
-        F,
-        lambda at: datagrams_processor(at, 20),
+        GATEWAYS,
+        lambda at: membership_processor(at, 20),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "members",
     ),
     Row(
         "front",
-        "processor: talk of members, real process",
+        "processor: membership, real process",
         "host.members.processor",
-        F,
-        lambda at: at("host.members.processor", F),
+        GATEWAYS,
+        lambda at: at("host.members.processor", GATEWAYS),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "fleet host",
     ),
     Row(
         "front",
-        "processor: talk of members and an idle account, real process",
+        "processor: membership and an idle account, real process",
         "host.quota.processor",
-        F,
-        lambda at: at("host.quota.processor", F),
+        GATEWAYS,
+        lambda at: at("host.quota.processor", GATEWAYS),
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "fleet host",
     ),
     Row(
@@ -164,115 +178,115 @@
         plan.TENANTS_ASSUMED,
         lambda at: at("quota.front.processor", plan.TENANTS_ASSUMED),
         "ms/s",
-        FRONT_MS,
-        "quota rights",
+        GATEWAY_MS,
+        "quota escrow",
     ),
     Row(
         "front",
-        "processor: all control, calm",
+        "processor: all control, no faults",
         "controller.beats",
-        E,
-        front_processor,
+        ENGINES,
+        gateway_processor,
         "ms/s",
-        FRONT_MS,
+        GATEWAY_MS,
         "as above",
     ),
     Row(
         "front",
         "memory: state of engines and members",
         "controller.state",
-        E,
-        front_memory,
+        ENGINES,
+        gateway_memory,
         "bytes",
-        plan.FRONT_MEMORY_BYTES,
+        plan.GATEWAY_MEMORY_BYTES,
         "controller, service, members",
     ),
     Row(
         "front",
-        "bytes: all control, calm, both ways",
+        "bytes: all control, no faults, sent and received",
         "members.lost_0.bytes",
-        F,
-        front_bytes,
+        GATEWAYS,
+        gateway_bytes,
         "B/s",
-        FRONT_B,
+        GATEWAY_B,
         "members, quota, discovery",
     ),
     Row(
         "front",
-        "bytes: talk with fronts, 20% lost, both ways",
+        "bytes: membership, 20% loss, sent and received",
         "members.lost_20.bytes",
-        F,
-        lambda at: datagrams_bytes(at, 20),
+        GATEWAYS,
+        lambda at: membership_bytes(at, 20),
         "B/s",
-        FRONT_B,
+        GATEWAY_B,
         "members",
     ),
     Row(
         "front",
-        "a whole list's length, of what a front reads",
+        "a whole list's length, against a gateway's limit",
         "discovery.body",
-        E,
-        lambda at: at("discovery.body", E),
+        ENGINES,
+        lambda at: at("discovery.body", ENGINES),
         "bytes",
         float(MAX_BODY_BYTES),
-        LIST_ADDRESS,
+        SINGLE_LIST_ADDRESS,
     ),
     Row(
         "front",
-        "a whole list: parsed and taken, of 7 s",
+        "a whole list: parsed and applied, within 7 s",
         "controller.whole_list",
-        E,
-        lambda at: at("discovery.whole_list", E) + at("controller.whole_list", E),
+        ENGINES,
+        lambda at: at("discovery.whole_list", ENGINES) + at("controller.whole_list", ENGINES),
         "ms",
-        plan.CONFIGURATION_MS,
+        plan.CONFIGURATION_TARGET_MS,
         "controller: compares lists pair by pair",
     ),
     Row(
         "front",
         "data path: controller at 4,091 statements a second, of one process",
         "controller.query",
-        E,
-        lambda at: plan.STATEMENTS_PER_S_A_FRONT * at("controller.query", E),
+        ENGINES,
+        lambda at: plan.STATEMENTS_PER_S_PER_GATEWAY * at("controller.query", ENGINES),
         "ms/s",
         plan.PROCESS_MS_PER_S,
-        INCREMENTS,
+        INCREMENTAL_STATE,
     ),
     Row(
         "failure detector",
-        "fronts that one fleet may have",
+        "gateways in one fleet",
         None,
-        F,
-        lambda at: float(F),
+        GATEWAYS,
+        lambda at: float(GATEWAYS),
         "fronts",
         float(MAX_GATEWAYS),
         "members: at most 1,024 names",
     ),
     Row(
         "failure detector",
-        "a killed front is cut everywhere, of 10 s",
+        "a killed gateway is detected by all, within 10 s",
         "members.lost_0.detect",
-        F,
-        lambda at: at("members.lost_0.detect", F),
+        GATEWAYS,
+        lambda at: at("members.lost_0.detect", GATEWAYS),
         "s",
-        plan.PRIMARY_CHANGE_MS / 1_000,
-        "members: hold grows with log10",
+        plan.PRIMARY_CHANGE_TARGET_MS / 1_000,
+        "members: suspicion time grows with log10",
     ),
     Row(
         "account keeper",
-        "processor of the one keeper, 4 tenants a front",
+        "processor of the single ledger leader, 4 tenants a gateway",
         "quota.keeper.processor",
-        F,
-        lambda at: at("quota.keeper.processor", F),
+        GATEWAYS,
+        lambda at: at("quota.keeper.processor", GATEWAYS),
         "ms/s",
         plan.PROCESS_MS_PER_S,
-        "quota keeper: one process",
+        "ledger leader: one process",
     ),
     Row(
         "account keeper",
         "writing a second's records (round trip 2 ms, disk 2 ms)",
         "quota.keeper.record_bytes",
-        F,
-        lambda at: at("lease.large_record_made", at("quota.keeper.record_bytes", F)),
+        GATEWAYS,
+        lambda at: at("lease.large_record_made", at("quota.keeper.record_bytes", GATEWAYS)),
         "ms/s",
         plan.PROCESS_MS_PER_S,
         "lease group: 800 bytes a round trip",
@@ -281,50 +295,50 @@
         "account keeper",
         "state of the ledger, 4 tenants",
         "quota.keeper.state",
-        F,
-        lambda at: at("quota.keeper.state", F),
+        GATEWAYS,
+        lambda at: at("quota.keeper.state", GATEWAYS),
         "bytes",
         float(MAX_LEDGER_BYTES),
         "lease group: max_state_bytes",
     ),
     Row(
         "voter",
-        "a record made over 60 ms round trips, of 10 s",
+        "a record committed over 60 ms round trips, within 10 s",
         "lease.record_made",
         plan.REGIONS_ROUND_TRIP_MS,
         lambda at: at("lease.record_made", plan.REGIONS_ROUND_TRIP_MS),
         "ms",
-        plan.PRIMARY_CHANGE_MS,
+        plan.PRIMARY_CHANGE_TARGET_MS,
         "lease group",
     ),
     Row(
         "voter",
-        "another holder after a kill, 60 ms round trips, of 10 s",
+        "another lease holder after a kill, 60 ms round trips, within 10 s",
         "lease.takeover",
         plan.REGIONS_ROUND_TRIP_MS,
         lambda at: at("lease.takeover", plan.REGIONS_ROUND_TRIP_MS),
         "ms",
-        plan.PRIMARY_CHANGE_MS,
+        plan.PRIMARY_CHANGE_TARGET_MS,
         "lease group: lease",
     ),
     Row(
         "publisher",
-        "calls at the bulletin's one address, calm",
+        "calls at the discovery service, no faults",
         "discovery.idle_calls",
-        E,
-        lambda at: F * at("discovery.idle_calls", E),
+        ENGINES,
+        lambda at: GATEWAYS * at("discovery.idle_calls", ENGINES),
         "1/s",
         None,
-        LIST_ADDRESS,
+        SINGLE_LIST_ADDRESS,
     ),
     Row(
         "publisher",
-        "lists when a zone's 367 fronts start",
+        "lists when a zone's 367 gateways start",
         "discovery.body",
-        E,
-        lambda at: plan.FRONTS_A_ZONE * at("discovery.body", E),
+        ENGINES,
+        lambda at: plan.GATEWAYS_PER_ZONE * at("discovery.body", ENGINES),
         "bytes",
         None,
-        LIST_ADDRESS,
+        SINGLE_LIST_ADDRESS,
     ),
 )
--- a/lichenquay/testbed/scale/session.py
+++ b/lichenquay/testbed/scale/session.py
@@ -1,41 +1,43 @@
-"""A world of processes with its client: what every run in real time does with them."""
+"""Drives a world of processes and its client, as every run in real time does."""
 
 import time
 from collections.abc import Callable
 from pathlib import Path
 
 from lichenquay.testbed.scale import engines, measure, record
-from lichenquay.testbed.scale.player import Played, Player, ignore
+from lichenquay.testbed.scale.player import ScenarioResult, ScenarioRunner, no_progress
 from lichenquay.testbed.scale.proposer import Proposer
-from lichenquay.testbed.scale.real_stage import RealStage
+from lichenquay.testbed.scale.real_stage import ProcessEnvironment
 from lichenquay.testbed.scale.roles import Reading
 from lichenquay.testbed.scale.scenario import Scenario, Shape
 from lichenquay.testbed.scale.world import World
 from lichenquay.testbed.world import CannotStart
 
-LEADER_S = 30.0  # In which a publisher must lead.
-LOAD_S = 180.0  # In which the engines must be listed.
-POLL_S = 0.1
-START_BATCH = 200  # Fronts that are started at once while a world grows; a zone's start is a scenario.
-BATCH_S = 0.25
+LEADER_TIMEOUT_S = 30.0  # Until a publisher must lead.
+LISTING_TIMEOUT_S = 180.0  # Until the engines must be listed.
+POLL_INTERVAL_S = 0.1
+START_BATCH = 200  # Gateways started at once while a world grows; whole zones start in a scenario.
+BATCH_INTERVAL_S = 0.25
 
 
-class Session:
-    """A context. Every wait has an end."""
+class WorldDriver:
+    """Runs the world and its client as a context. Every wait is bounded."""
 
-    def __init__(self, shape: Shape, folder: Path, rest_s: float):
-        """`rest_s`: in which all fronts must come to hold one version. Nothing runs yet."""
-        self.shape, self.rest_s = shape, rest_s
+    def __init__(self, shape: Shape, folder: Path, settle_timeout_s: float):
+        """Prepares the world without starting it. `settle_timeout_s`: the time in which all gateways must
+        have one version in force.
+        """
+        self.shape, self.settle_timeout_s = shape, settle_timeout_s
         self.world = World(shape, Path(folder))
-        self.memory_share = 0.0  # Of the machine, the highest that was read.
+        self.memory_share = 0.0  # The highest reading, as a share of the machine's memory.
 
     def __enter__(self):
-        """Starts the processes and the client. Raises CannotStart where one does not."""
+        """Starts the processes and the client. Raises CannotStart where one does not start."""
         self.world.__enter__()
         try:
-            self.proposer = Proposer(self.world.spec, engines.TrickleEntries(self.shape))
+            self.proposer = Proposer(self.world.spec, engines.BackgroundChanges(self.shape))
             self.proposer.start()
-            self.wait_for(lambda: self.world.leader() is not None, LEADER_S, "no publisher leads")
+            self.wait_for(lambda: self.world.leader() is not None, LEADER_TIMEOUT_S, "no publisher leads")
         except BaseException:
             self.__exit__(None, None, None)
             raise
@@ -48,66 +50,72 @@
         self.world.__exit__(*exception)
 
     def list_engines(self, first: int, count: int) -> float:
-        """Proposes engines, and waits until all are accepted; the seconds that it took."""
-        begun_s = time.monotonic()
+        """Proposes engines, waits until all are accepted, and returns the seconds that this took."""
+        started_at_s = time.monotonic()
         for entries in engines.engine_changes(first, count, self.shape):
             self.proposer.propose(entries)
-        self.wait_for(self.proposer.is_idle, LOAD_S, f"{count} engines could not be listed")
-        self.proposer.propose(engines.all_listed())  # Fronts take engines from here on.
-        return time.monotonic() - begun_s
+        self.wait_for(self.proposer.is_idle, LISTING_TIMEOUT_S, f"{count} engines could not be listed")
+        self.proposer.propose(engines.list_complete_change())  # From here on gateways apply the engines.
+        return time.monotonic() - started_at_s
 
-    def grow_to(self, fronts: int) -> bool:
-        """Starts fronts until so many run; False: not all came to hold the newest version in time."""
-        names = self.shape.front_names()[len(self.world.running) : fronts]
+    def grow_to(self, gateways: int) -> bool:
+        """Starts gateways until so many run; returns False where not all had the newest version in time."""
+        names = self.shape.gateway_names()[len(self.world.running) : gateways]
         for first in range(0, len(names), START_BATCH):
-            self.world.start_fronts(names[first : first + START_BATCH])
-            time.sleep(BATCH_S)
+            self.world.start_gateways(names[first : first + START_BATCH])
+            time.sleep(BATCH_INTERVAL_S)
         return self.settle()
 
-    def window(self, seconds: float, changes_per_s: float) -> tuple[Reading, Reading]:
-        """Readings before and after some time. Each window has the same number of changes, to be compared."""
+    def measure_window(self, seconds: float, changes_per_s: float) -> tuple[Reading, Reading]:
+        """Returns readings before and after some time. Each window has the same number of changes, so that
+        windows are comparable.
+        """
         self.proposer.set_rate(changes_per_s)
-        before = self.read()
+        before = self.read_usage()
         time.sleep(seconds)
-        after = self.read()
+        after = self.read_usage()
         self.proposer.set_rate(0.0)
         return before, after
 
-    def play(self, scenario: Scenario, progress: Callable[[float], None] = ignore) -> Played:
-        """Plays a scenario, and waits until all that it ended runs and holds the newest version."""
-        played = Player(RealStage(self.world, self.proposer)).play(scenario, progress)
+    def run_scenario(
+        self, scenario: Scenario, progress: Callable[[float], None] = no_progress
+    ) -> ScenarioResult:
+        """Runs a scenario, and waits until every process it ended runs again and has the newest version."""
+        result = ScenarioRunner(ProcessEnvironment(self.world, self.proposer)).run(scenario, progress)
         for child in self.world.children():
             child.wait_ready()
-        self.world.look_ready()
-        played.settled = self.settle()
-        return played
+        self.world.poll_ready()
+        result.settled = self.settle()
+        return result
 
     def settle(self) -> bool:
-        """Waits until every change has its outcome and is in force at every front; False: not in time."""
-        until = time.monotonic() + self.rest_s
+        """Waits until every change has its outcome and is in force at every gateway; returns False on a
+        timeout.
+        """
+        until = time.monotonic() + self.settle_timeout_s
         while time.monotonic() < until:
-            self.world.look_ready()
-            if self.proposer.is_idle() and self.world.settled(self.proposer.newest()):
+            self.world.poll_ready()
+            if self.proposer.is_idle() and self.world.settled(self.proposer.newest_version()):
                 return True
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         return False
 
-    def read(self) -> Reading:
-        """The counters of every process now."""
+    def read_usage(self) -> Reading:
+        """Returns the counters of every process now."""
         reading = Reading(time.monotonic(), self.world.usage())
-        kb = sum(one.usage.kb for one in reading.usage)
+        kb = sum(process.usage.kb for process in reading.usage)
         self.memory_share = max(self.memory_share, kb / measure.memory_total_kb())
         return reading
 
-    def end(self) -> list[record.Life]:
-        """Ends the fronts' processes in order; the records of all fronts."""
+    def end(self) -> list[record.GatewayLifetime]:
+        """Ends the gateways' processes gracefully, and returns the records of all gateways."""
         self.world.end_hosts()
-        return [life for path in self.world.record_paths() for life in record.read(path)]
+        return [lifetime for path in self.world.record_paths() for lifetime in record.read(path)]
 
-    def wait_for(self, is_so, seconds: float, otherwise: str):
-        """Raises CannotStart, which says `otherwise`, where it is not so in time."""
+    def wait_for(self, condition, seconds: float, failure: str):
+        """Waits for `condition()`. Raises CannotStart with the text `failure` on a timeout."""
         until = time.monotonic() + seconds
-        while not is_so():
+        while not condition():
             if time.monotonic() > until:
-                raise CannotStart(f"{otherwise} within {seconds:g} s")
-            time.sleep(POLL_S)
+                raise CannotStart(f"{failure} within {seconds:g} s")
+            time.sleep(POLL_INTERVAL_S)
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual.py
@@ -1,8 +1,8 @@
 """The same decision classes, client, scenarios and audit in virtual time, for sizes that can't run in real
 time.
 
-Networks are FleetNet's: each message is serialised and parsed, none has an envelope. What virtual time does
-not show is the processors' time and queues in sockets.
+The network is FleetNet's: each message is serialised and parsed, none has an envelope. Virtual time does not
+show processor time and socket queues.
 """
 
 import random
@@ -24,17 +24,19 @@
 from lichenquay.testbed.scale.scenario import Shape, zone_of_name
 from lichenquay.testbed.scale.world_spec import CLIENT, PREFIXES
 
-DISK_MS = 2.0  # A voter's store.
+DISK_MS = 2.0  # Time of a voter's write.
 LINK_MS = (0.2, 1.0)
 DEFAULT_SETTINGS = Settings()
-STEP_MS = 100.0  # Between two looks at whether all have settled.
+STEP_MS = 100.0  # Interval at which conditions and progress are checked.
 
 
-class Voter:
-    """A voter's group and its publisher as one part; `disk` keeps its records from one start to the next."""
+class VirtualVoter:
+    """Combines a voter's group, publisher and lease candidate as one decision module; `disk` keeps its
+    records across restarts.
+    """
 
     def __init__(self, host, shape: Shape, settings: Settings, disk: "Disk"):
-        """Claims the lease while nobody holds it."""
+        """Campaigns for the lease while it has no holder."""
         self.disk = disk
         self.group, self.publisher = make_voter(
             host.name,
@@ -44,35 +46,35 @@
             group_settings(settings),
             settings,
             host.now_ms(),
-            dict(disk.kept),
+            dict(disk.records),
         )
         self.candidate = LeaseCandidate(self.group, host.now_ms())
         self.outbox = []
 
     @property
     def due_ms(self):
-        """Of whichever is due first."""
+        """Returns when the first of its parts is due."""
         return min(part.due_ms for part in self.parts())
 
     def tick(self, now_ms):
-        """All that are due."""
+        """Runs all parts that are due."""
         for part in self.parts():
             if part.due_ms <= now_ms:
                 part.tick(now_ms)
         self._gather()
 
     def parts(self):
-        """As production's voter has them."""
+        """Returns the parts in production's order."""
         return self.group, self.publisher, self.candidate
 
     def on_message(self, now_ms, sender, message):
-        """By the kind of message."""
+        """Passes a message to the part that handles its type."""
         part = self.group if isinstance(message, lease_pb2.Message) else self.publisher
         part.on_message(now_ms, sender, message)
         self._gather()
 
     def stored(self, now_ms, number, is_stored):
-        """The disk's answer."""
+        """Passes the result of a write to the group."""
         self.group.on_stored(now_ms, number, is_stored)
         self._gather()
 
@@ -84,29 +86,29 @@
 
 @dataclass
 class Disk:
-    """What a voter has on disk, and its faults."""
+    """Holds the records on a voter's disk, and the disk's faults."""
 
-    kept: dict = field(default_factory=dict)
+    records: dict = field(default_factory=dict)
     full: bool = False
     delay_ms: float = DISK_MS
 
 
 class VirtualWorld:
-    """Publishers, relays, fronts and the client: a `Stage` in virtual time."""
+    """Holds publishers, relays, gateways and the client: a `ScenarioEnvironment` in virtual time."""
 
     def __init__(self, shape: Shape, settings: Settings = DEFAULT_SETTINGS):
-        """Control processes and the client run; no front yet. `settings`: of distribution."""
+        """Starts control processes and the client, but no gateway. `settings`: of distribution."""
         self.shape, self.settings = shape, settings
         self.net = FleetNet(f"{shape.seed}/virtual")
         self.impairment = Impairment(f"{shape.seed}/virtual")
-        self.net.meddle, self.net.after = self._fate, self._after
+        self.net.meddle, self.net.after = self._delivery_copies, self._after
         self.disks = {name: Disk() for name in shape.publisher_names()}
-        self.relays = relay_places(shape)
-        self.lives: list[record.Life] = []
-        self.running: dict[str, record.Life] = {}
-        self.last_ms = 0.0  # When the last thing that was put off is due.
+        self.relays = relay_locations(shape)
+        self.lifetimes: list[record.GatewayLifetime] = []
+        self.running: dict[str, record.GatewayLifetime] = {}
+        self.last_ms = 0.0  # When the last scheduled call is due.
         rng = random.Random(f"{shape.seed}/proposer")
-        self.client = Client(shape.publisher_names(), rng, engines.TrickleEntries(shape))
+        self.client = Client(shape.publisher_names(), rng, engines.BackgroundChanges(shape))
         for name in shape.publisher_names():
             self.net.host(name, self._make_voter)
         for zone in shape.zones:
@@ -114,10 +116,10 @@
                 self.net.host(name, self._make_relay)
         self.net.host(CLIENT, lambda host: {Layer.DISTRIBUTION: self.client})
 
-    def run_until(self, is_so, most_ms: float) -> bool:
-        """Runs until `is_so()`, for `most_ms` at most; False: it was not."""
-        until_ms = self.net.now_ms + most_ms
-        while not is_so():
+    def run_until(self, condition, timeout_ms: float) -> bool:
+        """Runs until `condition()`, for `timeout_ms` at most; returns False on a timeout."""
+        until_ms = self.net.now_ms + timeout_ms
+        while not condition():
             if self.net.now_ms >= until_ms:
                 return False
             self.net.run(min(until_ms, self.net.now_ms + STEP_MS))
@@ -125,65 +127,65 @@
 
     @property
     def now_ms(self):
-        """Virtual time."""
+        """Returns the virtual time in milliseconds."""
         return self.net.now_ms
 
     def run(self, seconds, progress):
-        """Virtual seconds, and until all that was put off is done."""
-        begun_ms = self.net.now_ms
-        until_ms = begun_ms + seconds * 1000
+        """Runs for so many virtual seconds, and on until all scheduled calls are done."""
+        started_at_ms = self.net.now_ms
+        until_ms = started_at_ms + seconds * 1000
         while self.net.now_ms < max(until_ms, self.last_ms):
             self.net.run(self.net.now_ms + STEP_MS)
-            progress(min(seconds, (self.net.now_ms - begun_ms) / 1000))
+            progress(min(seconds, (self.net.now_ms - started_at_ms) / 1000))
 
-    def later(self, seconds, call, *arguments):
-        """By virtual time."""
+    def call_later(self, seconds, call, *arguments):
+        """Schedules a call in virtual time."""
         at_ms = self.net.now_ms + seconds * 1000
         self.last_ms = max(self.last_ms, at_ms)
         self.net.at(at_ms, call, *arguments)
 
     def set_rate(self, per_s):
-        """Of the client."""
+        """Sets the client's rate of changes a second."""
         self.net.call(CLIENT, Layer.DISTRIBUTION, "set_rate", per_s)
 
-    def newest(self):
-        """By the client."""
-        return self.client.newest()
+    def newest_version(self):
+        """Returns the highest version that the client knows to be accepted."""
+        return self.client.newest_version()
 
     def kill(self, name, seconds):
-        """With all that it has not stored."""
+        """Kills a host with all that it has not stored, and starts it again later."""
         self.net.kill(name)
-        self.later(seconds, self.net.start, name)
+        self.call_later(seconds, self.net.start, name)
 
     def pause(self, name, seconds):
-        """What comes meanwhile waits, as in a socket's buffer."""
+        """Pauses a host; messages queue meanwhile, as in a socket's buffer."""
         self.net.pause(name, seconds * 1000)
 
     def fail_disk(self, name, seconds, full, delay_ms):
-        """The disk outlives the process."""
+        """Makes a disk full or slow; the disk outlives the process."""
         disk = self.disks[name]
         disk.full, disk.delay_ms = full, DISK_MS + delay_ms
-        self.later(seconds, self._mend_disk, disk)
+        self.call_later(seconds, self._restore_disk, disk)
 
-    def silence(self, names, seconds):
-        """They stand still altogether."""
+    def pause_reading(self, names, seconds):
+        """Pauses the gateways altogether."""
         for name in names:
             self.net.pause(name, seconds * 1000)
 
     def impair(self, rules):
-        """For every message from now on."""
+        """Replaces the rules for every message from now on."""
         self.impairment.rules = rules
 
-    def up(self, names):
-        """Those that run."""
+    def running_among(self, names):
+        """Returns those of the gateways that run."""
         return [name for name in names if name in self.running]
 
     def leader(self) -> str:
-        """The publisher that holds the lease, else whom the client asks."""
+        """Returns the publisher that holds the lease, else the one that the client uses."""
         return self.holder() or self.client.leader
 
     def holder(self) -> str | None:
-        """The publisher that holds the lease."""
+        """Returns the publisher that holds the lease, or None."""
         for name in self.shape.publisher_names():
             host = self.net.hosts[name]
             if host.up and not host.paused and host.parts[Layer.DISTRIBUTION].group.holds(host.now_ms()):
@@ -191,45 +193,47 @@
         return None
 
     def settled(self) -> bool:
-        """Whether every change has its outcome, and all fronts have the newest version."""
-        newest = self.client.newest()
-        return self.client.is_idle and all(life.last == newest for life in self.running.values())
+        """Whether every change has its outcome, and all gateways have the newest version in force."""
+        newest_version = self.client.newest_version()
+        return self.client.is_idle and all(
+            lifetime.last_version == newest_version for lifetime in self.running.values()
+        )
 
     def propose(self, entries):
-        """A change of the run's own."""
+        """Proposes a change and runs the client's tick."""
         self.client.propose(entries)
         self.net.call(CLIENT, Layer.DISTRIBUTION, "tick")
 
-    def start_fronts(self, names):
-        """Starts those that do not run."""
+    def start_gateways(self, names):
+        """Starts those of the gateways that do not run."""
         for name in names:
             if name in self.running:
                 continue
-            self.running[name] = life = record.Life(name, self.net.now_ms)
-            self.lives.append(life)
+            self.running[name] = lifetime = record.GatewayLifetime(name, self.net.now_ms)
+            self.lifetimes.append(lifetime)
             if name in self.net.hosts:
                 self.net.start(name)
             else:
                 self.net.host(name, self._make_front)
 
-    def stop_fronts(self, names):
-        """Ends those that run, without a word."""
+    def stop_gateways(self, names):
+        """Ends those of the gateways that run, without notifying anyone."""
         for name in names:
-            life = self.running.pop(name, None)
-            if life is not None:
-                life.ended_ms = self.net.now_ms
+            lifetime = self.running.pop(name, None)
+            if lifetime is not None:
+                lifetime.ended_ms = self.net.now_ms
                 self.net.kill(name)
 
     def end(self):
-        """Keeps what the fronts hold."""
-        for name, life in self.running.items():
+        """Records the final state of the gateways."""
+        for name, lifetime in self.running.items():
             subscriber = self.net.hosts[name].parts[Layer.DISTRIBUTION]
-            life.values_digest = values_digest(subscriber.applied_values)
-            life.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
-            life.counts = dict(subscriber.counts)
+            lifetime.values_digest = values_digest(subscriber.applied_values)
+            lifetime.prefixes_wrong = sum(not key.startswith(PREFIXES) for key in subscriber.applied_values)
+            lifetime.counts = dict(subscriber.counts)
 
     def _make_voter(self, host):
-        return {Layer.DISTRIBUTION: Voter(host, self.shape, self.settings, self.disks[host.name])}
+        return {Layer.DISTRIBUTION: VirtualVoter(host, self.shape, self.settings, self.disks[host.name])}
 
     def _make_relay(self, host):
         publishers = self.shape.publisher_names()
@@ -239,57 +243,59 @@
         zone = zone_of_name(host.name)
         sources = rank_sources(self.relays, host.name, zone, self.shape.region_of(zone))
         subscriber = Subscriber(
-            host.name, sources, list(PREFIXES), host.rng, self.settings, host.now_ms(), take_all
+            host.name, sources, list(PREFIXES), host.rng, self.settings, host.now_ms(), accept_all
         )
         return {Layer.DISTRIBUTION: subscriber}
 
-    def _fate(self, number, source, target, layer, message):
-        """The impairment's word for a message; None: FleetNet's own usual delay."""
+    def _delivery_copies(self, number, source, target, layer, message):
+        """Returns the copies to deliver under the impairment rules; None for FleetNet's default delay."""
         if not self.impairment.rules:
             return None
-        delays = self.impairment.delays_of(zone_of_name(source), zone_of_name(target))
+        delays = self.impairment.delays_for(zone_of_name(source), zone_of_name(target))
         return [(target, self.net.rng.uniform(*LINK_MS) + delay_ms, message) for delay_ms in delays]
 
     def _after(self, host, layer, part):
-        life = self.running.get(host.name)
-        if life is not None:
-            life.step(part.applied_version, self.net.now_ms)
-        elif isinstance(part, Voter):
-            wanted, part.group.store_requests[:] = list(part.group.store_requests), []
-            for number, changes in wanted:
+        lifetime = self.running.get(host.name)
+        if lifetime is not None:
+            lifetime.record_version(part.applied_version, self.net.now_ms)
+        elif isinstance(part, VirtualVoter):
+            writes, part.group.store_requests[:] = list(part.group.store_requests), []
+            for number, changes in writes:
                 self.net.at(
                     self.net.now_ms + part.disk.delay_ms, self._store, host.name, host.life, number, changes
                 )
 
-    def _mend_disk(self, disk):
+    def _restore_disk(self, disk):
         disk.full, disk.delay_ms = False, DISK_MS
 
-    def _store(self, name, life, number, changes):
-        """Risk: a store of an earlier life must not be answered to a later one."""
+    def _store(self, name, host_life, number, changes):
+        """Stores a write's changes; a write of an earlier start is not answered to a later one."""
         disk, host = self.disks[name], self.net.hosts[name]
-        if host.life != life:
+        if host.life != host_life:
             return
         if not disk.full:
-            disk.kept.update(changes)
+            disk.records.update(changes)
         self.net.call(name, Layer.DISTRIBUTION, "stored", number, not disk.full)
 
 
 @dataclass(frozen=True)
-class Place:
-    """A relay, as production's ranking takes it."""
+class RelayLocation:
+    """Holds a relay's name, zone and region, as production's ranking requires them."""
 
     name: str
     zone: str
     region: str
 
 
-def relay_places(shape: Shape) -> list[Place]:
-    """All relays."""
+def relay_locations(shape: Shape) -> list[RelayLocation]:
+    """Returns the locations of all relays."""
     return [
-        Place(name, zone, shape.region_of(zone)) for zone in shape.zones for name in shape.relay_names(zone)
+        RelayLocation(name, zone, shape.region_of(zone))
+        for zone in shape.zones
+        for name in shape.relay_names(zone)
     ]
 
 
-def take_all(now_ms, changed, whole):
-    """Puts every change in force."""
+def accept_all(now_ms, changed, whole):
+    """Accepts every change; a subscriber calls it before it puts changes in force."""
     return None
--- a/lichenquay/testbed/scale/world_spec.py
+++ b/lichenquay/testbed/scale/world_spec.py
@@ -1,4 +1,6 @@
-"""What each process of a scale run is told at its start: a JSON file that all of them share."""
+"""The specification that each process of a scale run reads at its start: a JSON file that all of
+them share.
+"""
 
 import json
 from dataclasses import asdict, dataclass
@@ -10,17 +12,17 @@
 from lichenquay.testbed.scale.scenario import CONTROL_ZONE, Shape
 
 FLEET = "scale"
-CLIENT = f"{CONTROL_ZONE}-client"  # Who proposes changes.
+CLIENT = f"{CONTROL_ZONE}-client"  # The client that proposes changes.
 CONFIG_PREFIX = "config/"
-PREFIXES = (CONFIG_PREFIX, ENGINE_PREFIX)  # What a front subscribes to.
+PREFIXES = (CONFIG_PREFIX, ENGINE_PREFIX)  # The subscription of a gateway.
 OPEN_LAYERS = {Layer.DISTRIBUTION: distribution_fingerprint(FLEET)}
 
 
 @dataclass(frozen=True)
 class WorldSpec:
-    """The world's shape, where its processes listen, and where reports go.
+    """Holds the world's shape, where its processes listen, and the folder of its files.
 
-    `addresses`: of control processes. `loopbacks`: the address of each host's fronts.
+    `addresses`: of control processes. `loopbacks`: the address of each host's gateways.
     """
 
     shape: Shape
@@ -30,16 +32,16 @@
 
     @property
     def path(self) -> Path:
-        """Where the processes read it."""
+        """Returns the path of the file."""
         return Path(self.folder) / "world.json"
 
     def write(self) -> None:
-        """Writes the file that `read` takes."""
+        """Writes the file that `read` reads."""
         self.path.write_text(json.dumps(asdict(self)))
 
 
 def read(path: str) -> WorldSpec:
-    """The spec that `write` wrote."""
-    said = json.loads(Path(path).read_text())
-    addresses = {name: (host, port) for name, (host, port) in said["addresses"].items()}
-    return WorldSpec(Shape(**said["shape"]), addresses, said["loopbacks"], said["folder"])
+    """Returns the spec that `write` wrote."""
+    spec = json.loads(Path(path).read_text())
+    addresses = {name: (host, port) for name, (host, port) in spec["addresses"].items()}
+    return WorldSpec(Shape(**spec["shape"]), addresses, spec["loopbacks"], spec["folder"])
--- a/tests/scale_records.py
+++ b/tests/scale_records.py
@@ -1,19 +1,19 @@
-"""Records of a scale run that tests plant."""
+"""Builds records of a scale run for tests."""
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.testbed.scale.client import Proposal
-from lichenquay.testbed.scale.record import Life
+from lichenquay.testbed.scale.record import GatewayLifetime
 
 
 def change(version, value, proposed_ms):
-    """An accepted change of one key."""
+    """Returns an accepted change of one key."""
     entries = [pb.Entry(key="config/a", value=value)]
     return Proposal(version, entries, proposed_ms, proposed_ms, proposed_ms + 5.0, version)
 
 
-def life(name, steps, values_digest, started_ms=0.0):
-    """A front that had these (version, ms) in force."""
-    one = Life(name, started_ms, values_digest=values_digest)
+def lifetime(name, steps, values_digest, started_ms=0.0):
+    """Returns a gateway's record that has these (version, ms) in force."""
+    one = GatewayLifetime(name, started_ms, values_digest=values_digest)
     for version, at_ms in steps:
-        one.step(version, at_ms)
+        one.record_version(version, at_ms)
     return one
--- a/tests/test_scale_world.py
+++ b/tests/test_scale_world.py
@@ -1,4 +1,4 @@
-"""A small scale run with real processes and sockets: its figures are whole, and nothing is broken amid a
+"""A small scale run with real processes and sockets: its figures are complete, and no rule is broken in a
 failover.
 """
 
@@ -14,7 +14,7 @@
 
 pytestmark = pytest.mark.together
 
-FRONTS = 12
+GATEWAYS = 12
 KEYS = {
     "fronts_hollow",
     "fronts_real",
@@ -40,20 +40,20 @@
 
 
 def small_plan(seed, engines):
-    """The shape of a short run, in little."""
-    shape = s.Shape(fronts=FRONTS, engines=20, hosts=1, voters=3, seed=seed)
+    """Returns a short run's plan at a small size."""
+    shape = s.Shape(fronts=GATEWAYS, engines=20, hosts=1, voters=3, seed=seed)
     relays = tuple(shape.relay_names(zone)[0] for zone in shape.zones)
-    kill = s.Event(0.3, s.Act.KILL, (s.Target.LEADER, *relays), 1.0)
+    kill = s.FaultEvent(0.3, s.FaultKind.KILL, (s.Target.LEADER, *relays), 1.0)
     scenarios = [
         s.Scenario("failover", 2.0, 4.0, [kill]),
         s.zone_start(shape, 3.0, 2.0),
         s.region_cut(shape, 4.0, 2.0),
     ]
-    return plans.small(seed, FRONTS, scenarios)
+    return plans.small(seed, GATEWAYS, scenarios)
 
 
-def test_the_command_measures_plays_and_audits(tmp_path, monkeypatch):
-    """By the command line, into JSON and a page."""
+def test_the_command_measures_sizes_runs_scenarios_and_audits(tmp_path, monkeypatch):
+    """Runs the command, which writes JSON and an HTML page."""
     monkeypatch.setattr(plans, "short", small_plan)
     out = tmp_path / "figures.json"
     options = ["--real-fronts", "1", "--queries", "2", "--json", str(out), "--out", str(tmp_path / "run")]
@@ -63,7 +63,7 @@
     assert figures.keys() >= KEYS
     assert figures["config"].keys() >= CONFIG_KEYS
     assert figures["broken_rules"] == []
-    assert (figures["fronts_hollow"], figures["fronts_real"]) == (FRONTS, 1)
+    assert (figures["fronts_hollow"], figures["fronts_real"]) == (GATEWAYS, 1)
     assert figures["queries"]["queries finished"] > 0
     assert figures["real_fronts"][0]["report"]["finished"] > 0
     assert figures["config"]["changes"] > 0 and figures["config"]["pairs"] > 0
@@ -76,11 +76,11 @@
     assert figures["measured"].keys() == figures["predicted"].keys() != set()
     assert figures["zone_start_s"] > 0 and figures["region_heal_s"] > 0
     page = (tmp_path / "run" / "report.html").read_text()
-    assert page.count("<img") == len(report.FRONT_BUDGET) + 1
+    assert page.count("<img") == len(report.GATEWAY_BUDGET) + 1
 
 
-def test_engines_are_swept_and_the_largest_number_is_foretold(tmp_path, monkeypatch):
-    """In little: a handful of engines, one zone."""
+def test_an_engine_sweep_predicts_the_largest_number(tmp_path, monkeypatch):
+    """Uses a few engines and one zone."""
     monkeypatch.setattr(engine_sweep, "WINDOW_S", 0.3)
     monkeypatch.setattr(engine_sweep, "START_WAIT_S", 1.0)
     sweep = engine_sweep.EngineSweep(tmp_path, seed=1, sizes=(10, 20, 30, 40), held_out=60)
