--- a/lichenquay/distribution/__init__.py
+++ b/lichenquay/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned configuration and the engine list for all gateways: publisher, relays, subscribers. No I/O."""
+"""Distributes versioned configuration and the endpoint list: publisher, relays, subscribers. No I/O."""
--- a/lichenquay/distribution/coverage_tracker.py
+++ b/lichenquay/distribution/coverage_tracker.py
@@ -1,4 +1,4 @@
-"""Coverage: which versions the subscribers of one source have applied, kept incrementally."""
+"""Coverage: which versions the subscribers of one source have in force, updated incrementally."""
 
 import heapq
 from collections import Counter, OrderedDict
@@ -7,12 +7,12 @@
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.settings import Settings
 
-HEAP_SLACK = 64  # Versions in the heap beside twice those in use.
-MAX_REPORTED_SUBSCRIBERS = 1 << 20  # Of one relay; a higher number in a message is invalid.
+HEAP_SLACK_VERSIONS = 64  # The heap is rebuilt above twice the versions in use plus this.
+MAX_REPORTED_SUBSCRIBERS = 1 << 20  # Per count in a relay's Coverage; a higher number is invalid.
 
 
 class SessionCoverage(NamedTuple):
-    """What one session contributes: a subscriber's own state, or a relay's sums over its subscribers."""
+    """The counts that one session adds: one subscriber's state, or a relay's sums over its subscribers."""
 
     subscribers: int = 0
     oldest_version: int = 0
@@ -21,16 +21,16 @@
 
 
 class SilentSubscriber(NamedTuple):
-    """A subscriber whose session expired, and how many subscribers it stood for."""
+    """When a subscriber's session expired, and how many subscribers it represented."""
 
-    lost_ms: float
+    expired_ms: float
     subscribers: int
 
 
 def coverage_of(follow: pb.Follow, applied_version: int) -> SessionCoverage | None:
-    """Return the coverage that a Follow reports, None if its numbers are invalid.
+    """Returns the coverage that a Follow reports, None if its numbers are invalid.
 
-    `applied_version` is the version that its sender has in force, as far as the source believes it.
+    `applied_version` is the version that the sender has in force according to the last credible Follow.
     """
     if not follow.HasField("below"):
         return SessionCoverage(1, applied_version, int(follow.in_force < follow.version))
@@ -42,31 +42,32 @@
 
 
 class CoverageTracker:
-    """Sums over the sessions of a source, and the silent subscribers. A step costs O(log sessions)."""
+    """Holds sums over a source's sessions and its silent subscribers. An update costs O(log sessions)."""
 
     def __init__(self, settings: Settings):
-        """Start without a session."""
+        """Starts without sessions."""
         self.settings = settings
         self.subscribers = 0
         self.refused = 0
         self.stale = 0
-        self.silent_count = 0  # All that the silent subscribers represent.
+        self.silent_subscribers = 0  # Including those that a silent relay represents.
         self._silent: OrderedDict[str, SilentSubscriber] = OrderedDict()  # Longest silent first.
         self._sessions_at: Counter[int] = Counter()
-        self._versions: list[int] = []  # A heap; holds versions that no session is at any more.
+        self._versions: list[int] = []  # A heap; may hold versions at which there is no session any more.
 
     def add(self, coverage: SessionCoverage) -> None:
-        """Count a session."""
+        """Adds a session to the sums."""
         self._add_to_sums(coverage, 1)
         self._sessions_at[coverage.oldest_version] += 1
         if self._sessions_at[coverage.oldest_version] == 1:
             heapq.heappush(self._versions, coverage.oldest_version)
-        # While one subscriber stays behind, versions above its own would accumulate without limit.
-        if len(self._versions) > HEAP_SLACK + 2 * len(self._sessions_at):
+        # Unused versions are popped only from the top, so one subscriber that stays at an old version
+        # would let those above it accumulate without limit.
+        if len(self._versions) > HEAP_SLACK_VERSIONS + 2 * len(self._sessions_at):
             self._versions = sorted(self._sessions_at)
 
     def remove(self, coverage: SessionCoverage) -> None:
-        """Stop counting a session."""
+        """Removes a session from the sums."""
         self._add_to_sums(coverage, -1)
         self._sessions_at[coverage.oldest_version] -= 1
         if not self._sessions_at[coverage.oldest_version]:
@@ -78,46 +79,46 @@
         self.stale += sign * coverage.stale
 
     def mark_silent(self, now_ms: float, name: str, coverage: SessionCoverage) -> None:
-        """Count a subscriber whose session expired, and all that it stood for, as stale."""
+        """Counts a subscriber whose session expired, and all that it represented, as stale."""
         self.mark_present(name)
         silent = SilentSubscriber(now_ms, max(1, coverage.subscribers))
         self._silent[name] = silent
-        self.silent_count += silent.subscribers
+        self.silent_subscribers += silent.subscribers
         if len(self._silent) > self.settings.most_sessions:
             self._forget_longest_silent()
 
     def mark_present(self, name: str) -> None:
-        """Record that a subscriber has sent again, or left."""
+        """Stops counting a subscriber as silent, after it sent a message or left."""
         silent = self._silent.pop(name, None)
         if silent is not None:
-            self.silent_count -= silent.subscribers
+            self.silent_subscribers -= silent.subscribers
 
     def _forget_longest_silent(self) -> None:
         _, silent = self._silent.popitem(last=False)
-        self.silent_count -= silent.subscribers
+        self.silent_subscribers -= silent.subscribers
 
     @property
     def due_ms(self) -> float:
-        """When the longest silent subscriber is forgotten."""
+        """Returns the time at which the longest silent subscriber is forgotten, infinite if there is none."""
         first = next(iter(self._silent.values()), None)
-        return first.lost_ms + self.settings.forget_ms if first else float("inf")
+        return first.expired_ms + self.settings.forget_ms if first else float("inf")
 
     def tick(self, now_ms: float) -> None:
-        """Forget the subscribers that have been silent for too long."""
+        """Forgets the subscribers whose sessions expired at least `forget_ms` ago."""
         while self._silent and now_ms >= self.due_ms:
             self._forget_longest_silent()
 
     def oldest_version(self, own_version: int) -> int:
-        """Return the lowest version in force, at most `own_version`, which is that of the source."""
+        """Returns the lowest version in force at any subscriber, at most `own_version`, the source's own."""
         while self._versions and not self._sessions_at.get(self._versions[0]):
             heapq.heappop(self._versions)
         return min(own_version, self._versions[0]) if self._versions else own_version
 
     def coverage(self, own_version: int) -> pb.Coverage:
-        """Return what a relay reports upwards; `own_version` is that of the source."""
+        """Returns the sums that a relay reports to its source; `own_version` is the relay's own version."""
         return pb.Coverage(
             subscribers=min(self.subscribers, MAX_REPORTED_SUBSCRIBERS),
             oldest=self.oldest_version(own_version),
             refused=min(self.refused, MAX_REPORTED_SUBSCRIBERS),
-            stale=min(self.stale + self.silent_count, MAX_REPORTED_SUBSCRIBERS),
+            stale=min(self.stale + self.silent_subscribers, MAX_REPORTED_SUBSCRIBERS),
         )
--- a/lichenquay/distribution/errors.py
+++ b/lichenquay/distribution/errors.py
@@ -1,4 +1,4 @@
-"""Errors of distribution. Where one is raised, nothing of the message that caused it has been applied."""
+"""Errors of distribution. When one is raised, nothing of the message that caused it has been applied."""
 
 
 class DistributionError(ValueError):
@@ -6,12 +6,12 @@
 
 
 class SubscriptionError(DistributionError):
-    """A subscriber was to be made without a source, or with prefixes that do not fit into a message."""
+    """A subscriber has no source, or its prefixes do not fit into a message."""
 
 
 class DigestError(DistributionError):
-    """What was received does not lead to the digest that came with it."""
+    """A received delta or snapshot does not match its digest, or a snapshot is too large."""
 
 
 class VersionGapError(DistributionError):
-    """Changes that do not follow the version that is held."""
+    """A delta starts after the held version, so changes between the two are missing."""
--- a/lichenquay/distribution/history.py
+++ b/lichenquay/distribution/history.py
@@ -1,4 +1,4 @@
-"""The recent changes of a state, bounded by number and bytes, and the views of them in use."""
+"""The recent changes of a state, bounded in number and bytes, and the prefix views of them in use."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -12,9 +12,9 @@
 
 
 class RecordedChange(NamedTuple):
-    """A change as it was added: `digest_changes[i]` is what `entries[i]` added to the digest."""
+    """A change as it was added: `digest_changes[i]` is what `entries[i]` added to the state's digest."""
 
-    since: int
+    from_version: int
     version: int
     entries: tuple[pb.Entry, ...]
     digest_changes: tuple[int, ...]
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class _ChangeOfView:
+class _ViewPart:
     """The part of a change that concerns one view."""
 
     view: PrefixView
@@ -31,35 +31,35 @@
 
 
 class History:
-    """The last changes of a KeyStore, which it keeps up to date, and the views of them."""
+    """Holds the last changes of a KeyStore, to which it applies them, and the prefix views of them."""
 
     def __init__(self, store: KeyStore, settings: Settings):
-        """Begin at the version of `store`, without changes."""
+        """Starts at the version of `store`, without changes."""
         self.store = store
         self.settings = settings
-        self.floor = store.version
+        self.base_version = store.version
         self.views: dict[tuple[str, ...], PrefixView] = {}
         self._views_by_prefix: dict[str, list[PrefixView]] = {}
         self._changes: list[RecordedChange] = []
         self._bytes = 0
 
     def add(self, version: int, entries: Sequence[pb.Entry]) -> list[PrefixView]:
-        """Apply a change and return the views that it concerns.
+        """Applies a change and returns the views that it concerns.
 
         The cost depends on the lengths of the keys, not on the number of views.
         """
-        since = self.store.version
+        from_version = self.store.version
         digest_changes = self.store.apply(version, entries)
-        concerned: dict[tuple[str, ...], _ChangeOfView] = {}
+        concerned: dict[tuple[str, ...], _ViewPart] = {}
         for entry, digest_change in zip(entries, digest_changes, strict=True):
             for view in self._views_of(entry.key):
-                part = concerned.setdefault(view.prefixes, _ChangeOfView(view))
+                part = concerned.setdefault(view.prefixes, _ViewPart(view))
                 part.entries.append(entry)
                 part.digest_change += digest_change
         for part in concerned.values():
-            part.view.add(since, version, part.entries, part.digest_change)
+            part.view.add(from_version, version, part.entries, part.digest_change)
         size = sum(map(size_of, entries))
-        self._record(RecordedChange(since, version, tuple(entries), tuple(digest_changes), size))
+        self._record(RecordedChange(from_version, version, tuple(entries), tuple(digest_changes), size))
         return [part.view for part in concerned.values()]
 
     def _views_of(self, key: str) -> Iterable[PrefixView]:
@@ -74,21 +74,21 @@
         self._bytes += change.size
         too_many = len(self._changes) > self.settings.most_changes
         if too_many or self._bytes > self.settings.most_history_bytes:
-            # The oldest quarter at once, so that a change does not cost a pass over the views.
+            # A quarter is dropped at once, so that not every change costs a pass over the views.
             self._forget_oldest(len(self._changes) // 4 + 1)
 
     def _forget_oldest(self, count: int) -> None:
         removed = self._changes[:count]
         del self._changes[:count]
-        self.floor = removed[-1].version
+        self.base_version = removed[-1].version
         self._bytes -= sum(change.size for change in removed)
         for view in self.views.values():
-            view.trim(self.floor)
+            view.trim(self.base_version)
 
     def view(self, prefixes: tuple[str, ...]) -> PrefixView | None:
-        """Return the view of a set of prefixes, None if there are too many.
+        """Returns the view of a set of prefixes, None if `most_views` others are in use.
 
-        A new view costs a pass over the keys and the changes; it reaches back as far as the history does.
+        A new view costs a pass over the keys and the changes; it reaches back as far as the history.
         """
         view = self.views.get(prefixes)
         if view is None and len(self.views) < self.settings.most_views:
@@ -98,7 +98,7 @@
         return view
 
     def _make_view(self, prefixes: tuple[str, ...]) -> PrefixView:
-        digest_at_floor = self._digest(prefixes)
+        base_digest = self._digest(prefixes)
         parts = []
         for change in self._changes:
             pairs = zip(change.entries, change.digest_changes, strict=True)
@@ -107,10 +107,10 @@
                 entries = [entry for entry, _ in concerned]
                 digest_change = sum(added for _, added in concerned)
                 parts.append((change, entries, digest_change))
-                digest_at_floor -= digest_change
-        view = PrefixView(prefixes, self.floor, digest_at_floor % DIGEST_MODULUS)
+                base_digest -= digest_change
+        view = PrefixView(prefixes, self.base_version, base_digest % DIGEST_MODULUS)
         for change, entries, digest_change in parts:
-            view.add(change.since, change.version, entries, digest_change)
+            view.add(change.from_version, change.version, entries, digest_change)
         return view
 
     def _digest(self, prefixes: tuple[str, ...]) -> int:
@@ -124,7 +124,7 @@
         return sum(digests) % DIGEST_MODULUS
 
     def drop(self, view: PrefixView) -> None:
-        """Forget a view that nobody uses."""
+        """Drops a view that is no longer used."""
         del self.views[view.prefixes]
         for prefix in view.prefixes:
             self._views_by_prefix[prefix].remove(view)
--- a/lichenquay/distribution/key_store.py
+++ b/lichenquay/distribution/key_store.py
@@ -15,24 +15,24 @@
 
 
 class KeyStore:
-    """A state: the values of a set of keys at one version.
+    """Holds a state: the values of a set of keys at one version.
 
-    `digest` is the sum of the entries' digests modulo 2^64, `bytes` their size as messages count it. Both are
-    updated with each change, without a pass over the keys.
+    `digest` is the sum of the entries' digests modulo 2^64, `bytes` the upper bound of their size in
+    messages. Both are updated with each change, without a pass over the keys.
     """
 
     def __init__(self):
-        """Make an empty state at version 0."""
+        """Starts empty at version 0."""
         self.version = 0
         self.digest = 0
         self.bytes = 0
         self.entries: dict[str, StoredValue] = {}
 
     def apply(self, version: int, entries: Iterable[pb.Entry]) -> list[int]:
-        """Apply entries, each with the version of its value, and go to `version`.
+        """Applies entries, each with the version of its value, and sets the state's version.
 
-        Returns what each entry added to the digest modulo 2^64, in order. An entry that deletes a key that is
-        not there adds nothing.
+        Returns what each entry added to the digest modulo 2^64, in order. Deleting a key that does not exist
+        adds nothing.
         """
         digest_changes = [self._apply_entry(entry) for entry in entries]
         self.version = version
@@ -52,7 +52,7 @@
         return change % DIGEST_MODULUS
 
     def digest_after(self, entries: Iterable[pb.Entry]) -> int:
-        """Return the digest that `apply` of the entries would lead to."""
+        """Returns the digest after `apply` of the entries, without applying them."""
         digest = self.digest
         last_of_key = {entry.key: entry for entry in entries}
         for entry in last_of_key.values():
@@ -64,7 +64,7 @@
         return digest % DIGEST_MODULUS
 
     def copy(self) -> "KeyStore":
-        """Return an independent state of the same content."""
+        """Returns an independent copy of the state."""
         new = KeyStore()
         new.version = self.version
         new.digest = self.digest
@@ -73,7 +73,7 @@
         return new
 
     def entries_with(self, prefixes: Iterable[str]) -> list[pb.Entry]:
-        """Return the entries of all keys with one of the prefixes, by key. A pass over all keys."""
+        """Returns the entries of all keys with one of the prefixes, sorted by key. A pass over all keys."""
         prefixes = tuple(prefixes)
         return [
             pb.Entry(key=key, value=stored.value, version=stored.version)
@@ -82,12 +82,12 @@
         ]
 
     def to_state(self, requests: Sequence[int] = ()) -> pb.State:
-        """Return the state as a message, with the requests that made its last changes."""
+        """Returns the state as a message, with the request numbers of its last changes."""
         return pb.State(version=self.version, entries=self.entries_with([""]), requests=requests)
 
     @classmethod
     def from_state(cls, state: pb.State) -> "KeyStore":
-        """Make a state from a message."""
+        """Returns the state that a message holds."""
         new = cls()
         new.apply(state.version, state.entries)
         return new
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -1,7 +1,8 @@
-"""The publisher accepts proposals and publishes what a majority of the voters has recorded. No I/O.
+"""The publisher: accepts proposals and publishes changes that a majority of the voters has stored. No I/O.
 
-It does so only while its lease group holds the lease. The host hands the group its messages and the disk's
-answers, and empties both outboxes after each call of either: what is recorded there is published here.
+It does so only while its lease group holds the lease. The host passes messages and results of disk writes
+to the group, and empties both outboxes after each call to either, as a change that the group commits is
+published within that call.
 """
 
 from collections.abc import Callable, Sequence
@@ -27,10 +28,10 @@
 from lichenquay.lease.settings import LeaseSettings
 
 GROUP = "distribution"
-PUBLISHING_KINDS = {"delta", "offer", "page"}  # Messages that say what is accepted.
+PUBLISHING_KINDS = {"delta", "offer", "page"}  # May be sent only while the lease is held.
 HANDLED_KINDS = ("propose", "status_request", "follow", "fetch", "leave")
 MAX_PENDING_PROPOSALS = 256
-FETCH_WINDOW = 32  # Pieces of a state that a voter requests at once: it has to come within a lease.
+FETCH_WINDOW_CHUNKS = 32  # That a voter requests at once: the whole state has to arrive within a lease.
 MAX_REASON_CHARACTERS = 200
 DEFAULT_LEASE_MS = 3000.0
 HEARTBEATS_PER_LEASE = 6
@@ -42,10 +43,10 @@
 
 
 class Proposal:
-    """A change that is being recorded; `on_outcome` is of the client that asked last."""
+    """A change that is being replicated; `on_outcome` answers the client that sent it last."""
 
     def __init__(self, version: int, entries: Sequence[pb.Entry], request: int, on_outcome: OnOutcome):
-        """Make a proposal that is not recorded yet."""
+        """Creates a proposal that is not committed yet."""
         self.version = version
         self.entries = entries
         self.request = request
@@ -53,7 +54,10 @@
 
 
 class Publisher:
-    """One voter's part. `check(entries, store, settings)` returns a line against a change, or None."""
+    """Accepts and publishes changes on one voter, while it holds the lease.
+
+    `check(entries, store, settings)` returns one line with the reason to refuse a change, or None.
+    """
 
     fold = staticmethod(fold)
 
@@ -66,14 +70,14 @@
         now_ms: float,
         check: CheckChange = find_change_error,
     ):
-        """Start without a state; `group` may be set later (see `make_voter`)."""
+        """Starts without a state; `group` may be set later (see `make_voter`)."""
         self.name = name
         self.group = group
         self.settings = settings
         self.check = check
         self.outbox: list[tuple[str, pb.Message]] = []
         self.source = Source(name, rng, settings, now_ms)
-        # The state and the requests with all pending proposals.
+        # The state and the request numbers including all pending proposals.
         self._speculative_state = KeyStore()
         self._requests = RequestIndex()
         self._pending: dict[int, Proposal] = {}  # By version, in order.
@@ -82,33 +86,33 @@
 
     @property
     def speculative_state(self) -> KeyStore:
-        """The state once all pending proposals are committed; to be read only."""
+        """Returns the state including all pending proposals; callers must not change it."""
         return self._speculative_state
 
     def propose(
         self, now_ms: float, entries: Sequence[pb.Entry], request: int, on_outcome: OnOutcome
     ) -> None:
-        """Accept a change; on_outcome(now_ms, pb.Proposed) is called once, now or later.
+        """Proposes a change; calls on_outcome(now_ms, pb.Proposed) once, now or later.
 
-        A repeated request gets the same version again.
+        A repeated request is answered with the same version again.
         """
         if not self.group.holds(now_ms):
             on_outcome(now_ms, _in_doubt(request, "not the leader"))
             return
         version = self._requests.version_of(request)
         if version in self._pending:
-            self._repeat(now_ms, self._pending[version], on_outcome)
+            self._replace_client(now_ms, self._pending[version], on_outcome)
         elif version is not None:
             on_outcome(now_ms, _accepted(request, version))
         else:
             self._propose(now_ms, list(entries), request, on_outcome)
         self._publish(now_ms)
 
-    def _repeat(self, now_ms: float, proposal: Proposal, on_outcome: OnOutcome) -> None:
-        """Let a pending proposal answer the client that asked last, and answer the one before."""
-        before = proposal.on_outcome
+    def _replace_client(self, now_ms: float, proposal: Proposal, on_outcome: OnOutcome) -> None:
+        """Makes a pending proposal answer its newest client, and answers the previous one as in doubt."""
+        previous = proposal.on_outcome
         proposal.on_outcome = on_outcome
-        before(now_ms, _in_doubt(proposal.request, "asked again since"))
+        previous(now_ms, _in_doubt(proposal.request, "asked again since"))
 
     def _propose(
         self, now_ms: float, entries: Sequence[pb.Entry], request: int, on_outcome: OnOutcome
@@ -133,7 +137,7 @@
         return self.check(entries, self._speculative_state, self.settings)
 
     def _on_written(self, proposal: Proposal, now_ms: float, is_committed: bool | None) -> None:
-        """Handle the outcome of the group's write; None: it is in doubt."""
+        """Handles the outcome of the group's write; `is_committed` is None if the outcome is unknown."""
         self._pending.pop(proposal.version, None)
         if is_committed:
             self._on_committed(now_ms, proposal)
@@ -141,9 +145,9 @@
             answer = _in_doubt(proposal.request, "in doubt: the lease was lost meanwhile")
             proposal.on_outcome(now_ms, answer)
         else:
-            # The speculative state must not have a change that was never recorded.
+            # The speculative state must not contain a change that will never be committed.
             if self.group.state is not None:
-                self._load()
+                self._load_group_state()
             proposal.on_outcome(now_ms, _refused(proposal.request, "the group cannot take it now"))
         self._publish(now_ms)
 
@@ -156,24 +160,24 @@
     # The lease.
 
     def on_lease_event(self, now_ms: float, event: LeaseEvent) -> None:
-        """Begin to publish when the lease is held, or stop when it is lost."""
+        """Starts to publish when the lease is acquired, and stops when it is lost."""
         if event == LeaseEvent.HOLDS:
-            self._begin(now_ms)
+            self._begin_publishing(now_ms)
         else:
-            # What was about to be sent belongs to a lease that has ended.
+            # Unsent messages belong to a lease that has ended.
             self.source.outbox.clear()
             self.outbox[:] = [sent for sent in self.outbox if not _is_publishing(sent[1])]
 
-    def _begin(self, now_ms: float) -> None:
-        store, changes = self._load()
+    def _begin_publishing(self, now_ms: float) -> None:
+        store, changes = self._load_group_state()
         self.source.reset(now_ms, store, self.group.generation)
         for change in changes:
             version = store.version + 1
             self.source.advance(now_ms, self.group.generation, version, change.entries, now_ms)
         self._confirm(now_ms)
 
-    def _load(self) -> tuple[KeyStore, list[pb.Change]]:
-        """Return the state of the group's base and the changes after it; build the speculative state."""
+    def _load_group_state(self) -> tuple[KeyStore, list[pb.Change]]:
+        """Returns the group's base state and the changes after it, and rebuilds the speculative state."""
         base, records = self.group.state
         state = pb.State.FromString(base)
         changes = [read_record(record, version) for version, record in enumerate(records, state.version + 1)]
@@ -184,22 +188,22 @@
             self._requests.add(change.request, version)
         return KeyStore.from_state(state), changes
 
-    # Calls of the host.
+    # Called by the host.
 
     @property
     def due_ms(self) -> float:
-        """When to call `tick`."""
+        """Returns the time at which the host should call `tick` next."""
         return self.source.due_ms if self.group.generation else float("inf")
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due in the source, if the lease is held."""
+        """Runs the source's due work while the lease is held."""
         if self.group.holds(now_ms):
             self._confirm(now_ms)
             self.source.tick(now_ms)
         self._publish(now_ms)
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
-        """Handle a message of a relay or a client."""
+        """Handles a message from a relay or a client."""
         kind = message.WhichOneof("kind")
         if kind not in HANDLED_KINDS:
             self.source.counts["malformed"] += 1
@@ -210,7 +214,7 @@
         self._publish(now_ms)
 
     def _redirect(self, receiver: str, body: Message) -> None:
-        """Inform a client or a relay who is the leader, as far as it is known here."""
+        """Answers a client or a relay with the leader's name, empty if it is not known here."""
         number = body.request if hasattr(body, "request") else body.session
         leader, generation = self.group.holder
         if leader is None or leader == self.name:
@@ -231,7 +235,7 @@
             self.source.on_message(now_ms, sender, message)
 
     def _confirm(self, now_ms: float) -> None:
-        """Confirm the version: while the lease is held nobody else accepts a change, so it is the newest."""
+        """Confirms the version as newest: no other voter accepts a change while this one holds the lease."""
         self.source.confirm(now_ms, self.group.generation, self.source.version, 0.0)
 
     def _answer(self, receiver: str, now_ms: float, proposed: pb.Proposed) -> None:
@@ -239,9 +243,9 @@
         self._publish(now_ms)
 
     def _publish(self, now_ms: float) -> None:
-        """Send what the source has to say, but only while the lease is held.
+        """Moves the source's messages to the outbox while the lease is held, and drops them otherwise.
 
-        The process may be paused after this check. What is sent nevertheless carries the generation.
+        The process may be paused after this check and send them late; receivers drop them by their generation.
         """
         messages = list(self.source.outbox)
         self.source.outbox.clear()
@@ -249,7 +253,7 @@
             self.outbox.extend(messages)
 
     def status(self, now_ms: float) -> pb.Status:
-        """Return what is accepted, and what is in force where."""
+        """Returns the publisher's status: what is accepted and which versions are in force at subscribers."""
         coverage, store = self.source.coverage(now_ms), self.source.history.store
         return pb.Status(
             generation=self.group.generation,
@@ -282,7 +286,7 @@
 
 
 def group_settings(settings: Settings, lease_ms: float = DEFAULT_LEASE_MS) -> LeaseSettings:
-    """Return settings of the group of voters that fit those of distribution."""
+    """Returns settings of the lease group of the voters that match those of distribution."""
     return LeaseSettings(
         lease_ms=lease_ms,
         heartbeat_ms=lease_ms / HEARTBEATS_PER_LEASE,
@@ -291,7 +295,7 @@
         max_records=MAX_UNFOLDED_RECORDS,
         max_state_bytes=2 * settings.most_state_bytes,
         max_pending_records=MAX_PENDING_PROPOSALS,
-        chunk_window=FETCH_WINDOW,
+        chunk_window=FETCH_WINDOW_CHUNKS,
     )
 
 
@@ -307,9 +311,9 @@
     is_new_disk: bool = False,
     check: CheckChange = find_change_error,
 ) -> tuple[LeaseGroup, Publisher]:
-    """Return the lease group and the publisher of one voter, connected to each other.
+    """Returns the lease group and the publisher of one voter, connected to each other.
 
-    `sections` is the stored state of the group. The host calls `group.set_candidate` to have it acquire the
+    `sections` is the stored state of the group. The host calls `group.set_candidate` to let it acquire the
     lease.
     """
     publisher = Publisher(name, None, rng, settings, now_ms, check)
--- a/lichenquay/distribution/relay.py
+++ b/lichenquay/distribution/relay.py
@@ -1,4 +1,4 @@
-"""A relay: a subscriber of everything whose changes go into a source for the gateways of its zone. No I/O."""
+"""A relay: subscribes to all keys and serves them as a source to the gateways of its zone. No I/O."""
 
 from collections.abc import Sequence
 from random import Random
@@ -9,12 +9,12 @@
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
 
-MESSAGES_TO_SOURCE = {"follow", "fetch", "leave"}  # All others are for the relay's subscriber.
-EVERYTHING = [""]  # The prefix of all keys.
+SOURCE_MESSAGE_KINDS = {"follow", "fetch", "leave"}  # Others are for the relay's own subscriber.
+ALL_KEYS_PREFIXES = [""]  # The empty prefix matches every key.
 
 
 class Relay:
-    """Follows one of the publisher's voters, serves its zone, and reports upwards what is in force there."""
+    """Follows one of the publisher's voters, serves a zone, and reports the zone's coverage to the voter."""
 
     def __init__(
         self,
@@ -25,10 +25,12 @@
         now_ms: float,
         report: Report | None = None,
     ):
-        """Start without a state: gateways are asked to wait until there is one."""
+        """Starts without a state; gateways are asked to wait until there is one."""
         self.name = name
         self.source = Source(name, rng, settings, now_ms)
-        self.subscriber = Subscriber(name, publishers, EVERYTHING, rng, settings, now_ms, self._apply, report)
+        self.subscriber = Subscriber(
+            name, publishers, ALL_KEYS_PREFIXES, rng, settings, now_ms, self._apply, report
+        )
         self.subscriber.state.on_changed = self._on_state_changed
         self.subscriber.make_coverage = self._make_coverage
         self.subscriber.outbox = self.source.outbox
@@ -37,11 +39,11 @@
 
     @property
     def due_ms(self) -> float:
-        """When to call `tick`."""
+        """Returns the time at which the host should call `tick` next."""
         return min(self.subscriber.due_ms, self.source.due_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due in both parts."""
+        """Runs the due work of the subscriber and of the source."""
         self._now_ms = now_ms
         if now_ms >= self.subscriber.due_ms:
             self.subscriber.tick(now_ms)
@@ -49,27 +51,27 @@
             self.source.tick(now_ms)
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
-        """Handle a message of a voter or of a subscriber."""
+        """Handles a message from a voter or a subscriber."""
         self._now_ms = now_ms
-        if message.WhichOneof("kind") in MESSAGES_TO_SOURCE:
+        if message.WhichOneof("kind") in SOURCE_MESSAGE_KINDS:
             self.source.on_message(now_ms, sender, message)
         else:
             self.subscriber.on_message(now_ms, sender, message)
             self._confirm(now_ms)
 
     def _apply(self, now_ms: float, changed: dict[str, bytes | None], is_whole: bool) -> None:
-        """Accept every change, as a relay itself uses none."""
+        """Accepts every change, as the relay itself uses no value."""
 
     def _on_state_changed(self, now_ms: float, entries: list[pb.Entry] | None) -> None:
-        upper = self.subscriber
+        subscriber = self.subscriber
         if entries is None:
-            self.source.reset(now_ms, upper.state.store.copy(), upper.generation)
+            self.source.reset(now_ms, subscriber.state.store.copy(), subscriber.generation)
         else:
-            confirmed_ms = upper.freshness.newest_confirmed_ms
-            self.source.advance(now_ms, upper.generation, upper.version, entries, confirmed_ms)
+            confirmed_ms = subscriber.freshness.newest_confirmed_ms
+            self.source.advance(now_ms, subscriber.generation, subscriber.version, entries, confirmed_ms)
 
     def _confirm(self, now_ms: float) -> None:
-        """Pass on what the publisher confirmed; its age grows by this process's clock."""
+        """Passes the publisher's last confirmation on to the source, aged by this process's clock."""
         freshness = self.subscriber.freshness
         if freshness.newest_confirmed_ms > float("-inf"):
             age_ms = now_ms - freshness.newest_confirmed_ms
--- a/lichenquay/distribution/snapshot.py
+++ b/lichenquay/distribution/snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot: the state of one view as pages."""
+"""A snapshot: the state of one view, split into pages."""
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.key_store import KeyStore
@@ -8,13 +8,13 @@
 
 
 class Snapshot:
-    """The keys of one view at one version, shared by all sessions of the view.
+    """Holds the entries of one view at one version as pages, shared by all sessions of the view.
 
-    Pages are kept serialized, in half the memory of message objects.
+    Pages are kept serialized, which takes half the memory of message objects.
     """
 
     def __init__(self, view: PrefixView, store: KeyStore, settings: Settings):
-        """Make all pages; a pass over all keys."""
+        """Builds all pages in one pass over all keys."""
         self.version = store.version
         self.digest = view.digest
         self.pages: list[bytes] = []
@@ -38,5 +38,5 @@
         self.bytes += len(self.pages[-1])
 
     def page(self, number: int) -> pb.Page:
-        """Return one page, without its session and mark."""
+        """Returns one page, without session, generation and checksum."""
         return pb.Page.FromString(self.pages[number])
--- a/lichenquay/distribution/snapshot_server.py
+++ b/lichenquay/distribution/snapshot_server.py
@@ -1,9 +1,9 @@
-"""Snapshots of a source: offers, and the pages that subscribers fetch, paced."""
+"""Snapshots of a source: offers, and the paced sending of the pages that subscribers request."""
 
 from typing import TYPE_CHECKING
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.messages import marked
+from lichenquay.distribution.messages import set_checksum
 from lichenquay.distribution.pacing import SnapshotPacer
 from lichenquay.distribution.snapshot import Snapshot
 from lichenquay.distribution.subscriber_sessions import SubscriberSession
@@ -16,18 +16,18 @@
     """Serves snapshots for one source."""
 
     def __init__(self, source: "Source", now_ms: float):
-        """Start without a snapshot."""
+        """Starts without a snapshot."""
         self.source = source
         self.settings = source.settings
         self.pacer = SnapshotPacer(source.settings, now_ms)
 
     @property
     def due_ms(self) -> float:
-        """When the next page may be sent."""
+        """Returns the time at which the next page may be sent."""
         return self.pacer.due_ms
 
     def offer(self, now_ms: float, session: SubscriberSession) -> None:
-        """Offer a snapshot, or ask the subscriber to wait if too many fetch one."""
+        """Offers a snapshot, or asks the subscriber to wait if too many others fetch one."""
         source = self.source
         if not self.pacer.admit(now_ms, session.name):
             source.counts["paced"] += 1
@@ -43,10 +43,10 @@
             pages=len(snapshot.pages),
             bytes=snapshot.bytes,
         )
-        source.send(session.name, offer=marked(offer, session.audience.view.prefixes))
+        source.send(session.name, offer=set_checksum(offer, session.audience.view.prefixes))
 
     def _snapshot(self, now_ms: float, session: SubscriberSession) -> Snapshot:
-        """Return the snapshot of a session's audience, made again unless the present one is usable."""
+        """Returns the snapshot of a session's audience, rebuilt unless the cached one is usable."""
         audience = session.audience
         if not self._is_usable(now_ms, session):
             audience.snapshot_made_ms = now_ms
@@ -54,12 +54,12 @@
         return audience.snapshot
 
     def _is_usable(self, now_ms: float, session: SubscriberSession) -> bool:
-        """Return whether the present snapshot is new enough for a session.
+        """Returns whether the cached snapshot is new enough for a session.
 
-        A newer one is not made while others fetch a recent one, nor more often than each `report_ms`.
+        It is not rebuilt while others fetch it and it is recent, nor more often than once in `report_ms`.
         """
         audience, snapshot = session.audience, session.audience.snapshot
-        if snapshot is None or snapshot.version < max(session.version, self.source.history.floor):
+        if snapshot is None or snapshot.version < max(session.version, self.source.history.base_version):
             return False
         if snapshot.version == self.source.version:
             return True
@@ -70,7 +70,7 @@
         return now_ms < audience.snapshot_made_ms + self.settings.report_ms
 
     def on_fetch(self, now_ms: float, session: SubscriberSession, fetch: pb.FetchPages) -> None:
-        """Handle a request for pages of the snapshot that was offered, or offer one again."""
+        """Handles a request for pages; offers a snapshot again if the requested one is no longer served."""
         snapshot = session.audience.snapshot
         is_offered = snapshot is not None and fetch.version == snapshot.version
         if not is_offered or session.name not in self.pacer.slots:
@@ -82,7 +82,7 @@
             self.pacer.request(session.name, snapshot, fetch.first, fetch.count)
 
     def send_pages(self, now_ms: float) -> None:
-        """Send the pages that may be sent now."""
+        """Sends the pages that may be sent now."""
         if not self.pacer.requests:
             return
         source = self.source
@@ -90,5 +90,5 @@
             session = source.registry.get(receiver)
             page.session = session.session_id
             page.generation = source.generation
-            source.send(receiver, page=marked(page, session.audience.view.prefixes))
+            source.send(receiver, page=set_checksum(page, session.audience.view.prefixes))
             source.counts["pages"] += 1
--- a/lichenquay/distribution/source.py
+++ b/lichenquay/distribution/source.py
@@ -1,8 +1,8 @@
-"""A source serves subscribers: changes at once, snapshots paced, in sessions that expire. No I/O.
+"""A source: serves changes at once and snapshots paced, in sessions that expire. No I/O.
 
-A session has no queue, only the version that its subscriber holds and whether a delta is unanswered; what it
-lacks is built from the view that all sessions with the same prefixes share. So a slow subscriber costs the
-others nothing; it resumes by the version in its next Follow.
+A session has no queue, only the version that its subscriber holds and whether a delta is unanswered. The
+missing changes are built from the view that all sessions with the same prefixes share, so a slow subscriber
+does not slow down others; it resumes at the version in its next Follow.
 """
 
 from collections import Counter
@@ -25,48 +25,48 @@
 )
 
 INF = float("inf")
-MAX_LOST_FOLLOWS = 1 << 16  # Between two that are received.
+MAX_LOST_FOLLOWS = 1 << 16  # In a row. A Follow with a higher number is invalid.
 
 
 class Source:
-    """Serves one state. `outbox` is [(receiver, message)]; a sender is (name, incarnation)."""
+    """Serves one state to subscribers. `outbox` is [(receiver, message)]; a sender is (name, incarnation)."""
 
     def __init__(self, name: str, rng: Random, settings: Settings, now_ms: float, generation: int = 0):
-        """Start without a state: subscribers are asked to wait until `reset`, `advance` or `confirm`."""
+        """Starts without a state; subscribers are asked to wait until `reset`, `advance` or `confirm`."""
         self.name = name
         self.rng = rng
         self.settings = settings
         self.outbox: list[tuple[str, pb.Message]] = []
         self.counts = Counter()
-        self._begin(now_ms, KeyStore(), generation)
-        self.is_open = False
+        self._set_state(now_ms, KeyStore(), generation)
+        self.has_state = False
 
-    def _begin(self, now_ms: float, store: KeyStore, generation: int) -> None:
+    def _set_state(self, now_ms: float, store: KeyStore, generation: int) -> None:
         self.generation = generation
         self.newest_version = store.version  # The newest known to exist.
-        self.confirmed_ms = -INF  # When the publisher confirmed that, by the own clock.
+        self.confirmed_ms = -INF  # When the publisher confirmed that, by this process's clock.
         self.history = History(store, self.settings)
         self.registry = SessionRegistry(self.history, self.settings)
         self.coverage_tracker = CoverageTracker(self.settings)
         self.snapshots = SnapshotServer(self, now_ms)
         self.deltas = DeltaSender(self)
 
-    # What the publisher or the relay reports.
+    # Called by the publisher or the relay.
 
     @property
     def version(self) -> int:
-        """The version that is served."""
+        """Returns the version that is served."""
         return self.history.store.version
 
     @property
     def sessions(self) -> dict[str, SubscriberSession]:
-        """All sessions by the subscriber's name."""
+        """Returns all sessions by the subscriber's name."""
         return self.registry.sessions
 
     def reset(self, now_ms: float, store: KeyStore, generation: int) -> None:
-        """Go on from another state, which belongs to the source from now on; all sessions end."""
-        self._begin(now_ms, store, generation)
-        self.is_open = True
+        """Serves another state from now on, which the source takes over; all sessions end."""
+        self._set_state(now_ms, store, generation)
+        self.has_state = True
         self.counts["resets"] += 1
 
     def advance(
@@ -77,11 +77,11 @@
         entries: Sequence[pb.Entry],
         confirmed_ms: float,
     ) -> bool:
-        """Apply the next change; `confirmed_ms` is when the publisher confirmed `version`, by the own clock.
+        """Applies the next change; the publisher confirmed it at `confirmed_ms`, by this process's clock.
 
-        Returns False, and applies nothing, if it is of an older generation or not after the version held.
+        Returns False and applies nothing if it is of an older generation or not newer than the held version.
         """
-        if self._is_old_generation(generation):
+        if self._reject_old_generation(generation):
             return False
         if version <= self.version:
             self.counts["old_version"] += 1
@@ -92,10 +92,10 @@
         return True
 
     def confirm(self, now_ms: float, generation: int, newest_version: int, age_ms: float) -> bool:
-        """Record the newest version of `age_ms` ago; return False if of an older generation."""
-        if self._is_old_generation(generation):
+        """Records the version that was the newest `age_ms` ago; returns False for an older generation."""
+        if self._reject_old_generation(generation):
             return False
-        self.is_open = True
+        self.has_state = True
         self.generation = generation
         if newest_version > self.newest_version:
             self.newest_version = newest_version
@@ -104,21 +104,22 @@
             self.confirmed_ms = max(self.confirmed_ms, now_ms - age_ms)
         return True
 
-    def _is_old_generation(self, generation: int) -> bool:
+    def _reject_old_generation(self, generation: int) -> bool:
+        """Returns whether a generation is older than the known one, and counts it if so."""
         is_old = generation < self.generation
         if is_old:
             self.counts["old_generation"] += 1
         return is_old
 
     def coverage(self, now_ms: float) -> pb.Coverage:
-        """Return what the subscribers have in force."""
+        """Returns the coverage: what the subscribers have in force."""
         return self.coverage_tracker.coverage(self.version)
 
-    # Calls of the host.
+    # Called by the host.
 
     @property
     def due_ms(self) -> float:
-        """When to call `tick`."""
+        """Returns the time at which the host should call `tick` next."""
         return min(
             self.deltas.due_ms,
             self.snapshots.due_ms,
@@ -127,9 +128,9 @@
         )
 
     def tick(self, now_ms: float) -> None:
-        """Push merged changes, repeat deltas, expire sessions, send pages."""
+        """Pushes merged changes, repeats deltas, expires sessions and sends pages."""
         self.deltas.tick(now_ms)
-        while (session := self.registry.expired(now_ms)) is not None:
+        while (session := self.registry.next_expired(now_ms)) is not None:
             self._remove_session(session)
             self.coverage_tracker.mark_silent(now_ms, session.name, session.coverage)
             self.counts["expired"] += 1
@@ -137,7 +138,7 @@
         self.snapshots.send_pages(now_ms)
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
-        """Handle a Follow, a FetchPages or a Leave."""
+        """Handles a Follow, a FetchPages or a Leave."""
         name, incarnation = sender
         kind = message.WhichOneof("kind")
         if kind == "follow":
@@ -150,7 +151,7 @@
             self.counts["malformed"] += 1
         self.snapshots.send_pages(now_ms)
 
-    # Messages of subscribers.
+    # Messages from subscribers.
 
     def _on_follow(self, now_ms: float, name: str, incarnation: int, follow: pb.Follow) -> None:
         if follow.version >= VERSION_LIMIT or follow.in_force > follow.version or not follow.session:
@@ -160,19 +161,22 @@
         if session is not None and incarnation < session.incarnation:
             self.counts["late"] += 1
             return
-        if session is None or not self._continues(session, incarnation, follow):
+        if session is None or not self._continues_session(session, incarnation, follow):
             session = self._open_session(name, incarnation, follow)
         if session is not None and self._record_follow(now_ms, session, follow):
             self._answer(now_ms, session, follow)
 
     @staticmethod
-    def _continues(session: SubscriberSession, incarnation: int, follow: pb.Follow) -> bool:
-        if not session.is_of(incarnation, follow.session):
+    def _continues_session(session: SubscriberSession, incarnation: int, follow: pb.Follow) -> bool:
+        if not session.matches(incarnation, follow.session):
             return False
         return not follow.prefixes or sorted_prefixes(follow) == session.audience.view.prefixes
 
     def _open_session(self, name: str, incarnation: int, follow: pb.Follow) -> SubscriberSession | None:
-        """Return a new session, None if there is none; the subscriber is informed why."""
+        """Returns a new session; None if it is refused.
+
+        The subscriber is asked for its prefixes or to wait; invalid prefixes are only counted.
+        """
         if not follow.prefixes:
             self.send(name, unknown=pb.UnknownSession(session=follow.session))
             return None
@@ -181,15 +185,15 @@
         if len(prefixes) > self.settings.most_prefixes or is_too_long:
             self.counts["malformed"] += 1
             return None
-        may_admit = self.is_open and self.registry.has_room_for(name)
+        may_admit = self.has_state and self.registry.has_room_for(name)
         audience = self.registry.audience(prefixes) if may_admit else None
         if audience is None:
             self.counts["turned_away"] += 1
             self.send_wait(name, follow.session)
             return None
-        before = self.registry.get(name)
-        if before is not None:
-            self._remove_session(before, audience)
+        previous = self.registry.get(name)
+        if previous is not None:
+            self._remove_session(previous, audience)
         session = SubscriberSession(name, incarnation, follow.session, audience)
         self.registry.add(session)
         self.coverage_tracker.mark_present(name)
@@ -203,7 +207,7 @@
             self.deltas.forget(session.audience)
 
     def _record_follow(self, now_ms: float, session: SubscriberSession, follow: pb.Follow) -> bool:
-        """Apply what a Follow reports; return whether it is a later one than the last and valid."""
+        """Records what a Follow reports; returns False if it is invalid or not newer than the last one."""
         last_number = session.follow_number
         if last_number and not last_number < follow.number <= last_number + MAX_LOST_FOLLOWS:
             self.counts["late" if follow.number <= last_number else "malformed"] += 1
@@ -217,7 +221,7 @@
         return True
 
     def _record_coverage(self, session: SubscriberSession, follow: pb.Follow) -> None:
-        if self._is_credible(session, follow):
+        if self._check_reported_digest(session, follow):
             session.applied_version = min(follow.in_force, self.version)
         coverage = coverage_of(follow, session.applied_version)
         if coverage is None:
@@ -228,8 +232,8 @@
         self.coverage_tracker.add(coverage)
         session.coverage = coverage
 
-    def _is_credible(self, session: SubscriberSession, follow: pb.Follow) -> bool:
-        """Return whether a Follow's digest is that of its version, as far as it is known here."""
+    def _check_reported_digest(self, session: SubscriberSession, follow: pb.Follow) -> bool:
+        """Returns whether a Follow's digest matches its version, as far as known here; counts a mismatch."""
         if follow.version > self.version:
             return True
         known_digest = session.audience.view.digest_at(follow.version)
@@ -240,7 +244,7 @@
 
     def _answer(self, now_ms: float, session: SubscriberSession, follow: pb.Follow) -> None:
         if session.version > self.version:
-            # Its former source was ahead of this one, or the version is false. A subscriber never goes back.
+            # Its former source was ahead of this one, or the version is wrong. A subscriber never goes back.
             self.counts["ahead"] += 1
             session.audience.ready.pop(session.name, None)
             self.send_wait(session.name, session.session_id)
@@ -252,38 +256,38 @@
             self.deltas.send(now_ms, session)
 
     def _needs_snapshot(self, session: SubscriberSession, follow: pb.Follow) -> bool:
-        if follow.whole or session.version < self.history.floor:
+        if follow.whole or session.version < self.history.base_version:
             return True
         known_digest = session.audience.view.digest_at(session.version)
         if known_digest is not None and known_digest != follow.digest:
             return True
-        # All that start at once would be sent the whole history in deltas, which are not paced.
+        # Deltas are not paced, so many new subscribers at once would be sent the whole history unpaced.
         max_delta_bytes = self.settings.window_pages * self.settings.delta_bytes
         return session.version == 0 and session.audience.view.bytes > max_delta_bytes
 
     def _on_fetch(self, now_ms: float, name: str, incarnation: int, fetch: pb.FetchPages) -> None:
         session = self.registry.get(name)
-        if session is None or not session.is_of(incarnation, fetch.session):
+        if session is None or not session.matches(incarnation, fetch.session):
             self.send(name, unknown=pb.UnknownSession(session=fetch.session))
             return
         self.registry.record_message(now_ms, session)
         self.snapshots.on_fetch(now_ms, session, fetch)
 
     def _on_leave(self, name: str, incarnation: int, leave: pb.Leave) -> None:
-        """End a session whose subscriber follows another source; it does not count as stale either."""
+        """Ends a session whose subscriber follows another source now; it does not count as stale either."""
         session = self.registry.get(name)
         if session is None:
             self.coverage_tracker.mark_present(name)
-        elif session.is_of(incarnation, leave.session):
+        elif session.matches(incarnation, leave.session):
             self._remove_session(session)
 
     # Messages to subscribers.
 
     def send_wait(self, name: str, session_id: int) -> None:
-        """Ask a subscriber to retry after a random time."""
+        """Asks a subscriber to retry after a random time."""
         wait_ms = self.rng.uniform(self.settings.retry_ms, 2 * self.settings.report_ms)
         self.send(name, wait=pb.Wait(session=session_id, wait_ms=wait_ms))
 
     def send(self, name: str, **kind) -> None:
-        """Send a message of the kind that is given by its field of pb.Message."""
+        """Sends a message whose kind is the keyword, a field of pb.Message."""
         self.outbox.append((name, pb.Message(**kind)))
--- a/lichenquay/distribution/subscriber.py
+++ b/lichenquay/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""A subscriber follows one of several sources and holds a state whose version only rises. No I/O."""
+"""A subscriber: follows one of several sources and holds a state whose version only rises. No I/O."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
@@ -14,8 +14,8 @@
 from lichenquay.distribution.key_store import KeyStore
 from lichenquay.distribution.messages import (
     VERSION_LIMIT,
+    has_valid_checksum,
     is_duration,
-    is_marked,
     is_valid_delta,
     is_valid_subscription,
 )
@@ -26,14 +26,14 @@
 from lichenquay.distribution.source_session import SourceSession
 
 INF = float("inf")
-MARKED_KINDS = ("delta", "offer", "page")
+CHECKSUMMED_KINDS = ("delta", "offer", "page")
 
 
 class Subscriber:
     """Holds a state (`state`) and has it applied by its host; see AppliedState for `apply`.
 
-    `report(now_ms, line)` is called for errors. A relay sets two callbacks: `make_coverage()` returns what it
-    reports of its subscribers; `state.on_changed` is called after each change of the state.
+    Calls `report(now_ms, line)` for errors. A relay sets two callbacks: `make_coverage()` returns the
+    coverage of its own subscribers, and `state.on_changed` is called after each change of the state.
     """
 
     def __init__(
@@ -47,9 +47,9 @@
         apply: Apply,
         report: Report | None = None,
     ):
-        """Start without a state; `sources` are in order of preference.
+        """Starts without a state; `sources` are in order of preference.
 
-        Raises SubscriptionError without a source or if the prefixes do not fit into a message.
+        Raises SubscriptionError if there is no source or if the prefixes do not fit into a message.
         """
         self.name = name
         self.prefixes = tuple(sorted(set(prefixes)))
@@ -76,53 +76,53 @@
             "not_leader": self._on_not_leader,
         }
         if not is_valid_subscription(self.prefixes, settings):
-            raise SubscriptionError(f"{len(self.prefixes)} prefixes do not fit into a subscription")
+            raise SubscriptionError(f"prefixes: {len(self.prefixes)} do not fit into one subscription")
 
-    # Queries.
+    # State of the subscriber.
 
     @property
     def version(self) -> int:
-        """The version that is held."""
+        """Returns the version that is held."""
         return self.state.store.version
 
     @property
     def digest(self) -> int:
-        """The digest of what is held."""
+        """Returns the digest of the held state."""
         return self.state.store.digest
 
     @property
     def applied_version(self) -> int:
-        """The version in force."""
+        """Returns the version in force."""
         return self.state.applied.version
 
     @property
     def applied_values(self) -> dict[str, bytes]:
-        """The values in force."""
+        """Returns the values in force."""
         return self.state.applied.values
 
     @property
     def newest_version(self) -> int:
-        """The newest version known to exist."""
+        """Returns the newest version known to exist."""
         return self.freshness.newest_version
 
     @property
     def source(self) -> str:
-        """The name of the source that is followed."""
+        """Returns the name of the source that is followed."""
         return self.session.source
 
     def age_ms(self, now_ms: float) -> float:
-        """Return how long ago, at most, the held version was the newest; infinite if that is unknown."""
+        """Returns how long ago, at most, the held version was the newest; infinite if that is unknown."""
         return now_ms - self.freshness.held_confirmed_ms
 
     def is_stale(self, now_ms: float) -> bool:
-        """Return whether the held version may be old."""
+        """Returns whether the held version may be outdated, by its age."""
         return self.age_ms(now_ms) > self.settings.stale_ms
 
-    # Calls of the host.
+    # Called by the host.
 
     @property
     def due_ms(self) -> float:
-        """When to call `tick`."""
+        """Returns the time at which the host should call `tick` next."""
         if self._is_stopped:
             return INF
         return min(
@@ -134,7 +134,7 @@
         )
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due: a failover or failback, a Follow, a request of pages, another attempt to apply."""
+        """Runs due work: failover, failback, a Follow, a request of pages, another attempt to apply."""
         if self._is_stopped:
             return
         if now_ms >= self.session.fail_over_due_ms:
@@ -144,18 +144,18 @@
         if now_ms >= self.failback.due_ms:
             self._try_failback(now_ms)
         if self.snapshot_fetch and now_ms >= self.snapshot_fetch.due_ms:
-            self._send(fetch=self.snapshot_fetch.request(now_ms))
+            self._send(fetch=self.snapshot_fetch.make_request(now_ms))
         if now_ms >= self.state.applied.due_ms:
             self.state.applied.apply_pending(now_ms, self.state.store)
             self.session.follow_soon(now_ms)
 
     def stop(self) -> None:
-        """Send and accept nothing any more; what is in force stays."""
+        """Stops sending and handling messages; the values in force stay."""
         self._is_stopped = True
         self.outbox.clear()
 
     def on_message(self, now_ms: float, sender: tuple[str, int], message: pb.Message) -> None:
-        """Handle a source's message; what is not of the present session is dropped and counted."""
+        """Handles a message from a source; drops and counts those of other sessions."""
         kind = message.WhichOneof("kind")
         handler = self._handlers.get(kind)
         if self._is_stopped:
@@ -165,20 +165,20 @@
             return
         source = sender[0]
         body = getattr(message, kind)
-        if self.failback.is_answer(source, body.session):
+        if self.failback.is_from_trial(source, body.session):
             self._on_failback_answer(now_ms, kind, body)
         if source != self.source or body.session != self.session.session_id:
             self.counts["other_session"] += 1
             return
-        if kind not in MARKED_KINDS or self._is_current(body):
+        if kind not in CHECKSUMMED_KINDS or self._check_and_record_generation(body):
             handler(now_ms, body)
 
-    def _is_current(self, body: pb.Delta | pb.SnapshotOffer | pb.Page) -> bool:
-        """Return whether a message is intact and of no older generation than is known."""
-        if not is_marked(body, self.prefixes):
+    def _check_and_record_generation(self, body: pb.Delta | pb.SnapshotOffer | pb.Page) -> bool:
+        """Returns whether a message is intact and not of an older generation; records a newer generation."""
+        if not has_valid_checksum(body, self.prefixes):
             self.counts["malformed"] += 1
             return False
-        # A publisher that lost its lease may go on for a moment, or come back after a pause.
+        # A publisher that lost its lease may still send for a moment, or again after its process was paused.
         if body.generation < self.generation:
             self.counts["old_generation"] += 1
             return False
@@ -205,9 +205,9 @@
             self._record_freshness(delta)
 
     def _on_useful_message(self, now_ms: float) -> None:
-        """Record that the source serves this subscriber, and leave the former ones, which still count it."""
+        """Records that the source serves this subscriber, and leaves former sources, which still count it."""
         self.session.on_useful_message(now_ms)
-        for former in self.session.take_former():
+        for former in self.session.pop_former_sessions():
             leave = pb.Leave(session=former.session_id)
             self.outbox.append((former.source, pb.Message(leave=leave)))
 
@@ -231,7 +231,7 @@
             self.counts["malformed"] += 1
             return
         self._on_useful_message(now_ms)
-        if self.snapshot_fetch is not None and self.snapshot_fetch.is_of(offer):
+        if self.snapshot_fetch is not None and self.snapshot_fetch.matches_offer(offer):
             return
         if not self._is_wanted(offer):
             self.counts["old_version"] += 1
@@ -240,7 +240,7 @@
         self._continue_fetch(now_ms)
 
     def _is_wanted(self, offer: pb.SnapshotOffer) -> bool:
-        """Return whether an offer leads on from what is held, and never back."""
+        """Returns whether an offered snapshot is newer than the held state, or repairs it."""
         if offer.version == self.version:
             return self.resync.is_needed or offer.digest != self.digest
         return offer.version > self.version
@@ -263,7 +263,7 @@
             self.snapshot_fetch = None
             self._install_snapshot(now_ms, fetch)
         elif fetch.needs_request or not fetch.requested_end:
-            self._send(fetch=fetch.request(now_ms))
+            self._send(fetch=fetch.make_request(now_ms))
 
     def _install_snapshot(self, now_ms: float, fetch: SnapshotFetch) -> None:
         try:
@@ -271,7 +271,7 @@
         except DigestError as error:
             self._on_wrong_digest(now_ms, str(error))
             return
-        if self.state.may_be_replaced_by(store):
+        if self.state.check_replacement(store):
             self._replace_state(now_ms, store)
 
     def _replace_state(self, now_ms: float, store: KeyStore) -> None:
@@ -281,7 +281,7 @@
         self._send_follow(now_ms)
 
     def _on_wrong_digest(self, now_ms: float, line: str) -> None:
-        """Ask for a snapshot, with growing delays while it does not help; one report for all of that."""
+        """Schedules a snapshot request, with backoff while mismatches recur; reports only the first one."""
         self.counts["digest_wrong"] += 1
         if self.resync.is_needed:
             return
@@ -307,9 +307,9 @@
         self.counts["redirects"] += 1
         self.snapshot_fetch = None
         self.session.redirect(now_ms, answer.leader if answer.generation >= self.generation else "")
-        self.failback.cancel()  # The leader is followed, whatever the order of preference.
+        self.failback.cancel()  # The leader is followed regardless of the order of preference.
 
-    # Changes of the source.
+    # Failover and failback.
 
     def _fail_over(self, now_ms: float) -> None:
         self.counts["failovers"] += 1
@@ -323,12 +323,12 @@
             self.outbox.append((trial.source, pb.Message(follow=self._make_follow(now_ms, trial))))
 
     def _on_failback_answer(self, now_ms: float, kind: str, body: Message) -> None:
-        """Go back to the preferred source if it serves this subscriber."""
+        """Completes the failback if the preferred source serves this subscriber, or ends the trial."""
         if kind == "not_leader":
             self.failback.cancel()
         elif kind not in ("delta", "offer"):
             self.failback.on_trial_failed(now_ms)
-        elif self._is_current(body):
+        elif self._check_and_record_generation(body):
             self.counts["failbacks"] += 1
             self.snapshot_fetch = None
             self.session = self.failback.complete(now_ms, self.session)
@@ -336,7 +336,7 @@
     # Messages to sources.
 
     def _send_follow(self, now_ms: float) -> None:
-        wants_snapshot = self._wants_snapshot(now_ms)
+        wants_snapshot = self._begin_snapshot_request(now_ms)
         self._send(follow=self._make_follow(now_ms, self.session, wants_snapshot))
 
     def _make_follow(self, now_ms: float, session: SourceSession, wants_snapshot: bool = False) -> pb.Follow:
@@ -350,8 +350,8 @@
             follow.below.CopyFrom(self.make_coverage())
         return follow
 
-    def _wants_snapshot(self, now_ms: float) -> bool:
-        """Return whether a Follow asks for a whole snapshot; may change to another source first."""
+    def _begin_snapshot_request(self, now_ms: float) -> bool:
+        """Returns whether to request a whole snapshot now; counts the attempt and may fail over first."""
         if not self.resync.is_needed or self.snapshot_fetch is not None:
             return self.resync.is_needed
         if not self.resync.begin_attempt(now_ms):
--- a/lichenquay/distribution/subscriber_sessions.py
+++ b/lichenquay/distribution/subscriber_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of a source's subscribers, grouped by the prefixes that they follow."""
+"""The sessions of a source's subscribers, grouped by their prefixes."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -14,31 +14,31 @@
 
 
 class SubscriberSession:
-    """One subscription of one subscriber. It has no queue: what it lacks is built from its view."""
+    """One subscription of one subscriber. It has no queue: missing changes are built from its view."""
 
     def __init__(self, name: str, incarnation: int, session_id: int, audience: "Audience"):
-        """Begin without an accepted Follow."""
+        """Starts without a recorded Follow."""
         self.name = name
         self.incarnation = incarnation
         self.session_id = session_id
         self.audience = audience
         self.follow_number = 0
-        self.heard_ms = 0.0
-        self.version = 0  # Held by the subscriber, by its last Follow.
-        self.applied_version = 0  # In force there, as far as it is believed.
+        self.last_message_ms = 0.0
+        self.version = 0  # Held by the subscriber, according to its last Follow.
+        self.applied_version = 0  # In force there, according to the last credible Follow.
         self.coverage: SessionCoverage | None = None
         self.awaits_follow = False  # Whether a delta with entries is unanswered.
         self.deltas_sent = 0
-        self.unanswered_deltas = 0  # Consecutive ones.
+        self.unanswered_deltas = 0  # Consecutive.
 
-    def is_of(self, incarnation: int, session_id: int) -> bool:
-        """Return whether a message belongs to this session."""
+    def matches(self, incarnation: int, session_id: int) -> bool:
+        """Returns whether a message belongs to this session."""
         return (self.session_id, self.incarnation) == (session_id, incarnation)
 
 
 @dataclass
 class Audience:
-    """All sessions with the same prefixes; changes are pushed to those that are `ready`."""
+    """All sessions with the same prefixes; changes are pushed to those in `ready`, which await no answer."""
 
     view: PrefixView
     sessions: dict[str, SubscriberSession] = field(default_factory=dict)
@@ -48,30 +48,30 @@
 
 
 def sorted_prefixes(follow: pb.Follow) -> tuple[str, ...]:
-    """Return a Follow's prefixes, sorted and without duplicates."""
+    """Returns a Follow's prefixes, sorted and without duplicates."""
     return tuple(sorted(set(follow.prefixes)))
 
 
 class SessionRegistry:
-    """All sessions by the subscriber's name, longest unheard first, and their audiences."""
+    """Holds all sessions by the subscriber's name, oldest last message first, and their audiences."""
 
     def __init__(self, history: History, settings: Settings):
-        """Start without a session."""
+        """Starts without sessions."""
         self.history = history
         self.settings = settings
         self.sessions: OrderedDict[str, SubscriberSession] = OrderedDict()
         self.audiences: dict[tuple[str, ...], Audience] = {}
 
     def get(self, name: str) -> SubscriberSession | None:
-        """Return a subscriber's session."""
+        """Returns a subscriber's session, None if it has none."""
         return self.sessions.get(name)
 
     def has_room_for(self, name: str) -> bool:
-        """Return whether a subscriber may have a session."""
+        """Returns whether a subscriber has a session or there is room for one more."""
         return len(self.sessions) < self.settings.most_sessions or name in self.sessions
 
     def audience(self, prefixes: tuple[str, ...]) -> Audience | None:
-        """Return the audience of a set of prefixes, None if there are too many."""
+        """Returns the audience of a set of prefixes, None if there are too many others."""
         audience = self.audiences.get(prefixes)
         if audience is None:
             view = self.history.view(prefixes)
@@ -80,12 +80,15 @@
         return audience
 
     def add(self, session: SubscriberSession) -> None:
-        """Add a new session."""
+        """Adds a new session."""
         self.sessions[session.name] = session
         session.audience.sessions[session.name] = session
 
     def remove(self, session: SubscriberSession, keep_audience: Audience | None = None) -> bool:
-        """Remove a session; return whether its audience went with it, unless that is `keep_audience`."""
+        """Removes a session; returns whether its audience was removed with it, as the last session in it.
+
+        `keep_audience` is not removed even when empty.
+        """
         audience = session.audience
         del self.sessions[session.name]
         del audience.sessions[session.name]
@@ -97,19 +100,19 @@
         return True
 
     def record_message(self, now_ms: float, session: SubscriberSession) -> None:
-        """Record a message of a session's subscriber."""
-        session.heard_ms = now_ms
+        """Records the time of a message from a session's subscriber."""
+        session.last_message_ms = now_ms
         self.sessions.move_to_end(session.name)
 
     @property
     def next_expiry_ms(self) -> float:
-        """When the session with the oldest last message expires."""
+        """Returns the time at which the next session expires, infinite if there is none."""
         first = next(iter(self.sessions.values()), None)
-        return first.heard_ms + self.settings.expire_ms if first else INF
+        return first.last_message_ms + self.settings.expire_ms if first else INF
 
-    def expired(self, now_ms: float) -> SubscriberSession | None:
-        """Return a session that has expired."""
+    def next_expired(self, now_ms: float) -> SubscriberSession | None:
+        """Returns a session that has expired, None if there is none."""
         first = next(iter(self.sessions.values()), None)
-        if first is None or now_ms < first.heard_ms + self.settings.expire_ms:
+        if first is None or now_ms < first.last_message_ms + self.settings.expire_ms:
             return None
         return first
--- a/lichenquay/distribution/validation.py
+++ b/lichenquay/distribution/validation.py
@@ -1,6 +1,6 @@
-"""The check of a change: by the publisher before it is recorded, by a gateway before it is in force.
+"""The validation of a change: by the publisher before it is accepted, by a gateway before it is applied.
 
-The texts are sent to clients as the reason of a refusal.
+The error texts are sent to clients as the reason of a refusal.
 """
 
 import re
@@ -12,7 +12,7 @@
 from lichenquay.distribution.settings import Settings
 
 KEY_PATTERN = re.compile(r"[a-z0-9][a-zA-Z0-9._:@/-]*", re.ASCII)
-SHOWN_KEY_CHARACTERS = 40
+MAX_QUOTED_KEY_CHARACTERS = 40
 
 CheckValue = Callable[[str, bytes], str | None]
 ValueChecks = Mapping[str, CheckValue | None]
@@ -20,24 +20,24 @@
 
 
 def find_entry_error(entry: pb.Entry, checks: ValueChecks | None = None) -> str | None:
-    """Return what is wrong with one entry by itself, in one line; None if nothing is.
+    """Returns the error of one entry considered alone, in one line; None if it is valid.
 
-    `checks` is {prefix of keys: check or None}, where check(key, value) returns a line or None; a key without
-    one of the prefixes is an error. By default `config/` and `engine/` with any value.
+    `checks` is {prefix of keys: check or None}, where check(key, value) returns one line or None; a key
+    without any of the prefixes is an error. By default `config/` and `engine/` are valid, with any value.
     """
     checks = ANY_VALUE if checks is None else checks
-    shown = _shown(entry.key)
+    quoted_key = _quote_key(entry.key)
     if not 0 < len(entry.key) <= MAX_KEY_CHARACTERS:
-        return f"key {shown}: {len(entry.key)} characters, from 1 to {MAX_KEY_CHARACTERS} fit"
+        return f"key {quoted_key}: {len(entry.key)} characters, from 1 to {MAX_KEY_CHARACTERS} fit"
     if not KEY_PATTERN.fullmatch(entry.key):
-        return f"key {shown}: not made of letters, digits and . _ : @ / -"
+        return f"key {quoted_key}: not made of letters, digits and . _ : @ / -"
     prefix = next((p for p in checks if entry.key.startswith(p) and entry.key != p), None)
     if prefix is None:
-        return f"key {shown}: of an unknown kind, known are {', '.join(sorted(checks))}"
+        return f"key {quoted_key}: of an unknown kind, known are {', '.join(sorted(checks))}"
     if len(entry.value) > MAX_VALUE_BYTES:
-        return f"key {shown}: a value of {len(entry.value)} bytes, at most {MAX_VALUE_BYTES} fit"
+        return f"key {quoted_key}: a value of {len(entry.value)} bytes, at most {MAX_VALUE_BYTES} fit"
     if entry.deleted:
-        return f"key {shown}: deleted, yet with a value" if entry.value else None
+        return f"key {quoted_key}: deleted, yet with a value" if entry.value else None
     check = checks[prefix]
     return check(entry.key, entry.value) if check else None
 
@@ -45,7 +45,7 @@
 def find_change_error(
     entries: Sequence[pb.Entry], store: KeyStore, settings: Settings, checks: ValueChecks | None = None
 ) -> str | None:
-    """Return what is wrong with a change of what `store` holds, in one line; None if it can be made."""
+    """Returns the error of a change to the state `store`, in one line; None if the change is valid."""
     if not entries:
         return "a change without entries"
     size = sum(map(size_of, entries))
@@ -60,15 +60,15 @@
     return _find_capacity_error(entries, size, store, settings)
 
 
-def _shown(key: str) -> str:
-    return repr(key[:SHOWN_KEY_CHARACTERS])
+def _quote_key(key: str) -> str:
+    return repr(key[:MAX_QUOTED_KEY_CHARACTERS])
 
 
 def _find_key_error(entry: pb.Entry, earlier_keys: set[str], store: KeyStore) -> str | None:
     if entry.key in earlier_keys:
-        return f"key {_shown(entry.key)}: twice in one change"
+        return f"key {_quote_key(entry.key)}: twice in one change"
     if entry.deleted and entry.key not in store.entries:
-        return f"key {_shown(entry.key)}: to be deleted, but it is not there"
+        return f"key {_quote_key(entry.key)}: to be deleted, but it is not there"
     return None
 
 
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -170,7 +170,7 @@
 def _from_arrival(old):
     def record_freshness(self, delta):
         for number in self.session.sent_ms:
-            self.session.sent_ms[number] = self.session.heard_ms
+            self.session.sent_ms[number] = self.session.last_message_ms
         old(self, delta)
 
     return record_freshness
@@ -258,7 +258,7 @@
     return apply_delta
 
 
-rule("no generation check", (Subscriber, "_is_current", _any_generation))
+rule("no generation check", (Subscriber, "_check_and_record_generation", _any_generation))
 rule("digest ignored, gap not seen", (ReplicatedState, "apply_delta", _any_since))
 rule(
     "digest ignored", (ReplicatedState, "apply_delta", _digest_ignored), (PrefixView, "_build", _no_deletions)
@@ -281,13 +281,15 @@
 rule("the lease not asked before a message is served", (Publisher, "on_message", _lease_not_asked))
 rule("age counted from arrival", (Subscriber, "_record_freshness", _from_arrival))
 rule("age not added up over hops", (Source, "confirm", _age_not_added))
-rule("records after the base forgotten by the next publisher", (Publisher, "_load", _only_the_base))
+rule(
+    "records after the base forgotten by the next publisher", (Publisher, "_load_group_state", _only_the_base)
+)
 rule("requests not known again", (RequestIndex, "version_of", always(None)))
 rule("in force although the gateway refused it", (AppliedState, "apply_pending", _refusal_ignored))
 rule("a change put in force in part", (AppliedState, "_set_values", _in_part))
 rule("a proposal checked without those under way", (Publisher, "_find_error", _without_pending))
 rule("snapshots not paced", (SnapshotPacer, "take_pages", _snapshot_not_paced))
-rule("no back-off after a wrong digest", (Subscriber, "_wants_snapshot", _no_back_off))
+rule("no back-off after a wrong digest", (Subscriber, "_begin_snapshot_request", _no_back_off))
 rule("pushed without an answer to the last push", (DeltaSender, "push", _pushed_to_all))
-rule("marks not checked", (subscriber_module, "is_marked", always(True)))
-rule("a relay's version believed", (Source, "_is_credible", always(True)))
+rule("marks not checked", (subscriber_module, "has_valid_checksum", always(True)))
+rule("a relay's version believed", (Source, "_check_reported_digest", always(True)))
--- a/tests/distribution_harness.py
+++ b/tests/distribution_harness.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.messages import marked
+from lichenquay.distribution.messages import set_checksum
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
@@ -98,7 +98,7 @@
 
 
 def delta(session, since, to, entries, digest, prefixes=("",), **more):
-    """A delta as a source would make it, marked."""
+    """A delta as a source would make it, set_checksum."""
     fields = {"from": since, "to": to, "newest": to, "generation": GENERATION, "follow": 1, **more}
     made = pb.Delta(session=session, entries=entries, digest=digest, **fields)
-    return pb.Message(delta=marked(made, prefixes))
+    return pb.Message(delta=set_checksum(made, prefixes))
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -4,7 +4,7 @@
 from distribution_world import LEASE_MS, World
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.messages import marked
+from lichenquay.distribution.messages import set_checksum
 from lichenquay.distribution.settings import Settings
 
 MANY = {f"engine/z0/e{number}": b"v" * 60 for number in range(40)}
@@ -29,7 +29,7 @@
     old = pb.SnapshotOffer(
         session=gateway.session.session_id, generation=GENERATION, version=1, digest=7, pages=1, bytes=40
     )
-    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(offer=marked(old, [""])))
+    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(offer=set_checksum(old, [""])))
     assert (
         gateway.snapshot_fetch is None and gateway.applied_version == 2 and not messages_of(gateway, "fetch")
     )
@@ -48,7 +48,7 @@
         pages=1,
         bytes=40,
     )
-    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(offer=marked(offer, [""])))
+    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(offer=set_checksum(offer, [""])))
     assert gateway.snapshot_fetch is not None
     held = gateway.version
     last = entry("engine/z0/e0", b"new", held + 1)
@@ -57,7 +57,7 @@
         harness.now_ms, ("s", 1), delta(gateway.session.session_id, held, held + 1, [last], digest)
     )
     page = pb.Page(session=gateway.session.session_id, generation=GENERATION, version=held, number=0)
-    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(page=marked(page, [""])))
+    gateway.on_message(harness.now_ms, ("s", 1), pb.Message(page=set_checksum(page, [""])))
     assert (
         gateway.version == gateway.applied_version == held + 1
         and gateway.applied_values["engine/z0/e0"] == b"new"
@@ -108,7 +108,7 @@
             if message.HasField(kind):
                 body = getattr(message, kind)
                 body.digest ^= 1
-                marked(body, [""])
+                set_checksum(body, [""])
         return message
 
     harness.change({"config/a": b"2"})
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -6,7 +6,7 @@
 from distribution_rule_checks import RULE_CHECKS, filled
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.distribution.messages import marked
+from lichenquay.distribution.messages import set_checksum
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
 
@@ -254,7 +254,7 @@
         else:
             setattr(message.delta, name, value)
     if "mark" not in fields:
-        marked(message.delta, ["config/"])
+        set_checksum(message.delta, ["config/"])
     gateway.on_message(harness.now_ms, ("s", 1), message)
     assert (
         gateway.counts["malformed"] == 1
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -65,8 +65,8 @@
     for view in (early, late):
         assert view.digest == digest_of_all(history.store, prefixes)
         for version, state in states.items():
-            if version < history.floor:
-                assert view.digest_at(version) is None or version >= view.floor
+            if version < history.base_version:
+                assert view.digest_at(version) is None or version >= view.base_version
                 continue
             assert view.digest_at(version) == digest_of_all(state, prefixes)
             check_deltas(view, state, prefixes, max_bytes, history.store)
