--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -245,7 +245,7 @@
     def _publish(self, now_ms: float) -> None:
         """Moves the source's messages to the outbox while the lease is held, and drops them otherwise.
 
-        The process may be paused after this check and send them late; receivers drop them by their generation.
+        The process may be paused after this check and send late; the generation shows that to receivers.
         """
         messages = list(self.source.outbox)
         self.source.outbox.clear()
--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -1,4 +1,4 @@
-"""What must be true of distribution at each step, whatever happens."""
+"""The invariants of distribution, which have to hold at each step under all faults."""
 
 from contextlib import contextmanager
 
@@ -7,40 +7,40 @@
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.record_log import read_record
 
-DRIFT = 0.06  # Between a process's clock and true time, and a rest.
+MAX_CLOCK_DRIFT = 0.06  # Between a process's clock and true time, with a margin.
 
 
 class Audit:
-    """Compares what is in force with the log up to its version; knows the log of all leaders and all answers.
+    """Holds the log as known from all leaders and answers, and compares what is in force with it.
 
-    Checked at each message that a subscriber receives:
+    At each message that a subscriber receives:
 
-    - what is in force is exactly the log up to its version, as far as it is subscribed: nothing half, lost
-      or reordered
-    - the version held and the one in force only rise; nothing comes of an older generation than was known
-    - the age is true: no change accepted longer ago than the age is missing
+    - The values in force are exactly the subscribed part of the log up to their version: no change is applied
+      in part, lost or reordered.
+    - The held version and the version in force never fall, and nothing of an older generation is applied.
+    - The reported age is correct: no change that was accepted longer ago than the age is missing.
 
-    And of the publisher: the log never changes behind a version that was known of, an accepted change stays
-    at the version that was answered, no request is made twice, no key is deleted that is not there.
+    At the publisher: a known part of the log never changes, an accepted change stays at the version that the
+    client was answered, no request is committed twice, and no key is deleted that does not exist.
     """
 
     def __init__(self):
-        """Knows of nothing yet."""
+        """Starts with an empty log."""
         self.log = {}  # version -> changes
         self.states = {0: {}}  # version -> {key: (value, version)}
         self.accepted_ms = {}  # version -> time of the answer
         self.requests = {}  # request -> version in the log
-        self.checked = 0
+        self.check_count = 0
 
     # The log.
 
     @property
     def newest(self):
-        """The newest version known to be in the log."""
+        """Returns the newest version known to be in the log."""
         return max(self.log, default=0)
 
     def on_leader(self, group):
-        """A voter became the leader: it holds all that was accepted, and what it holds stays."""
+        """Checks that a new leader has the known log, and records the rest of its log."""
         base, records = group.state
         state = pb.State.FromString(base)
         for version, record in enumerate(records, state.version + 1):
@@ -50,54 +50,66 @@
                 change.request,
                 {entry.key: None if entry.deleted else entry.value for entry in change.entries},
             )
-        last = state.version + len(records)
-        require(last >= self.newest, f"{group.name} holds with {last} records, {self.newest} were known")
+        record_count = state.version + len(records)
+        require(
+            record_count >= self.newest,
+            f"{group.name} became leader with {record_count} records, {self.newest} are known",
+        )
         held = {entry.key: (entry.value, entry.version) for entry in state.entries}
         known = self.states.get(state.version)
-        require(known is None or known == held, f"{group.name}: another state at version {state.version}")
+        require(known is None or known == held, f"{group.name}: different state at version {state.version}")
 
     def record_change(self, version, request, changes):
-        """A record is in the log."""
+        """Records that a change is in the log at a version."""
         known = self.log.setdefault(version, changes)
         require(known == changes, f"version {version} was {known}, is {changes}")
         require(
-            self.requests.setdefault(request, version) == version, f"request {request} made twice: {version}"
+            self.requests.setdefault(request, version) == version,
+            f"request {request} committed twice, now as version {version}",
         )
         if version in self.states:
             return
-        require(version - 1 in self.states, f"version {version} before {version - 1}")
+        require(version - 1 in self.states, f"version {version} is known before version {version - 1}")
         state = dict(self.states[version - 1])
         for key, value in changes.items():
-            require(value is not None or key in state, f"version {version} deletes {key}, which is not there")
+            require(
+                value is not None or key in state, f"version {version} deletes {key}, which does not exist"
+            )
             state.pop(key, None)
             if value is not None:
                 state[key] = value, version
         self.states[version] = state
 
     def on_answer(self, proposed, changes, now_ms):
-        """A client was answered."""
+        """Checks and records the answer to a client."""
         if proposed.outcome == pb.Proposed.ACCEPTED:
             self.record_change(proposed.version, proposed.request, changes)
             self.accepted_ms.setdefault(proposed.version, now_ms)
         elif proposed.outcome == pb.Proposed.REFUSED:
-            require(proposed.request not in self.requests, f"request {proposed.request} refused, yet made")
-            require("\n" not in proposed.reason and proposed.reason, "a refusal without one clear line")
+            require(
+                proposed.request not in self.requests,
+                f"request {proposed.request} was refused, but is in the log",
+            )
+            require(
+                "\n" not in proposed.reason and proposed.reason,
+                f"a refusal needs a reason of one line, got {proposed.reason!r}",
+            )
 
     # Subscribers.
 
     def is_current(self, subscriber, version):
-        """Whether a subscriber has in force all that concerns it up to a version."""
+        """Returns whether a subscriber has its part of the log up to a version in force."""
         return subscriber.applied_values == self.expected(subscriber, version)
 
     def expected(self, subscriber, version):
-        """The values of a subscription at a version."""
+        """Returns the values of a subscription at a version."""
         state = self.states.get(version)
-        require(state is not None, f"{subscriber.name}: version {version} was never made")
+        require(state is not None, f"{subscriber.name}: version {version} does not exist")
         return {key: value for key, (value, _) in state.items() if key.startswith(subscriber.prefixes)}
 
     @contextmanager
     def around_message(self, name, subscriber, message):
-        """Around each message that a subscriber receives."""
+        """Checks versions and generation around a message that a subscriber receives."""
         generation, before = subscriber.generation, (subscriber.version, subscriber.applied_version)
         yield
         kind = message.WhichOneof("kind")
@@ -107,19 +119,18 @@
         after = subscriber.version, subscriber.applied_version
         is_current = message_generation >= generation
         require(
-            is_current or after == before, f"{name} took {kind} of {message_generation}, it knew {generation}"
-        )
-        require(
-            subscriber.generation >= generation, f"{name} goes back to generation {subscriber.generation}"
+            is_current or after == before,
+            f"{name} accepted {kind} of generation {message_generation} after {generation}",
         )
-        require(after >= before, f"{name} goes back from {before} to {after}")
         require(
-            subscriber.applied_version <= subscriber.version, f"{name}: {after}: in force before it is held"
+            subscriber.generation >= generation, f"{name} went back to generation {subscriber.generation}"
         )
+        require(after >= before, f"{name} went back from {before} to {after}")
+        require(subscriber.applied_version <= subscriber.version, f"{name}: (held, in force) is {after}")
 
     def check_gateway(self, host, subscriber, now_ms):
-        """After each message at a gateway."""
-        self.checked += 1
+        """Checks values and age after each message at a gateway."""
+        self.check_count += 1
         expected = self.expected(subscriber, subscriber.applied_version)
         require(
             subscriber.applied_values == expected,
@@ -128,8 +139,8 @@
         self.check_age(host, subscriber, now_ms)
 
     def check_relay(self, host, relay, now_ms):
-        """After each message at a relay."""
-        self.checked += 1
+        """Checks state and age after each message at a relay."""
+        self.check_count += 1
         held = relay.source.history.store
         expected = self.states.get(held.version)
         require(
@@ -138,14 +149,14 @@
         self.check_age(host, relay.subscriber, now_ms)
 
     def check_age(self, host, subscriber, now_ms):
-        """No change that was accepted longer ago than the age is missing."""
+        """Checks that no change that was accepted longer ago than the reported age is missing."""
         age_ms = subscriber.age_ms(now_ms)
         if age_ms == float("inf"):
             return
-        true_ms = host.net.now_ms - age_ms * (1 + DRIFT) - 1
+        true_ms = host.net.now_ms - age_ms * (1 + MAX_CLOCK_DRIFT) - 1
         for version in range(subscriber.version + 1, self.newest + 1):
             old_ms = true_ms - self.accepted_ms.get(version, float("inf"))
             require(
                 old_ms <= 0,
-                f"{host.name} at {subscriber.version} says {age_ms:.0f} ms, {version} is {old_ms:.0f} older",
+                f"{host.name} at {subscriber.version} reports {age_ms:.0f} ms, {version} is {old_ms:.0f} ms older",
             )
--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -1,4 +1,4 @@
-"""Rules of `lichenquay/distribution` broken on purpose, one at a time, to be found by the tests."""
+"""Mutants of `lichenquay/distribution`: each breaks one rule, and the tests have to detect it."""
 
 from contextlib import ExitStack, contextmanager
 from unittest.mock import patch
@@ -18,31 +18,31 @@
 from lichenquay.distribution.source import Source
 from lichenquay.distribution.subscriber import Subscriber
 
-BROKEN = {}
+MUTANTS = {}
 
 
-def rule(name, *patches):
-    """Adds a broken rule.
+def add_mutant(name, *patches):
+    """Registers a mutant.
 
-    `patches`: (class or module, name of what is replaced, function that makes the new one from the old).
+    `patches`: (class or module, name of the patched attribute, function from the old to the new attribute).
     """
 
     @contextmanager
-    def broken():
+    def apply_mutant():
         with ExitStack() as stack:
             for owner, attribute, make_new in patches:
                 stack.enter_context(patch.object(owner, attribute, make_new(getattr(owner, attribute))))
             yield
 
-    BROKEN[name] = broken
+    MUTANTS[name] = apply_mutant
 
 
 def always(value):
-    """In place of a method: one that always returns the same."""
+    """Returns a patch that makes a method always return the same value."""
     return lambda old: lambda *args, **more: value
 
 
-def _any_generation(old):
+def _accept_any_generation(old):
     def is_current(self, body):
         self.generation = body.generation
         return True
@@ -50,7 +50,7 @@
     return is_current
 
 
-def _digest_ignored(old):
+def _ignore_digest(old):
     def apply_delta(self, now_ms, delta):
         fresh = [entry for entry in delta.entries if entry.version > self.store.version]
         delta.digest = self.store.digest_after(fresh)
@@ -59,8 +59,8 @@
     return apply_delta
 
 
-def _any_since(old):
-    """A gap is not seen, nor a digest that does not match; as if versions were not compared at all."""
+def _ignore_digest_and_gap(old):
+    """Returns an `apply_delta` that compares neither versions nor digests."""
 
     def apply_delta(self, now_ms, delta):
         entries = list(delta.entries)
@@ -73,8 +73,11 @@
     return apply_delta
 
 
-def _any_offer(old):
-    """As if (generation, version) were compared, so that a later publisher's older state passes for newer."""
+def _accept_any_offer(old):
+    """Returns an `_is_wanted` that accepts older states.
+
+    That is the fault of comparing (generation, version): a later publisher's older state passes for newer.
+    """
 
     def is_wanted(self, offer):
         return True
@@ -82,14 +85,14 @@
     return is_wanted
 
 
-def _install_at_once(old):
+def _install_without_check(old):
     def install_snapshot(self, now_ms, fetch):
         self._replace_state(now_ms, fetch.result())
 
     return install_snapshot
 
 
-def _half_a_snapshot(old):
+def _return_without_digest_check(old):
     def result(self):
         self.store.version = self.version
         return self.store
@@ -97,11 +100,11 @@
     return result
 
 
-def _nearly_complete(old):
+def _complete_one_page_early(old):
     return property(lambda self: self.first_missing >= max(1, self.page_count - 1))
 
 
-def _before_recorded(old):
+def _answer_before_commit(old):
     def propose(self, now_ms, entries, request, on_outcome):
         before = set(self._pending)
         old(self, now_ms, entries, request, on_outcome)
@@ -113,7 +116,7 @@
     return propose
 
 
-def _published_before_recorded(old):
+def _publish_before_commit(old):
     def propose(self, now_ms, entries, request, on_outcome):
         before = set(self._pending)
         old(self, now_ms, entries, request, on_outcome)
@@ -124,7 +127,7 @@
     return propose
 
 
-def _no_deletions(old):
+def _omit_deletions(old):
     def build(self, index, version, newest_version, max_bytes):
         content = old(self, index, version, newest_version, max_bytes)
         return content._replace(entries=[entry for entry in content.entries if not entry.deleted])
@@ -132,7 +135,7 @@
     return build
 
 
-def _first_of_each_key(old):
+def _keep_first_entry(old):
     def build(self, index, version, newest_version, max_bytes):
         content = old(self, index, version, newest_version, max_bytes)
         first = {}
@@ -145,9 +148,9 @@
     return build
 
 
-def _lease_not_asked(old):
+def _ignore_lease_end(old):
     class EndlessLease:
-        """The group, as if the lease never ended by itself."""
+        """A lease group whose lease never expires."""
 
         def __init__(self, group):
             self.__dict__["group"] = group
@@ -167,7 +170,7 @@
     return on_message
 
 
-def _from_arrival(old):
+def _count_age_from_arrival(old):
     def record_freshness(self, delta):
         for number in self.session.sent_ms:
             self.session.sent_ms[number] = self.session.last_message_ms
@@ -176,14 +179,14 @@
     return record_freshness
 
 
-def _age_not_added(old):
+def _ignore_reported_age(old):
     def confirm(self, now_ms, generation, newest_version, age_ms):
         return old(self, now_ms, generation, newest_version, 0.0)
 
     return confirm
 
 
-def _only_the_base(old):
+def _load_only_the_base(old):
     def load(self):
         base, _ = self.group.state
         state = pb.State.FromString(base)
@@ -194,14 +197,14 @@
     return load
 
 
-def _refusal_ignored(old):
+def _ignore_refusal(old):
     def apply_pending(self, now_ms, store):
         self.version = store.version
 
     return apply_pending
 
 
-def _in_part(old):
+def _apply_in_part(old):
     def set_values(self, changed, is_whole):
         in_part = dict(list(changed.items())[:1]) if len(changed) > 1 and not is_whole else changed
         old(self, in_part, is_whole)
@@ -209,14 +212,14 @@
     return set_values
 
 
-def _without_pending(old):
+def _check_without_pending(old):
     def find_error(self, entries, request):
         return self.check(entries, self.source.history.store, self.settings)
 
     return find_error
 
 
-def _snapshot_not_paced(old):
+def _ignore_pacing(old):
     def take_pages(self, now_ms):
         pages = []
         while self.requests:
@@ -229,7 +232,7 @@
     return take_pages
 
 
-def _no_back_off(old):
+def _reset_backoff(old):
     def wants_snapshot(self, now_ms):
         self.resync.not_before_ms = now_ms
         self.resync.attempts = 0
@@ -238,8 +241,8 @@
     return wants_snapshot
 
 
-def _pushed_to_all(old):
-    """A change is sent to sessions that have not answered the last one."""
+def _push_to_all(old):
+    """Returns a `push` that sends a change to sessions that have not answered the last one."""
 
     def push(self, now_ms):
         for audience in self._changed.values():
@@ -249,7 +252,7 @@
     return push
 
 
-def _versions_by_text(old):
+def _compare_versions_as_text(old):
     def apply_delta(self, now_ms, delta):
         if str(delta.to) < str(self.store.version):
             return None
@@ -258,38 +261,45 @@
     return apply_delta
 
 
-rule("no generation check", (Subscriber, "_check_and_record_generation", _any_generation))
-rule("digest ignored, gap not seen", (ReplicatedState, "apply_delta", _any_since))
-rule(
-    "digest ignored", (ReplicatedState, "apply_delta", _digest_ignored), (PrefixView, "_build", _no_deletions)
+add_mutant("no generation check", (Subscriber, "_check_and_record_generation", _accept_any_generation))
+add_mutant("digest and version gap not checked", (ReplicatedState, "apply_delta", _ignore_digest_and_gap))
+add_mutant(
+    "digest not checked",
+    (ReplicatedState, "apply_delta", _ignore_digest),
+    (PrefixView, "_build", _omit_deletions),
+)
+add_mutant("versions compared as text", (ReplicatedState, "apply_delta", _compare_versions_as_text))
+add_mutant(
+    "older snapshot replaces newer state",
+    (Subscriber, "_is_wanted", _accept_any_offer),
+    (Subscriber, "_install_snapshot", _install_without_check),
+)
+add_mutant(
+    "incomplete snapshot applied",
+    (SnapshotFetch, "is_complete", _complete_one_page_early),
+    (SnapshotFetch, "result", _return_without_digest_check),
 )
-rule("versions compared as text", (ReplicatedState, "apply_delta", _versions_by_text))
-rule(
-    "a snapshot over a newer delta",
-    (Subscriber, "_is_wanted", _any_offer),
-    (Subscriber, "_install_snapshot", _install_at_once),
+add_mutant("accepted before committed", (Publisher, "_propose", _answer_before_commit))
+add_mutant("published before committed", (Publisher, "_propose", _publish_before_commit))
+add_mutant("deletions missing from deltas", (PrefixView, "_build", _omit_deletions))
+add_mutant("merged delta holds the first entry of each key", (PrefixView, "_build", _keep_first_entry))
+add_mutant("lease not checked before a message is served", (Publisher, "on_message", _ignore_lease_end))
+add_mutant(
+    "age counted from the arrival of the delta", (Subscriber, "_record_freshness", _count_age_from_arrival)
 )
-rule(
-    "a snapshot in force before all its pages are there",
-    (SnapshotFetch, "is_complete", _nearly_complete),
-    (SnapshotFetch, "result", _half_a_snapshot),
+add_mutant("age not accumulated over relays", (Source, "confirm", _ignore_reported_age))
+add_mutant(
+    "records after the base forgotten by the next publisher",
+    (Publisher, "_load_group_state", _load_only_the_base),
 )
-rule("acknowledged before recorded", (Publisher, "_propose", _before_recorded))
-rule("published before recorded", (Publisher, "_propose", _published_before_recorded))
-rule("deletions left out of deltas", (PrefixView, "_build", _no_deletions))
-rule("the first of each key in a merged delta", (PrefixView, "_build", _first_of_each_key))
-rule("the lease not asked before a message is served", (Publisher, "on_message", _lease_not_asked))
-rule("age counted from arrival", (Subscriber, "_record_freshness", _from_arrival))
-rule("age not added up over hops", (Source, "confirm", _age_not_added))
-rule(
-    "records after the base forgotten by the next publisher", (Publisher, "_load_group_state", _only_the_base)
+add_mutant("repeated requests not deduplicated", (RequestIndex, "version_of", always(None)))
+add_mutant("refused change counted as applied", (AppliedState, "apply_pending", _ignore_refusal))
+add_mutant("change applied in part", (AppliedState, "_set_values", _apply_in_part))
+add_mutant("proposal checked without the pending ones", (Publisher, "_find_error", _check_without_pending))
+add_mutant("snapshots not paced", (SnapshotPacer, "take_pages", _ignore_pacing))
+add_mutant("no backoff after a digest mismatch", (Subscriber, "_begin_snapshot_request", _reset_backoff))
+add_mutant("pushed while a delta is unanswered", (DeltaSender, "push", _push_to_all))
+add_mutant("checksums not checked", (subscriber_module, "has_valid_checksum", always(True)))
+add_mutant(
+    "reported version not checked against its digest", (Source, "_check_reported_digest", always(True))
 )
-rule("requests not known again", (RequestIndex, "version_of", always(None)))
-rule("in force although the gateway refused it", (AppliedState, "apply_pending", _refusal_ignored))
-rule("a change put in force in part", (AppliedState, "_set_values", _in_part))
-rule("a proposal checked without those under way", (Publisher, "_find_error", _without_pending))
-rule("snapshots not paced", (SnapshotPacer, "take_pages", _snapshot_not_paced))
-rule("no back-off after a wrong digest", (Subscriber, "_begin_snapshot_request", _no_back_off))
-rule("pushed without an answer to the last push", (DeltaSender, "push", _pushed_to_all))
-rule("marks not checked", (subscriber_module, "has_valid_checksum", always(True)))
-rule("a relay's version believed", (Source, "_check_reported_digest", always(True)))
--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults on voters, relays and gateways in virtual time, changes proposed all along."""
+"""Seeded schedules of faults on voters, relays and gateways in virtual time, with a proposing client."""
 
 from dataclasses import replace
 from enum import Enum
@@ -12,86 +12,90 @@
 
 
 class FaultKind(Enum):
-    """What can fail."""
+    """The kinds of faults."""
 
     KILL = "kill"
-    FOLDER = "folder"
+    DATA_LOSS = "data loss"
     PAUSE = "pause"
     ISOLATE = "isolate"
     ONE_WAY = "one way"
-    REGION = "region"
-    STORM = "storm"
-    REFUSE = "refuse"
-    PUBLISHER = "publisher"
+    REGION_ISOLATION = "region isolation"
+    PACKET_LOSS = "packet loss"
+    REFUSAL = "refusal"
+    PUBLISHER_FAILURE = "publisher failure"
 
 
-# Kills and pauses twice as often as the others.
+# Kills and pauses are drawn twice as often as the others.
 FAULTS = (
     FaultKind.KILL,
     FaultKind.KILL,
-    FaultKind.FOLDER,
+    FaultKind.DATA_LOSS,
     FaultKind.PAUSE,
     FaultKind.PAUSE,
     FaultKind.ISOLATE,
     FaultKind.ONE_WAY,
-    FaultKind.REGION,
-    FaultKind.STORM,
-    FaultKind.REFUSE,
-    FaultKind.PUBLISHER,
+    FaultKind.REGION_ISOLATION,
+    FaultKind.PACKET_LOSS,
+    FaultKind.REFUSAL,
+    FaultKind.PUBLISHER_FAILURE,
 )
-REST_MS = 25_000.0  # After the last fault: all that was accepted is in force everywhere.
-KEYS = 12
-ROUGH = (
+SETTLE_TIMEOUT_MS = 25_000.0  # From the last fault until all accepted changes are in force everywhere.
+KEY_COUNT = 12
+IMPAIRMENTS = (
     Weather(),
     Weather(loss=0.05, doubled=0.1, late=0.1, late_ms=3000),
     Weather(loss=0.2, delay_ms=(1, 80), late=0.05),
     Weather(doubled=0.3, late=0.3, late_ms=800),
 )
-# A short history and a short log, so that snapshots and folds come too.
-SMALL = replace(SETTINGS, most_changes=16, snapshot_bytes_per_s=20_000, most_snapshots=2, delta_bytes=800)
+# A short history and a short log, so that snapshots and log compaction occur.
+SHORT_HISTORY = replace(
+    SETTINGS, most_changes=16, snapshot_bytes_per_s=20_000, most_snapshots=2, delta_bytes=800
+)
 
 
 class AcceptedChange(NamedTuple):
-    """A change and the version that was answered."""
+    """An accepted change and the version that the client was answered."""
 
     version: int
     changes: dict
 
 
 class Client:
-    """Proposes changes, and goes on asking while one is in doubt."""
+    """Proposes changes, and repeats those whose outcome is in doubt."""
 
     def __init__(self, world, rng):
-        """Nothing is proposed yet."""
+        """Starts without proposals."""
         self.world = world
         self.rng = rng
         self.undecided = {}  # request -> changes
         self.accepted = {}  # request -> AcceptedChange
 
     def propose(self):
-        """A new change, or one that is in doubt again; sometimes one that has been answered."""
+        """Proposes a new change or repeats one in doubt; sometimes repeats one that was accepted."""
         rng = self.rng
         if self.undecided and rng.random() < 0.5:
             request = rng.choice(list(self.undecided))
-            self.ask(request, self.undecided[request])
+            self._send_proposal(request, self.undecided[request])
         elif self.accepted and rng.random() < 0.1:
             request = rng.choice(list(self.accepted))
-            self.ask(request, self.accepted[request].changes)
+            self._send_proposal(request, self.accepted[request].changes)
         else:
-            self.world.requests += 1
-            request = self.world.requests
+            self.world.last_request += 1
+            request = self.world.last_request
             self.undecided[request] = self._make_changes()
-            self.ask(request, self.undecided[request])
+            self._send_proposal(request, self.undecided[request])
 
     def _make_changes(self):
         rng = self.rng
-        keys = rng.sample(range(KEYS), rng.choice((1, 1, 2, 3)))
-        pad = b"x" * rng.choice((0, 0, 150))
+        keys = rng.sample(range(KEY_COUNT), rng.choice((1, 1, 2, 3)))
+        padding = b"x" * rng.choice((0, 0, 150))
         names = [f"config/k{key}" if key % 2 else f"engine/z{key % 3}/e{key}" for key in keys]
-        return {name: None if rng.random() < 0.25 else b"%d" % rng.getrandbits(30) + pad for name in names}
+        return {
+            name: None if rng.random() < 0.25 else b"%d" % rng.getrandbits(30) + padding for name in names
+        }
 
-    def ask(self, request, changes):
-        """Asks whoever may be the leader."""
+    def _send_proposal(self, request, changes):
+        """Sends a proposal to the leader, or to a random running voter while there is none."""
         world = self.world
         hosts = world.net.hosts
         running = [name for name in VOTERS if hosts[name].up and not hosts[name].paused]
@@ -109,13 +113,21 @@
             assert first == answer.version, f"request {answer.request}: {first}, then {answer.version}"
 
 
-def schedule(seed, last_ms=20_000, faults=12, zones=3, gateways=2):
-    """Runs one; gives its world, settled. InvariantError, AssertionError where something does not hold."""
+def run_fault_schedule(seed, last_ms=20_000, faults=12, zones=3, gateways=2):
+    """Runs one schedule and returns its settled world.
+
+    Raises AssertionError, of which InvariantError is one, where an invariant or an expectation fails.
+    """
     rng = Random(f"distribution/{seed}")
     has_short_history = seed % 2 == 1
-    settings = SMALL if has_short_history else SETTINGS
+    settings = SHORT_HISTORY if has_short_history else SETTINGS
     world = World(
-        seed, zones, gateways, rng.choice(ROUGH), settings, most_records=24 if has_short_history else 1024
+        seed,
+        zones,
+        gateways,
+        rng.choice(IMPAIRMENTS),
+        settings,
+        max_records=24 if has_short_history else 1024,
     )
     client = Client(world, rng)
     at_ms = 0.0
@@ -127,55 +139,55 @@
         world.net.at(rng.uniform(1500, last_ms), injector.inject, rng.choice(FAULTS))
     world.net.run(last_ms)
     end_faults(world)
-    world.settle(REST_MS)
-    world.accept({"config/last": b"%d" % seed})
-    world.settle(REST_MS)
+    world.settle(SETTLE_TIMEOUT_MS)
+    world.propose_until_accepted({"config/last": b"%d" % seed})
+    world.settle(SETTLE_TIMEOUT_MS)
     return world
 
 
 def end_faults(world):
-    """The end of all faults: everything runs, links are well."""
+    """Ends all faults: starts all processes and restores all links."""
     world.net.mend(Weather())
     for name in (*VOTERS, *world.relays, *world.gateways):
         if not world.net.hosts[name].up:
             world.net.start(name)
     for name in world.gateways:
-        world.part(name).fault = None
+        world.process(name).fault = None
 
 
 class FaultInjector:
-    """Injects faults, and ends each of them after a while."""
+    """Injects faults, and ends each of them after a delay."""
 
     def __init__(self, world, rng):
-        """Injects nothing yet."""
+        """Starts without faults."""
         self.world = world
         self.net = world.net
         self.rng = rng
         self._actions = {
             FaultKind.KILL: self._kill,
-            FaultKind.FOLDER: self._lose_folder,
+            FaultKind.DATA_LOSS: self._lose_data,
             FaultKind.PAUSE: self._pause,
             FaultKind.ISOLATE: self._isolate,
             FaultKind.ONE_WAY: self._cut_one_way,
-            FaultKind.REGION: self._isolate_region,
-            FaultKind.STORM: self._lose_messages,
-            FaultKind.REFUSE: self._refuse,
-            FaultKind.PUBLISHER: self._fail_publisher,
+            FaultKind.REGION_ISOLATION: self._isolate_region,
+            FaultKind.PACKET_LOSS: self._lose_packets,
+            FaultKind.REFUSAL: self._refuse,
+            FaultKind.PUBLISHER_FAILURE: self._fail_publisher,
         }
 
     def inject(self, kind):
-        """Injects one fault now, at a random process."""
+        """Injects one fault now, on a random process where the kind of fault needs one."""
         names = [*VOTERS, *VOTERS, *self.world.relays, *self.world.gateways]
         self._actions[kind](self.rng.choice(names))
 
-    def _later(self, action, *arguments):
+    def _schedule(self, action, *arguments):
         delay_ms = self.rng.choice((50, 900, 2.5 * LEASE_MS))
         self.net.at(self.net.now_ms + delay_ms, action, *arguments)
 
     def _kill(self, name):
         if self.net.hosts[name].up:
             self.net.kill(name)
-            self._later(self._start, name)
+            self._schedule(self._start, name)
 
     def _start(self, name):
         if not self.net.hosts[name].up:
@@ -190,18 +202,19 @@
         else:
             self._pause(name)
 
-    def _lose_folder(self, name):
-        """A voter loses its folder, but only while all others have their state, as the design assumes."""
+    def _lose_data(self, name):
+        """Kills a voter and deletes its data, but only if all others have theirs, as the design assumes."""
         hosts = self.net.hosts
         others = [other for other in VOTERS if other != name]
         others_have_state = all(
-            hosts[other].up and self.world.part(other).group.voter.recovery_nonce is None for other in others
+            hosts[other].up and self.world.process(other).group.voter.recovery_nonce is None
+            for other in others
         )
         if name in VOTERS and others_have_state and hosts[name].up:
             self.net.kill(name)
             self.world.disks[name] = {}
-            self.world.lost.add(name)
-            self._later(self._start, name)
+            self.world.voters_without_data.add(name)
+            self._schedule(self._start, name)
 
     def _pause(self, name):
         self.net.pause(name, self.rng.choice((100, 1200, 2.5 * LEASE_MS)))
@@ -210,7 +223,7 @@
         self._partition([name], self._others([name]))
 
     def _isolate_region(self, _name):
-        side = self.world.region(self.rng.randrange(len(VOTERS)))
+        side = self.world.names_of_region(self.rng.randrange(len(VOTERS)))
         self._partition(side, self._others(side))
 
     def _others(self, names):
@@ -218,7 +231,7 @@
 
     def _partition(self, side, others):
         self.net.split(side, others)
-        self._later(self._heal, side, others)
+        self._schedule(self._heal, side, others)
 
     def _heal(self, side, others):
         self.net.split(side, others, cut=False)
@@ -227,18 +240,18 @@
         others = self._others([name])
         sides = ([name], others) if self.rng.random() < 0.5 else (others, [name])
         self.net.between(*sides, cut=True)
-        self._later(lambda: self.net.between(*sides, cut=False))
+        self._schedule(lambda: self.net.between(*sides, cut=False))
 
-    def _lose_messages(self, _name):
-        """All links lose a third for a while."""
-        before = self.net.weather
+    def _lose_packets(self, _name):
+        """Makes all links lose 35% of the messages for a while."""
+        original = self.net.weather
         self.net.weather = replace(self.net.weather, loss=0.35, doubled=0.1)
-        self._later(setattr, self.net, "weather", before)
+        self._schedule(setattr, self.net, "weather", original)
 
     def _refuse(self, _name):
-        """A gateway cannot apply changes for a while."""
+        """Makes a gateway refuse all changes for a while."""
         name = self.rng.choice(self.world.gateways)
         if self.net.hosts[name].up:
-            part = self.world.part(name)
+            part = self.world.process(name)
             part.fault = "no room"
-            self._later(setattr, part, "fault", None)
+            self._schedule(setattr, part, "fault", None)
--- a/tests/distribution_harness.py
+++ b/tests/distribution_harness.py
@@ -1,4 +1,4 @@
-"""A source and its subscribers without a network: a test makes the changes and delivers the messages."""
+"""A source and its subscribers without a network: a test makes changes and delivers the messages."""
 
 from random import Random
 
@@ -12,19 +12,22 @@
 SOURCE = "s"
 START_MS = 1000.0
 STEP_MS = 10.0
-MAX_ROUNDS = 20  # Of messages and answers within one step.
+MAX_ROUNDS = 20  # Of deliveries within one time step.
 
 
 def entry(key, value, version):
-    """An entry as it is published; value None: deleted."""
+    """Returns an entry as the publisher makes it; with value None it deletes the key."""
     return pb.Entry(key=key, value=value or b"", deleted=value is None, version=version)
 
 
 class Harness:
-    """The source `s` and subscribers; `intercept(message)` of a test may change a message or return None."""
+    """Connects the source `s` with subscribers.
+
+    A test's `intercept(message)` returns the message to deliver in place of one, None to drop it.
+    """
 
     def __init__(self, settings=None):
-        """Without a subscriber."""
+        """Starts without a subscriber."""
         self.settings = settings or Settings()
         self.now_ms = START_MS
         self.source = Source(SOURCE, Random(1), self.settings, self.now_ms)
@@ -32,10 +35,10 @@
         self.subscribers = {}
         self.applied = []
         self.reports = []
-        self.refusal = None  # What the subscribers' hosts answer to every change.
+        self.refusal = None  # The answer of every subscriber's host to a change; None: applied.
 
-    def subscriber(self, name="f", prefixes=("",), sources=(SOURCE,)):
-        """Adds a subscriber."""
+    def add_subscriber(self, name="f", prefixes=("",), sources=(SOURCE,)):
+        """Adds a subscriber and returns it."""
         subscriber = Subscriber(
             name,
             sources,
@@ -55,50 +58,57 @@
         return self.refusal
 
     def change(self, changes, version=None):
-        """Gives a change to the source; returns its version."""
+        """Applies a change {key: value or None} at the source and returns its version."""
         version = version or self.source.version + 1
         entries = [entry(key, value, version) for key, value in changes.items()]
         self.source.advance(self.now_ms, GENERATION, version, entries, self.now_ms)
         return version
 
     def deliver(self, intercept=None):
-        """Delivers all messages that are in the outboxes; returns their number."""
+        """Delivers all messages of all outboxes and returns their number."""
         delivered = 0
         for subscriber in self.subscribers.values():
             delivered += self._deliver_from(subscriber, subscriber.name, intercept)
         return delivered + self._deliver_from(self.source, SOURCE, intercept)
 
-    def _deliver_from(self, part, name, intercept):
-        sent = list(part.outbox)
-        part.outbox.clear()
-        for receiver, original in sent:
+    def _deliver_from(self, component, name, intercept):
+        messages = list(component.outbox)
+        component.outbox.clear()
+        for receiver, original in messages:
             message = pb.Message.FromString(original.SerializeToString())
             message = intercept(message) if intercept else message
             target = self.source if receiver == SOURCE else self.subscribers.get(receiver)
             if message is not None and target is not None:
                 target.on_message(self.now_ms, (name, 1), message)
-        return len(sent)
+        return len(messages)
 
     def run(self, duration_ms, intercept=None, step_ms=STEP_MS):
-        """Lets time pass, with ticks and messages."""
+        """Advances the time in steps, with ticks and deliveries in each."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             self.now_ms += step_ms
-            for part in (self.source, *self.subscribers.values()):
-                if self.now_ms >= part.due_ms:
-                    part.tick(self.now_ms)
+            for component in (self.source, *self.subscribers.values()):
+                if self.now_ms >= component.due_ms:
+                    component.tick(self.now_ms)
             for _ in range(MAX_ROUNDS):
                 if not self.deliver(intercept):
                     break
 
 
-def messages_of(part, kind):
-    """The messages of one kind in an outbox."""
-    return [getattr(message, kind) for _, message in part.outbox if message.WhichOneof("kind") == kind]
+def messages_of(component, kind):
+    """Returns the bodies of the messages of one kind in an outbox."""
+    return [getattr(message, kind) for _, message in component.outbox if message.WhichOneof("kind") == kind]
 
 
-def delta(session, since, to, entries, digest, prefixes=("",), **more):
-    """A delta as a source would make it, set_checksum."""
-    fields = {"from": since, "to": to, "newest": to, "generation": GENERATION, "follow": 1, **more}
-    made = pb.Delta(session=session, entries=entries, digest=digest, **fields)
-    return pb.Message(delta=set_checksum(made, prefixes))
+def delta(session, from_version, to_version, entries, digest, prefixes=("",), **overrides):
+    """Returns a delta message as a source makes it, with its checksum."""
+    fields = {
+        "from": from_version,
+        "to": to_version,
+        "newest": to_version,
+        "generation": GENERATION,
+        "follow": 1,
+        **overrides,
+    }
+    body = pb.Delta(session=session, entries=entries, digest=digest, **fields)
+    return pb.Message(delta=set_checksum(body, prefixes))
--- a/tests/distribution_mutation.py
+++ b/tests/distribution_mutation.py
@@ -1,13 +1,13 @@
-"""One scenario on a small world, recorded; then run again for its messages, each changed in one way.
+"""Records one scenario in a small world, then repeats it with one message changed in one way.
 
-The scenario: a publisher is elected, changes, a gateway and a relay restart (a short history: snapshots), the
-publisher is killed, changes. Required with each change of one message: the audit's invariants at each step,
-and all that was accepted in force everywhere at the end, within `REST_MS`.
+The scenario: a publisher is elected and changes are accepted; a gateway and a relay restart, and need
+snapshots as the history is short; the publisher is killed, and another change is accepted. With each changed
+message the audit's invariants have to hold at each step, and at the end all accepted changes have to be in
+force everywhere within `SETTLE_TIMEOUT_MS`.
 
-Fields whose neighbouring values no receiver can distinguish from the true one ('nobody forges messages') only
-change figures: `Follow.in_force` and `Follow.below` in what is known of coverage until the next Follow. Those
-of Delta, SnapshotOffer and Page carry a mark, so that a single wrong one is detected; Follow's version and
-digest have to match each other.
+Messages are not protected against forgery. A wrong `Follow.in_force` or `Follow.below` cannot be detected,
+but only makes the coverage wrong until the next Follow. Delta, SnapshotOffer and Page carry a checksum, so
+that a single wrong field is detected; the version and the digest of a Follow have to match each other.
 """
 
 from collections.abc import Callable
@@ -18,27 +18,27 @@
 
 from lichenquay.distribution import distribution_pb2 as pb
 
-REST_MS = 20_000.0
+SETTLE_TIMEOUT_MS = 20_000.0
 DELAY_MS = 0.6
-WHOLE_MESSAGE = (
+MESSAGE_MUTATIONS = (
     "lost",
-    "doubled",
-    "late past the next",
-    "late past the source",
-    "to another",
-    "lost, and the next",
+    "duplicated",
+    "delayed past the next message",
+    "delayed past the source timeout",
+    "to another receiver",
+    "lost with those that follow",
 )
-EDGES = {
+EDGE_VALUES = {
     "uint64": (0, 1, 2**32, 2**64 - 1),
     "fixed64": (0, 1, 2**64 - 1),
     "uint32": (0, 1, 2**32 - 1),
 }
-TYPE_NAMES = {4: "uint64", 6: "fixed64", 13: "uint32"}  # By protobuf's numbers of types.
-MUTATED = replace(SETTINGS, most_changes=6, delta_bytes=300)
+TYPE_NAMES = {4: "uint64", 6: "fixed64", 13: "uint32"}  # By protobuf's type number.
+SETTINGS_WITH_SHORT_HISTORY = replace(SETTINGS, most_changes=6, delta_bytes=300)
 
 
 class SentMessage(NamedTuple):
-    """A message of the scenario."""
+    """A message that was sent in the scenario."""
 
     sender: str
     receiver: str
@@ -46,14 +46,17 @@
 
 
 class Mutation(NamedTuple):
-    """One change of one message: `deliveries` gives [(receiver, delay in ms, message)] in its place."""
+    """One change of one message.
+
+    `deliveries(world, receiver, message)` returns [(receiver, delay in ms, message)] in its place.
+    """
 
     name: str
     deliveries: Callable[[World, str, pb.Message], list]
 
 
 class MessageField(NamedTuple):
-    """A field of a message, with the names and indexes that lead to it."""
+    """A field of a message; `path` holds the names and indexes that lead to it."""
 
     path: tuple
     descriptor: Any
@@ -62,7 +65,7 @@
 
 @dataclass
 class MutationRun:
-    """What a run over all messages found."""
+    """The result of a run over all messages."""
 
     message_count: int
     mutant_count: int = 0
@@ -71,8 +74,8 @@
 
 
 def play_scenario(seed, number=None, mutation=None):
-    """Runs it with the message of a number changed; returns the messages of distribution that were sent."""
-    world = World(seed, zones=1, gateways=2, settings=MUTATED)
+    """Plays the scenario with one message changed; returns the messages of distribution that were sent."""
+    world = World(seed, zones=1, gateways=2, settings=SETTINGS_WITH_SHORT_HISTORY)
     sent = []
 
     def intercept(_number, sender, receiver, _layer, message):
@@ -84,34 +87,36 @@
         return mutation.deliveries(world, receiver, message)
 
     world.net.meddle = intercept
-    world.settle(REST_MS)
+    world.settle(SETTLE_TIMEOUT_MS)
     for change in range(8):
-        world.accept({f"config/k{change % 5}": b"%d" % change + bytes(90), "engine/z0/e": b"%d" % change})
+        world.propose_until_accepted(
+            {f"config/k{change % 5}": b"%d" % change + bytes(90), "engine/z0/e": b"%d" % change}
+        )
         world.run(150)
     world.net.kill("f0-0")
     world.net.kill("r0b")
-    world.accept({"config/k1": None, "config/k9": b"9"})
+    world.propose_until_accepted({"config/k1": None, "config/k9": b"9"})
     world.net.start("f0-0")
     world.net.start("r0b")
     world.run(1500)
     world.net.kill(world.leader())
-    world.accept({"config/last": b"1"})
-    world.settle(REST_MS)
+    world.propose_until_accepted({"config/last": b"1"})
+    world.settle(SETTLE_TIMEOUT_MS)
     return sent
 
 
 def mutations(message):
-    """All mutations of a message."""
-    for name in WHOLE_MESSAGE:
-        yield _mutation_of_whole(name)
+    """Yields all mutations of a message."""
+    for name in MESSAGE_MUTATIONS:
+        yield _message_mutation(name)
     kind = message.WhichOneof("kind")
     for message_field in fields_of(getattr(message, kind), (kind,)):
         for value in other_values(message_field):
-            yield _mutation_of_field(message_field.path, value)
+            yield _field_mutation(message_field.path, value)
 
 
 def fields_of(body, path):
-    """Every field of a message, set or not; of a list of entries those of the first and the last."""
+    """Yields every field of a message, set or not; of its entries those of the first and the last."""
     for descriptor in body.DESCRIPTOR.fields:
         field_path = (*path, descriptor.name)
         value = getattr(body, descriptor.name)
@@ -126,7 +131,7 @@
 
 
 def other_values(message_field):
-    """Values at the edges of a field's range, and neighbours of the present one."""
+    """Returns values at the edges of a field's range and next to its current value."""
     descriptor, value = message_field.descriptor, message_field.value
     if descriptor.name == "entries":
         added = pb.Entry(key="config/odd", value=b"1", version=1)
@@ -147,40 +152,40 @@
 
 
 def other_numbers(type_name, value):
-    """The neighbours of an unsigned number and the edges of its type."""
+    """Returns the neighbours of an unsigned number and edge values of its type."""
     largest = 2 ** (32 if type_name.endswith("32") else 64) - 1
-    candidates = {value - 1, value + 1, *EDGES[type_name]} - {value}
+    candidates = {value - 1, value + 1, *EDGE_VALUES[type_name]} - {value}
     return sorted(number for number in candidates if 0 <= number <= largest)
 
 
-def _mutation_of_field(path, value):
+def _field_mutation(path, value):
     def deliveries(_world, receiver, message):
         changed = pb.Message.FromString(message.SerializeToString())
-        holder = changed
+        parent = changed
         for name in path[:-1]:
-            holder = holder[name] if isinstance(name, int) else getattr(holder, name)
+            parent = parent[name] if isinstance(name, int) else getattr(parent, name)
         if isinstance(value, list):
-            del getattr(holder, path[-1])[:]
-            getattr(holder, path[-1]).extend(value)
+            del getattr(parent, path[-1])[:]
+            getattr(parent, path[-1]).extend(value)
         else:
-            setattr(holder, path[-1], value)
+            setattr(parent, path[-1], value)
         return [(receiver, DELAY_MS, changed)]
 
     return Mutation(f"{'.'.join(map(str, path))} = {value!r:.40}", deliveries)
 
 
-def _mutation_of_whole(name):
+def _message_mutation(name):
     def deliveries(world, receiver, message):
         other = next(host for host in (*world.gateways, *world.relays) if host != receiver)
-        if name == "lost, and the next":
+        if name == "lost with those that follow":
             senders = [host for host in world.net.hosts if host != receiver]
             world.net.between(senders, [receiver], cut=True)
             world.net.at(world.net.now_ms + 400, world.net.mend)
         by_name = {
-            "doubled": [(receiver, DELAY_MS, message), (receiver, 0.9, message)],
-            "late past the next": [(receiver, 1300.0, message)],
-            "late past the source": [(receiver, 4000.0, message)],
-            "to another": [(other, DELAY_MS, message)],
+            "duplicated": [(receiver, DELAY_MS, message), (receiver, 0.9, message)],
+            "delayed past the next message": [(receiver, 1300.0, message)],
+            "delayed past the source timeout": [(receiver, 4000.0, message)],
+            "to another receiver": [(other, DELAY_MS, message)],
         }
         return by_name.get(name, [])
 
@@ -188,7 +193,7 @@
 
 
 def run_mutations(seed, is_selected):
-    """Runs the mutants whose number is selected."""
+    """Runs the mutants for which `is_selected(number)` is true and returns the result."""
     sent = play_scenario(seed)
     result = MutationRun(len(sent))
     for number, (sender, receiver, message) in enumerate(sent):
--- a/tests/distribution_rule_checks.py
+++ b/tests/distribution_rule_checks.py
@@ -1,4 +1,4 @@
-"""Tests of one rule each, which the rule broken on purpose (tests/distribution_broken.py) must fail."""
+"""Checks of one rule each, which fail under the mutant of that rule (tests/distribution_broken.py)."""
 
 from distribution_harness import GENERATION, Harness, delta, entry, messages_of
 from distribution_world import LEASE_MS, World
@@ -7,21 +7,21 @@
 from lichenquay.distribution.messages import set_checksum
 from lichenquay.distribution.settings import Settings
 
-MANY = {f"engine/z0/e{number}": b"v" * 60 for number in range(40)}
+FORTY_ENGINES = {f"engine/z0/e{number}": b"v" * 60 for number in range(40)}
 
 
-def filled(settings=None, changes=MANY):
-    """A source that holds keys, and whose history does not reach back to its beginning."""
+def harness_with_trimmed_history(settings=None, changes=FORTY_ENGINES):
+    """Returns a harness whose source has `changes`; by default its history holds only the last 8."""
     harness = Harness(settings or Settings(most_changes=8))
     for key, value in changes.items():
         harness.change({key: value})
     return harness
 
 
-def check_snapshot_below_what_is_held():
-    """A relay that started anew offers a state older than what is held: it is not taken."""
+def check_older_snapshot_is_not_fetched():
+    """A restarted relay offers a state older than the held one: the subscriber does not fetch it."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
     harness.change({"config/a": b"2"})
     harness.run(2000)
@@ -35,10 +35,10 @@
     )
 
 
-def check_changes_while_a_snapshot_is_fetched():
-    """A delta that comes between the pages is not taken back by them."""
-    harness = filled()
-    gateway = harness.subscriber()
+def check_snapshot_does_not_undo_a_delta():
+    """A delta arrives during a fetch: the older snapshot does not undo it."""
+    harness = harness_with_trimmed_history()
+    gateway = harness.add_subscriber()
     harness.run(2000)
     offer = pb.SnapshotOffer(
         session=gateway.session.session_id,
@@ -64,14 +64,14 @@
     )
 
 
-def check_pacing():
-    """Fifty that begin at once: bytes a second bounded, all get it, and a change goes ahead of the pages."""
+def check_snapshots_are_paced():
+    """Fifty subscribers start at once: the byte rate is bounded, each gets its snapshot, changes go first."""
     settings = Settings(most_changes=8, snapshot_bytes_per_s=50_000, most_snapshots=4)
-    harness = filled(settings)
-    ready = harness.subscriber("ready")
+    harness = harness_with_trimmed_history(settings)
+    synced = harness.add_subscriber("ready")
     harness.run(1500)
     for number in range(50):
-        harness.subscriber(f"f{number}")
+        harness.add_subscriber(f"f{number}")
     started_ms = harness.now_ms
     page_bytes = 0
 
@@ -84,7 +84,7 @@
     harness.run(500, count_pages)
     harness.change({"config/urgent": b"1"})
     harness.deliver(count_pages)
-    assert ready.applied_values.get("config/urgent") == b"1"
+    assert synced.applied_values.get("config/urgent") == b"1"
     while (
         any(subscriber.version == 0 for subscriber in harness.subscribers.values())
         and harness.now_ms < started_ms + 60_000
@@ -96,10 +96,10 @@
     assert harness.source.counts["paced"] > 10 and len(harness.source.snapshots.pacer.slots) <= 4
 
 
-def check_digest_that_never_matches():
-    """Ten minutes of wrong digests: a handful of snapshots, one line, what is in force stays."""
+def check_backoff_on_digest_mismatch():
+    """Ten minutes of wrong digests: at most 15 snapshot offers, one report, the applied values stay."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
     harness.run(1500)
 
@@ -119,18 +119,18 @@
     assert gateway.applied_version == 2
 
 
-def check_slow_subscriber():
-    """One that hears nothing is sent its retries only; others are not delayed; it resumes by version."""
+def check_slow_subscriber_is_not_pushed():
+    """A subscriber that receives nothing is sent only retries, delays no other, and resumes by version."""
     harness = Harness()
-    gateway, slow = harness.subscriber("f"), harness.subscriber("slow")
+    gateway, slow = harness.add_subscriber("f"), harness.add_subscriber("slow")
     harness.run(2000)
-    to_slow = 0
+    deltas_to_slow = 0
 
     def drop(message):
-        nonlocal to_slow
+        nonlocal deltas_to_slow
         session = message.delta.session if message.HasField("delta") else 0
         if session == slow.session.session_id:
-            to_slow += 1
+            deltas_to_slow += 1
             return None
         return message
 
@@ -138,7 +138,7 @@
         version = harness.change({f"config/k{number}": b"v"})
         harness.run(20, drop)
         assert gateway.version >= version - 5
-    assert to_slow <= 20, f"{to_slow} deltas within 4 s to one that heard none"
+    assert deltas_to_slow <= 20, f"{deltas_to_slow} deltas within 4 s to a subscriber that received none"
     harness.run(5000)
     assert (
         slow.applied_values == gateway.applied_values
@@ -147,20 +147,20 @@
     )
 
 
-def check_lying_relay():
-    """A version that nobody made, or with a wrong digest, counts for nothing."""
+def check_wrong_report_does_not_count():
+    """A reported version that does not exist or has a wrong digest does not change the coverage."""
     harness = Harness()
     harness.change({"config/a": b"1"})
     harness.change({"config/b": b"1"})
     fields = {"session": 5, "prefixes": [""]}
     below = pb.Coverage(subscribers=100, oldest=2)
-    held = harness.source.history.store.digest
-    for version, digest, expected in ((1 << 40, 0, 0), (2, 12345, 0), (2, held, 2), (2, 12345, 2)):
+    right_digest = harness.source.history.store.digest
+    for version, digest, expected in ((1 << 40, 0, 0), (2, 12345, 0), (2, right_digest, 2), (2, 12345, 2)):
         session = harness.source.sessions.get("r")
         if session is not None:
             harness.source._remove_session(session)
         if expected == 2:
-            right = pb.Follow(version=2, in_force=2, digest=held, number=1, below=below, **fields)
+            right = pb.Follow(version=2, in_force=2, digest=right_digest, number=1, below=below, **fields)
             harness.source.on_message(harness.now_ms, ("r", 1), pb.Message(follow=right))
         reported = pb.Follow(
             version=version, in_force=version, digest=digest, number=2, below=below, **fields
@@ -172,13 +172,13 @@
         assert harness.source.coverage(harness.now_ms).oldest == expected
 
 
-def check_lease_over():
-    """A publisher that runs again after a pause, and hears a relay first, says that it is not the leader."""
+def check_expired_lease_is_not_used():
+    """A publisher resumes after its lease expired and answers a relay that it is not the leader."""
     world = World(21, gateways=0)
     world.settle()
     world.run(2000)
     leader = world.leader()
-    publisher, now_ms = world.part(leader).publisher, world.now(leader) + 2 * LEASE_MS
+    publisher, now_ms = world.process(leader).publisher, world.now(leader) + 2 * LEASE_MS
     known = publisher.source.sessions.get("r0a") or next(iter(publisher.source.sessions.values()))
     follow = pb.Follow(session=known.session_id, number=known.follow_number + 1)
     publisher.on_message(now_ms, (known.name, known.incarnation), pb.Message(follow=follow))
@@ -186,10 +186,10 @@
     assert [message.WhichOneof("kind") for _, message in publisher.outbox] == ["not_leader"]
 
 
-def check_other_prefixes():
-    """A source that understood other prefixes serves nothing that is taken for what was asked for."""
+def check_other_prefixes_are_rejected():
+    """A source received other prefixes: the subscriber rejects its deltas by their checksums."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
 
     def change_prefixes(message):
@@ -202,14 +202,14 @@
 
 
 RULE_CHECKS = {
-    "marks not checked": (check_other_prefixes,),
-    "the lease not asked before a message is served": (check_lease_over,),
-    "a snapshot over a newer delta": (
-        check_snapshot_below_what_is_held,
-        check_changes_while_a_snapshot_is_fetched,
+    "checksums not checked": (check_other_prefixes_are_rejected,),
+    "lease not checked before a message is served": (check_expired_lease_is_not_used,),
+    "older snapshot replaces newer state": (
+        check_older_snapshot_is_not_fetched,
+        check_snapshot_does_not_undo_a_delta,
     ),
-    "snapshots not paced": (check_pacing,),
-    "no back-off after a wrong digest": (check_digest_that_never_matches,),
-    "pushed without an answer to the last push": (check_slow_subscriber,),
-    "a relay's version believed": (check_lying_relay,),
+    "snapshots not paced": (check_snapshots_are_paced,),
+    "no backoff after a digest mismatch": (check_backoff_on_digest_mismatch,),
+    "pushed while a delta is unanswered": (check_slow_subscriber_is_not_pushed,),
+    "reported version not checked against its digest": (check_wrong_report_does_not_count,),
 }
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -1,4 +1,4 @@
-"""A publisher's voters, relays and gateways in virtual time, with an audit of all that they send."""
+"""Simulates voters, relays and gateways in virtual time and audits every message that they handle."""
 
 from dataclasses import replace
 from random import Random
@@ -18,23 +18,23 @@
 LEASE_MS = 1500.0
 VOTERS = ("v1", "v2", "v3")
 FIVE_VOTERS = (*VOTERS, "v4", "v5")
-DISK_MS = (0.5, 4.0)
-DRIFT = 0.02
-PAUSED_RETRY_MS = 5
+DISK_WRITE_MS = (0.5, 4.0)
+MAX_CLOCK_DRIFT = 0.02
+PAUSED_RETRY_MS = 5  # Until the result of a disk write is delivered again to a paused process.
 SETTINGS = Settings()
 
 
-class VoterPart:
-    """A voter's process: its lease group, its publisher, its disk."""
+class VoterProcess:
+    """A voter's process: its lease group, publisher and disk."""
 
     def __init__(self, world, host):
-        """Starts."""
+        """Starts the process."""
         self.world = world
         self.host = host
         lease_settings = group_settings(world.settings, world.lease_ms)
-        lease_settings = replace(lease_settings, max_records=world.most_records)
+        lease_settings = replace(lease_settings, max_records=world.max_records)
         disk = world.disks.setdefault(host.name, {})
-        is_new_disk = not disk and host.name not in world.lost
+        is_new_disk = not disk and host.name not in world.voters_without_data
         self.group, self.publisher = make_voter(
             host.name,
             host.incarnation,
@@ -58,11 +58,11 @@
 
     @property
     def due_ms(self):
-        """When to call `tick`."""
+        """Returns the time at which to call `tick` next."""
         return min(self.group.due_ms, self.publisher.due_ms)
 
     def tick(self, now_ms):
-        """Does what is due."""
+        """Runs due work."""
         if now_ms >= self.group.due_ms:
             self.group.tick(now_ms)
         if now_ms >= self.publisher.due_ms:
@@ -71,28 +71,28 @@
 
     def on_message(self, now_ms, sender, message):
         """Handles a message."""
-        part = self.group if isinstance(message, LeaseMessage) else self.publisher
-        part.on_message(now_ms, sender, message)
+        component = self.group if isinstance(message, LeaseMessage) else self.publisher
+        component.on_message(now_ms, sender, message)
         self._flush()
 
     def propose(self, now_ms, entries, request, on_outcome):
-        """A proposal of a client in this process."""
+        """Proposes a change, as a client within this process."""
         self.publisher.propose(now_ms, entries, request, on_outcome)
         self._flush()
 
     def stored(self, now_ms, number):
-        """Handles that the disk has a record."""
+        """Handles the completion of a disk write."""
         self.group.on_stored(now_ms, number, True)
         self._flush()
 
     def _flush(self):
-        for part in (self.group, self.publisher):
-            self.outbox += part.outbox
-            part.outbox.clear()
+        for component in (self.group, self.publisher):
+            self.outbox += component.outbox
+            component.outbox.clear()
         writes = list(self.group.store_requests)
         self.group.store_requests = []
         for number, changes in writes:
-            delay_ms = self.world.net.rng.uniform(*DISK_MS)
+            delay_ms = self.world.net.rng.uniform(*DISK_WRITE_MS)
             net = self.world.net
             net.at(net.now_ms + delay_ms, self._write, self.host.life, number, changes)
 
@@ -117,11 +117,11 @@
         net.call(self.host.name, Layer.DISTRIBUTION, "stored", number)
 
 
-class GatewayPart:
-    """A gateway's process: a subscriber whose values the audit compares."""
+class GatewayProcess:
+    """A gateway's process: a subscriber whose values the audit checks."""
 
     def __init__(self, world, host, sources, prefixes):
-        """Starts."""
+        """Starts the process."""
         self.world = world
         self.host = host
         self.fault = None
@@ -140,7 +140,7 @@
         self.outbox = self.subscriber.outbox
 
     def apply(self, now_ms, changed, is_whole):
-        """Applies everything, or nothing while `fault` is set."""
+        """Records a change as applied; returns `fault` instead while it is set."""
         if self.fault is not None:
             return self.fault
         self.applied.append((self.subscriber.version, dict(changed), is_whole))
@@ -148,11 +148,11 @@
 
     @property
     def due_ms(self):
-        """When to call `tick`."""
+        """Returns the time at which to call `tick` next."""
         return self.subscriber.due_ms
 
     def tick(self, now_ms):
-        """Does what is due."""
+        """Runs due work."""
         self.subscriber.tick(now_ms)
 
     def on_message(self, now_ms, sender, message):
@@ -162,11 +162,11 @@
         self.world.audit.check_gateway(self.host, self.subscriber, now_ms)
 
 
-class RelayPart:
+class RelayProcess:
     """A relay's process."""
 
     def __init__(self, world, host):
-        """Starts."""
+        """Starts the process."""
         self.world = world
         self.host = host
         self.relay = Relay(host.name, world.voters, host.rng, world.settings, host.now_ms())
@@ -174,11 +174,11 @@
 
     @property
     def due_ms(self):
-        """When to call `tick`."""
+        """Returns the time at which to call `tick` next."""
         return self.relay.due_ms
 
     def tick(self, now_ms):
-        """Does what is due."""
+        """Runs due work."""
         self.relay.tick(now_ms)
 
     def on_message(self, now_ms, sender, message):
@@ -189,7 +189,11 @@
 
 
 class World:
-    """`zones` of two relays and `gateways` each; one voter a region, zones spread over the regions."""
+    """Simulates an installation.
+
+    Each of the `zones` has two relays and `gateways` gateways. Each voter has its own region, over which the zones
+    are spread.
+    """
 
     def __init__(
         self,
@@ -198,102 +202,102 @@
         gateways=2,
         weather=None,
         settings=SETTINGS,
-        most_records=1024,
+        max_records=1024,
         lease_ms=LEASE_MS,
         voters=VOTERS,
     ):
-        """Starts."""
+        """Starts the process."""
         self.settings = settings
-        self.most_records = most_records
+        self.max_records = max_records
         self.disks = {}
         self.lease_ms = lease_ms
         self.voters = voters
-        self.lost = set()  # Voters whose folder was lost.
+        self.voters_without_data = set()  # Voters whose disk was lost.
         self.net = FleetNet(seed, weather or Weather())
         self.rng = Random(f"world/{seed}")
         self.audit = Audit()
-        self.net.after = self._after
-        self.requests = self.longest = 0
+        self.net.after = self._check_outbox
+        self.last_request = self.longest_message_bytes = 0
         self.relays = []
         self.gateways = []
         self.zones = zones
         for name in voters:
-            self._host(name, lambda host: {Layer.DISTRIBUTION: VoterPart(self, host)})
+            self._add_host(name, lambda host: {Layer.DISTRIBUTION: VoterProcess(self, host)})
         for zone in range(zones):
-            self._zone(zone, gateways)
+            self._add_zone(zone, gateways)
 
-    def _host(self, name, parts):
-        rate = self.rng.uniform(1 - DRIFT, 1 + DRIFT)
+    def _add_host(self, name, parts):
+        rate = self.rng.uniform(1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT)
         self.net.host(name, parts, rate, self.rng.uniform(0, 1e6))
 
-    def _zone(self, zone, gateways):
+    def _add_zone(self, zone, gateways):
         relays = [f"r{zone}{letter}" for letter in "ab"]
         for name in relays:
-            self._host(name, lambda host: {Layer.DISTRIBUTION: RelayPart(self, host)})
+            self._add_host(name, lambda host: {Layer.DISTRIBUTION: RelayProcess(self, host)})
             self.relays.append(name)
         for number in range(gateways):
             order = relays if number % 2 == 0 else relays[::-1]
             self.add_gateway(f"f{zone}-{number}", order, ["config/", f"engine/z{zone}/"])
 
     def add_gateway(self, name, sources, prefixes):
-        """One more gateway."""
-        self._host(name, lambda host: {Layer.DISTRIBUTION: GatewayPart(self, host, sources, prefixes)})
+        """Adds a gateway; returns the world."""
+        self._add_host(name, lambda host: {Layer.DISTRIBUTION: GatewayProcess(self, host, sources, prefixes)})
         self.gateways.append(name)
         return self
 
-    def region(self, number):
-        """All names of a region: its voter, its zones."""
+    def names_of_region(self, number):
+        """Returns the names of a region's processes: its voter, relays and gateways."""
         zones = [str(zone) for zone in range(self.zones) if zone % len(VOTERS) == number]
         hosts = [name for name in (*self.relays, *self.gateways) if name[1] in zones]
         return [VOTERS[number], *hosts]
 
-    def _after(self, host, layer, part):
-        for _, message in part.outbox:
+    def _check_outbox(self, host, layer, process):
+        for _, message in process.outbox:
             if isinstance(message, pb.Message):
                 size = message.ByteSize()
-                self.longest = max(self.longest, size)
+                self.longest_message_bytes = max(self.longest_message_bytes, size)
                 require(size <= MAX_BODY_BYTES, f"{host.name}: a message of {size} bytes: {message}")
                 is_published = host.name in self.voters and message.WhichOneof("kind") in PUBLISHING_KINDS
-                may_be_sent = not is_published or part.group.holds(host.now_ms())
+                may_be_sent = not is_published or process.group.holds(host.now_ms())
                 require(may_be_sent, f"{host.name} publishes without the lease: {message}")
 
-    # What a test does.
+    # Called by tests.
 
-    def part(self, name):
-        """The part of a process."""
+    def process(self, name):
+        """Returns the process of a name."""
         return self.net.hosts[name].parts[Layer.DISTRIBUTION]
 
     def subscriber(self, name):
-        """A gateway's or a relay's."""
-        part = self.part(name)
-        return part.relay.subscriber if isinstance(part, RelayPart) else part.subscriber
+        """Returns the subscriber of a gateway or a relay."""
+        process = self.process(name)
+        return process.relay.subscriber if isinstance(process, RelayProcess) else process.subscriber
 
     def now(self, name):
-        """The clock of a process."""
+        """Returns the time by the clock of a process, in ms."""
         return self.net.hosts[name].now_ms()
 
     def leader(self):
-        """The name of the voter that holds the lease, None if there is none."""
+        """Returns the name of the voter that holds the lease, None if there is none."""
         for name in self.voters:
             host = self.net.hosts[name]
-            if host.up and not host.paused and self.part(name).group.holds(host.now_ms()):
+            if host.up and not host.paused and self.process(name).group.holds(host.now_ms()):
                 return name
         return None
 
     def run(self, ms, done=None):
-        """Runs for some time, or until done()."""
+        """Runs for a time in ms, or until done() is true; returns what FleetNet.run does."""
         return self.net.run(self.net.now_ms + ms, done)
 
     def settle(self, ms=20_000):
-        """Runs until there is a leader, and all that run have all that is accepted in force."""
-        assert self.run(ms, self.settled), f"not settled after {ms} ms: {self.lagging()}"
+        """Runs until `is_settled`, for at most `ms`."""
+        assert self.run(ms, self.is_settled), f"not settled after {ms} ms: {self.lagging_gateways()}"
 
-    def settled(self):
-        """Whether all that run have in force all that is accepted."""
-        return self.leader() is not None and not self.lagging()
+    def is_settled(self):
+        """Returns whether there is a leader and all running gateways have all accepted changes in force."""
+        return self.leader() is not None and not self.lagging_gateways()
 
-    def lagging(self):
-        """The gateways whose version in force is not the newest, or not confirmed."""
+    def lagging_gateways(self):
+        """Returns the running gateways that lack an accepted change or whose version may be outdated."""
         newest = self.audit.newest
         return [
             name for name in self.gateways if self.net.hosts[name].up and not self._is_current(name, newest)
@@ -304,9 +308,12 @@
         return self.audit.is_current(subscriber, newest) and not subscriber.is_stale(self.now(name))
 
     def propose(self, changes, request=None, voter=None, on_outcome=None):
-        """Proposes {key: value or None} to the leader or a voter; returns a list of the answers."""
-        self.requests += 1
-        request = request or self.requests
+        """Proposes {key: value or None} to a voter, by default the leader; returns the list of answers.
+
+        The list is filled while the world runs.
+        """
+        self.last_request += 1
+        request = request or self.last_request
         voter = voter or self.leader()
         answers = []
 
@@ -321,11 +328,11 @@
             self.net.call(voter, Layer.DISTRIBUTION, "propose", entries, request, on_answer)
         return answers
 
-    def accept(self, changes, ms=10_000):
-        """Proposes until it is accepted; returns its version."""
+    def propose_until_accepted(self, changes, ms=10_000):
+        """Repeats a proposal until it is accepted, for at most `ms`; returns its version."""
         until_ms = self.net.now_ms + ms
-        self.requests += 1
-        request = self.requests
+        self.last_request += 1
+        request = self.last_request
         while self.net.now_ms < until_ms:
             answers = self.propose(changes, request)
             self.run(500, lambda answers=answers: bool(answers))
@@ -337,5 +344,5 @@
 
 
 def entry_of(key, value):
-    """A proposal's entry."""
+    """Returns the entry of a proposal; with value None it deletes the key."""
     return pb.Entry(key=key, value=value or b"", deleted=value is None)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -31,16 +31,16 @@
 def status_of(world):
     """What the publisher knows."""
     name = world.leader()
-    return world.part(name).publisher.status(world.now(name))
+    return world.process(name).publisher.status(world.now(name))
 
 
 def test_a_change_is_in_force_at_all_gateways_within_a_second_when_calm():
     """From its proposal on, its record on two disks included."""
     world = settled(1)
     begun = world.net.now_ms
-    version = world.accept({"config/limits": b"1", "engine/z1/e7": b"up"})
-    world.run(1000, lambda: not world.lagging())
-    assert not world.lagging() and world.net.now_ms - begun < 1000
+    version = world.propose_until_accepted({"config/limits": b"1", "engine/z1/e7": b"up"})
+    world.run(1000, lambda: not world.lagging_gateways())
+    assert not world.lagging_gateways() and world.net.now_ms - begun < 1000
     held = [world.subscriber(name).applied_version for name in world.gateways]
     assert held == [version] * len(world.gateways)
 
@@ -48,7 +48,7 @@
 def test_the_publisher_knows_what_is_in_force_everywhere():
     """By what relays tell upwards."""
     world = settled(2)
-    version = world.accept({"config/limits": b"1"})
+    version = world.propose_until_accepted({"config/limits": b"1"})
     world.run(4000)
     known = status_of(world)
     assert (known.newest, known.in_force, known.subscribers) == (version, version, len(world.gateways))
@@ -58,11 +58,11 @@
 def test_another_publisher_goes_on_with_deltas():
     """Versions go on without a gap, and nobody needs a further snapshot."""
     world = settled(3)
-    versions = [world.accept({f"config/k{number}": b"1"}) for number in range(5)]
+    versions = [world.propose_until_accepted({f"config/k{number}": b"1"}) for number in range(5)]
     world.run(1000)
     first = world.leader()
     world.net.kill(first)
-    versions.append(world.accept({"config/k0": b"2"}))
+    versions.append(world.propose_until_accepted({"config/k0": b"2"}))
     world.settle()
     assert versions == list(range(1, 7)) and world.leader() != first
     assert not any(world.subscriber(name).counts["snapshots"] for name in world.gateways + world.relays)
@@ -75,13 +75,13 @@
     Of a change accepted right before, and of one proposed right after.
     """
     world = settled(seed, voters=FIVE_VOTERS)
-    version = world.accept({"config/limits": b"%d" % seed})
+    version = world.propose_until_accepted({"config/limits": b"%d" % seed})
     leader = world.leader()
     other = next(name for name in FIVE_VOTERS if name != leader)
     for name in (leader, other, *world.relays[seed % 2 :: 2]):
         world.net.kill(name)
     begun = world.net.now_ms
-    world.accept({"config/limits": b"next", "config/more": b"1"})
+    world.propose_until_accepted({"config/limits": b"next", "config/more": b"1"})
     world.settle(7000)
     assert world.net.now_ms - begun < 7000
     assert all(world.subscriber(name).applied_version > version for name in world.gateways)
@@ -94,7 +94,7 @@
     first = world.leader()
     world.net.pause(first, pause_ms)
     world.run(pause_ms - 5)
-    version = world.accept({"config/limits": b"2"})
+    version = world.propose_until_accepted({"config/limits": b"2"})
     world.settle()
     assert status_of(world).newest >= version
 
@@ -123,7 +123,7 @@
     world = settled(7)
     leader = world.leader()
     other = next(name for name in VOTERS if name != leader)
-    part = world.part(other)
+    part = world.process(other)
     propose = pb.Propose(request=5, entries=[entry_of("config/a", b"1")])
     part.publisher.on_message(world.now(other), ("client", 1), pb.Message(propose=propose))
     ((to, message),) = part.publisher.outbox
@@ -134,7 +134,7 @@
     """Accepted with its version, or refused with one clear line."""
     world = settled(8)
     leader = world.leader()
-    publisher = world.part(leader).publisher
+    publisher = world.process(leader).publisher
     heard = []
     world.net.host("client", lambda host: {Layer.DISTRIBUTION: Client(heard)})
     for request, key in ((1, "config/a"), (2, "nonsense")):
@@ -170,16 +170,16 @@
 def test_a_gateway_that_cannot_apply_keeps_its_last_good_version_and_is_counted():
     """One line, a count at the publisher, nobody else harmed; and it comes back by itself."""
     world = settled(9)
-    good = world.accept({"config/limits": b"1"})
+    good = world.propose_until_accepted({"config/limits": b"1"})
     world.settle()
-    gateway = world.part("f0-0")
+    gateway = world.process("f0-0")
     gateway.fault = "limits over what this machine has"
-    bad = world.accept({"config/limits": b"9", "config/more": b"1"})
+    bad = world.propose_until_accepted({"config/limits": b"9", "config/more": b"1"})
     world.run(3000)
     assert (gateway.subscriber.applied_version, gateway.subscriber.version) == (good, bad)
     assert gateway.subscriber.applied_values == {"config/limits": b"1"} and len(gateway.reports) == 1
     assert status_of(world).refused == 1 and status_of(world).in_force == good
-    assert world.lagging() == ["f0-0"]
+    assert world.lagging_gateways() == ["f0-0"]
     gateway.fault = None
     world.settle()
     world.run(3000)
@@ -189,11 +189,11 @@
 def test_a_gateway_cut_off_knows_that_its_version_is_old_and_serves_on():
     """By its own clock; and it is counted as stale where it was."""
     world = settled(10)
-    world.accept({"config/limits": b"1"})
+    world.propose_until_accepted({"config/limits": b"1"})
     world.settle()
     others = [name for name in world.net.hosts if name != "f1-0"]
     world.net.split(["f1-0"], others)
-    version = world.accept({"config/limits": b"2"})
+    version = world.propose_until_accepted({"config/limits": b"2"})
     gateway = world.subscriber("f1-0")
     world.run(world.settings.stale_ms)
     assert gateway.is_stale(world.now("f1-0")) and gateway.applied_values == {"config/limits": b"1"}
@@ -218,7 +218,7 @@
     assert all(world.subscriber(name).source != lost for name in left)
     world.net.start(lost)
     world.run(8 * world.settings.silent_ms)
-    version = world.accept({"config/limits": b"2"})
+    version = world.propose_until_accepted({"config/limits": b"2"})
     world.settle()
     world.run(3 * world.settings.report_ms)
     assert {name: world.subscriber(name).source for name in world.gateways} == preferred
@@ -231,12 +231,12 @@
     """It tells them to wait until it has caught up; the audit demands that no version falls."""
     world = settled(11)
     for number in range(30):
-        world.accept({f"config/k{number % 3}": b"%d" % number})
+        world.propose_until_accepted({f"config/k{number % 3}": b"%d" % number})
     world.settle()
     for name in world.relays:
         world.net.kill(name)
         world.net.start(name)
-    world.accept({"config/k0": b"last"})
+    world.propose_until_accepted({"config/k0": b"last"})
     world.settle(7000)
     assert not any(world.subscriber(name).counts["snapshots"] for name in world.gateways)
 
@@ -245,7 +245,7 @@
     """Another zone's engines are not there, and not sent."""
     world = settled(12)
     for number in range(9):
-        world.accept({f"engine/z{number % 3}/e{number}": b"up"})
+        world.propose_until_accepted({f"engine/z{number % 3}/e{number}": b"up"})
     world.add_gateway("late", ["r0a", "r0b"], ["engine/z0/", "config/"])
     world.settle()
     assert sorted(world.subscriber("late").applied_values) == ["engine/z0/e0", "engine/z0/e3", "engine/z0/e6"]
@@ -259,19 +259,19 @@
     A whole hour is tried with all times but the clock's ten times as long, unless DISTRIBUTION_HOUR is set.
     """
     world = settled(13, gateways=1, settings=slower(beat), lease_ms=beat * LEASE_MS)
-    world.accept({"config/limits": b"0"})
+    world.propose_until_accepted({"config/limits": b"0"})
     world.settle()
     leader = VOTERS.index(world.leader())
-    side = world.region(leader if with_leader else (leader + 1) % 3)
+    side = world.names_of_region(leader if with_leader else (leader + 1) % 3)
     others = [name for name in world.net.hosts if name not in side]
     voter, gateway = side[0], next(name for name in side if name in world.gateways)
     before = world.subscriber(gateway).applied_version
     world.net.split(side, others)
     for minute in range(minutes):
         world.run(10_000 * beat, lambda: world.leader() in others)
-        world.accept({"config/limits": b"%d" % minute, f"config/k{minute % 7}": b"1"})
+        world.propose_until_accepted({"config/limits": b"%d" % minute, f"config/k{minute % 7}": b"1"})
         world.run(60_000 - 100)
-        assert not world.part(voter).group.holds(world.now(voter))
+        assert not world.process(voter).group.holds(world.now(voter))
     assert world.subscriber(gateway).applied_version == before and world.subscriber(gateway).is_stale(
         world.now(gateway)
     )
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -68,7 +68,7 @@
     world.net.host("client", lambda host: {Layer.DISTRIBUTION: client})
     world.run(10_000, lambda: world.leader() is not None)
     leader = world.leader()
-    publisher = world.part(leader).publisher
+    publisher = world.process(leader).publisher
     requests = []
     for message in changed_proposals(world, leader):
         requests.append(message.propose.request)
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -1,9 +1,9 @@
 """Sources and subscribers without a network: limits, pacing, invalid input, and rules with their checks."""
 
 import pytest
-from distribution_broken import BROKEN
+from distribution_broken import MUTANTS
 from distribution_harness import GENERATION, Harness, delta, entry, messages_of
-from distribution_rule_checks import RULE_CHECKS, filled
+from distribution_rule_checks import RULE_CHECKS, harness_with_trimmed_history
 
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import set_checksum
@@ -23,14 +23,14 @@
 @pytest.mark.parametrize("rule", RULE_CHECKS)
 def test_rules_broken_on_purpose_are_found_by_their_check(rule):
     """Each by the first of its checks."""
-    with BROKEN[rule](), pytest.raises(AssertionError):
+    with MUTANTS[rule](), pytest.raises(AssertionError):
         RULE_CHECKS[rule][0]()
 
 
 def test_changes_within_merge_ms_go_out_as_one_delta():
     """The first at once, the rest together; the last of each key; versions still increase."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.run(2000)
     for number in range(10):
         harness.change({"config/a": b"%d" % number, f"config/b{number % 2}": b"1"})
@@ -44,7 +44,7 @@
 def test_a_cut_subscriber_resumes_by_version():
     """Two hundred changes later, without a snapshot."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.run(2000)
     for number in range(200):
         harness.change({f"config/k{number % 20}": b"%d" % number})
@@ -55,8 +55,8 @@
 
 def test_one_behind_the_history_costs_one_snapshot():
     """And goes on with deltas."""
-    harness = filled()
-    gateway = harness.subscriber()
+    harness = harness_with_trimmed_history()
+    gateway = harness.add_subscriber()
     harness.run(2000)
     harness.change({"config/a": b"1"})
     harness.run(500)
@@ -67,13 +67,13 @@
 
 def test_one_that_holds_nothing_gets_a_snapshot_though_the_history_is_whole():
     """Deltas of a long history would not be paced; of a short one they are less than a snapshot."""
-    harness = filled(Settings())
-    gateway = harness.subscriber()
+    harness = harness_with_trimmed_history(Settings())
+    gateway = harness.add_subscriber()
     harness.run(2000)
     assert gateway.applied_version == 40 and gateway.counts["snapshots"] == 0
     for number in range(100):
         harness.change({f"engine/z1/e{number}": bytes(60)})
-    other = harness.subscriber("other")
+    other = harness.add_subscriber("other")
     harness.run(2000)
     assert other.applied_values == gateway.applied_values
     assert other.counts["snapshots"] == 1 and gateway.counts["snapshots"] == 0
@@ -82,7 +82,7 @@
 def test_one_wrong_delta_costs_one_snapshot():
     """What was in force stays until it is whole."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
     wrong = entry("config/a", b"9", 2)
@@ -98,8 +98,8 @@
 
 def test_a_snapshot_cut_off_half_way_harms_nobody():
     """Pages stop; the subscriber keeps what it has, goes on elsewhere, and others are served."""
-    harness = filled()
-    gateway, other = harness.subscriber(), harness.subscriber("other")
+    harness = harness_with_trimmed_history()
+    gateway, other = harness.add_subscriber(), harness.add_subscriber("other")
     seen = []
 
     def drop_after_two_pages(message):
@@ -117,8 +117,10 @@
 def test_a_fetch_that_takes_longer_than_a_session_lives_is_finished():
     """Many that fetch at once, pages in quick succession for half a minute: none begins anew."""
     settings = Settings(most_changes=8, snapshot_bytes_per_s=20_000)
-    harness = filled(settings, {f"config/k{number}": bytes(60) for number in range(600)})
-    gateways = [harness.subscriber(f"f{number}") for number in range(8)]
+    harness = harness_with_trimmed_history(
+        settings, {f"config/k{number}": bytes(60) for number in range(600)}
+    )
+    gateways = [harness.add_subscriber(f"f{number}") for number in range(8)]
     started_ms = harness.now_ms
     while not all(gateway.version for gateway in gateways) and harness.now_ms < started_ms + 60_000:
         harness.run(500)
@@ -132,7 +134,7 @@
 def test_a_subscriber_goes_to_the_next_source_and_back_round():
     """A silent one is left after `silent_ms`."""
     harness = Harness()
-    gateway = harness.subscriber(sources=("gone", "s"))
+    gateway = harness.add_subscriber(sources=("gone", "s"))
     harness.change({"config/a": b"1"})
     harness.run(harness.settings.silent_ms + 1000)
     assert gateway.source == "s" and gateway.applied_version == 1 and gateway.counts["failovers"] == 1
@@ -141,7 +143,7 @@
 def test_a_source_that_fails_again_and_again_is_tried_ever_later():
     """Otherwise a relay that answers now and then costs each subscriber `silent_ms` every time."""
     harness = Harness()
-    gateway = harness.subscriber(sources=("lost", "s"))
+    gateway = harness.add_subscriber(sources=("lost", "s"))
     tried = []
 
     def record_trial(message):
@@ -160,7 +162,7 @@
 def test_a_leave_ends_only_the_session_that_it_names():
     """Otherwise a late Leave would end the session that its sender has by now."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
     for session, incarnation in ((gateway.session.session_id + 1, 1), (gateway.session.session_id, 2)):
@@ -177,9 +179,9 @@
     """At the subscriber when it is made, and at the source."""
     harness = Harness()
     with pytest.raises(ValueError):
-        harness.subscriber(prefixes=[f"config/{number}" for number in range(17)])
+        harness.add_subscriber(prefixes=[f"config/{number}" for number in range(17)])
     with pytest.raises(ValueError):
-        harness.subscriber(prefixes=["config/" + f"{number}" * 57 for number in range(16)])
+        harness.add_subscriber(prefixes=["config/" + f"{number}" * 57 for number in range(16)])
     follow = pb.Follow(session=1, prefixes=[f"config/{number}" for number in range(17)])
     harness.source.on_message(harness.now_ms, ("f", 1), pb.Message(follow=follow))
     assert harness.source.counts["malformed"] == 1 and not harness.source.sessions
@@ -204,7 +206,7 @@
 def test_an_unknown_session_is_asked_for_its_prefixes():
     """A source that started anew says so, and the subscription goes on."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
     harness.source.reset(harness.now_ms, harness.source.history.store, GENERATION + 1)
@@ -216,7 +218,7 @@
 def test_nothing_of_an_older_generation_is_taken():
     """Neither at a subscriber nor at a source."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.run(2000)
     last = entry("config/a", b"1", 1)
     digest = gateway.state.store.digest_after([last])
@@ -243,7 +245,7 @@
 def test_senseless_deltas_change_nothing(fields):
     """They are counted."""
     harness = Harness()
-    gateway = harness.subscriber(prefixes=["config/"])
+    gateway = harness.add_subscriber(prefixes=["config/"])
     harness.change({"config/a": b"1"})
     harness.run(2000)
     message = delta(gateway.session.session_id, 1, 2, [entry("config/a", b"2", 2)], 1)
@@ -266,7 +268,7 @@
 def test_what_a_gateway_refused_is_tried_again_ever_later():
     """Versions that bring it nothing new don't count; one line; then it is in force."""
     harness = Harness()
-    gateway = harness.subscriber(prefixes=["config/"])
+    gateway = harness.add_subscriber(prefixes=["config/"])
     harness.refusal = "no room"
     harness.change({"config/a": b"1"})
     for number in range(60):
@@ -283,7 +285,7 @@
 def test_a_stopped_subscriber_says_nothing():
     """What is in force stays."""
     harness = Harness()
-    gateway = harness.subscriber()
+    gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
     harness.run(2000)
     gateway.stop()
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -260,7 +260,7 @@
 def test_the_longest_subscription_fits_into_the_envelope():
     """A relay's Follow, with all that it tells, at the most prefixes that are taken."""
     harness = Harness()
-    gateway = harness.subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
+    gateway = harness.add_subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
     largest = pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
     gateway.make_coverage = lambda: largest
     gateway.generation = 1 << 62
@@ -272,7 +272,7 @@
     (follow,) = messages_of(gateway, "follow")
     assert 950 < pb.Message(follow=follow).ByteSize() <= MAX_BODY_BYTES
     with pytest.raises(ValueError):
-        harness.subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
+        harness.add_subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
 
 
 def test_a_snapshot_of_many_keys_is_pages_that_fit():
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -61,11 +61,13 @@
 
 def play():
     """Changes are accepted, refused and deleted; a relay and the leader fail; a gateway comes late."""
-    world = World(SEED, zones=1, gateways=2, settings=SETTINGS, most_records=MOST_RECORDS)
+    world = World(SEED, zones=1, gateways=2, settings=SETTINGS, max_records=MOST_RECORDS)
     recorder = Recorder(world)
     world.settle()
     for number in range(4):
-        world.accept({f"config/{number}": b"value %d" % number, f"engine/z0/{number}": b"x" * 300})
+        world.propose_until_accepted(
+            {f"config/{number}": b"value %d" % number, f"engine/z0/{number}": b"x" * 300}
+        )
     leader = world.leader()
     follower = next(name for name in VOTERS if name != leader)
     request = pb.Propose(request=7_001, entries=ENTRIES[:1])
@@ -79,15 +81,15 @@
     world.net.kill("r0a")
     world.run(5_000)
     for number in range(8):
-        world.accept({"config/0": b"again %d" % number, "engine/z0/1": b"y%d" % number})
-    world.accept({"config/1": None})
+        world.propose_until_accepted({"config/0": b"again %d" % number, "engine/z0/1": b"y%d" % number})
+    world.propose_until_accepted({"config/1": None})
     world.net.start("r0a")
     world.add_gateway("late", ["r0b", "r0a"], ["config/"])
     world.add_gateway("later", ["r0b", "r0a"], [""])
     world.run(8_000)
     world.net.kill(leader)
     world.run(6_000)
-    world.accept({"config/last": b"of another leader"})
+    world.propose_until_accepted({"config/last": b"of another leader"})
     world.net.start(leader)
     world.run(5_000)
     world.settle()
@@ -177,7 +179,7 @@
 def effect_at_voter(example):
     """What a client's message does to a new voter alone, which is no leader."""
     world = World(SEED, zones=0, gateways=0)
-    part = world.part("v1")
+    part = world.process("v1")
     part.on_message(world.now("v1"), CLIENT, pb.Message.FromString(bytes.fromhex(example["bytes"])))
     sent = [[name, m.SerializeToString().hex()] for name, m in part.outbox if isinstance(m, pb.Message)]
     return {"sent": sent}
@@ -234,7 +236,7 @@
     }
     held = {name: held_by(world.subscriber(name)) for name in (*world.relays, *world.gateways)}
     stored = {"voters": disks, "held": held, "record": make_record(ENTRIES, 9).hex()}
-    base, _ = world.part(world.leader()).group.state
+    base, _ = world.process(world.leader()).group.state
     stored["base"] = base.hex()
     stored["fold"] = fold(b"", [make_record(ENTRIES, 9), make_record(ENTRIES[:1], 10), b"\xff"]).hex()
     return {"messages": messages, "stored": stored}
@@ -303,7 +305,7 @@
 
 def test_voters_go_on_from_the_stored_state_of_the_old_revision(stored):
     """They elect a leader, and its subscribers get what the old one had accepted."""
-    world = World(SEED, zones=0, gateways=0, settings=SETTINGS, most_records=MOST_RECORDS)
+    world = World(SEED, zones=0, gateways=0, settings=SETTINGS, max_records=MOST_RECORDS)
     for voter in VOTERS:
         world.net.kill(voter)
     for voter in VOTERS:
@@ -315,12 +317,12 @@
     state = pb.State.FromString(bytes.fromhex(stored["base"]))
     world.audit.states[state.version] = {entry.key: (entry.value, entry.version) for entry in state.entries}
     assert world.run(10_000, lambda: world.leader() is not None)
-    store = world.part(world.leader()).publisher.source.history.store
+    store = world.process(world.leader()).publisher.source.history.store
     assert (store.version, store.digest) == (version, stored["held"]["later"]["digest"])
     assert {key: value for key, (value, _) in store.entries.items()} == values
     answers = []
     leader = world.leader()
-    world.part(leader).propose(
+    world.process(leader).propose(
         world.now(leader), ENTRIES[:1], 7_001, lambda now_ms, proposed: answers.append(proposed)
     )
     assert [answer.outcome for answer in answers] == [pb.Proposed.ACCEPTED]
