--- a/lichenquay/distribution/pacing.py
+++ b/lichenquay/distribution/pacing.py
@@ -65,9 +65,8 @@
         """Starts without a fetch."""
         self.settings = settings
         self.bucket = TokenBucket(settings.snapshot_bytes_per_s, now_ms)
-        self.slots: OrderedDict[str, float] = (
-            OrderedDict()
-        )  # Time of the last message by subscriber, oldest first.
+        # Time of the last message by subscriber, oldest first.
+        self.slots: OrderedDict[str, float] = OrderedDict()
         self.requests: OrderedDict[str, PageRequest] = OrderedDict()  # At most one window per subscriber.
 
     def admit(self, now_ms: float, name: str) -> bool:
--- a/lichenquay/distribution/snapshot_fetch.py
+++ b/lichenquay/distribution/snapshot_fetch.py
@@ -62,7 +62,7 @@
         self.store.apply(self.version, page.entries)
         if self.store.bytes > 2 * self.settings.most_state_bytes:
             raise DigestError(
-                f"snapshot of version {self.version} has {self.store.bytes} bytes, more than a state may have"
+                f"snapshot of version {self.version} is too large: {self.store.bytes} bytes received"
             )
         while self.first_missing in self.received_pages:
             self.first_missing += 1
--- a/tests/distribution/changes.py
+++ b/tests/distribution/changes.py
@@ -1,4 +1,4 @@
-"""Clients that propose changes all the time, and the audit of their outcomes."""
+"""Clients that propose changes continuously, and the audit of the outcomes."""
 
 import threading
 import time
@@ -11,14 +11,17 @@
 from lichenquay.control_plane.errors import NoAnswerError
 from lichenquay.distribution import distribution_pb2 as pb
 
-HOT_KEY = "config/hot"  # all clients change it
-REQUEST_S = 2.0  # of one call; an answer in doubt is asked for again with the same request
+SHARED_KEY = "config/hot"  # All clients change it.
+REQUEST_TIMEOUT_S = 2.0  # Of one call, after which it is repeated with the same request number.
 PAUSE_S = 0.02
 
 
 @dataclass
 class Change:
-    """One proposal: entries {key: value or None}. `started_ms`, `known_ms`: asked first, outcome known."""
+    """One proposal of entries {key: value or None}.
+
+    `started_ms` is when it was first sent, `known_ms` when its outcome became known.
+    """
 
     request: int
     entries: dict
@@ -30,7 +33,7 @@
 
 
 def entries_of(values):
-    """As a proposal has them."""
+    """Returns {key: value or None} as entries of a proposal."""
     return [
         pb.Entry(key=key, deleted=True) if value is None else pb.Entry(key=key, value=value)
         for key, value in values.items()
@@ -38,43 +41,45 @@
 
 
 class Proposer(threading.Thread):
-    """Proposes one change after the other until it is told to stop; what is in doubt is asked again."""
+    """Proposes one change after the other until it is stopped, and repeats those that are in doubt."""
 
-    def __init__(self, installation, name, voters, count=None, number_from=0):
-        """count: changes at most."""
+    def __init__(self, installation, name, voters, max_changes=None, first_number=1):
+        """`max_changes`: None for no limit."""
         super().__init__(daemon=True, name=name)
         addresses = [installation.address(name, voter) for voter in voters]
-        self.client = Client(FLEET, addresses, REQUEST_S)
+        self.client = Client(FLEET, addresses, REQUEST_TIMEOUT_S)
         self.client.socket.bind(("127.0.0.1", 0))
         installation.links.targets[name] = self.client.socket.getsockname()
-        self.count = count
-        self.number = number_from
+        self.max_changes = max_changes
+        self.number = first_number - 1
         self.changes = []
         self.stopped = threading.Event()
         self.error = None
 
     def run(self):
-        """Each third change is to a key of its own, the others to the hot one."""
+        """Proposes every third change to a key of its own, the others to the shared key."""
         try:
-            while not self.stopped.is_set() and (self.count is None or len(self.changes) < self.count):
+            while not self.stopped.is_set() and (
+                self.max_changes is None or len(self.changes) < self.max_changes
+            ):
                 self.number += 1
-                key = f"config/{self.name}-{self.number}" if self.number % 3 == 0 else HOT_KEY
+                key = f"config/{self.name}-{self.number}" if self.number % 3 == 0 else SHARED_KEY
                 self.propose({key: f"{self.name} {self.number}".encode()})
                 self.stopped.wait(PAUSE_S)
         except Exception as error:
             self.error = error
 
     def propose(self, values, seconds=30.0):
-        """One change, asked for until its outcome is known or the time is up."""
+        """Proposes one change, repeatedly until its outcome is known or the time is over; returns it."""
         request = self.client.rng.getrandbits(63) + 1
         change = Change(request, values, time.monotonic() * 1000)
         self.changes.append(change)
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
+        end_s = time.monotonic() + seconds
+        while time.monotonic() < end_s:
             try:
                 answer = self.client.propose(entries_of(values), request)
             except NoAnswerError:
-                if self.stopped.is_set() and seconds <= REQUEST_S:
+                if self.stopped.is_set() and seconds <= REQUEST_TIMEOUT_S:
                     break
                 continue
             change.outcome = answer.outcome
@@ -85,23 +90,26 @@
         return change
 
     def finish(self, seconds=30.0):
-        """Ends with the pending change; raises what ended the thread."""
+        """Stops after the pending change; raises the exception that ended the thread, if any."""
         self.stopped.set()
         if self.is_alive():
             self.join(seconds)
-            assert not self.is_alive(), "a change is in doubt for too long"
+            assert not self.is_alive(), f"{self.name}: a change is in doubt for more than {seconds} s"
         self.client.socket.close()
         if self.error is not None:
             raise self.error
 
 
 def accepted(changes):
-    """In order of version."""
-    return sorted((c for c in changes if c.outcome == pb.Proposed.ACCEPTED), key=lambda c: c.version)
+    """Returns the accepted changes, sorted by version."""
+    return sorted(
+        (change for change in changes if change.outcome == pb.Proposed.ACCEPTED),
+        key=lambda change: change.version,
+    )
 
 
-def expected(changes):
-    """{key: value} of all accepted changes together."""
+def expected_values(changes):
+    """Returns {key: value} after all accepted changes."""
     state = {}
     for change in accepted(changes):
         for key, value in change.entries.items():
@@ -113,64 +121,76 @@
 
 
 def wait_settled(subscribers, changes, seconds=20.0):
-    """Waits until all that was accepted is in force at all of them, and nothing else."""
-    expected_values = expected(changes)
+    """Waits until exactly the accepted changes are in force at all subscribers."""
+    values = expected_values(changes)
     try:
-        until(lambda: all(h.values() == expected_values for h in subscribers), seconds)
+        until(lambda: all(subscriber.values() == values for subscriber in subscribers), seconds)
     except AssertionError:
-        raise AssertionError(_difference(subscribers, expected_values)) from None
+        raise AssertionError(_describe_difference(subscribers, values)) from None
 
 
 def audit(subscribers, changes):
-    """No broken rule in what clients were told and subscribers put in force."""
-    made = accepted(changes)
-    versions = [change.version for change in made]
+    """Checks the clients' answers and the subscribers' steps against each other."""
+    accepted_changes = accepted(changes)
+    versions = [change.version for change in accepted_changes]
     assert len(set(versions)) == len(versions), "two changes with one version"
-    _audit_order(made)
+    _audit_order(accepted_changes)
     for subscriber in subscribers:
-        _audit_steps(subscriber, made)
-    _audit_refused(subscribers, [c for c in changes if c.outcome == pb.Proposed.REFUSED])
+        _audit_steps(subscriber, accepted_changes)
+    _audit_refused(subscribers, [change for change in changes if change.outcome == pb.Proposed.REFUSED])
     _audit_digests(subscribers)
 
 
-def _audit_order(made):
-    """What began after another was known has a higher version."""
-    for change in made:
-        later = [c for c in made if c.started_ms > change.known_ms and c.version < change.version]
+def _audit_order(accepted_changes):
+    """Checks that a change proposed after another one was accepted has a higher version."""
+    for change in accepted_changes:
+        later = [
+            other
+            for other in accepted_changes
+            if other.started_ms > change.known_ms and other.version < change.version
+        ]
         assert not later, f"versions against the order of time: {change} and {later[0]}"
 
 
-def _audit_steps(subscriber, made):
-    """Versions only rise; each value seen is that of its version, and no other than the accepted ones."""
-    numbers = [step.version for step in subscriber.steps]
-    assert numbers == sorted(numbers), f"{subscriber.name}: versions in turn"
+def _audit_steps(subscriber, accepted_changes):
+    """Checks that versions never fall and that each value is from an accepted change up to its version."""
+    versions = [step.version for step in subscriber.steps]
+    assert versions == sorted(versions), f"{subscriber.name}: versions fall: {versions}"
     for before, after in zip(subscriber.steps, subscriber.steps[1:], strict=False):
-        assert after.version > before.version or not after.changed, f"{subscriber.name}: one version twice"
-    known = {(key, change.entries[key]): change.version for change in made for key in change.entries}
+        assert after.version > before.version or not after.changed, (
+            f"{subscriber.name}: version {after.version} applied twice"
+        )
+    accepted_versions = {
+        (key, change.entries[key]): change.version for change in accepted_changes for key in change.entries
+    }
     for step in subscriber.steps:
         for key, value in step.changed.items():
-            version = known.get((key, value))
+            version = accepted_versions.get((key, value))
             assert version is not None, (
-                f"{subscriber.name}: {key} is {value!r}, which nobody was told to be accepted"
+                f"{subscriber.name}: {key} is {value!r}, which no client was told is accepted"
             )
             assert version <= step.version, f"{subscriber.name}: {key} is {value!r} before its version"
-    _audit_last(subscriber, made)
+    _audit_last_values(subscriber, accepted_changes)
 
 
-def _audit_last(subscriber, made):
-    """At each step the value of a key is the last one up to that version."""
+def _audit_last_values(subscriber, accepted_changes):
+    """Checks that at each step the value of a changed key is the last one up to that version."""
     for step in subscriber.steps:
         for key, value in step.changed.items():
-            until_then = [c.entries[key] for c in made if key in c.entries and c.version <= step.version]
-            assert until_then and until_then[-1] == value, f"{subscriber.name}: {key} at {step.version}"
+            history = [
+                change.entries[key]
+                for change in accepted_changes
+                if key in change.entries and change.version <= step.version
+            ]
+            assert history and history[-1] == value, f"{subscriber.name}: {key} at {step.version}"
 
 
 def _audit_refused(subscribers, refused):
     seen = {
-        (k, v) for subscriber in subscribers for step in subscriber.steps for k, v in step.changed.items()
+        entry for subscriber in subscribers for step in subscriber.steps for entry in step.changed.items()
     }
     for change in refused:
-        assert not seen & set(change.entries.items()), f"refused, and in force: {change}"
+        assert not seen & set(change.entries.items()), f"a refused change is in force: {change}"
 
 
 def _audit_digests(subscribers):
@@ -178,19 +198,19 @@
     for subscriber in subscribers:
         for step in subscriber.steps:
             digest = digests.setdefault(step.version, step.digest)
-            assert digest == step.digest, f"{subscriber.name}: another state at version {step.version}"
+            assert digest == step.digest, f"{subscriber.name}: different state at version {step.version}"
 
 
-def _difference(subscribers, expected_values):
+def _describe_difference(subscribers, expected):
     for subscriber in subscribers:
         values = subscriber.values()
-        if values != expected_values:
-            missing = sorted(set(expected_values.items()) - set(values.items()))[:3]
-            more = sorted(set(values.items()) - set(expected_values.items()))[:3]
+        if values != expected:
+            missing = sorted(set(expected.items()) - set(values.items()))[:3]
+            unexpected = sorted(set(values.items()) - set(expected.items()))[:3]
             held = subscriber.subscriber
             return (
                 f"{subscriber.name} follows {held.source} at version {held.version}, "
                 f"in force {held.applied_version}: "
-                f"missing {missing}, more {more}, counts {dict(held.counts)}"
+                f"missing {missing}, unexpected {unexpected}, counts {dict(held.counts)}"
             )
-    return "the values arrived just now"
+    return "the values arrived right after the timeout"
--- a/tests/distribution/discovery_server.py
+++ b/tests/distribution/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery as a control process follows it: a list of engines in numbered events, over HTTP."""
+"""A fake discovery service: serves the endpoint list as numbered watch events over HTTP."""
 
 import json
 import threading
@@ -6,27 +6,27 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qs, urlsplit
 
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 class DiscoveryServer:
-    """A context. Events are kept from number 1 on; a call waits for later ones as long as it says."""
+    """Serves all events from number 1 on, as a context manager. Each call is a long poll with a timeout."""
 
     def __init__(self, port):
-        """`port`: of loopback."""
+        """`port`: on the loopback address."""
         self.events = []
-        self.calls = 0
-        self.down = False
-        discovery = self
+        self.call_count = 0
+        self.is_down = False
+        server = self
 
         class Handler(BaseHTTPRequestHandler):
-            """One connection."""
+            """Handles one connection."""
 
             protocol_version = "HTTP/1.1"
 
             def do_GET(self):
-                """The events after a number, once there are some."""
-                discovery.answer(self)
+                """Answers with the events after a number, once there is one."""
+                server.answer(self)
 
             def log_message(self, *_):
                 """Logs nothing."""
@@ -36,29 +36,30 @@
         self.address = f"127.0.0.1:{port}"
 
     def __enter__(self):
-        """Starts to serve."""
+        """Starts to serve in a thread."""
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
         return self
 
     def __exit__(self, *_):
-        """Stops."""
+        """Stops serving."""
         self.server.shutdown()
         self.server.server_close()
 
-    def announce(self, *rows, whole=False):
-        """One event."""
+    def announce(self, *rows, is_whole=False):
+        """Adds one event; with `is_whole` its rows replace the list."""
         number = len(self.events) + 1
-        self.events.append({"no": number, "roster": {"rev": number, "all": whole, "targets": list(rows)}})
+        self.events.append({"no": number, "roster": {"rev": number, "all": is_whole, "targets": list(rows)}})
 
     def answer(self, handler):
-        """One call."""
-        self.calls += 1
-        asked = parse_qs(urlsplit(handler.path).query)
-        after, end = int(asked["after"][0]), time.monotonic() + int(asked["patience"][0]) / 1000
-        while len(self.events) <= after and time.monotonic() < end:
-            time.sleep(POLL_S)
+        """Answers one call, after its timeout at the latest."""
+        self.call_count += 1
+        parameters = parse_qs(urlsplit(handler.path).query)
+        after = int(parameters["after"][0])
+        end_s = time.monotonic() + int(parameters["patience"][0]) / 1000
+        while len(self.events) <= after and time.monotonic() < end_s:
+            time.sleep(POLL_INTERVAL_S)
         body = json.dumps({"no": len(self.events), "items": self.events[after:]}).encode()
-        handler.send_response(503 if self.down else 200)
+        handler.send_response(503 if self.is_down else 200)
         handler.send_header("Content-Length", str(len(body)))
         handler.end_headers()
         try:
@@ -68,7 +69,7 @@
 
 
 def engine(uid, state="SERVING", zone="z1", port=9):
-    """A row of the list."""
+    """Returns a row of the endpoint list."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
--- a/tests/distribution/recording_subscriber.py
+++ b/tests/distribution/recording_subscriber.py
@@ -1,4 +1,4 @@
-"""Subscribers without a gateway: the real code over real UDP, with a record of all that each put in force."""
+"""Subscribers without a gateway: the real code over UDP, with a record of all that each has applied."""
 
 import random
 import selectors
@@ -16,19 +16,19 @@
 
 SETTINGS = Settings(report_ms=200.0, silent_ms=800.0, stale_ms=1200.0, expire_ms=3000.0, merge_ms=20.0)
 PREFIXES = ["config/"]
-REFUSED = b"refuse"  # in a value: a subscriber that refuses does not put it in force
-POLL_S = 0.02
-MAX_READS = 64  # Datagrams of one socket at once.
+REFUSED = b"refuse"  # A refusing subscriber does not apply a value that contains it.
+POLL_INTERVAL_S = 0.02
+MAX_READS = 64  # Datagrams that are read from one socket at once.
 
 
 def clock_ms():
-    """Of all in this process."""
+    """Returns the time of the monotonic clock in ms."""
     return time.monotonic() * 1000
 
 
 @dataclass(frozen=True)
 class Step:
-    """What was put in force in one step."""
+    """What was applied in one step."""
 
     at_ms: float
     version: int
@@ -38,10 +38,10 @@
 
 
 class RecordingSubscriber:
-    """One subscriber on a socket of its own. `steps`: all that it put in force, in order."""
+    """Runs one subscriber on its own socket. `steps` holds all that it has applied, in order."""
 
     def __init__(self, name, fleet, sources, addresses, seed, refuses=False):
-        """sources: in order of preference. addresses: {source: (host, port)}."""
+        """`sources`: in order of preference. `addresses`: {source: (host, port)}."""
         self.name = name
         self.addresses = addresses
         self.refuses = refuses
@@ -51,7 +51,7 @@
         self.address = self.socket.getsockname()
         self.steps = []
         self.refusals = 0
-        self.deaf_until_ms = 0.0
+        self.paused_until_ms = 0.0
         self.read_interval_ms = 0.0
         self.next_read_ms = 0.0
         layers = {Layer.DISTRIBUTION: distribution_fingerprint(fleet)}
@@ -61,7 +61,7 @@
         self.subscriber = Subscriber(name, sources, PREFIXES, rng, SETTINGS, clock_ms(), self.apply)
 
     def apply(self, now_ms, changed, is_whole):
-        """Applies everything as a gateway does, or returns a line that says why not."""
+        """Records all values as applied, or returns the reason to refuse them."""
         if self.refuses and any(REFUSED in value for value in changed.values() if value):
             self.refusals += 1
             return "a value that is refused here"
@@ -70,34 +70,34 @@
         return None
 
     def is_fresh(self):
-        """Whether its version was confirmed lately."""
+        """Returns whether its version was confirmed within `stale_ms`."""
         return not self.subscriber.is_stale(clock_ms())
 
     def values(self):
-        """{key: value} in force."""
+        """Returns {key: value} in force."""
         return dict(self.subscriber.applied_values)
 
-    def first_ms(self, key, value):
-        """When that value was first in force here; None: never."""
+    def first_applied_ms(self, key, value):
+        """Returns when a value was first in force here, None if it never was."""
         return next((step.at_ms for step in self.steps if step.changed.get(key) == value), None)
 
-    # Called in the reading thread.
+    # Called in the reader thread.
 
     def run_once(self):
-        """Handles the datagrams that it reads now, and does what is due."""
+        """Handles the datagrams that it reads now, and runs due work."""
         now_ms = clock_ms()
         for data in self._receive(now_ms):
             try:
                 name, incarnation, _, body = self.envelope.open(data)
-            except DroppedDatagramError:  # of another test
+            except DroppedDatagramError:  # Sent by another test.
                 continue
             self.subscriber.on_message(clock_ms(), (name, incarnation), pb.Message.FromString(body))
-        if now_ms >= self.deaf_until_ms and self.subscriber.due_ms <= now_ms:
+        if now_ms >= self.paused_until_ms and self.subscriber.due_ms <= now_ms:
             self.subscriber.tick(now_ms)
         self._send()
 
     def _receive(self, now_ms):
-        if now_ms < max(self.deaf_until_ms, self.next_read_ms):
+        if now_ms < max(self.paused_until_ms, self.next_read_ms):
             return
         self.next_read_ms = now_ms + self.read_interval_ms
         for _ in range(1 if self.read_interval_ms else MAX_READS):
@@ -116,10 +116,10 @@
 
 
 class ReaderThread(threading.Thread):
-    """Receives for all subscribers of one test."""
+    """Runs all subscribers of one test."""
 
     def __init__(self):
-        """Runs from `start` on."""
+        """Starts without subscribers."""
         super().__init__(daemon=True, name="subscribers")
         self.subscribers = []
         self.stopped = threading.Event()
@@ -127,15 +127,15 @@
         self.poll = selectors.DefaultSelector()
 
     def add(self, subscriber):
-        """Before `start`."""
+        """Adds a subscriber; to be called before `start`."""
         self.subscribers.append(subscriber)
         self.poll.register(subscriber.socket, selectors.EVENT_READ, subscriber)
 
     def run(self):
-        """Runs until `stop`, which raises an exception of this thread."""
+        """Runs until `stop`, which raises the exception that ended this thread."""
         try:
             while not self.stopped.is_set():
-                if not self.poll.select(POLL_S):
+                if not self.poll.select(POLL_INTERVAL_S):
                     self.stopped.wait(0.001)
                 for subscriber in self.subscribers:
                     subscriber.run_once()
@@ -144,7 +144,7 @@
             self.error = error
 
     def stop(self):
-        """Closes all sockets; raises what ended the thread."""
+        """Stops the thread and closes all sockets; raises the exception that ended the thread, if any."""
         self.stopped.set()
         if self.is_alive():
             self.join(5)
--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -158,5 +158,5 @@
             old_ms = true_ms - self.accepted_ms.get(version, float("inf"))
             require(
                 old_ms <= 0,
-                f"{host.name} at {subscriber.version} reports {age_ms:.0f} ms, {version} is {old_ms:.0f} ms older",
+                f"{host.name} at {subscriber.version}: age {age_ms:.0f}, {version} is {old_ms:.0f} older",
             )
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -191,8 +191,8 @@
 class World:
     """Simulates an installation.
 
-    Each of the `zones` has two relays and `gateways` gateways. Each voter has its own region, over which the zones
-    are spread.
+    Each of the `zones` has two relays and `gateways` gateways. Each voter has its own region, and the zones
+    are spread over the regions.
     """
 
     def __init__(
--- a/tests/test_distribution_mutation.py
+++ b/tests/test_distribution_mutation.py
@@ -1,4 +1,7 @@
-"""Distribution with one message changed at a time. Short here; all of them by DISTRIBUTION_MUTANTS=all."""
+"""Distribution with one message changed at a time.
+
+Runs each DISTRIBUTION_EVERY-th mutant; DISTRIBUTION_MUTANTS=all runs every one.
+"""
 
 import os
 from collections import Counter
@@ -13,15 +16,15 @@
 
 pytestmark = pytest.mark.together
 
-ALL = os.environ.get("DISTRIBUTION_MUTANTS") == "all"
-EVERY = 1 if ALL else int(os.environ.get("DISTRIBUTION_EVERY", 251))
+RUN_ALL = os.environ.get("DISTRIBUTION_MUTANTS") == "all"
+RUN_EVERY_NTH = 1 if RUN_ALL else int(os.environ.get("DISTRIBUTION_EVERY", 251))
 ENTRIES = [entry("config/a", b"1", 0), entry("config/b", b"2", 0)]
 FIRST_REQUEST = 1000
 
 
-def test_one_message_changed_at_a_time(capsys):
-    """The audit's invariants hold at each step, and everything is in force at the end."""
-    result = run_mutations(1, lambda number: number % EVERY == 0)
+def test_invariants_hold_with_one_message_changed(capsys):
+    """The audit's invariants hold at each step, and all accepted changes are in force at the end."""
+    result = run_mutations(1, lambda number: number % RUN_EVERY_NTH == 0)
     with capsys.disabled():
         print(
             f"\ndistribution: {result.message_count} messages, {result.mutant_count} mutants, "
@@ -29,31 +32,31 @@
         )
     assert result.failures == []
     assert result.message_count > 150
-    assert result.mutants_run > 5000 // EVERY
+    assert result.mutants_run > 5000 // RUN_EVERY_NTH
 
 
-class Client:
-    """Collects answers to proposals."""
+class RecordingClient:
+    """Records the answers to proposals, by request."""
 
     due_ms = float("inf")
 
     def __init__(self):
-        """No answers yet."""
+        """Starts without answers."""
         self.outbox = []
         self.answers = {}
 
     def on_message(self, now_ms, sender, message):
-        """An answer, by its request."""
+        """Records an answer."""
         self.answers.setdefault(message.proposed.request, []).append(message.proposed)
 
 
 def propose_message(request):
-    """A proposal of a client."""
+    """Returns a client's proposal."""
     return pb.Message(propose=pb.Propose(request=request, entries=ENTRIES))
 
 
 def changed_proposals(world, leader):
-    """Proposals in which one field has another value; requests differ unless that is the field."""
+    """Yields proposals with one changed field; their request numbers differ unless that is the field."""
     for number in range(len(list(mutations(propose_message(1))))):
         message = propose_message(FIRST_REQUEST + number)
         mutation = list(mutations(message))[number]
@@ -61,10 +64,10 @@
             yield from (changed for _, _, changed in mutation.deliveries(world, leader, message))
 
 
-def test_a_changed_proposal_gets_one_answer_and_the_next_one_is_served():
-    """Accepted, or refused with one line."""
+def test_each_changed_proposal_gets_one_answer_and_the_next_one_is_served():
+    """It is accepted, or refused with a reason in one line."""
     world = World(3, zones=0)
-    client = Client()
+    client = RecordingClient()
     world.net.host("client", lambda host: {Layer.DISTRIBUTION: client})
     world.run(10_000, lambda: world.leader() is not None)
     leader = world.leader()
@@ -81,7 +84,7 @@
 
 
 def check_answers(client, publisher):
-    """Every last answer is a decision; refusals have one line, and accepted versions are without a gap."""
+    """Checks that every last answer is final, refusals have one line, and versions have no gap."""
     last_answers = [answers[-1] for answers in client.answers.values()]
     refused = [answer for answer in last_answers if answer.outcome == pb.Proposed.REFUSED]
     accepted = [answer for answer in last_answers if answer.outcome == pb.Proposed.ACCEPTED]
--- a/tests/test_distribution_source_and_subscriber.py
+++ b/tests/test_distribution_source_and_subscriber.py
@@ -1,4 +1,4 @@
-"""Sources and subscribers without a network: limits, pacing, invalid input, and rules with their checks."""
+"""Sources and subscribers without a network: limits, pacing, invalid input, and mutants with their checks."""
 
 import pytest
 from distribution_broken import MUTANTS
@@ -15,20 +15,20 @@
 
 
 @pytest.mark.parametrize("check", ALL_CHECKS, ids=lambda check: check.__name__)
-def test_a_rule_check_passes_with_the_right_code(check):
-    """What the broken rules below are found by holds with the right ones."""
+def test_each_rule_check_passes_without_a_mutant(check):
+    """The checks that detect the mutants below pass on the unchanged code."""
     check()
 
 
-@pytest.mark.parametrize("rule", RULE_CHECKS)
-def test_rules_broken_on_purpose_are_found_by_their_check(rule):
-    """Each by the first of its checks."""
-    with MUTANTS[rule](), pytest.raises(AssertionError):
-        RULE_CHECKS[rule][0]()
+@pytest.mark.parametrize("mutant", RULE_CHECKS)
+def test_each_mutant_is_detected_by_its_check(mutant):
+    """The first of its checks fails."""
+    with MUTANTS[mutant](), pytest.raises(AssertionError):
+        RULE_CHECKS[mutant][0]()
 
 
-def test_changes_within_merge_ms_go_out_as_one_delta():
-    """The first at once, the rest together; the last of each key; versions still increase."""
+def test_changes_within_merge_ms_are_sent_as_one_delta():
+    """The first change is sent at once, the others in one delta with the last entry of each key."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.run(2000)
@@ -41,8 +41,8 @@
     ] == 2
 
 
-def test_a_cut_subscriber_resumes_by_version():
-    """Two hundred changes later, without a snapshot."""
+def test_a_subscriber_resumes_by_version_after_a_partition():
+    """It receives 200 changes as deltas, without a snapshot."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.run(2000)
@@ -53,8 +53,8 @@
     assert gateway.applied_version == 200 and not gateway.counts["snapshots"] and gateway.counts["deltas"] > 1
 
 
-def test_one_behind_the_history_costs_one_snapshot():
-    """And goes on with deltas."""
+def test_a_subscriber_behind_the_history_gets_one_snapshot():
+    """It continues with deltas."""
     harness = harness_with_trimmed_history()
     gateway = harness.add_subscriber()
     harness.run(2000)
@@ -65,8 +65,8 @@
     )
 
 
-def test_one_that_holds_nothing_gets_a_snapshot_though_the_history_is_whole():
-    """Deltas of a long history would not be paced; of a short one they are less than a snapshot."""
+def test_an_empty_subscriber_gets_a_snapshot_if_the_history_is_long():
+    """Deltas of a long history would be unpaced; a short history is sent as deltas."""
     harness = harness_with_trimmed_history(Settings())
     gateway = harness.add_subscriber()
     harness.run(2000)
@@ -79,8 +79,8 @@
     assert other.counts["snapshots"] == 1 and gateway.counts["snapshots"] == 0
 
 
-def test_one_wrong_delta_costs_one_snapshot():
-    """What was in force stays until it is whole."""
+def test_a_digest_mismatch_leads_to_one_snapshot():
+    """The values in force stay until the snapshot is complete."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
@@ -96,8 +96,8 @@
     )
 
 
-def test_a_snapshot_cut_off_half_way_harms_nobody():
-    """Pages stop; the subscriber keeps what it has, goes on elsewhere, and others are served."""
+def test_an_interrupted_snapshot_is_not_applied_and_delays_no_other_subscriber():
+    """Once its pages are no longer dropped, the subscriber completes its fetch."""
     harness = harness_with_trimmed_history()
     gateway, other = harness.add_subscriber(), harness.add_subscriber("other")
     seen = []
@@ -114,8 +114,8 @@
     assert gateway.applied_values == other.applied_values
 
 
-def test_a_fetch_that_takes_longer_than_a_session_lives_is_finished():
-    """Many that fetch at once, pages in quick succession for half a minute: none begins anew."""
+def test_a_fetch_that_takes_longer_than_expire_ms_completes():
+    """Eight subscribers fetch at once at a low rate: no session expires and no fetch restarts."""
     settings = Settings(most_changes=8, snapshot_bytes_per_s=20_000)
     harness = harness_with_trimmed_history(
         settings, {f"config/k{number}": bytes(60) for number in range(600)}
@@ -131,8 +131,8 @@
     )
 
 
-def test_a_subscriber_goes_to_the_next_source_and_back_round():
-    """A silent one is left after `silent_ms`."""
+def test_a_subscriber_fails_over_from_a_silent_source():
+    """After `silent_ms`."""
     harness = Harness()
     gateway = harness.add_subscriber(sources=("gone", "s"))
     harness.change({"config/a": b"1"})
@@ -140,27 +140,27 @@
     assert gateway.source == "s" and gateway.applied_version == 1 and gateway.counts["failovers"] == 1
 
 
-def test_a_source_that_fails_again_and_again_is_tried_ever_later():
-    """Otherwise a relay that answers now and then costs each subscriber `silent_ms` every time."""
+def test_failback_to_a_failing_source_is_tried_with_backoff():
+    """Without it, a relay that answers intermittently would cost each subscriber `silent_ms` every time."""
     harness = Harness()
     gateway = harness.add_subscriber(sources=("lost", "s"))
-    tried = []
+    trial_times_ms = []
 
     def record_trial(message):
         if message.HasField("follow") and message.follow.number == 1:
-            tried.append(harness.now_ms)
+            trial_times_ms.append(harness.now_ms)
         return message
 
     harness.run(400_000, record_trial)
-    tried = tried[2:]  # without those of its start and of its failover
-    gaps = [later - sooner for sooner, later in zip(tried, tried[1:], strict=False)]
+    trial_times_ms = trial_times_ms[2:]  # Without the connections at the start and at the failover.
+    gaps = [later - earlier for earlier, later in zip(trial_times_ms, trial_times_ms[1:], strict=False)]
     silent_ms = harness.settings.silent_ms
     assert gateway.source == "s" and gateway.counts["failovers"] == 1 and not gateway.counts["failbacks"]
     assert gaps[-1] > 10 * silent_ms and max(gaps) < 52 * silent_ms and len(gaps) < 16
 
 
 def test_a_leave_ends_only_the_session_that_it_names():
-    """Otherwise a late Leave would end the session that its sender has by now."""
+    """Otherwise a delayed Leave would end the sender's newer session."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
@@ -176,7 +176,7 @@
 
 
 def test_prefixes_are_bounded():
-    """At the subscriber when it is made, and at the source."""
+    """A subscriber with too many or too long ones is not created, and a source drops its Follow."""
     harness = Harness()
     with pytest.raises(ValueError):
         harness.add_subscriber(prefixes=[f"config/{number}" for number in range(17)])
@@ -188,7 +188,7 @@
 
 
 def test_sessions_and_views_are_bounded():
-    """One more of either is told to wait; both are free again when sessions expire."""
+    """Subscribers above either limit are asked to wait; both are freed when sessions expire."""
     harness = Harness(Settings(most_sessions=5, most_views=3))
     for number in range(7):
         follow = pb.Follow(session=number + 1, number=1, prefixes=[f"config/{number}"])
@@ -204,7 +204,7 @@
 
 
 def test_an_unknown_session_is_asked_for_its_prefixes():
-    """A source that started anew says so, and the subscription goes on."""
+    """After a source lost its sessions, its subscribers subscribe again."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
@@ -215,8 +215,8 @@
     assert gateway.generation == GENERATION + 1 and "f" in harness.source.sessions
 
 
-def test_nothing_of_an_older_generation_is_taken():
-    """Neither at a subscriber nor at a source."""
+def test_changes_of_an_older_generation_are_rejected():
+    """By subscribers and by sources."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.run(2000)
@@ -242,7 +242,7 @@
         {"entries": [entry("config/a", b"1", 9)]},
     ],
 )
-def test_senseless_deltas_change_nothing(fields):
+def test_malformed_deltas_change_nothing(fields):
     """They are counted."""
     harness = Harness()
     gateway = harness.add_subscriber(prefixes=["config/"])
@@ -265,8 +265,8 @@
     )
 
 
-def test_what_a_gateway_refused_is_tried_again_ever_later():
-    """Versions that bring it nothing new don't count; one line; then it is in force."""
+def test_refused_values_are_retried_with_backoff():
+    """Versions without new values do not trigger a retry, and only one line is reported."""
     harness = Harness()
     gateway = harness.add_subscriber(prefixes=["config/"])
     harness.refusal = "no room"
@@ -282,8 +282,8 @@
     assert gateway.applied_version == gateway.version and gateway.applied_values == {"config/a": b"1"}
 
 
-def test_a_stopped_subscriber_says_nothing():
-    """What is in force stays."""
+def test_a_stopped_subscriber_sends_nothing():
+    """Its values in force stay."""
     harness = Harness()
     gateway = harness.add_subscriber()
     harness.change({"config/a": b"1"})
@@ -296,6 +296,6 @@
 
 
 def test_a_subscriber_needs_a_source():
-    """ValueError."""
+    """Without one the constructor raises ValueError."""
     with pytest.raises(ValueError):
         Subscriber("f", [], [""], None, Settings(), 0.0, None)
--- a/tests/test_distribution_state.py
+++ b/tests/test_distribution_state.py
@@ -1,4 +1,4 @@
-"""The state of distribution: key stores, history and views, coverage, records, and validation."""
+"""State of distribution: key stores, history and views, coverage, records, and validation."""
 
 from unittest.mock import patch
 
@@ -41,7 +41,7 @@
 
 
 def digest_of_all(store, prefixes):
-    """By a pass over all keys."""
+    """Returns the digest of the keys with the prefixes, computed by a pass over all keys."""
     digests = [
         digest_of(key, stored.value, stored.version)
         for key, stored in store.entries.items()
@@ -52,17 +52,17 @@
 
 @budget(max_examples=60, deadline=None)
 @given(CHANGES, PREFIXES, st.integers(2, 12), st.integers(30, 400))
-def test_a_delta_of_any_two_versions_leads_to_the_state_and_digest(changes, prefixes, most, max_bytes):
-    """Whatever was merged on the way to this source, trimmed, or made before its view was."""
-    history = History(KeyStore(), Settings(most_changes=most))
+def test_a_delta_of_any_two_versions_leads_to_the_state_and_digest(changes, prefixes, max_changes, max_bytes):
+    """Also with merged changes, a trimmed history, and a view made after the changes."""
+    history = History(KeyStore(), Settings(most_changes=max_changes))
     states = {0: KeyStore()}
-    early = history.view(prefixes)
-    for skip, change in changes:
-        version = history.store.version + skip
+    early_view = history.view(prefixes)
+    for version_step, change in changes:
+        version = history.store.version + version_step
         history.add(version, [entry(key, value, version) for key, value in change.items()])
         states[version] = history.store.copy()
-    late = history._make_view(prefixes)
-    for view in (early, late):
+    late_view = history._make_view(prefixes)
+    for view in (early_view, late_view):
         assert view.digest == digest_of_all(history.store, prefixes)
         for version, state in states.items():
             if version < history.base_version:
@@ -73,7 +73,7 @@
 
 
 def check_deltas(view, state, prefixes, max_bytes, newest_store):
-    """Deltas from a state on lead to the newest one, each with the right digest."""
+    """Checks that deltas lead from a state to the newest one, each with the right digest."""
     store = KeyStore()
     store.apply(state.version, state.entries_with(prefixes))
     for _ in range(100):
@@ -87,8 +87,8 @@
     assert store.entries == expected
 
 
-def test_a_version_inside_a_merged_change_goes_on_too():
-    """Held from another source; only what is newer is sent, and the digest in between is not known."""
+def test_a_subscriber_at_a_version_inside_a_merged_change_gets_the_newer_entries():
+    """It may have that version from another source; the digest at that version is not known."""
     history = History(KeyStore(), Settings())
     history.add(1, [entry("config/a", b"1", 1)])
     history.add(5, [entry("config/a", b"3", 3), entry("config/b", b"5", 5)])
@@ -98,8 +98,8 @@
     assert [change.key for change in view.delta(2, 5, 900).entries] == ["config/a", "config/b"]
 
 
-def test_the_history_is_bounded_by_number_and_bytes():
-    """Views too."""
+def test_history_and_views_are_bounded_in_number_and_bytes():
+    """A view holds no more than the history."""
     history = History(KeyStore(), Settings(most_changes=50, most_history_bytes=2000))
     view = history.view(("config/",))
     for version in range(1, 500):
@@ -108,8 +108,8 @@
         assert len(view._changes) <= len(history._changes) and view.bytes == history._bytes
 
 
-def test_a_change_costs_neither_a_pass_over_keys_nor_over_sessions():
-    """Ten thousand keys, a hundred sessions elsewhere: a change of one key is two digests and its sends."""
+def test_a_change_costs_no_pass_over_keys_or_sessions():
+    """With 10,000 keys and 100 sessions, a change of one key costs two digests and its 20 deltas."""
     harness = Harness()
     for start in range(0, 10_000, 10):
         numbers = range(start, start + 10)
@@ -136,8 +136,8 @@
 
 @budget(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 9), st.booleans()), max_size=40))
-def test_coverage_by_increments_is_the_one_by_counting(steps):
-    """Sessions come, change and go."""
+def test_incremental_coverage_equals_counted_coverage(steps):
+    """While sessions are added, changed and removed."""
     tracker = CoverageTracker(Settings())
     sessions = {}
     for name, version, is_removed in steps:
@@ -152,8 +152,8 @@
         assert coverage.oldest == min([7, *(session.oldest_version for session in sessions.values())])
 
 
-def test_coverage_is_bounded_while_one_stays_behind():
-    """A gateway that refuses for days, versions passing by."""
+def test_coverage_is_bounded_while_one_subscriber_stays_behind():
+    """A gateway refuses changes for a long time while the version rises."""
     tracker = CoverageTracker(Settings())
     tracker.add(SessionCoverage(1, 1, 1))
     for version in range(2, 5000):
@@ -165,8 +165,8 @@
 
 @budget(max_examples=40, deadline=None)
 @given(CHANGES, st.integers(0, 40))
-def test_the_fold_is_the_same_in_one_go_and_in_two(changes, cut):
-    """Whatever part of the log each voter has folded."""
+def test_folding_in_one_step_and_in_two_gives_the_same_state(changes, cut):
+    """Voters may fold different parts of the log at different times."""
     records = [
         make_record([entry(key, value, 0) for key, value in change.items()], request)
         for request, (_, change) in enumerate(changes, 1)
@@ -174,15 +174,15 @@
     assert fold(fold(b"", records[:cut]), records[cut:]) == fold(b"", records)
 
 
-def test_a_record_that_cannot_be_read_counts_as_a_change_without_entries():
-    """For the same in all voters."""
+def test_an_unreadable_record_counts_as_a_change_without_entries():
+    """So that all voters have the same state."""
     state = pb.State.FromString(fold(b"", [b"\xff\xff", make_record([entry("config/a", b"1", 0)], 9)]))
     assert (state.version, list(state.requests)) == (2, [0, 9])
     assert state.entries[0].version == 2 and not read_record(b"\xff", 1).entries
 
 
-def test_requests_are_bounded_and_keep_their_versions():
-    """Over folds too."""
+def test_request_index_is_bounded_and_keeps_versions():
+    """Including those of requests from a folded base."""
     requests = RequestIndex(10, [8, 9, 10])
     assert [requests.version_of(request) for request in (7, 8, 10)] == [None, 8, 10]
     for number in range(MAX_REMEMBERED_REQUESTS + 5):
@@ -190,15 +190,15 @@
     assert len(requests._versions) == MAX_REMEMBERED_REQUESTS and requests.version_of(8) is None
 
 
-LONG = "config/" + "k" * 57
+LONGEST_KEY = "config/" + "k" * 57
 
 
 @pytest.mark.parametrize(
-    "entries, line",
+    "entries, message",
     [
         ([], "without entries"),
         ([entry("", b"1", 0)], "characters"),
-        ([entry(LONG + "k", b"1", 0)], "characters"),
+        ([entry(LONGEST_KEY + "k", b"1", 0)], "characters"),
         ([entry("config/\n", b"1", 0)], "not made of"),
         ([entry("config/a\u00e9", b"1", 0)], "not made of"),
         ([entry("config/", b"1", 0)], "unknown kind"),
@@ -211,36 +211,36 @@
         ([entry("config/new", b"1", 0)], "no room"),
     ],
 )
-def test_a_change_that_makes_no_sense_is_refused_with_one_clear_line(entries, line):
-    """Whatever its bytes are."""
+def test_an_invalid_change_is_refused_with_one_short_line(entries, message):
+    """Whatever bytes it holds."""
     store = KeyStore()
     store.apply(1, [entry("config/old", b"1", 1)])
     error = find_change_error(entries, store, Settings(most_keys=1))
-    assert line in error
+    assert message in error
     assert "\n" not in error
     assert len(error) < 160
 
 
-def test_the_longest_change_fits_and_the_check_of_a_kind_is_asked():
-    """A value may be replaced in a full store too."""
+def test_the_longest_change_is_valid_and_value_checks_are_called():
+    """A value may be replaced while the number of keys is at its limit."""
     store = KeyStore()
-    store.apply(1, [entry(LONG, b"1", 1)])
-    longest = [entry(LONG, bytes(640), 0)]
+    store.apply(1, [entry(LONGEST_KEY, b"1", 1)])
+    longest = [entry(LONGEST_KEY, bytes(640), 0)]
     assert find_change_error(longest, store, Settings(most_keys=1)) is None
-    kinds = {"config/": lambda key, value: None if value == b"1" else f"{key}: not 1"}
-    assert find_change_error(longest, store, Settings(), kinds) == f"{LONG}: not 1"
+    checks = {"config/": lambda key, value: None if value == b"1" else f"{key}: not 1"}
+    assert find_change_error(longest, store, Settings(), checks) == f"{LONGEST_KEY}: not 1"
     full = Settings(most_state_bytes=100)
     assert "no room" in find_change_error(longest, store, full)
-    assert find_change_error([entry(LONG, None, 0)], store, full) is None
+    assert find_change_error([entry(LONGEST_KEY, None, 0)], store, full) is None
 
 
 def test_the_longest_messages_fit_into_the_envelope():
-    """At versions and numbers far beyond what an installation reaches."""
+    """At versions and numbers far larger than in any installation."""
     harness = Harness()
     version = 1 << 47
     harness.source.generation = 1 << 62
     small = {f"config/{number}": b"" for number in range(22)}
-    for step, change in enumerate(({LONG: bytes(640)}, small, {LONG: None})):
+    for step, change in enumerate(({LONGEST_KEY: bytes(640)}, small, {LONGEST_KEY: None})):
         entries = [entry(key, value, version + step) for key, value in change.items()]
         assert find_change_error(entries, harness.source.history.store, Settings()) is None
         harness.source.advance(harness.now_ms, 1 << 62, version + step, entries, 0.0)
@@ -258,7 +258,7 @@
 
 
 def test_the_longest_subscription_fits_into_the_envelope():
-    """A relay's Follow, with all that it tells, at the most prefixes that are taken."""
+    """A relay's Follow with the largest numbers and the most and longest prefixes that are accepted."""
     harness = Harness()
     gateway = harness.add_subscriber(prefixes=["config/" + f"{n:02}" * 24 for n in range(16)])
     largest = pb.Coverage(subscribers=1 << 20, oldest=1 << 47, refused=1 << 20, stale=1 << 20)
@@ -275,8 +275,8 @@
         harness.add_subscriber(prefixes=["config/" + f"{n:02}" * 25 for n in range(16)])
 
 
-def test_a_snapshot_of_many_keys_is_pages_that_fit():
-    """Twenty-five thousand engines, as many bytes as there are keys and values and little more."""
+def test_a_snapshot_of_many_keys_is_split_into_pages_that_fit():
+    """25,000 engines take at most 1.2 times the bytes of their entries."""
     store = KeyStore()
     store.apply(7, [entry(f"engine/z{n % 12}/node-{n}", b"10.0.0.1:80 4 32", 7) for n in range(25_000)])
     view = History(store, Settings()).view(("",))
--- a/tests/test_golden_distribution.py
+++ b/tests/test_golden_distribution.py
@@ -1,9 +1,9 @@
-"""Distribution reads and writes the messages and the stored state of revision 0018238.
+"""Distribution stays compatible with the messages and the stored state of revision 0018238.
 
-Same bytes, same meaning. `golden/distribution/messages.json` holds one message of each kind of a scripted run
-(publisher, relays, gateways and a client), with a digest over all of them; `golden/distribution/stored.json`
-what the voters of the publisher had on disk at its end. Relays and subscribers store nothing: what they hold
-in memory at the end is there as well.
+Bytes and meaning have to be the same. `golden/distribution/messages.json` holds one message of each kind from
+a scripted run (publisher, relays, gateways and a client) and a digest over all messages;
+`golden/distribution/stored.json` holds the voters' stored state at the end of the run, and the state that
+relays and subscribers held in memory, as they store nothing.
 """
 
 import json
@@ -25,10 +25,10 @@
 
 GOLDEN = Path(__file__).parent / "golden" / "distribution"
 SEED = 11
-MOST_RECORDS = 6  # So few that a base is folded.
+MAX_RECORDS = 6  # So few that the log is folded into a base.
 CLIENT = ("client", 1)
 SETTINGS = Settings(most_changes=4, most_snapshots=1)
-DOWNWARDS = ("follow", "fetch", "leave")
+SUBSCRIBER_KINDS = ("follow", "fetch", "leave")
 ENTRIES = (
     pb.Entry(key="config/plain", value=b"value"),
     pb.Entry(key="config/deleted", deleted=True),
@@ -37,31 +37,31 @@
 
 
 class Recorder:
-    """Takes down every distribution message that a world's processes send."""
+    """Records every distribution message that a world's processes send."""
 
     def __init__(self, world):
-        """Looks on at each flush of an outbox."""
+        """Starts to record, before each flush of an outbox."""
         self.world = world
         self.sent = []
-        self.before = world.net.after
-        world.net.after = self.look
+        self.previous_hook = world.net.after
+        world.net.after = self.record_outbox
 
-    def look(self, host, layer, part):
-        """Called by the network before an outbox is emptied."""
-        self.before(host, layer, part)
-        for receiver, message in part.outbox:
+    def record_outbox(self, host, layer, process):
+        """Records the messages of an outbox before the network empties it."""
+        self.previous_hook(host, layer, process)
+        for receiver, message in process.outbox:
             if isinstance(message, pb.Message):
                 self.sent.append((self.world.net.now_ms, host.name, receiver, message.SerializeToString()))
 
 
-def ask(world, name, **kind):
-    """A client's message to a voter."""
+def send_to_voter(world, name, **kind):
+    """Sends a client's message to a voter."""
     world.net.call(name, Layer.DISTRIBUTION, "on_message", CLIENT, pb.Message(**kind))
 
 
-def play():
-    """Changes are accepted, refused and deleted; a relay and the leader fail; a gateway comes late."""
-    world = World(SEED, zones=1, gateways=2, settings=SETTINGS, max_records=MOST_RECORDS)
+def play_script():
+    """Plays the scripted run: changes, refusals, failures of a relay and of the leader, late gateways."""
+    world = World(SEED, zones=1, gateways=2, settings=SETTINGS, max_records=MAX_RECORDS)
     recorder = Recorder(world)
     world.settle()
     for number in range(4):
@@ -73,11 +73,13 @@
     request = pb.Propose(request=7_001, entries=ENTRIES[:1])
     world.propose({"config/plain": b"value"}, 7_001)
     world.run(300)
-    ask(world, leader, propose=request)
-    ask(world, leader, propose=pb.Propose(request=7_002, entries=[pb.Entry(key="unknown/kind", value=b"1")]))
-    ask(world, leader, status_request=pb.StatusRequest(request=7_003))
-    ask(world, follower, propose=pb.Propose(request=7_004, entries=ENTRIES[:1]))
-    ask(world, leader, follow=pb.Follow(session=99, number=1))
+    send_to_voter(world, leader, propose=request)
+    send_to_voter(
+        world, leader, propose=pb.Propose(request=7_002, entries=[pb.Entry(key="unknown/kind", value=b"1")])
+    )
+    send_to_voter(world, leader, status_request=pb.StatusRequest(request=7_003))
+    send_to_voter(world, follower, propose=pb.Propose(request=7_004, entries=ENTRIES[:1]))
+    send_to_voter(world, leader, follow=pb.Follow(session=99, number=1))
     world.net.kill("r0a")
     world.run(5_000)
     for number in range(8):
@@ -97,7 +99,7 @@
 
 
 def digest_of(sent):
-    """A digest over all that was sent, when, by whom and to whom."""
+    """Returns a digest over all messages with their times, senders and receivers."""
     hashed = blake2b(digest_size=16)
     for item in sent:
         hashed.update(repr(item).encode())
@@ -105,7 +107,7 @@
 
 
 def kind_of(data):
-    """What a message is, with what makes two of a kind different."""
+    """Returns a message's kind, with words for its variant."""
     message = pb.Message.FromString(data)
     kind = message.WhichOneof("kind")
     body = getattr(message, kind)
@@ -120,7 +122,7 @@
 
 
 def examples(sent):
-    """The first message of each kind."""
+    """Returns the first message of each kind."""
     found = {}
     for sent_ms, sender, receiver, data in sent:
         example = {"sent_ms": sent_ms, "sender": sender, "receiver": receiver, "bytes": data.hex()}
@@ -129,7 +131,7 @@
 
 
 def effect_at_source(example):
-    """What a message of a subscriber does to a source that has one change."""
+    """Returns the effect of a subscriber's message on a source that has one change."""
     source = Source("source", Random(5), SETTINGS, 1_000.0)
     source.confirm(1_000.0, 1, 0, 0.0)
     change = read_record(make_record(ENTRIES, 1), 1)
@@ -140,7 +142,7 @@
 
 
 def effect_at_subscriber(example):
-    """What a message of a source does to a subscriber whose session is the message's."""
+    """Returns the effect of a source's message on a subscriber whose session is the message's."""
     message = pb.Message.FromString(bytes.fromhex(example["bytes"]))
     body = getattr(message, message.WhichOneof("kind"))
 
@@ -177,23 +179,23 @@
 
 
 def effect_at_voter(example):
-    """What a client's message does to a new voter alone, which is no leader."""
+    """Returns the effect of a client's message on a new voter, which does not hold the lease."""
     world = World(SEED, zones=0, gateways=0)
-    part = world.process("v1")
-    part.on_message(world.now("v1"), CLIENT, pb.Message.FromString(bytes.fromhex(example["bytes"])))
-    sent = [[name, m.SerializeToString().hex()] for name, m in part.outbox if isinstance(m, pb.Message)]
+    process = world.process("v1")
+    process.on_message(world.now("v1"), CLIENT, pb.Message.FromString(bytes.fromhex(example["bytes"])))
+    sent = [[name, m.SerializeToString().hex()] for name, m in process.outbox if isinstance(m, pb.Message)]
     return {"sent": sent}
 
 
-def outcome(part):
-    """What is sent, and when the part is to be called next."""
-    sent = [[name, message.SerializeToString().hex()] for name, message in part.outbox]
-    return {"sent": sent, "due_ms": part.due_ms}
+def outcome(component):
+    """Returns what a source or subscriber has sent, and when its tick is due."""
+    sent = [[name, message.SerializeToString().hex()] for name, message in component.outbox]
+    return {"sent": sent, "due_ms": component.due_ms}
 
 
 def effect_of(kind, example):
-    """What a message does to the part that it is for; None: it is for a client."""
-    if kind.split()[0] in DOWNWARDS:
+    """Returns the effect of a message on its receiver, None if that is a client."""
+    if kind.split()[0] in SUBSCRIBER_KINDS:
         return effect_at_source(example)
     if example["receiver"] == "client":
         return None
@@ -201,12 +203,12 @@
 
 
 def sorted_values(values):
-    """{key: value} as JSON holds it."""
+    """Returns {key: value} as a JSON list, sorted by key."""
     return [[key, None if value is None else value.hex()] for key, value in sorted(values.items())]
 
 
 def held_by(subscriber):
-    """What a subscriber holds in memory."""
+    """Returns the state that a subscriber holds in memory."""
     return {
         "version": subscriber.version,
         "in_force": subscriber.applied_version,
@@ -217,8 +219,8 @@
 
 
 def recorded():
-    """All that the two golden files hold."""
-    world, recorder = play()
+    """Returns the content of the two golden files, computed by this code."""
+    world, recorder = play_script()
     found = examples(recorder.sent)
     for kind, example in found.items():
         example["effect"] = effect_of(kind, example)
@@ -244,30 +246,30 @@
 
 @pytest.fixture(scope="module")
 def messages():
-    """Messages of revision 0018238."""
+    """Returns the messages of revision 0018238."""
     return json.loads((GOLDEN / "messages.json").read_text(encoding="utf-8"))
 
 
 @pytest.fixture(scope="module")
 def stored():
-    """Stored state of revision 0018238."""
+    """Returns the stored state of revision 0018238."""
     return json.loads((GOLDEN / "stored.json").read_text(encoding="utf-8"))
 
 
 @pytest.fixture(scope="module")
 def played():
-    """The same script with this tree's code."""
+    """Returns the result of the same script with this code."""
     return recorded()
 
 
 def test_a_scripted_run_is_the_same_bytes_at_the_same_times(messages, played):
-    """Given the same clocks and random draws, all messages are the same."""
+    """With the same clocks and random draws, all messages are the same."""
     assert played["messages"]["messages"] == messages["messages"]
     assert played["messages"]["digest"] == messages["digest"]
 
 
 def test_every_kind_of_message_is_in_the_golden_file(messages):
-    """Kinds of `distribution.proto`, and each outcome of a proposal."""
+    """All kinds of `distribution.proto`, and proposals accepted and refused."""
     kinds = {name.split()[0] for name in messages["examples"]}
     assert kinds == {field.name for field in pb.Message.DESCRIPTOR.oneofs_by_name["kind"].fields}
     assert {"proposed accepted", "proposed refused", "delta empty", "delta entries"} <= set(
@@ -276,14 +278,14 @@
 
 
 def test_each_kind_of_message_is_written_as_before(messages, played):
-    """The first of each kind is sent at the same time by the same process."""
+    """The first of each kind has the same bytes, time, sender and receiver."""
     assert played["messages"]["examples"].keys() == messages["examples"].keys()
     for kind, example in messages["examples"].items():
         assert played["messages"]["examples"][kind] == example, kind
 
 
 def test_each_kind_of_message_is_understood_as_before(messages):
-    """What an old process's message changes here, and what is answered to it."""
+    """A message of the old revision has the same effect and gets the same answer."""
     for kind, example in messages["examples"].items():
         by_client = kind in ("propose", "status_request")
         effect = effect_at_voter(example) if by_client else effect_of(kind, example)
@@ -291,21 +293,21 @@
 
 
 def test_stored_state_is_the_same_bytes_in_the_same_sections(stored, played):
-    """What voters write, the record and the fold of records into a base."""
+    """The voters' sections, a record, and the fold of records into a base."""
     assert played["stored"]["voters"] == stored["voters"]
     assert played["stored"]["base"] == stored["base"]
     assert played["stored"]["record"] == stored["record"]
     assert played["stored"]["fold"] == stored["fold"]
 
 
-def test_relays_and_subscribers_hold_the_same_as_before(stored, played):
+def test_relays_and_subscribers_hold_the_same_state(stored, played):
     """Versions, digests and values in force at the end of the run."""
     assert played["stored"]["held"] == stored["held"]
 
 
-def test_voters_go_on_from_the_stored_state_of_the_old_revision(stored):
-    """They elect a leader, and its subscribers get what the old one had accepted."""
-    world = World(SEED, zones=0, gateways=0, settings=SETTINGS, max_records=MOST_RECORDS)
+def test_voters_start_from_the_stored_state_of_the_old_revision(stored):
+    """They elect a leader that has every accepted change and recognizes an accepted request."""
+    world = World(SEED, zones=0, gateways=0, settings=SETTINGS, max_records=MAX_RECORDS)
     for voter in VOTERS:
         world.net.kill(voter)
     for voter in VOTERS:
@@ -330,5 +332,5 @@
 
 
 def test_a_change_is_proposed_with_the_same_fields():
-    """`entry_of` of the tests makes what a client proposes."""
+    """The test helper `entry_of` returns the same entry as a client's deletion."""
     assert entry_of("config/a", None) == pb.Entry(key="config/a", deleted=True)
