--- a/tests/distribution_broken.py
+++ b/tests/distribution_broken.py
@@ -39,21 +39,21 @@
 
 def always(value):
     """Returns a patch that makes a method always return the same value."""
-    return lambda old: lambda *args, **more: value
+    return lambda old: lambda *args, **kwargs: value
 
 
 def _accept_any_generation(old):
-    def is_current(self, body):
+    def check_and_record_generation(self, body):
         self.generation = body.generation
         return True
 
-    return is_current
+    return check_and_record_generation
 
 
 def _ignore_digest(old):
     def apply_delta(self, now_ms, delta):
-        fresh = [entry for entry in delta.entries if entry.version > self.store.version]
-        delta.digest = self.store.digest_after(fresh)
+        newer_entries = [entry for entry in delta.entries if entry.version > self.store.version]
+        delta.digest = self.store.digest_after(newer_entries)
         return old(self, now_ms, delta)
 
     return apply_delta
@@ -187,14 +187,14 @@
 
 
 def _load_only_the_base(old):
-    def load(self):
+    def load_group_state(self):
         base, _ = self.group.state
         state = pb.State.FromString(base)
         self._speculative_state = KeyStore.from_state(state)
         self._requests = RequestIndex(state.version, state.requests)
         return KeyStore.from_state(state), []
 
-    return load
+    return load_group_state
 
 
 def _ignore_refusal(old):
@@ -233,12 +233,12 @@
 
 
 def _reset_backoff(old):
-    def wants_snapshot(self, now_ms):
+    def begin_snapshot_request(self, now_ms):
         self.resync.not_before_ms = now_ms
         self.resync.attempts = 0
         return old(self, now_ms)
 
-    return wants_snapshot
+    return begin_snapshot_request
 
 
 def _push_to_all(old):
@@ -289,7 +289,7 @@
 )
 add_mutant("age not accumulated over relays", (Source, "confirm", _ignore_reported_age))
 add_mutant(
-    "records after the base forgotten by the next publisher",
+    "records after the base lost by the next publisher",
     (Publisher, "_load_group_state", _load_only_the_base),
 )
 add_mutant("repeated requests not deduplicated", (RequestIndex, "version_of", always(None)))
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -20,7 +20,7 @@
 FIVE_VOTERS = (*VOTERS, "v4", "v5")
 DISK_WRITE_MS = (0.5, 4.0)
 MAX_CLOCK_DRIFT = 0.02
-PAUSED_RETRY_MS = 5  # Until the result of a disk write is delivered again to a paused process.
+PAUSED_RETRY_MS = 5  # Interval at which the end of a disk write is offered to a paused process.
 SETTINGS = Settings()
 
 
@@ -206,7 +206,7 @@
         lease_ms=LEASE_MS,
         voters=VOTERS,
     ):
-        """Starts the process."""
+        """Starts all processes."""
         self.settings = settings
         self.max_records = max_records
         self.disks = {}
