--- a/tests/distribution_audit.py
+++ b/tests/distribution_audit.py
@@ -158,6 +158,6 @@
             old_ms = true_ms - self.accepted_ms.get(version, float("inf"))
             require(
                 old_ms <= 0,
-                f"{host.name} at {subscriber.version}: age {age_ms:.0f} ms, but version {version} was accepted "
-                f"{old_ms:.0f} ms earlier",
+                f"{host.name} at {subscriber.version}: age {age_ms:.0f} ms, but version {version} "
+                f"was accepted {old_ms:.0f} ms earlier",
             )
