--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -35,7 +35,7 @@
     """Runs a voter, which publishes while it holds the lease."""
 
     role = "voter"
-    section_prefix = f"owner/{publisher.GROUP}/"
+    section_prefix = f"owner/{publisher.LEASE_GROUP_NAME}/"
     message_types = {**ControlRuntime.message_types, Layer.LEASE: lease_pb2.Message}
     importer: EndpointImporter | None = None
     discovery: DiscoveryFactory | None = None
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -27,7 +27,7 @@
 from lichenquay.lease.phases import LeaseEvent
 from lichenquay.lease.settings import LeaseSettings
 
-GROUP = "distribution"
+LEASE_GROUP_NAME = "distribution"
 PUBLISHING_KINDS = {"delta", "offer", "page"}  # May be sent only while the lease is held.
 HANDLED_KINDS = ("propose", "status_request", "follow", "fetch", "leave")
 MAX_PENDING_PROPOSALS = 256
@@ -318,7 +318,7 @@
     """
     publisher = Publisher(name, None, rng, settings, now_ms, check)
     publisher.group = LeaseGroup(
-        GROUP,
+        LEASE_GROUP_NAME,
         name,
         incarnation,
         voters,
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -328,9 +328,9 @@
         """Closes the connection, which must have no open query.
 
         The sending side is closed once all that was written has been sent; the connection is closed once the
-        client has closed its side, or after `CLOSE_TIMEOUT_S`, repeated while the client still reads. Closing with
-        unread input, or at a fixed time, would reset the connection and discard answers that the client has
-        not read yet.
+        client has closed its side, or after `CLOSE_TIMEOUT_S`, repeated while the client still reads. Closing
+        with unread input, or at a fixed time, would reset the connection and discard answers that the client
+        has not read yet.
         """
         if not self.is_open:
             return
--- a/lichenquay/testbed/scale/order_reader.py
+++ b/lichenquay/testbed/scale/command_reader.py
@@ -3,7 +3,7 @@
 import sys
 import threading
 
-from lichenquay.testbed.scale.orders import UnknownCommandError, decode_command
+from lichenquay.testbed.scale.commands import UnknownCommandError, decode_command
 
 
 def start_command_reader(reactor, execute, ended):
--- a/lichenquay/testbed/scale/talker.py
+++ b/lichenquay/testbed/scale/fleet_only_gateway.py
@@ -1,6 +1,6 @@
 """A process that runs only a gateway's fleet runtime, to measure its cost on real sockets.
 
-    python -m lichenquay.testbed.scale.talker SETTINGS WARM_UP_S MEASURED_S
+    python -m lichenquay.testbed.scale.fleet_only_gateway SETTINGS WARM_UP_S MEASURED_S
 
 Prints one line of JSON at the end: processor time, datagrams and bytes sent, each a second.
 """
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/lightweight_gateway_host.py
@@ -1,7 +1,7 @@
 """A process of many lightweight gateways: each follows the configuration and the list of engines on a socket
 of its own.
 
-    python -m lichenquay.testbed.scale.hollow WORLD NUMBER
+    python -m lichenquay.testbed.scale.lightweight_gateway_host WORLD NUMBER
 
 WORLD is the file of a `WorldSpec`; NUMBER is the index of this process among its kind. Commands come on
 standard input. A lightweight gateway is production's `FollowerRuntime`, as a gateway that follows distributed
@@ -18,11 +18,11 @@
 
 from lichenquay.fleet.follower_runtime import FollowerRuntime
 from lichenquay.fleet.runtime import boot_ms
-from lichenquay.testbed.scale import orders, record
+from lichenquay.testbed.scale import commands, record
+from lichenquay.testbed.scale.command_reader import start_command_reader, stop, write_answer
 from lichenquay.testbed.scale.digest import values_digest
+from lichenquay.testbed.scale.impaired_transport import ImpairedTransport, SharedNetwork
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import ImpairedTransport, SharedNetwork
-from lichenquay.testbed.scale.order_reader import start_command_reader, stop, write_answer
 from lichenquay.testbed.scale.scenario import zone_of_name
 from lichenquay.testbed.scale.settings_files import gateway_listen_address, gateway_settings
 from lichenquay.testbed.scale.world_spec import PREFIXES, WorldSpec, read
@@ -101,24 +101,24 @@
         self.gateways: dict[str, LightweightGateway] = {}
         self.lifetimes: list[record.GatewayLifetime] = []
         self.deployment = None  # Shared by all controllers; created with the first one.
-        self.ended_counts = orders.Counts()  # Counts of gateways that have ended.
+        self.ended_counts = commands.Counts()  # Counts of gateways that have ended.
 
     def execute(self, command):
         """Executes one command."""
         match command:
-            case orders.StartFronts(names):
+            case commands.StartFronts(names):
                 self.start_gateways(names)
-            case orders.StopFronts(names):
+            case commands.StopFronts(names):
                 self.stop_gateways(names)
-            case orders.ReadSlowly(names, on):
+            case commands.ReadSlowly(names, on):
                 for name in names:
                     if name in self.gateways:
                         self.gateways[name].datagrams.read_slowly(on)
-            case orders.Impair(rules):
+            case commands.Impair(rules):
                 self.network.impairment.rules = list(rules)
-            case orders.Count():
-                write_answer(orders.encode_counts(self.counts()))
-            case orders.End():
+            case commands.Count():
+                write_answer(commands.encode_counts(self.counts()))
+            case commands.End():
                 self.end()
 
     def start_gateways(self, names):
@@ -161,12 +161,12 @@
         per_s = self.spec.shape.queries_per_s
         if not per_s:
             return None
-        from lichenquay.testbed.scale import hollow_controller
+        from lichenquay.testbed.scale import lightweight_controller
 
         if self.deployment is None:
-            self.deployment = hollow_controller.deployment_settings(self.spec.shape.seed)
+            self.deployment = lightweight_controller.deployment_settings(self.spec.shape.seed)
         rng = random.Random(f"{name}/{seed}")
-        return hollow_controller.LightweightController(self.reactor, self.deployment, rng, per_s)
+        return lightweight_controller.LightweightController(self.reactor, self.deployment, rng, per_s)
 
     def stop_gateways(self, names):
         """Ends those of the gateways that run."""
--- a/lichenquay/testbed/scale/probes/controller.py
+++ b/lichenquay/testbed/scale/probes/controller.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from lichenquay.admission import domain
-from lichenquay.testbed.scale.probes.door import VirtualGateway, make_engines
+from lichenquay.testbed.scale.probes.virtual_gateway import VirtualGateway, make_engines
 from lichenquay.testbed.scale.sample import Progress, Sample, measure_processor_ms, measure_state_bytes
 
 RATE_PER_S = 40.0
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -54,7 +54,7 @@
                 command = [
                     sys.executable,
                     "-m",
-                    "lichenquay.testbed.scale.talker",
+                    "lichenquay.testbed.scale.fleet_only_gateway",
                     path,
                     WARM_UP_S,
                     MEASURED_S,
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -7,11 +7,11 @@
 
 from lichenquay.testbed.scale.audit import Findings, audit
 from lichenquay.testbed.scale.plans import Plan
-from lichenquay.testbed.scale.player import ScenarioResult
-from lichenquay.testbed.scale.real_fronts import RealGateway, RealGateways
+from lichenquay.testbed.scale.real_gateways import RealGateway, RealGateways
 from lichenquay.testbed.scale.roles import costs_between
-from lichenquay.testbed.scale.session import WorldDriver
+from lichenquay.testbed.scale.scenario_runner import ScenarioResult
 from lichenquay.testbed.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
+from lichenquay.testbed.scale.world_driver import WorldDriver
 
 MIN_LOAD_S = 2.0  # Minimum duration of the load on real gateways.
 START_S = 6.0  # Approximate start time of the processes, for the progress bar.
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from lichenquay.load.child import ROOT, environment, read_line
-from lichenquay.testbed.scale import measure, orders
+from lichenquay.testbed.scale import commands, measure
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import WorldSpec
 from lichenquay.testbed.world import CannotStart
@@ -86,18 +86,18 @@
     def send_command(self, command) -> bool:
         """Sends a command; returns False where the process has ended."""
         try:
-            self.process.stdin.write(orders.encode_command(command) + "\n")
+            self.process.stdin.write(commands.encode_command(command) + "\n")
             self.process.stdin.flush()
         except (OSError, ValueError):
             return False
         return True
 
-    def count(self) -> orders.Counts | None:
+    def count(self) -> commands.Counts | None:
         """Requests the counts; returns None where it does not answer."""
-        if not self.answers or not self.send_command(orders.Count()):
+        if not self.answers or not self.send_command(commands.Count()):
             return None
         line = read_line(self.process, ANSWER_TIMEOUT_S)
-        return orders.decode_counts(line) if line else None
+        return commands.decode_counts(line) if line else None
 
     def kill(self):
         """Sends SIGKILL, and waits for the process to end."""
@@ -115,7 +115,7 @@
 
     name: str
     usage: measure.Usage
-    counts: orders.Counts
+    counts: commands.Counts
 
 
 @dataclass
@@ -143,7 +143,10 @@
             )
         for i in range(self.shape.hosts):
             self.hosts.append(
-                self._child(f"hollow-{i}", ["lichenquay.testbed.scale.hollow", str(self.spec.path), str(i)])
+                self._child(
+                    f"hollow-{i}",
+                    ["lichenquay.testbed.scale.lightweight_gateway_host", str(self.spec.path), str(i)],
+                )
             )
         try:
             for child in self.children():
@@ -173,30 +176,30 @@
 
     def start_gateways(self, names):
         """Starts lightweight gateways, all at once."""
-        self._send_to_hosts(orders.StartFronts, names)
+        self._send_to_hosts(commands.StartFronts, names)
         self.running.update(names)
 
     def stop_gateways(self, names):
         """Ends lightweight gateways without notifying anyone."""
-        self._send_to_hosts(orders.StopFronts, names)
+        self._send_to_hosts(commands.StopFronts, names)
         self.running.difference_update(names)
 
     def read_slowly(self, names, on):
         """Makes gateways stop reading their sockets, or resume."""
-        self._send_to_hosts(orders.ReadSlowly, names, on)
+        self._send_to_hosts(commands.ReadSlowly, names, on)
 
     def impair(self, rules):
         """Replaces the network's rules in all processes."""
         self.rules = list(rules)
         for child in self.children():
             if child.runs:
-                child.send_command(orders.Impair(self.rules))
+                child.send_command(commands.Impair(self.rules))
 
     def poll_ready(self):
         """Sends the network's rules to processes that were restarted and became ready."""
         for child in self.children():
             if child.poll_ready():
-                child.send_command(orders.Impair(self.rules))
+                child.send_command(commands.Impair(self.rules))
 
     def usage(self) -> list[ProcessUsage]:
         """Returns the counters of every process that answers."""
@@ -223,7 +226,7 @@
     def end_hosts(self):
         """Makes the gateway hosts write their records and exit."""
         for host in self.hosts:
-            host.send_command(orders.End())
+            host.send_command(commands.End())
         until = time.monotonic() + END_TIMEOUT_S
         for host in self.hosts:
             try:
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -26,7 +26,7 @@
     quota,
     starved,
 )
-from lichenquay.testbed.scale.probes.door import VirtualGateway, make_engines
+from lichenquay.testbed.scale.probes.virtual_gateway import VirtualGateway, make_engines
 from lichenquay.testbed.scale.rows import MEASURED, NONE_TODAY, NOT_IMPLEMENTED, Row
 from lichenquay.testbed.scale.sample import Sample, Stopwatch, measure_state_bytes
 
--- a/tests/test_scale_scenario.py
+++ b/tests/test_scale_scenario.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichenquay.testbed.scale import orders, plans, scenario
+from lichenquay.testbed.scale import commands, plans, scenario
 from lichenquay.testbed.scale.engines import BackgroundChanges, engine_changes
 from lichenquay.testbed.scale.impairment import Impairment, Rule, partition_rules
 from lichenquay.testbed.scale.roles import Role, RoleCost
@@ -89,25 +89,25 @@
 @pytest.mark.parametrize(
     "command",
     [
-        orders.StartFronts(["z0-f0"]),
-        orders.StopFronts([]),
-        orders.ReadSlowly(["z0-f0"], True),
-        orders.Impair([Rule(loss=0.5), Rule("z0", "z1", cut=True)]),
-        orders.FailDisk(full=True),
-        orders.Count(),
-        orders.End(),
+        commands.StartFronts(["z0-f0"]),
+        commands.StopFronts([]),
+        commands.ReadSlowly(["z0-f0"], True),
+        commands.Impair([Rule(loss=0.5), Rule("z0", "z1", cut=True)]),
+        commands.FailDisk(full=True),
+        commands.Count(),
+        commands.End(),
     ],
 )
 def test_commands_are_decoded_as_they_were_encoded(command):
     """A command survives its encoding as a line of JSON."""
-    assert orders.decode_command(orders.encode_command(command)) == command
+    assert commands.decode_command(commands.encode_command(command)) == command
 
 
 @pytest.mark.parametrize("line", ["", "{}", "[]", '{"order": "Dance"}', '{"order": "Count", "x": 1}', "7"])
 def test_an_invalid_command_is_rejected(line):
     """Every invalid line raises the same error."""
-    with pytest.raises(orders.UnknownCommandError):
-        orders.decode_command(line)
+    with pytest.raises(commands.UnknownCommandError):
+        commands.decode_command(line)
 
 
 def test_engine_changes_depend_on_the_seed_and_stay_within_their_size():
