--- a/tests/distribution/test_distribution_processes.py
+++ b/tests/distribution/test_distribution_processes.py
@@ -201,10 +201,11 @@
         proposer = Proposer(installation, "c1", VOTERS)
         assert proposer.propose({"config/gate": b"prefix4: 99"}).outcome == pb.Proposed.REFUSED
         assert proposer.propose({"config/good": b"1"}).outcome == pb.Proposed.ACCEPTED
+        refusing = installation.subscribers["s1"]
+        until(lambda: refusing.values() == {"config/good": b"1"})
         assert proposer.propose({"config/good": REFUSED}).outcome == pb.Proposed.ACCEPTED
         others = [subscriber for name, subscriber in installation.subscribers.items() if name != "s1"]
         wait_settled(others, proposer.changes)
-        refusing = installation.subscribers["s1"]
         until(lambda: refusing.refusals > 0)
         assert refusing.values() == {"config/good": b"1"}
         until(lambda: publisher_status(installation).refused == 1)
