--- a/lichenquay/config/__init__.py
+++ b/lichenquay/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in protobuf text format, beyond the platform's JSON: read whole or refused."""
+"""Settings in protobuf text format, besides the platform's JSON; a file with any error is rejected."""
--- a/lichenquay/config/connection_admission_settings.py
+++ b/lichenquay/config/connection_admission_settings.py
@@ -1,4 +1,4 @@
-"""Settings of connection admission (the `gate` section): checks, defaults, and the rules made of them."""
+"""Settings of connection admission (the `gate` section): checks, defaults, and conversion to rules."""
 
 from google.protobuf import text_format
 
@@ -8,12 +8,12 @@
 DEFAULTS = "prefix4: 24 most_seen: 4096 again_ms: 1000 lag_ms: 50"
 
 
-def problem_with_connection_admission(gate, path: str) -> str | None:
-    """The first thing that cannot be used, beyond the ranges, or None."""
-    for holder in ("address", "prefix"):
-        limits = getattr(gate, holder)
+def find_connection_admission_error(gate, path: str) -> str | None:
+    """Returns the first error that is not a number out of its range, or None."""
+    for section in ("address", "prefix"):
+        limits = getattr(gate, section)
         if limits.per_s and limits.burst < 1:
-            return f"{path}.{holder}.burst: {limits.burst:g} lets nobody in; 1 at least, as per_s is set"
+            return f"{path}.{section}.burst: {limits.burst:g} is below 1, the minimum with per_s"
     try:
         parse_networks(gate.known)
     except ValueError as error:
@@ -24,7 +24,7 @@
 
 
 def connection_rules(gate, max_connections: int) -> ConnectionRules:
-    """The rules of connection admission for at most `max_connections`, defaults filled in."""
+    """Returns the rules for at most `max_connections` connections, with defaults for missing values."""
     effective = pb.Gate()
     text_format.Parse(DEFAULTS, effective)
     effective.MergeFrom(gate)
--- a/lichenquay/config/control_settings.py
+++ b/lichenquay/config/control_settings.py
@@ -1,20 +1,21 @@
-"""Settings of control processes (`control`): checks, defaults, and what the values mean.
+"""Settings of control processes (the `control` section): checks, defaults and derived values.
 
-A file is checked whole: the first problem is reported in one line, and nothing starts on a part of it.
+The whole file is checked, and its first error is reported in one line. No process starts with invalid
+settings.
 """
 
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.distribution_settings import (
     TIMING_RANGES,
+    find_timing_error,
     fingerprint_of,
-    problem_with_timing,
 )
 from lichenquay.config.process_entries import (
-    problem_with_address,
-    problem_with_identity,
-    problem_with_name,
-    problem_with_processes,
-    problem_with_relays,
+    find_address_error,
+    find_identity_error,
+    find_name_error,
+    find_process_list_error,
+    find_relay_list_error,
 )
 
 VOTER = pb.Control.VOTER
@@ -31,38 +32,41 @@
 }
 
 
-def problem_with_control(settings) -> str | None:
-    """The first thing that cannot be used in the file of a control process, or None."""
+def find_control_error(settings) -> str | None:
+    """Returns the first error in the settings file of a control process, or None."""
     control = settings.control
     if settings.HasField("fleet") or settings.HasField("gate") or settings.HasField("distribution"):
-        return "control: a file is a control process's or a front's, not both"
+        return "control: not allowed in a file with gateway settings (fleet, gate or distribution)"
     return (
-        problem_with_identity(control, "control")
-        or _problem_with_role(control)
-        or _problem_with_zones(control)
-        or _problem_with_voters(control)
-        or problem_with_relays(control.relays, "control", control.listen)
-        or _problem_with_zones_of_relays(control)
-        or _problem_between_voters_and_relays(control)
-        or _problem_with_own_entry(control)
-        or problem_with_timing(control.figures, "control")
+        find_identity_error(control, "control")
+        or _find_role_error(control)
+        or _find_zones_error(control)
+        or _find_voters_error(control)
+        or find_relay_list_error(control.relays, "control", control.listen)
+        or _find_relay_zones_error(control)
+        or _find_voter_relay_conflict(control)
+        or _find_own_entry_error(control)
+        or find_timing_error(control.figures, "control")
     )
 
 
 def warnings_of(settings) -> list[str]:
-    """What works but tolerates fewer failures than it could: lines to be logged at the start."""
+    """Returns warnings about valid settings with avoidable single points of failure, one line each."""
     if settings.HasField("control") and settings.control.role == VOTER:
-        return _warnings_of_voters(settings.control.voters)
+        return _voter_warnings(settings.control.voters)
     return []
 
 
 def lease_duration_ms(control) -> float:
-    """How long the publisher may act without an answer from a majority, in milliseconds."""
+    """Returns the duration of the publisher's lease in milliseconds.
+
+    The publisher acts for no longer than this without an answer from a majority of the voters.
+    """
     return control.lease_ms or DEFAULT_LEASE_MS
 
 
 def region_of(control) -> str:
-    """The region of this process: as given, or as its entry in the lists has it."""
+    """Returns the region of this process, by default that of its entry in `voters` or `relays`."""
     if control.region:
         return control.region
     processes = [*control.voters, *control.relays]
@@ -70,95 +74,95 @@
 
 
 def group_fingerprint(control) -> int:
-    """64 bits over all that must be the same on all voters."""
+    """Returns a 64-bit hash of the settings that must be the same on all voters."""
     voters = sorted(voter.name for voter in control.voters)
     return fingerprint_of("control", control.fleet, voters, lease_duration_ms(control))
 
 
-def _warnings_of_voters(voters):
+def _voter_warnings(voters):
     if len(voters) == 1:
-        return ["control.voters: one alone; while it is down nothing changes, and its folder is the only one"]
+        return ["control.voters: one alone; no changes while it is down, and its folder is the only copy"]
     regions = [voter.region for voter in voters]
     largest = max(set(regions), key=regions.count)
     if len(set(regions)) == 1:
-        return [f"control.voters: all in region {largest!r}; without that region nothing changes"]
+        return [f"control.voters: all in region {largest!r}; its loss stops all configuration changes"]
     if regions.count(largest) > len(voters) // 2:
-        return [f"control.voters: most are in region {largest!r}; without that region nothing changes"]
+        return [
+            f"control.voters: a majority is in region {largest!r}; its loss stops all configuration changes"
+        ]
     return []
 
 
-def _problem_with_role(control):
+def _find_role_error(control):
     if control.role == VOTER:
         if not control.folder:
-            return "control.folder: missing; a voter needs one that lasts"
+            return "control.folder: missing; a voter requires durable storage"
         if control.zone:
-            return "control.zone: a voter has none"
-        return problem_with_address(control.discovery, "control.discovery") if control.discovery else None
+            return f"control.zone: {control.zone!r} is not allowed for a voter"
+        return find_address_error(control.discovery, "control.discovery") if control.discovery else None
     if control.role == RELAY:
-        unwanted = next((field for field in ("folder", "discovery") if getattr(control, field)), None)
-        return f"control.{unwanted}: a relay has none" if unwanted else None
-    return "control.role: missing; VOTER or RELAY"
+        voter_field = next((field for field in ("folder", "discovery") if getattr(control, field)), None)
+        return f"control.{voter_field}: not allowed for a relay" if voter_field else None
+    return "control.role: missing; expected VOTER or RELAY"
 
 
-def _problem_with_zones(control):
+def _find_zones_error(control):
     names = set()
     for index, zone in enumerate(control.zones):
-        here = f"control.zones[{index}]"
+        path = f"control.zones[{index}]"
         for field in ("name", "region"):
-            if problem := problem_with_name(getattr(zone, field), f"{here}.{field}"):
-                return problem
+            if error := find_name_error(getattr(zone, field), f"{path}.{field}"):
+                return error
         if zone.name in names:
-            return f"{here}.name: {zone.name!r} is another zone's"
+            return f"{path}.name: {zone.name!r} is already the name of another zone"
         names.add(zone.name)
     return None
 
 
-def _problem_with_voters(control):
+def _find_voters_error(control):
     if len(control.voters) not in VOTER_COUNTS:
-        return f"control.voters: {len(control.voters)} of them; 1, 3 or 5 are wanted"
-    return problem_with_processes(control.voters, "control.voters", control.listen, ("region",))
+        return f"control.voters: {len(control.voters)} voters; expected 1, 3 or 5"
+    return find_process_list_error(control.voters, "control.voters", control.listen, ("region",))
 
 
-def _problem_with_zones_of_relays(control):
+def _find_relay_zones_error(control):
     if not control.zones:
         return None
     regions = {zone.name: zone.region for zone in control.zones}
     for index, relay in enumerate(control.relays):
         if relay.zone not in regions:
-            return f"control.relays[{index}].zone: {relay.zone!r} is none of `zones`"
+            return f"control.relays[{index}].zone: {relay.zone!r} is not listed in `zones`"
         if relay.region != regions[relay.zone]:
             return f"control.relays[{index}].region: zone {relay.zone!r} is in {regions[relay.zone]!r}"
     if control.zone and control.zone not in regions:
-        return f"control.zone: {control.zone!r} is none of `zones`"
+        return f"control.zone: {control.zone!r} is not listed in `zones`"
     return None
 
 
-def _problem_between_voters_and_relays(control):
-    """A name and an address belong to one process."""
+def _find_voter_relay_conflict(control):
+    """Returns an error if a relay has the name or the address of a voter."""
     names = {voter.name for voter in control.voters}
     addresses = {voter.address for voter in control.voters}
     for index, relay in enumerate(control.relays):
         if relay.name in names:
-            return f"control.relays[{index}].name: {relay.name!r} is a voter's"
+            return f"control.relays[{index}].name: {relay.name!r} is already the name of a voter"
         if relay.address in addresses:
-            return f"control.relays[{index}].address: {relay.address!r} is a voter's"
+            return f"control.relays[{index}].address: {relay.address!r} is already the address of a voter"
     return None
 
 
-def _problem_with_own_entry(control):
-    """The settings of this process have to agree with its entry in the lists."""
+def _find_own_entry_error(control):
+    """Returns an error if the settings of this process differ from its entry in `voters` or `relays`."""
     is_voter = control.role == VOTER
     list_name = "voters" if is_voter else "relays"
     own_list = control.voters if is_voter else control.relays
     other_list = control.relays if is_voter else control.voters
     if any(process.name == control.name for process in other_list):
-        return f"control.role: {control.name!r} has another one by the lists"
+        return f"control.role: {control.name!r} is listed with another role"
     own = next((process for process in own_list if process.name == control.name), None)
     if own is None:
         is_required = is_voter or len(control.relays) > 0
-        return (
-            f"control.{list_name}: {control.name!r}, this process, is not among them" if is_required else None
-        )
+        return f"control.{list_name}: no entry for this process, {control.name!r}" if is_required else None
     if control.region and control.region != own.region:
         return f"control.region: {control.region!r}, but {own.region!r} in `{list_name}`"
     if control.zone and control.zone != own.zone:
--- a/lichenquay/config/distributed_values.py
+++ b/lichenquay/config/distributed_values.py
@@ -1,10 +1,10 @@
-"""Checks of the values that gateways apply: the same at the publisher and at each gateway."""
+"""Checks of distributed values, shared by the publisher and the gateways that apply them."""
 
 from lichenquay.config.endpoint_list import (
     COMPLETE_KEY,
     ENGINE_PREFIX,
-    problem_with_completeness,
-    problem_with_endpoint,
+    find_completeness_error,
+    find_endpoint_error,
 )
 from lichenquay.config.errors import ConfigurationError
 from lichenquay.config.reader import read_gate
@@ -13,7 +13,7 @@
 
 
 def gate_of(value: bytes):
-    """The `Gate` message that a value holds. Errors: ConfigurationError."""
+    """Parses the `Gate` message in a value. Raises ConfigurationError."""
     try:
         text = value.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -21,10 +21,10 @@
     return read_gate(text, GATE_KEY)
 
 
-def problem_with_value(key: str, value: bytes) -> str | None:
-    """Why a value cannot be applied under this key, or None. Keys that no gateway reads may hold anything."""
+def find_value_error(key: str, value: bytes) -> str | None:
+    """Returns why the value is invalid for the key, or None. Keys that no gateway reads are not checked."""
     if key == COMPLETE_KEY:
-        return problem_with_completeness(value)
+        return find_completeness_error(value)
     if key != GATE_KEY:
         return None
     try:
@@ -34,4 +34,4 @@
     return None
 
 
-CHECKS_BY_PREFIX = {"config/": problem_with_value, ENGINE_PREFIX: problem_with_endpoint}
+CHECKS_BY_PREFIX = {"config/": find_value_error, ENGINE_PREFIX: find_endpoint_error}
--- a/lichenquay/config/distribution_settings.py
+++ b/lichenquay/config/distribution_settings.py
@@ -1,13 +1,13 @@
-"""Settings of gateways that follow distributed configuration (`distribution`), and its common timing."""
+"""Settings of gateways that subscribe to distributed configuration, and the shared timing settings."""
 
 import hashlib
 from dataclasses import fields as dataclass_fields
 
 from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX
-from lichenquay.config.process_entries import problem_with_identity, problem_with_name, problem_with_relays
+from lichenquay.config.process_entries import find_identity_error, find_name_error, find_relay_list_error
 from lichenquay.distribution.settings import Settings as DistributionSettings
 
-MAX_PREFIX_CHARACTERS = 64  # as of a key
+MAX_PREFIX_LENGTH = 64  # in characters; the maximum length of a key
 MAX_PREFIXES = DistributionSettings.most_prefixes
 DEFAULT_PREFIXES = ("config/",)
 PROTOCOL_REVISION = 1
@@ -21,100 +21,103 @@
     "most_snapshots": (1, 4096),
     "most_sessions": (1, 65_536),
 }
-# A timeout has to leave time for a second report, or one lost datagram would trigger it.
-REPORTS_IN_A_TIMEOUT = 2
+# A timeout shorter than two report intervals would expire after one lost datagram.
+MIN_REPORTS_PER_TIMEOUT = 2
 
 
-def problem_with_distribution(settings) -> str | None:
-    """The first thing that cannot be used in what a gateway follows, or None."""
+def find_distribution_error(settings) -> str | None:
+    """Returns the first error in the `distribution` section of a gateway, or None."""
     distribution = settings.distribution
     if settings.HasField("fleet"):
         for field in ("fleet", "name", "listen"):
             if distribution.HasField(field):
-                return f"distribution.{field}: said by `fleet` already"
-    elif problem := problem_with_identity(distribution, "distribution"):
-        return problem
+                return f"distribution.{field}: not allowed, as the `fleet` section sets it"
+    elif error := find_identity_error(distribution, "distribution"):
+        return error
     if not distribution.relays:
         return "distribution.relays: missing"
     listen = settings.fleet.listen or distribution.listen
     return (
-        problem_with_relays(distribution.relays, "distribution", listen)
-        or _problem_with_gateway_zone(distribution)
-        or _problem_with_relay_names(settings)
-        or _problem_with_prefixes(distribution.prefixes)
-        or _problem_with_engines(distribution)
-        or problem_with_timing(distribution.figures, "distribution")
+        find_relay_list_error(distribution.relays, "distribution", listen)
+        or _find_gateway_zone_error(distribution)
+        or _find_relay_name_error(settings)
+        or _find_prefixes_error(distribution.prefixes)
+        or _find_engines_error(distribution)
+        or find_timing_error(distribution.figures, "distribution")
     )
 
 
-def problem_with_timing(figures, section: str) -> str | None:
-    """The first timeout that is too short for its report interval, or None."""
+def find_timing_error(figures, section: str) -> str | None:
+    """Returns an error for the first timeout that is too short for the report interval, or None."""
     settings = distribution_settings(figures)
     for field in ("silent_ms", "expire_ms", "stale_ms"):
         value = getattr(settings, field)
-        if value < REPORTS_IN_A_TIMEOUT * settings.report_ms:
-            return f"{section}.figures.{field}: {value:g} is under two reports of {settings.report_ms:g}"
+        if value < MIN_REPORTS_PER_TIMEOUT * settings.report_ms:
+            return (
+                f"{section}.figures.{field}: {value:g} is less than "
+                f"{MIN_REPORTS_PER_TIMEOUT} report intervals of {settings.report_ms:g}"
+            )
     return None
 
 
 def distribution_settings(figures) -> DistributionSettings:
-    """The settings of distribution, with the given values in place of the defaults."""
+    """Returns the timing settings, with defaults for missing values."""
     known = {field.name for field in dataclass_fields(DistributionSettings)}
     given = {field.name: value for field, value in figures.ListFields() if field.name in known}
     return DistributionSettings(**given)
 
 
 def followed_prefixes(distribution) -> tuple[str, ...]:
-    """The key prefixes that a gateway subscribes to."""
+    """Returns the key prefixes that a gateway subscribes to."""
     if distribution.prefixes:
         return tuple(distribution.prefixes)
     return (*DEFAULT_PREFIXES, ENGINE_PREFIX) if distribution.engines else DEFAULT_PREFIXES
 
 
 def distribution_fingerprint(fleet: str) -> int:
-    """64 bits that publishers, relays, gateways and clients of one fleet share."""
+    """Returns the 64-bit fingerprint shared by the publishers, relays, gateways and clients of a fleet."""
     return fingerprint_of("distribution", fleet)
 
 
 def fingerprint_of(*values) -> int:
-    """64 bits over values and the protocol's revision."""
+    """Returns a 64-bit hash of the values and the protocol revision."""
     text = repr((PROTOCOL_REVISION, *values)).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
-def _problem_with_gateway_zone(distribution):
+def _find_gateway_zone_error(distribution):
     if not distribution.zone:
         return "distribution.zone: missing"
-    if problem := problem_with_name(distribution.zone, "distribution.zone"):
-        return problem
+    if error := find_name_error(distribution.zone, "distribution.zone"):
+        return error
     if all(relay.zone != distribution.zone for relay in distribution.relays):
         return f"distribution.zone: no relay is in {distribution.zone!r}"
     return None
 
 
-def _problem_with_relay_names(settings):
+def _find_relay_name_error(settings):
     peers = (peer.name for peer in settings.fleet.peers)
     gateways = {settings.fleet.name, settings.distribution.name, *peers}
     for index, relay in enumerate(settings.distribution.relays):
         if relay.name in gateways:
-            return f"distribution.relays[{index}].name: {relay.name!r} is a front's"
+            return f"distribution.relays[{index}].name: {relay.name!r} is already the name of a gateway"
     return None
 
 
-def _problem_with_prefixes(prefixes):
+def _find_prefixes_error(prefixes):
     if len(prefixes) > MAX_PREFIXES:
-        return f"distribution.prefixes: {len(prefixes)}, {MAX_PREFIXES} at most"
+        return f"distribution.prefixes: {len(prefixes)} prefixes; at most {MAX_PREFIXES} are allowed"
     for index, prefix in enumerate(prefixes):
-        here = f"distribution.prefixes[{index}]"
-        if len(prefix) > MAX_PREFIX_CHARACTERS:
-            return f"{here}: {len(prefix)} characters, {MAX_PREFIX_CHARACTERS} at most"
+        path = f"distribution.prefixes[{index}]"
+        if len(prefix) > MAX_PREFIX_LENGTH:
+            return f"{path}: {len(prefix)} characters; at most {MAX_PREFIX_LENGTH} are allowed"
         if prefix in prefixes[:index]:
-            return f"{here}: {prefix!r} is said twice"
+            return f"{path}: {prefix!r} is a duplicate"
     return None
 
 
-def _problem_with_engines(distribution):
-    """A gateway that takes its endpoint list from here has to follow it, and its completeness marker."""
+def _find_engines_error(distribution):
+    """Returns an error if `engines` is set and the prefixes omit the endpoint list or its marker."""
     if not distribution.engines:
         return None
     prefixes = followed_prefixes(distribution)
@@ -122,5 +125,5 @@
         prefix.startswith(ENGINE_PREFIX) or ENGINE_PREFIX.startswith(prefix) for prefix in prefixes
     )
     if not covers_engines or not COMPLETE_KEY.startswith(prefixes):
-        return f"distribution.engines: `prefixes` have to cover {ENGINE_PREFIX} and {COMPLETE_KEY}"
+        return f"distribution.engines: `prefixes` must cover {ENGINE_PREFIX} and {COMPLETE_KEY}"
     return None
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Distributed entries under `engine/`: the endpoint list, one key per engine."""
+"""The distributed endpoint list: one entry for each engine, under the key `engine/ZONE/UID`."""
 
 from google.protobuf.message import DecodeError
 
@@ -9,39 +9,42 @@
 from lichenquay.endpoint_record import EndpointRecord
 
 ENGINE_PREFIX = "engine/"
-# The marker that all engines have been published once.
+# This key is set once all engines of the list have been published.
 COMPLETE_KEY = "config/engines"
 COMPLETE = b"complete"
-STATES = {pb.ListedEngine.SERVING: EndpointState.SERVING, pb.ListedEngine.DRAINING: EndpointState.DRAINING}
-STATE_NUMBERS = {state: number for number, state in STATES.items()}
+STATES_BY_NUMBER = {
+    pb.ListedEngine.SERVING: EndpointState.SERVING,
+    pb.ListedEngine.DRAINING: EndpointState.DRAINING,
+}
+NUMBERS_BY_STATE = {state: number for number, state in STATES_BY_NUMBER.items()}
 MAX_WEIGHT = 1e6
 MAX_TIME_MS = 1e15
 
 
-def problem_with_completeness(value: bytes) -> str | None:
-    """Why a value is not valid under `COMPLETE_KEY`, or None."""
+def find_completeness_error(value: bytes) -> str | None:
+    """Returns why the value is invalid for `COMPLETE_KEY`, or None."""
     return None if value == COMPLETE else f"{COMPLETE_KEY}: {COMPLETE.decode()!r} is all that it can be"
 
 
 def key_of(record: EndpointRecord) -> str:
-    """The key of an engine."""
+    """Returns the key of an engine."""
     return f"{ENGINE_PREFIX}{record.zone}/{record.uid}"
 
 
 def value_of(record: EndpointRecord) -> bytes:
-    """The value of an engine that is not removed."""
+    """Serializes an engine that is not removed."""
     return pb.ListedEngine(
         address=record.address,
         kind=record.kind,
         cell=record.cell,
-        state=STATE_NUMBERS[record.state],
+        state=NUMBERS_BY_STATE[record.state],
         units=record.advertised_weight,
         started_ms=record.started_ms,
     ).SerializeToString(deterministic=True)
 
 
 def record_of(key: str, value: bytes) -> EndpointRecord:
-    """The engine that an entry describes. Errors: InvalidEndpointError."""
+    """Parses the entry of an engine. Raises InvalidEndpointError."""
     zone, separator, uid = key.removeprefix(ENGINE_PREFIX).partition("/")
     if not key.startswith(ENGINE_PREFIX) or not separator or not uid or "/" in uid:
         raise InvalidEndpointError(f"key {key[:64]!r}: not engine/ZONE/UID")
@@ -52,7 +55,7 @@
         raise InvalidEndpointError(f"{key}: no engine's entry") from None
     except ValueError:
         raise InvalidEndpointError(f"{key}: {listed.address[:40]!r} is no address:port") from None
-    if listed.state not in STATES:
+    if listed.state not in STATES_BY_NUMBER:
         raise InvalidEndpointError(f"{key}: in no known state")
     if not 0 <= listed.units <= MAX_WEIGHT or not 0 <= listed.started_ms <= MAX_TIME_MS:
         raise InvalidEndpointError(f"{key}: capacity or time of its start make no sense")
@@ -62,14 +65,14 @@
         zone=zone,
         kind=listed.kind,
         cell=listed.cell,
-        state=STATES[listed.state],
+        state=STATES_BY_NUMBER[listed.state],
         advertised_weight=listed.units,
         started_ms=listed.started_ms,
     )
 
 
-def problem_with_endpoint(key: str, value: bytes) -> str | None:
-    """Why an entry describes no engine, or None."""
+def find_endpoint_error(key: str, value: bytes) -> str | None:
+    """Returns why the entry does not describe a valid engine, or None."""
     try:
         record_of(key, value)
     except InvalidEndpointError as error:
--- a/lichenquay/config/errors.py
+++ b/lichenquay/config/errors.py
@@ -2,8 +2,8 @@
 
 
 class ConfigurationError(ValueError):
-    """Settings that cannot be used. The text is one line: file, place and cause."""
+    """Invalid settings; the message is one line that names the file, the place and the cause."""
 
 
 class InvalidEndpointError(ConfigurationError):
-    """A distributed entry that describes no engine."""
+    """A distributed entry under `engine/` that does not describe a valid engine."""
--- a/lichenquay/config/fleet_settings.py
+++ b/lichenquay/config/fleet_settings.py
@@ -1,17 +1,17 @@
-"""Settings of a gateway among others (`fleet`): checks, defaults, and the fingerprint that all share."""
+"""Settings of a gateway in a fleet (the `fleet` section): checks, defaults, and the shared fingerprint."""
 
 import hashlib
 from typing import NamedTuple
 
-from lichenquay.config.process_entries import parse_address, problem_with_name, problem_with_process_names
+from lichenquay.config.process_entries import find_name_error, find_process_name_error, parse_address
 from lichenquay.quota.account_settings import account_terms
 
 MAX_GATEWAYS = 1024
 VOTER_COUNTS = (2, 3, 5)
 DEFAULT_LEASE_MS = 1500.0
 DEFAULT_TERM_MS = 4000.0
-# A term has to outlive a lease that is renewed late, or a leader would lose its grants while it leads.
-LEASES_IN_A_TERM = 2
+# Grants must outlive a lease that is renewed late, or a leader would lose its own grants while it leads.
+MIN_LEASES_PER_TERM = 2
 DEFAULT_ACCOUNT = {"credit_ms": 0.0, "due_ms": 30_000.0, "repay_share": 0.25, "lend_share": 0.5}
 RANGES = {
     "fleet.lease_ms": (200, 60_000),
@@ -30,34 +30,37 @@
 
     tenant: str
     rate_ms: float  # per second
-    bucket_ms: float  # unused quota that is kept at most
-    credit_ms: float  # outstanding loans at most
-    due_ms: float  # a loan that is older is overdue
-    repay_share: float  # of the rate that repays loans
-    lend_share: float  # of the bucket that others may borrow
+    bucket_ms: float  # the most unused quota that accumulates
+    credit_ms: float  # the limit of outstanding loans
+    due_ms: float  # the age at which a loan is overdue
+    repay_share: float  # share of the rate that repays loans
+    lend_share: float  # share of the bucket that other tenants may borrow
 
 
-def problem_with_fleet(fleet) -> str | None:
-    """The first thing that cannot be used, or None.
+def find_fleet_error(fleet) -> str | None:
+    """Returns the first error in the `fleet` section, or None.
 
-    The section is checked whole, since a gateway that starts on a part of it would act as nobody meant.
+    The whole section is checked: a gateway that applied a part of it would differ from the operator's intent.
     """
     return (
-        problem_with_process_names(fleet, "fleet")
-        or _problem_with_peers(fleet)
-        or _problem_with_addresses(fleet)
-        or _problem_with_voters(fleet)
-        or _problem_with_accounts(fleet)
+        find_process_name_error(fleet, "fleet")
+        or _find_peers_error(fleet)
+        or _find_addresses_error(fleet)
+        or _find_voters_error(fleet)
+        or _find_accounts_error(fleet)
     )
 
 
 def gateway_names(fleet) -> list[str]:
-    """The names of all gateways, sorted."""
+    """Returns the sorted names of all gateways of the fleet."""
     return sorted({fleet.name, *(peer.name for peer in fleet.peers)})
 
 
 def voter_names(fleet) -> list[str]:
-    """The gateways that vote on the ledger: as given, else the first five, three or two by name."""
+    """Returns the sorted names of the gateways that vote on the ledger.
+
+    By default these are the first five by name, or the first three or two if there are fewer gateways.
+    """
     if fleet.voters:
         return sorted(fleet.voters)
     names = gateway_names(fleet)
@@ -67,7 +70,7 @@
 
 
 def quota_account(account) -> QuotaAccount:
-    """An account with its defaults."""
+    """Returns an account, with defaults for missing values."""
     optional = (
         getattr(account, field) if account.HasField(field) else default
         for field, default in DEFAULT_ACCOUNT.items()
@@ -76,7 +79,7 @@
 
 
 def ledger_account(account):
-    """An account as the ledger takes it. Errors: ValueError, in one line."""
+    """Returns the ledger's form of an account. Raises ValueError with a one-line message."""
     quota = quota_account(account)
     return account_terms(
         quota.tenant,
@@ -90,10 +93,10 @@
 
 
 def fingerprint(fleet) -> int:
-    """64 bits over all that must be the same on all gateways; addresses and folders may differ."""
+    """Returns a 64-bit hash of the settings that must be the same on all gateways of the fleet."""
     accounts = sorted(tuple(quota_account(account)) for account in fleet.accounts)
     values = (
-        1,  # revision of the protocol
+        1,  # protocol revision
         fleet.fleet,
         voter_names(fleet),
         fleet.lease_ms or DEFAULT_LEASE_MS,
@@ -103,29 +106,29 @@
     return int.from_bytes(hashlib.blake2b(repr(values).encode(), digest_size=8).digest(), "big")
 
 
-def _problem_with_peers(fleet):
+def _find_peers_error(fleet):
     if not fleet.peers:
-        return "fleet.peers: missing; a fleet is two fronts at least"
+        return "fleet.peers: missing; a fleet has at least two gateways"
     if len(fleet.peers) >= MAX_GATEWAYS:
-        return f"fleet.peers: {len(fleet.peers)}, but a fleet is {MAX_GATEWAYS} fronts at most"
+        return f"fleet.peers: {len(fleet.peers)} peers; a fleet has at most {MAX_GATEWAYS} gateways"
     names = {fleet.name}
     addresses = {fleet.listen}
     for index, peer in enumerate(fleet.peers):
-        here = f"fleet.peers[{index}]"
-        if problem := problem_with_name(peer.name, f"{here}.name"):
-            return problem
+        path = f"fleet.peers[{index}]"
+        if error := find_name_error(peer.name, f"{path}.name"):
+            return error
         if peer.name == fleet.name:
-            return f"{here}.name: {peer.name!r} is this front itself"
+            return f"{path}.name: {peer.name!r} is the name of this gateway"
         if peer.name in names:
-            return f"{here}.name: {peer.name!r} is another peer's"
+            return f"{path}.name: {peer.name!r} is already the name of another peer"
         if peer.address in addresses:
-            return f"{here}.address: {peer.address!r} is another's"
+            return f"{path}.address: {peer.address!r} is already the address of another gateway"
         names.add(peer.name)
         addresses.add(peer.address)
     return None
 
 
-def _problem_with_addresses(fleet):
+def _find_addresses_error(fleet):
     addresses = {"listen": fleet.listen}
     addresses |= {f"peers[{index}].address": peer.address for index, peer in enumerate(fleet.peers)}
     for path, text in addresses.items():
@@ -136,34 +139,34 @@
     return None
 
 
-def _problem_with_voters(fleet):
+def _find_voters_error(fleet):
     count = len(fleet.voters)
     is_unique = len(set(fleet.voters)) == count
     if count and (not is_unique or count not in VOTER_COUNTS):
-        return f"fleet.voters: {count} of them; 3 or 5 names are wanted, 2 where there are no more"
+        return f"fleet.voters: {count} voters; expected 3 or 5 unique names, or 2 in a fleet of two"
     names = gateway_names(fleet)
     for name in fleet.voters:
         if name not in names:
-            return f"fleet.voters: {name!r} is no front of this fleet"
+            return f"fleet.voters: {name!r} is not a gateway of this fleet"
     return None
 
 
-def _problem_with_accounts(fleet):
+def _find_accounts_error(fleet):
     if fleet.accounts and not fleet.folder:
-        return "fleet.folder: missing; accounts need one that lasts"
+        return "fleet.folder: missing; accounts require durable storage"
     tenants = [account.tenant for account in fleet.accounts]
     if "" in tenants or len(set(tenants)) < len(tenants):
-        return "fleet.accounts: each needs a tenant of its own"
+        return "fleet.accounts: each account requires a unique tenant"
     for index, account in enumerate(fleet.accounts):
-        if problem := _problem_with_account(account):
-            return f"fleet.accounts[{index}]{problem}"
+        if error := _find_account_error(account):
+            return f"fleet.accounts[{index}]{error}"
     lease_ms = fleet.lease_ms or DEFAULT_LEASE_MS
-    if fleet.HasField("term_ms") and fleet.term_ms < LEASES_IN_A_TERM * lease_ms:
-        return f"fleet.term_ms: {fleet.term_ms:g} is under two leases of {lease_ms:g}"
+    if fleet.HasField("term_ms") and fleet.term_ms < MIN_LEASES_PER_TERM * lease_ms:
+        return f"fleet.term_ms: {fleet.term_ms:g} is less than {MIN_LEASES_PER_TERM} leases of {lease_ms:g}"
     return None
 
 
-def _problem_with_account(account):
+def _find_account_error(account):
     for field in ("rate_ms", "bucket_ms"):
         if not account.HasField(field):
             return f".{field}: missing"
--- a/lichenquay/config/reader.py
+++ b/lichenquay/config/reader.py
@@ -1,43 +1,43 @@
-"""Reads settings in protobuf text format: a whole checked file, or one line that says what is wrong."""
+"""Reads and checks settings in protobuf text format; an invalid file raises a one-line error."""
 
 from collections.abc import Callable
 from os import PathLike
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.connection_admission_settings import problem_with_connection_admission
-from lichenquay.config.control_settings import problem_with_control
-from lichenquay.config.distribution_settings import problem_with_distribution
+from lichenquay.config.connection_admission_settings import find_connection_admission_error
+from lichenquay.config.control_settings import find_control_error
+from lichenquay.config.distribution_settings import find_distribution_error
 from lichenquay.config.errors import ConfigurationError
-from lichenquay.config.fleet_settings import problem_with_fleet
+from lichenquay.config.fleet_settings import find_fleet_error
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.config.text_format import parse, problem_with_ranges, raise_on_problem
+from lichenquay.config.text_format import find_range_error, parse, raise_if_error
 
 
 def read_settings(text: str, name: str = "settings"):
-    """A gateway's settings beyond the platform's JSON. Errors: ConfigurationError."""
+    """Returns the settings of a gateway or control process. Raises ConfigurationError."""
     settings = parse(pb.Settings(), text, name)
-    raise_on_problem(_problem_with_settings(settings), text, name)
+    raise_if_error(_find_settings_error(settings), text, name)
     return settings
 
 
 def read_control(text: str, name: str = "settings"):
-    """A control process's settings: a file with a `control` section. Errors: ConfigurationError."""
+    """Returns the settings of a control process. Raises ConfigurationError, also without `control`."""
     settings = read_settings(text, name)
-    problem = None if settings.HasField("control") else "control: missing"
-    raise_on_problem(problem, text, name)
+    error = None if settings.HasField("control") else "control: missing"
+    raise_if_error(error, text, name)
     return settings
 
 
 def read_gate(text: str, name: str = "gate"):
-    """A `Gate` message alone, checked as in a file. Errors: ConfigurationError."""
+    """Returns a single `Gate` message, checked as in a settings file. Raises ConfigurationError."""
     gate = parse(pb.Gate(), text, name)
-    problem = problem_with_ranges(pb.Settings(gate=gate)) or problem_with_connection_admission(gate, "gate")
-    raise_on_problem(problem, text, name)
+    error = find_range_error(pb.Settings(gate=gate)) or find_connection_admission_error(gate, "gate")
+    raise_if_error(error, text, name)
     return gate
 
 
 def read_file(path: str | PathLike, read: Callable = read_testbed):
-    """The settings in a file, as `read` makes them. Errors: ConfigurationError, also if it is unreadable."""
+    """Returns the settings in a file, parsed by `read`. Raises ConfigurationError, also if unreadable."""
     try:
         with open(path, encoding="utf-8") as file:
             return read(file.read(), str(path))
@@ -47,12 +47,12 @@
         raise ConfigurationError(f"{path}: not UTF-8 text at byte {error.start}") from None
 
 
-def _problem_with_settings(settings):
-    problem = problem_with_ranges(settings) or problem_with_connection_admission(settings.gate, "gate")
-    if not problem and settings.HasField("fleet"):
-        problem = problem_with_fleet(settings.fleet)
-    if not problem and settings.HasField("control"):
-        problem = problem_with_control(settings)
-    if not problem and settings.HasField("distribution"):
-        problem = problem_with_distribution(settings)
-    return problem
+def _find_settings_error(settings):
+    error = find_range_error(settings) or find_connection_admission_error(settings.gate, "gate")
+    if not error and settings.HasField("fleet"):
+        error = find_fleet_error(settings.fleet)
+    if not error and settings.HasField("control"):
+        error = find_control_error(settings)
+    if not error and settings.HasField("distribution"):
+        error = find_distribution_error(settings)
+    return error
--- a/lichenquay/config/testbed_settings.py
+++ b/lichenquay/config/testbed_settings.py
@@ -1,12 +1,12 @@
-"""Settings of the testbed: engines, query groups, tenants, faults and load, with defaults for all of it."""
+"""Settings of the testbed and their defaults: engines, query groups, tenants, faults and load."""
 
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.connection_admission_settings import problem_with_connection_admission
-from lichenquay.config.text_format import parse, problem_with_ranges, raise_on_problem
+from lichenquay.config.connection_admission_settings import find_connection_admission_error
+from lichenquay.config.text_format import find_range_error, parse, raise_if_error
 
-# A small testbed that runs on any machine: what `demo` plays, and the defaults of every file.
+# The defaults of each testbed file, and the testbed of `demo`; small enough for any machine.
 DEFAULT_TESTBED = """
 seed: 1
 engines { count: 4 cores: 4 memory_mb: 4096 zones: "a" zones: "b" most_open: 64 warm_tables: 8
@@ -27,13 +27,13 @@
 load { rate: 80 seconds: 10 peak: 3 workers: 2 connections: 12 addresses: 4 tables: 40 skew: 0.8 }
 front { count: 1 memory_mb: 192 sockets: 1024 }
 """
-MAX_SLOWDOWN = 100  # factor of a SLOW fault
+MAX_SLOWDOWN = 100  # the maximum factor of a SLOW fault
 
 
 def read_testbed(text: str, name: str = "settings"):
-    """A whole testbed. Errors: ConfigurationError.
+    """Returns the settings of a testbed, with defaults for missing values. Raises ConfigurationError.
 
-    Lists that the text gives replace the default ones, single values replace single values.
+    A list in the text replaces the whole default list.
     """
     given = parse(pb.Lab(), text, name)
     testbed = pb.Lab()
@@ -44,62 +44,60 @@
     if given.engines.zones:
         testbed.engines.ClearField("zones")
     testbed.MergeFrom(given)
-    raise_on_problem(problem_with_testbed(testbed), text, name)
+    raise_if_error(find_testbed_error(testbed), text, name)
     return testbed
 
 
-def problem_with_testbed(testbed) -> str | None:
-    """The first thing that cannot be used in a whole testbed, or None."""
+def find_testbed_error(testbed) -> str | None:
+    """Returns the first error in the settings of a testbed, or None."""
     return (
-        problem_with_ranges(testbed)
-        or _problem_with_names(testbed)
-        or _problem_with_load(testbed)
-        or _problem_with_faults(testbed)
-        or problem_with_connection_admission(testbed.front.gate, "front.gate")
+        find_range_error(testbed)
+        or _find_names_error(testbed)
+        or _find_load_error(testbed)
+        or _find_faults_error(testbed)
+        or find_connection_admission_error(testbed.front.gate, "front.gate")
     )
 
 
-def _problem_with_names(testbed):
+def _find_names_error(testbed):
     for field in ("groups", "tenants"):
         names = [element.name for element in getattr(testbed, field)]
         if not names or "" in names or len(set(names)) < len(names):
-            return f"{field}: each needs a name of its own"
+            return f"{field}: each element requires a unique name"
     group_shares = sum(group.share for group in testbed.groups)
     tenant_shares = sum(tenant.share for tenant in testbed.tenants)
     if not group_shares > 0 or not tenant_shares > 0:
-        return "shares: some must be above 0"
+        return "shares: the sums over groups and over tenants must be above 0"
     return None
 
 
-def _problem_with_load(testbed):
+def _find_load_error(testbed):
     load = testbed.load
     if load.addresses > load.connections:
-        return (
-            f"load.addresses: {load.addresses} of them need as many connections, there are {load.connections}"
-        )
+        return f"load.addresses: {load.addresses} exceeds the number of connections, {load.connections}"
     if load.workers > load.connections:
-        return f"load.workers: {load.workers} of them need a connection each, there are {load.connections}"
+        return f"load.workers: {load.workers} exceeds the number of connections, {load.connections}"
     return None
 
 
-def _problem_with_faults(testbed):
+def _find_faults_error(testbed):
     for index, fault in enumerate(testbed.faults):
-        problem = _problem_with_fault(fault, testbed.engines)
-        if problem:
-            return f"faults[{index}].{problem}"
+        error = _find_fault_error(fault, testbed.engines)
+        if error:
+            return f"faults[{index}].{error}"
     return None
 
 
-def _problem_with_fault(fault, engines):
+def _find_fault_error(fault, engines):
     if fault.kind == pb.Fault.NONE:
         return "kind: missing"
     if fault.engine >= engines.count:
-        return f"engine: {fault.engine}, but there are {engines.count} engines, from 0"
+        return f"engine: {fault.engine} is not between 0 and {engines.count - 1}"
     if fault.kind == pb.Fault.ZONE_CUT and fault.zone not in engines.zones:
         return f"zone: no engine is in {fault.zone!r}"
-    is_share = fault.kind in (pb.Fault.RESET, pb.Fault.SPOIL, pb.Fault.LOSE)
-    if is_share and not 0 < fault.amount <= 1:
-        return f"amount: {fault.amount:g} is no share above 0"
+    is_probability = fault.kind in (pb.Fault.RESET, pb.Fault.SPOIL, pb.Fault.LOSE)
+    if is_probability and not 0 < fault.amount <= 1:
+        return f"amount: {fault.amount:g} is not a share above 0 and up to 1"
     if fault.kind == pb.Fault.SLOW and not 0 < fault.amount <= MAX_SLOWDOWN:
-        return f"amount: {fault.amount:g} is no factor above 0"
+        return f"amount: {fault.amount:g} is not a factor above 0 and up to {MAX_SLOWDOWN}"
     return None
--- a/scripts/environment.sh
+++ b/scripts/environment.sh
@@ -1,5 +1,5 @@
-# Sourced by the other scripts: makes .venv from the declared dependencies on first use, and again when they change.
-# Usage: prepare_environment EXTRA, an extra of pyproject.toml ("lab" or "dev").
+# Sourced by the other scripts. `prepare_environment EXTRA` installs the package with an extra of pyproject.toml
+# ("lab" or "dev") in .venv, on first use and after each change of pyproject.toml.
 root="$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)"
 
 prepare_environment() {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,7 +1,4 @@
-"""Settings in protobuf text format: read whole, or rejected in one line that names file, line and cause.
-
-The generated protobuf code is current.
-"""
+"""Tests of settings in protobuf text format, their one-line errors, and the generated protobuf code."""
 
 import subprocess
 import sys
@@ -15,43 +12,44 @@
 from lichenquay.config.connection_admission_settings import connection_rules
 from lichenquay.config.errors import ConfigurationError
 from lichenquay.config.fleet_settings import fingerprint, voter_names
-from lichenquay.config.generate_protobuf import HERE, PROTOS
+from lichenquay.config.generate_protobuf import CONFIG_PACKAGE, PROTO_FILES
 from lichenquay.config.ranges import RANGES
 from lichenquay.config.reader import read_file, read_settings
-from lichenquay.config.testbed_settings import problem_with_testbed, read_testbed
+from lichenquay.config.testbed_settings import find_testbed_error, read_testbed
 from lichenquay.config.text_format import given_values
 
 
 def test_the_generated_protobuf_code_is_current(tmp_path):
-    """Every `_pb2.py` is what its .proto gives."""
+    """Every committed `_pb2.py` is what protoc generates from its .proto file."""
     subprocess.run(
         [
             sys.executable,
             "-c",
-            f"from lichenquay.config.generate_protobuf import make; make({str(tmp_path)!r})",
+            f"from lichenquay.config.generate_protobuf import generate; generate({str(tmp_path)!r})",
         ],
         check=True,
-        cwd=HERE.parents[1],
+        cwd=CONFIG_PACKAGE.parents[1],
     )
-    assert len(PROTOS) > 1
-    for proto in PROTOS:
+    assert len(PROTO_FILES) > 1
+    for proto in PROTO_FILES:
         name = proto.stem + "_pb2.py"
         assert (tmp_path / name).read_text() == (proto.parent / name).read_text(), proto
 
 
-def test_defaults_fill_in_what_a_file_omits_and_zero_is_a_value():
-    """Given lists replace the default lists."""
-    lab = read_testbed(
+def test_missing_values_have_defaults_and_zero_is_a_value():
+    """A given list replaces the default list; a given 0 is not taken for a missing value."""
+    testbed = read_testbed(
         "load { skew: 0 rate: 7 } "
         'groups { name: "one" target_ms: 5 timeout_ms: 9 threads: 1 share: 1 work_ms: 1 }'
     )
-    assert lab.load.skew == 0 and lab.load.rate == 7 and lab.load.workers == 2 and lab.engines.count == 4
-    assert [g.name for g in lab.groups] == ["one"] and len(lab.tenants) == 3
+    load = testbed.load
+    assert load.skew == 0 and load.rate == 7 and load.workers == 2 and testbed.engines.count == 4
+    assert [group.name for group in testbed.groups] == ["one"] and len(testbed.tenants) == 3
     assert read_testbed("engines { zones: 'z' }").engines.zones == ["z"]
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("load {\n  rat: 3\n}", ':2: Message type "lichenquay.conf.Load" has no field named "rat"'),
         ("load {\n  rate: 'x'\n}", "Couldn't parse float: 'x'"),
@@ -59,7 +57,7 @@
         ("\nengines {\n  count: 0\n}", ":3: engines.count: 0 is not between 1 and 10000"),
         (
             "load { workers: 9 connections: 4 addresses: 1 }",
-            ":1: load.workers: 9 of them need a connection each, there are 4",
+            ":1: load.workers: 9 exceeds the number of connections, 4",
         ),
         (
             "groups { name: 'a' work_ms: 1 threads: 1 share: 1 target_ms: 1 timeout_ms: 1 }\n"
@@ -67,25 +65,25 @@
             "groups[1].target_ms: 0 is not between",
         ),
         ("faults { at_ms: 3 }", "faults[0].kind: missing"),
-        ("faults { kind: HANG engine: 4 }", "faults[0].engine: 4, but there are 4"),
-        ("faults { kind: LOSE amount: 1.5 }", "faults[0].amount: 1.5 is no share"),
-        ("faults { kind: SLOW }", "faults[0].amount: 0 is no factor"),
+        ("faults { kind: HANG engine: 4 }", "faults[0].engine: 4 is not between 0 and 3"),
+        ("faults { kind: LOSE amount: 1.5 }", "faults[0].amount: 1.5 is not a share above 0 and up to 1"),
+        ("faults { kind: SLOW }", "faults[0].amount: 0 is not a factor above 0 and up to 100"),
         ("faults { kind: ZONE_CUT zone: 'q' }", "no engine is in 'q'"),
-        ("load { addresses: 50 }", "load.addresses: 50 of them need as many"),
+        ("load { addresses: 50 }", "load.addresses: 50 exceeds the number of connections, 12"),
         ("load { rate: nan }", "load.rate: nan"),
-        ("tenants { share: 1 }", "tenants: each needs a name"),
+        ("tenants { share: 1 }", "tenants: each element requires a unique name"),
     ],
 )
-def test_an_unusable_testbed_is_rejected_in_one_line(text, said):
-    """With file, line and path."""
-    with pytest.raises(ConfigurationError) as bad:
+def test_invalid_testbed_is_rejected_in_one_line(text, message):
+    """The error names the file and, if known, the line and the path of the field."""
+    with pytest.raises(ConfigurationError) as raised:
         read_testbed(text, "w.textproto")
-    line = str(bad.value)
-    assert line.startswith("w.textproto") and said in line and "\n" not in line
+    line = str(raised.value)
+    assert line.startswith("w.textproto") and message in line and "\n" not in line
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path):
-    """Missing, or not text."""
+def test_error_names_an_unreadable_file(tmp_path):
+    """The file is missing, or is not UTF-8 text."""
     with pytest.raises(ConfigurationError, match="nothing.textproto: No such file"):
         read_file(tmp_path / "nothing.textproto")
     (tmp_path / "x").write_bytes(b"\xff\xfe")
@@ -94,12 +92,18 @@
 
 
 def test_every_number_of_a_testbed_has_a_range():
-    """So no value goes unchecked."""
-    lab = read_testbed("faults { kind: HANG }")
-    figures = {p for p, _, v in given_values(lab) if isinstance(v, (int, float)) and not isinstance(v, bool)}
-    free = {"seed", "groups.effect", "faults.kind", "faults.engine", "load.arrivals", "load.shape"}
-    others = ("fleet", "control", "distribution")  # these have tests of their own
-    assert figures - free == {name for name in RANGES if "gate" not in name and not name.startswith(others)}
+    """A number without an entry in `RANGES` would not be checked."""
+    testbed = read_testbed("faults { kind: HANG }")
+    numbers = {
+        path
+        for path, _, value in given_values(testbed)
+        if isinstance(value, (int, float)) and not isinstance(value, bool)
+    }
+    unrestricted = {"seed", "groups.effect", "faults.kind", "faults.engine", "load.arrivals", "load.shape"}
+    other_sections = ("fleet", "control", "distribution")  # covered by other tests
+    assert numbers - unrestricted == {
+        name for name in RANGES if "gate" not in name and not name.startswith(other_sections)
+    }
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -130,22 +134,22 @@
     ).map(" ".join)
 )
 def test_any_text_is_read_or_rejected(text):
-    """Whatever is accepted survives being written and read again."""
+    """No text raises another error; accepted settings are valid and are the same after a write and a read."""
     try:
-        lab = read_testbed(text)
-    except ConfigurationError as bad:
-        assert "\n" not in str(bad).strip()
+        testbed = read_testbed(text)
+    except ConfigurationError as error:
+        assert "\n" not in str(error).strip()
     else:
-        assert problem_with_testbed(lab) is None
-        again = pb.Lab()
-        text_format.Parse(text_format.MessageToString(lab), again)
-        assert again == lab
+        assert find_testbed_error(testbed) is None
+        reread = pb.Lab()
+        text_format.Parse(text_format.MessageToString(testbed), reread)
+        assert reread == testbed
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
-        ("gate {\n address { per_s: 5 } }", "gate.address.burst: 0 lets nobody in"),
+        ("gate {\n address { per_s: 5 } }", "gate.address.burst: 0 is below 1, the minimum with per_s"),
         ("gate { known: '10.0.0.0/99' }", "gate.known: '10.0.0.0/99' does not"),
         ("gate { reserve: 3 }", "gate.reserve: 3, but no range is known"),
         ("gate { prefix4: 99 }", "gate.prefix4: 99 is not between 8 and 32"),
@@ -153,15 +157,15 @@
         ("gate { prefix { held_bytes: 10000000000000 } }", "gate.prefix.held_bytes: 1e+13 is not"),
     ],
 )
-def test_an_unusable_gate_section_is_rejected_in_one_line(text, said):
-    """With its path."""
-    with pytest.raises(ConfigurationError) as bad:
+def test_invalid_gate_section_is_rejected_in_one_line(text, message):
+    """The error names the path of the field."""
+    with pytest.raises(ConfigurationError) as raised:
         read_settings(text, "s")
-    assert said in str(bad.value) and "\n" not in str(bad.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_the_rules_made_of_a_gate_section():
-    """Given values and defaults."""
+def test_connection_rules_hold_given_values_and_defaults():
+    """A given 0 replaces a default, too."""
     rules = connection_rules(
         read_settings(
             "gate { address { connections: 3 per_s: 2 burst: 4 } known: '10.0.0.1' reserve: 5 lag_ms: 0 }"
@@ -179,29 +183,35 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("fleet { }", "fleet.fleet: missing"),
-        ('fleet { fleet: "x" name: "a" listen: "127.0.0.1:1" }', "a fleet is two fronts at least"),
+        (
+            'fleet { fleet: "x" name: "a" listen: "127.0.0.1:1" }',
+            "fleet.peers: missing; a fleet has at least two gateways",
+        ),
         (
             FLEET % 'peers { name: "b" address: "127.0.0.1:4004" }',
-            ":2: fleet.peers[2].name: 'b' is another peer's",
+            ":2: fleet.peers[2].name: 'b' is already the name of another peer",
         ),
         (
             FLEET % 'peers { name: "a" address: "127.0.0.1:4004" }',
-            "fleet.peers[2].name: 'a' is this front itself",
+            "fleet.peers[2].name: 'a' is the name of this gateway",
         ),
         (
             FLEET % 'peers { name: "d" address: "127.0.0.1:4002" }',
-            "fleet.peers[2].address: '127.0.0.1:4002' is another's",
+            "fleet.peers[2].address: '127.0.0.1:4002' is already the address of another gateway",
         ),
         (
             FLEET % 'peers { name: "d" address: "nowhere" }',
-            "fleet.peers[2].address: 'nowhere' is no address:port",
+            "fleet.peers[2].address: 'nowhere' is not an address:port",
+        ),
+        (
+            FLEET % 'peers { name: "d d" address: "127.0.0.1:9" }',
+            "fleet.peers[2].name: 'd d' is not a valid name",
         ),
-        (FLEET % 'peers { name: "d d" address: "127.0.0.1:9" }', "fleet.peers[2].name: 'd d' is no name"),
-        (FLEET % 'voters: "a" voters: "z" voters: "b"', "fleet.voters: 'z' is no front"),
-        (FLEET % 'voters: "a"', "fleet.voters: 1 of them"),
+        (FLEET % 'voters: "a" voters: "z" voters: "b"', "fleet.voters: 'z' is not a gateway of this fleet"),
+        (FLEET % 'voters: "a"', "fleet.voters: 1 voters; expected 3 or 5 unique names"),
         (
             FLEET % 'accounts { tenant: "t" rate_ms: -1 bucket_ms: 1 }',
             "fleet.accounts[0].rate_ms: -1 is not between",
@@ -209,30 +219,30 @@
         (FLEET % 'accounts { tenant: "t" bucket_ms: 1 }', "fleet.accounts[0].rate_ms: missing"),
         (
             FLEET % ('accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 } ' * 2),
-            "a tenant of its own",
+            "fleet.accounts: each account requires a unique tenant",
         ),
         (
             FLEET % 'accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 credit_ms: 900 }',
             "fleet.accounts[0]: quota of 't': a limit of 900 ms cannot be repaid",
         ),
-        (FLEET % "lease_ms: 2000 term_ms: 3000", "fleet.term_ms: 3000 is under two leases"),
+        (FLEET % "lease_ms: 2000 term_ms: 3000", "fleet.term_ms: 3000 is less than 2 leases of 2000"),
         (
             FLEET.replace('folder: "f"', "") % 'accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 }',
-            "fleet.folder: missing",
+            "fleet.folder: missing; accounts require durable storage",
         ),
     ],
 )
-def test_an_unusable_fleet_section_is_rejected_in_one_line(text, said):
-    """With its path."""
-    with pytest.raises(ConfigurationError) as bad:
+def test_invalid_fleet_section_is_rejected_in_one_line(text, message):
+    """The error names the path of the field."""
+    with pytest.raises(ConfigurationError) as raised:
         read_settings(text, "s")
-    assert said in str(bad.value) and "\n" not in str(bad.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_the_fingerprint_covers_what_all_gateways_must_share():
-    """And nothing that is each gateway's own."""
+def test_fingerprint_covers_exactly_the_shared_settings():
+    """It is the same on gateways that differ in name and folder, and differs with any shared value."""
 
-    def print_of(text):
+    def fingerprint_of(text):
         return fingerprint(read_settings(text).fleet)
 
     own = FLEET % 'accounts { tenant: "t" rate_ms: 1 bucket_ms: 1 }'
@@ -243,17 +253,17 @@
         .replace('"f"', '"g"')
     )
     assert (
-        print_of(own)
-        == print_of(other)
-        == print_of(own.replace("bucket_ms: 1", "bucket_ms: 1 repay_share: 0.25"))
+        fingerprint_of(own)
+        == fingerprint_of(other)
+        == fingerprint_of(own.replace("bucket_ms: 1", "bucket_ms: 1 repay_share: 0.25"))
     )
     assert (
         len(
             {
-                print_of(own),
-                print_of(FLEET % ""),
-                print_of(own.replace("yard", "moor")),
-                print_of(own.replace("rate_ms: 1", "rate_ms: 2")),
+                fingerprint_of(own),
+                fingerprint_of(FLEET % ""),
+                fingerprint_of(own.replace("yard", "moor")),
+                fingerprint_of(own.replace("rate_ms: 1", "rate_ms: 2")),
             }
         )
         == 4
--- a/tests/test_golden_config.py
+++ b/tests/test_golden_config.py
@@ -1,7 +1,7 @@
-"""Settings files mean what they meant at revision 0018238.
+"""Settings files are read as at revision 0018238.
 
-`golden/config` holds files with every section, and `expected.json` what that revision read and derived from
-them.
+`golden/config` holds files with every section; `expected.json` holds the messages and the derived values of
+that revision.
 """
 
 import json
@@ -38,18 +38,18 @@
 
 
 def read(name):
-    """The settings in one of the golden files."""
+    """Returns the settings in one of the golden files."""
     return read_file(GOLDEN / f"{name}.textproto", READERS[name])
 
 
 @pytest.mark.parametrize("name", READERS)
-def test_a_settings_file_is_read_as_before(name):
-    """Defaults included."""
+def test_parsed_settings_are_unchanged(name):
+    """The parsed message, with its defaults, serializes to the same bytes."""
     assert read(name).SerializeToString(deterministic=True).hex() == EXPECTED["parsed"][name]
 
 
-def test_the_rules_of_connection_admission_are_the_same():
-    """Value by value, in the order of the fields."""
+def test_connection_admission_rules_are_unchanged():
+    """All values are the same, in the order of the fields."""
     rules = connection_rules(read("gateway").gate, 70)
     values = list(astuple(rules))
     values[5] = [str(network) for network in rules.known]
@@ -59,21 +59,21 @@
     assert json.loads(json.dumps(values)) == expected
 
 
-def test_the_fleet_section_means_the_same():
-    """Names, voters, quota accounts and the fingerprint that all gateways compare."""
+def test_values_derived_from_the_fleet_section_are_unchanged():
+    """These are names, voters, quota accounts, and the fingerprint that all gateways compare."""
     fleet = read("gateway").fleet
     expected = EXPECTED["fleet"]
     assert gateway_names(fleet) == expected["names"]
     assert voter_names(fleet) == expected["voters"]
     assert [list(quota_account(account)) for account in fleet.accounts] == expected["accounts"]
     ledger_accounts = [ledger_account(account) for account in fleet.accounts]
-    in_bytes = [account.SerializeToString(deterministic=True).hex() for account in ledger_accounts]
-    assert in_bytes == expected["ledger_accounts"]
+    serialized = [account.SerializeToString(deterministic=True).hex() for account in ledger_accounts]
+    assert serialized == expected["ledger_accounts"]
     assert fingerprint(fleet) == expected["fingerprint"]
 
 
-def test_control_and_distribution_mean_the_same():
-    """Lease, region, timing, prefixes and fingerprints."""
+def test_values_derived_from_control_and_distribution_are_unchanged():
+    """These are lease, region, timing, prefixes and fingerprints."""
     voter = read("voter").control
     relay = read("relay").control
     distribution = read("gateway").distribution
@@ -89,8 +89,8 @@
 
 
 @pytest.mark.parametrize("case", EXPECTED["endpoints"], ids=lambda case: case["key"])
-def test_an_endpoint_entry_is_the_same_bytes(case):
-    """Read and written."""
+def test_endpoint_entries_are_unchanged(case):
+    """An entry is parsed to the same fields and serialized to the same bytes."""
     record = record_of(case["key"], bytes.fromhex(case["value"]))
     fields = [*record]
     fields[5] = ENDPOINT_STATES.index(record.state)
@@ -98,6 +98,6 @@
     assert (key_of(record), value_of(record).hex()) == (case["key"], case["value"])
 
 
-def test_the_marker_of_a_complete_endpoint_list_is_the_same():
-    """Its key and its value."""
+def test_completeness_marker_of_the_endpoint_list_is_unchanged():
+    """The key and the value are the same."""
     assert [COMPLETE_KEY, COMPLETE.hex()] == EXPECTED["endpoint_list_complete"]
