--- a/lichenquay/__init__.py
+++ b/lichenquay/__init__.py
@@ -1,1 +1,1 @@
-"""lichenquay: an admission controller for queries on a pool of engines."""
+"""An admission controller and gateway for queries on a pool of engines."""
--- a/lichenquay/cli/__init__.py
+++ b/lichenquay/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: sub-commands on click. Exit codes: 0 well, 1 it failed, 2 it was called wrongly."""
+"""The command line interface. Exit codes: 0 success, 1 failure, 2 invalid usage."""
--- a/lichenquay/cli/__main__.py
+++ b/lichenquay/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lichenquay.cli`: the same as the command `lichenquay`."""
+"""Entry point of `python -m lichenquay.cli`, equivalent to the command `lichenquay`."""
 
 from lichenquay.cli.main import main
 
--- a/lichenquay/cli/capacity.py
+++ b/lichenquay/cli/capacity.py
@@ -1,6 +1,6 @@
-"""`lab capacity`: slopes of cost by size, and needs at the planned size against their budgets.
+"""The command `lab capacity`: cost as a function of size, and needs at the planned size against budgets.
 
-What it runs is imported when it is called, as the probes reach over the whole tree.
+The probes import most of the package, so they are imported only when the command runs.
 """
 
 from __future__ import annotations
@@ -15,81 +15,81 @@
     from lichenquay.testbed.scale.capacity import Capacity, Ranked, Slope
     from lichenquay.testbed.scale.catalogue import Probe
 
-SLOPE_HEADINGS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest was")
+SLOPE_HEADINGS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest size")
 ROW_HEADINGS = ("role: what", "slope", "low", "high", "sizes", "at the size", "budget", "ratio")
-PREDICTED = {None: None, True: "foretold", False: "not foretold"}
+PREDICTION_CELLS = {None: None, True: "predicted", False: "not predicted"}
 
 
-def four_digits(value: float | None) -> str | None:
-    """Four digits."""
+def format_number(value: float | None) -> str | None:
+    """Returns a number with four significant digits, or all digits of its integer part; None for None."""
     if value is None:
         return None
     return f"{value:,.0f}" if abs(value) >= 10_000 else f"{value:.4g}"
 
 
 def fit_cells(slope: Slope | None) -> tuple[str | None, ...]:
-    """Slope, low, high, and the sizes; a constant shows its level and that level's interval."""
+    """Returns the cells for slope, interval bounds and sizes; for a constant, the value and its interval."""
     if slope is None or slope.fit is None:
         return None, None, None, None
-    found = slope.fit
-    figures = (found.slope, found.low, found.high)
-    if found.model == "constant":
-        figures = (found.intercept, found.intercept_low, found.intercept_high)
-    return *map(four_digits, figures), f"{found.smallest:,.0f} to {found.largest:,.0f}"
+    fit = slope.fit
+    estimate = (fit.slope, fit.low, fit.high)
+    if fit.model == "constant":
+        estimate = (fit.intercept, fit.intercept_low, fit.intercept_high)
+    return *map(format_number, estimate), f"{fit.smallest:,.0f} to {fit.largest:,.0f}"
 
 
 def slope_cells(slope: Slope) -> tuple[str | None, ...]:
-    """One row of slopes."""
+    """Returns a row of the table of slopes."""
     model = slope.fit.model.value if slope.fit else None
-    intercept = four_digits(slope.fit.intercept) if slope.fit else None
-    foretold = PREDICTED[slope.held_out.within]
-    return f"{slope.what}, {slope.unit}", model, intercept, *fit_cells(slope), foretold
+    intercept = format_number(slope.fit.intercept) if slope.fit else None
+    prediction = PREDICTION_CELLS[slope.held_out.within]
+    return f"{slope.what}, {slope.unit}", model, intercept, *fit_cells(slope), prediction
 
 
 def ranked_cells(ranked: Ranked, slopes: dict[str, Slope]) -> tuple[str | None, ...]:
-    """One row of needs."""
-    row, need = ranked.row, four_digits(ranked.need)
-    ratio = row.mechanism if row.need is None else four_digits(ranked.ratio)
+    """Returns a row of the table of needs."""
+    row, need = ranked.row, format_number(ranked.need)
+    ratio = row.mechanism if row.need is None else format_number(ranked.ratio)
     at_size = f"{need} {row.unit}" if need else None
     return (
         f"{row.role}: {row.title}",
         *fit_cells(slopes.get(row.what)),
         at_size,
-        four_digits(row.budget),
+        format_number(row.budget),
         ratio,
     )
 
 
-def print_capacity(found: Capacity) -> None:
-    """Both tables, on standard output."""
-    console.print_table("slopes", [slope_cells(s) for s in found.slopes.values()], SLOPE_HEADINGS)
-    rows = [ranked_cells(r, found.slopes) for r in found.ranked]
+def print_capacity(measured: Capacity) -> None:
+    """Prints the tables of slopes and of needs, and the processor time of the measurement."""
+    console.print_table("slopes", [slope_cells(slope) for slope in measured.slopes.values()], SLOPE_HEADINGS)
+    rows = [ranked_cells(ranked, measured.slopes) for ranked in measured.ranked]
     console.print_table("needs at the planned size", rows, ROW_HEADINGS)
-    click.echo(f"{found.processor_s:.1f} s of processor time")
+    click.echo(f"{measured.processor_s:.1f} s of processor time")
 
 
-def selected_probes(only: tuple[str, ...]) -> list[Probe]:
-    """The probes of these names, or all. Errors: click.UsageError for an unknown name."""
+def select_probes(probe_names: tuple[str, ...]) -> list[Probe]:
+    """Returns the named probes, by default all. Raises click.UsageError for an unknown name."""
     from lichenquay.testbed.scale.catalogue import PROBES
 
     names = [probe.name for probe in PROBES]
-    for name in only:
+    for name in probe_names:
         if name not in names:
-            raise click.UsageError(f"--only: {name!r} is none of {', '.join(names)}")
-    return [probe for probe in PROBES if not only or probe.name in only]
+            raise click.UsageError(f"--only: {name!r} is not a probe; expected one of {', '.join(names)}")
+    return [probe for probe in PROBES if not probe_names or probe.name in probe_names]
 
 
 @click.command()
-@click.option("--full", is_flag=True, help="Up to 25,000 engines and 800 fronts: minutes.")
+@click.option("--full", is_flag=True, help="Measure up to 25,000 engines and 800 gateways. Takes minutes.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--only", multiple=True, help="The probe of this name alone; may be repeated.")
+@click.option("--only", "probe_names", multiple=True, help="Run only this probe; may be repeated.")
 @console.json_option
-def capacity(full: bool, seed: int, only: tuple[str, ...], json_path: str | None) -> None:
-    """Measure what control costs by size, and set the planned size's needs beside their budgets."""
+def capacity(full: bool, seed: int, probe_names: tuple[str, ...], json_path: str | None) -> None:
+    """Measures the cost of control by size, and compares needs at the planned size with budgets."""
     from lichenquay.testbed.scale import capacity as scale
 
-    probes = selected_probes(only)
-    with console.progress("capacity") as done:
-        found = scale.run(full, seed, done, probes)
-    console.write_json(json_path, scale.as_json(found))
-    print_capacity(found)
+    probes = select_probes(probe_names)
+    with console.progress("capacity") as report_progress:
+        measured = scale.run(full, seed, report_progress, probes)
+    console.write_json(json_path, scale.as_json(measured))
+    print_capacity(measured)
--- a/lichenquay/cli/console.py
+++ b/lichenquay/cli/console.py
@@ -1,4 +1,4 @@
-"""What all commands share: logging, JSON output, progress bars, tables, and one-line errors."""
+"""Shared by all commands: logging, JSON output, progress bars, tables, and one-line errors."""
 
 import json
 import os
@@ -14,15 +14,15 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-PIPED_TABLE_COLUMNS = 120  # width of tables where standard output is no terminal
+PIPED_TABLE_WIDTH = 120  # in characters, if standard output is not a terminal
 
 console = Console(stderr=True)
 
 
 def configure_logging(path: str | None = None) -> None:
-    """Structured logging: key=value on standard error, or JSON lines appended to a file."""
+    """Configures structured logging: key=value on standard error, or JSON lines appended to a file."""
     if path:
-        # Absolute, as click takes "-" for standard output, which is the commands' own.
+        # The path is absolute, as click takes "-" for standard output, where commands print their results.
         output = click.open_file(Path(path).absolute(), "a", encoding="utf-8")
         renderer = structlog.processors.JSONRenderer()
     else:
@@ -40,15 +40,15 @@
     )
 
 
-def reports_errors(*kinds: type[Exception]) -> Callable:
-    """A decorator: errors of these kinds end the command with one line and exit code 1."""
+def exit_on_errors(*error_types: type[Exception]) -> Callable:
+    """Returns a decorator that ends a command with a one-line message and exit code 1 on these errors."""
 
     def decorate(command):
         @wraps(command)
         def run(*arguments, **options):
             try:
                 return command(*arguments, **options)
-            except kinds as error:
+            except error_types as error:
                 raise click.ClickException(str(error)) from None
 
         return run
@@ -57,21 +57,21 @@
 
 
 def json_option(command: Callable) -> Callable:
-    """Adds the option `--json FILE`, passed on as `json_path`."""
+    """Adds the option `--json FILE`, which the command receives as `json_path`."""
     option = click.option(
-        "--json", "json_path", type=click.Path(dir_okay=False), help="Write the figures to this file."
+        "--json", "json_path", type=click.Path(dir_okay=False), help="Write the results to this file as JSON."
     )
     return option(command)
 
 
-def write_json(path: str | None, figures: object) -> None:
-    """Writes the figures to a file, whole or not at all. Errors: click.ClickException."""
+def write_json(path: str | None, results: object) -> None:
+    """Writes results to a file atomically; does nothing without a path. Raises click.ClickException."""
     if not path:
         return
     temporary_path = f"{path}.part"
     try:
         with open(temporary_path, "w", encoding="utf-8") as file:
-            json.dump(figures, file, indent=1)
+            json.dump(results, file, indent=1)
             file.write("\n")
         os.replace(temporary_path, path)
     except OSError as error:
@@ -80,22 +80,22 @@
 
 @contextmanager
 def progress(title: str) -> Iterator[Callable[[float], None]]:
-    """A bar on a terminal, nothing elsewhere; yields a function that takes the share done, 0 to 1."""
+    """Shows a progress bar on a terminal; yields a function that takes the progress, from 0 to 1."""
     if not console.is_terminal:
-        yield lambda done: None
+        yield lambda completed: None
         return
     columns = (TextColumn(title), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=console, transient=True) as bar:
         task = bar.add_task(title, total=1.0)
-        yield lambda done: bar.update(task, completed=done)
+        yield lambda completed: bar.update(task, completed=completed)
 
 
 def print_table(title: str, rows: Iterable[Sequence], headings: Sequence[str] = ("figure", "value")) -> None:
-    """A table on standard output; the first column is left-aligned, None is shown as a dash."""
+    """Prints a table on standard output. The first column is left-aligned; None is shown as a dash."""
     table = Table(title=title, title_justify="left")
     for index, heading in enumerate(headings):
         table.add_column(heading, justify="right" if index else "left")
     for row in rows:
         table.add_row(*("-" if cell is None else str(cell) for cell in row))
-    width = None if sys.stdout.isatty() else PIPED_TABLE_COLUMNS
+    width = None if sys.stdout.isatty() else PIPED_TABLE_WIDTH
     Console(width=width).print(table)
--- a/lichenquay/cli/lab.py
+++ b/lichenquay/cli/lab.py
@@ -1,4 +1,4 @@
-"""`demo` and `lab`: testbeds of engines, gateways and clients on this machine."""
+"""The commands `demo` and `lab`: testbeds of engines, gateways and clients on this machine."""
 
 import tempfile
 from pathlib import Path
@@ -16,8 +16,8 @@
 from lichenquay.testbed.world import CannotStart
 
 USER_ERRORS = (ConfigurationError, TraceError, CannotStart, RunError)
-MIN_FINISHED_SHARE = 0.99  # of the known clients' queries, amid a flood
-RUN_FIGURES = (
+MIN_FINISHED_SHARE = 0.99  # of the known clients' queries during a flood
+RUN_METRICS = (
     "asked",
     "finished",
     "deferred",
@@ -41,37 +41,40 @@
 
 
 def output_folder(path: str | None) -> Path:
-    """The folder that was asked for, or a new temporary one."""
+    """Returns the given folder, or a new temporary one."""
     return Path(path) if path else Path(tempfile.mkdtemp(prefix="lichenquay-"))
 
 
-def print_run(figures: dict, title: str) -> None:
-    """The figures of a run, the rules that it broke, and where its files are."""
-    value = figures.get("value_in_time") or {}
-    rows = [(name, figures.get(name)) for name in RUN_FIGURES]
+def print_run(report: dict, title: str) -> None:
+    """Prints the metrics of a run, the invariants that it violated, and the folder of its files."""
+    value = report.get("value_in_time") or {}
+    rows = [(name, report.get(name)) for name in RUN_METRICS]
     console.print_table(title, [*rows, ("value in time", value.get("all"))])
-    for line in figures["broken_rules"]:
+    for line in report["broken_rules"]:
         click.echo(f"broken: {line}")
-    if figures["void"]:
-        click.echo(f"void: {figures['why_void']}")
-    click.echo(f"kept in {figures['out']}")
+    if report["void"]:
+        click.echo(f"void: {report['why_void']}")
+    click.echo(f"kept in {report['out']}")
 
 
-def has_failed(figures: dict) -> bool:
-    """Whether the command has to end with exit code 1."""
-    return any(figures[name] for name in ("broken_rules", "silent", "void", "front_exit"))
+def has_failed(report: dict) -> bool:
+    """Returns whether a run violated an invariant, lost an answer, is void, or had a gateway that exited."""
+    return any(report[name] for name in ("broken_rules", "silent", "void", "front_exit"))
 
 
 @click.command()
 @click.option("--seconds", type=click.FloatRange(1, 3600), default=10.0, show_default=True)
 @click.option(
-    "--rate", type=click.FloatRange(1, 1e5), default=80.0, show_default=True, help="Queries a second."
+    "--rate", type=click.FloatRange(1, 1e5), default=80.0, show_default=True, help="Queries per second."
 )
-@click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder of the run's files.")
 @console.json_option
-@console.reports_errors(*USER_ERRORS)
+@console.exit_on_errors(*USER_ERRORS)
 def demo(seconds, rate, out, json_path):
-    """A gateway amid four emulated engines under load; one engine drains, another is slow for a time."""
+    """Runs a gateway and four emulated engines under load.
+
+    One engine is slow for a while, one drains, and one is replaced.
+    """
     testbed = read_testbed(
         f"""load {{ seconds: {seconds} rate: {rate} shape: SURGE peak: 2 }}
         faults {{ kind: SLOW engine: 1 at_ms: {seconds * 250} for_ms: {seconds * 250} amount: 0.4 }}
@@ -79,16 +82,16 @@
         faults {{ kind: SUCCEED engine: 3 at_ms: {seconds * 600} }}""",
         "demo",
     )
-    with console.progress("demo") as done:
-        figures = trial(testbed, output_folder(out), progress=done)
-    console.write_json(json_path, figures)
-    print_run(figures, f"demo: {seconds:g} s")
-    raise SystemExit(has_failed(figures))
+    with console.progress("demo") as report_progress:
+        report = trial(testbed, output_folder(out), progress=report_progress)
+    console.write_json(json_path, report)
+    print_run(report, f"demo: {seconds:g} s")
+    raise SystemExit(has_failed(report))
 
 
 @click.group()
 def lab():
-    """Testbeds of emulated engines, gateways and clients on loopback."""
+    """Runs testbeds of emulated engines, gateways and clients on loopback."""
 
 
 lab.add_command(capacity)
@@ -97,17 +100,17 @@
 
 @lab.command()
 @click.argument("world", type=click.Path())
-@click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder of the run's files.")
 @console.json_option
-@console.reports_errors(*USER_ERRORS)
+@console.exit_on_errors(*USER_ERRORS)
 def run(world, out, json_path):
-    """Play a testbed from a settings file, and audit it."""
+    """Runs the testbed of a settings file, and audits the run."""
     testbed = read_file(world)
-    with console.progress("run") as done:
-        figures = trial(testbed, output_folder(out), progress=done)
-    console.write_json(json_path, figures)
-    print_run(figures, world)
-    raise SystemExit(has_failed(figures))
+    with console.progress("run") as report_progress:
+        report = trial(testbed, output_folder(out), progress=report_progress)
+    console.write_json(json_path, report)
+    print_run(report, world)
+    raise SystemExit(has_failed(report))
 
 
 @lab.command()
@@ -116,7 +119,7 @@
     type=click.FloatRange(2, 600),
     default=10.0,
     show_default=True,
-    help="Before the flood, and of the flood.",
+    help="Duration before the flood, and again of the flood.",
 )
 @click.option("--connections", type=click.IntRange(1, 20_000), default=1500, show_default=True)
 @click.option(
@@ -124,32 +127,38 @@
     type=click.IntRange(1, 60_000),
     default=1,
     show_default=True,
-    help="Addresses that the flood comes from.",
+    help="Source addresses of the flood.",
 )
 @click.option(
     "--sockets",
     type=click.IntRange(100, 100_000),
     default=400,
     show_default=True,
-    help="Descriptors of the gateway.",
+    help="File descriptor limit of the gateway.",
 )
 @click.option(
-    "--gate/--no-gate", default=True, show_default=True, help="Known clients, their reserve and caps."
+    "--gate/--no-gate",
+    default=True,
+    show_default=True,
+    help="Connection admission with known clients, a reserve and limits.",
 )
-@click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder of the run's files.")
 @console.json_option
-@console.reports_errors(*USER_ERRORS)
+@console.exit_on_errors(*USER_ERRORS)
 def flood(seconds, connections, addresses, sockets, gate, out, json_path):
-    """Known clients with a query each, first alone, then amid a flood of connections with open queries."""
+    """Runs known clients with a query each, first alone, then during a flood of connections.
+
+    Each connection of the flood has open queries.
+    """
     from lichenquay.testbed.load_under_faults import siege
 
-    found = siege(output_folder(out), seconds, connections, addresses, sockets, gate=gate)
-    console.write_json(json_path, found)
+    results = siege(output_folder(out), seconds, connections, addresses, sockets, gate=gate)
+    console.write_json(json_path, results)
     console.print_table(
         f"{connections} connections from {addresses} addresses, {sockets} descriptors",
-        [(name, value) for name, value in found.items() if name != "broken_rules"],
+        [(name, value) for name, value in results.items() if name != "broken_rules"],
     )
-    for line in found["broken_rules"]:
+    for line in results["broken_rules"]:
         click.echo(f"broken: {line}")
-    has_enough = found["depot_finished"] >= MIN_FINISHED_SHARE * found["depot_asked"]
-    raise SystemExit(bool(found["silent"] or found["broken_rules"] or not has_enough))
+    finished_enough = results["depot_finished"] >= MIN_FINISHED_SHARE * results["depot_asked"]
+    raise SystemExit(bool(results["silent"] or results["broken_rules"] or not finished_enough))
--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -17,17 +17,19 @@
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--log-file", type=click.Path(dir_okay=False), help="Log as JSON lines to this file.")
+@click.option(
+    "--log-file", type=click.Path(dir_okay=False), help="Append the log to this file as JSON lines."
+)
 @click.version_option(package_name=None, version="0.2.0.dev0", prog_name="lichenquay")
 def cli(log_file):
     """An admission controller and gateway for queries on a pool of engines."""
     console.configure_logging(log_file)
 
 
-@cli.command()
+@cli.command("front")
 @click.argument("config", type=click.Path())
-def front(config):
-    """Run a gateway on a configuration of the platform's form (JSON)."""
+def run_gateway(config):
+    """Runs a gateway with a platform configuration (JSON)."""
     os.execve(
         sys.executable,
         [sys.executable, "-m", "lichenquay.gateway"],
@@ -40,18 +42,18 @@
 @click.option(
     "--settings",
     is_flag=True,
-    help="It is a gateway's own settings (LICHENQUAY_SETTINGS) or a control process's, not a testbed's.",
+    help="The file has settings of a gateway (LICHENQUAY_SETTINGS) or control process, not of a testbed.",
 )
-@console.reports_errors(ConfigurationError)
+@console.exit_on_errors(ConfigurationError)
 def check(file, settings):
-    """Check a settings file: of a testbed, of a gateway or control process, or a gateway's JSON."""
+    """Checks settings of a testbed, gateway or control process, or a platform configuration (.json)."""
     if str(file).endswith(".json"):
         from lichenquay.gateway.configuration import StartError, read_config, read_deployment_settings
 
         try:
             read_deployment_settings(read_config({"BALANCER_CONFIG": file}).settings, 1)
-        except StartError as why:
-            raise click.ClickException(str(why)) from None
+        except StartError as error:
+            raise click.ClickException(str(error)) from None
     elif settings:
         for line in warnings_of(read_file(file, read_settings)):
             click.echo(f"{file}: {line}", err=True)
@@ -63,7 +65,7 @@
 @cli.command()
 @click.argument("file", type=click.Path())
 def control(file):
-    """Run a control process (a voter or a relay of distributed configuration) on a settings file."""
+    """Runs a control process (a voter or relay of distributed configuration) with a settings file."""
     os.execve(
         sys.executable,
         [sys.executable, "-m", "lichenquay.control_plane", os.path.abspath(file)],
@@ -78,5 +80,5 @@
 
 
 def main() -> None:
-    """The entry point of the installed command."""
+    """Runs the command line; the entry point of the installed command."""
     cli(prog_name="lichenquay")
--- a/lichenquay/load/__init__.py
+++ b/lichenquay/load/__init__.py
@@ -1,5 +1,5 @@
 """The load generator.
 
-Arrivals are open-loop, from shapes or traces, and sent by worker processes. Latency counts from the
+Worker processes send an open-loop load, drawn from a shape or read from a trace. Latency is measured from the
 intended send time.
 """
--- a/lichenquay/load/child.py
+++ b/lichenquay/load/child.py
@@ -1,4 +1,4 @@
-"""Child processes: their environment, and the lines that they print."""
+"""Starts Python modules as child processes, and reads the lines that they print."""
 
 import os
 import select
@@ -10,7 +10,7 @@
 
 
 def environment() -> dict[str, str]:
-    """Returns this process's environment, with the package on the path from any working directory."""
+    """Returns a copy of `os.environ` with the package on the Python path, for any working directory."""
     paths = (str(ROOT), os.environ.get("PYTHONPATH", ""))
     return {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in paths if path)}
 
@@ -18,7 +18,7 @@
 def start_module(module: str, *arguments: str, stdin: int = subprocess.PIPE) -> subprocess.Popen:
     """Starts a module as a process whose standard output is read as text.
 
-    It has a session of its own, so that a Ctrl-C on the terminal reaches this process alone.
+    The child runs in its own session, so that Ctrl-C on the terminal interrupts only this process.
     """
     return subprocess.Popen(
         [sys.executable, "-m", module, *arguments],
--- a/lichenquay/load/client_connection.py
+++ b/lichenquay/load/client_connection.py
@@ -6,24 +6,24 @@
 from lichenquay.gateway import frames
 from lichenquay.load.task import statement_of
 
-MAX_STREAMS = 32  # open queries on a connection, by the protocol
+MAX_STREAMS = 32  # the protocol's limit of open queries on a connection
 RECONNECT_DELAY_S = 0.05
-NOTICE_STREAM = 0  # answers on it belong to no query
+NOTICE_STREAM = 0  # frames on this stream answer no query
 
 
 class ClientConnection(Protocol):
-    """A connection of a client; it reports to the worker whose queries it carries."""
+    """A client's connection to the gateway; it reports its events to the worker."""
 
     def __init__(self, worker, address):
-        """Takes the `worker` and the client's `address`, which the connection is bound to."""
+        """Initializes a connection of the `worker`, bound to the client's `address`."""
         self.worker = worker
         self.address = address
         self.frame_reader = frames.FrameReader()
         self.open_queries = {}  # by stream
-        self.ended_queries = {}  # by stream: answered or cancelled
+        self.ended_queries = {}  # by stream: answered and cancelled queries
         self.last_stream = 0
         self.is_going_away = False
-        self.next_send_ms = None  # of the closed loop
+        self.next_send_ms = None  # in a closed loop
 
     @property
     def has_free_stream(self):
@@ -36,7 +36,7 @@
         self.worker.on_connected(self)
 
     def dataReceived(self, data):
-        """Handles the frames in the data, then lets waiting queries use the streams that became free."""
+        """Handles the frames in the data, then sends waiting queries on the streams that became free."""
         now_ms = self.worker.now_ms()
         for frame_type, stream, payload in self.frame_reader.feed(data):
             if frame_type == frames.FrameType.ANSWER:
@@ -47,7 +47,7 @@
         self.worker.send_waiting(self)
 
     def connectionLost(self, reason):
-        """Reports the loss to the worker, which marks the open queries."""
+        """Reports the closed connection to the worker, which marks the open queries."""
         self.worker.on_connection_lost(self)
 
     def send(self, query):
@@ -91,20 +91,20 @@
 
 
 class ClientConnectionFactory(ClientFactory):
-    """Makes one connection of a client, and tries again until it is up."""
+    """Opens one connection of a client, and retries until it is connected."""
 
     noisy = False
 
     def __init__(self, worker, address):
-        """Takes the `worker` and the client's `address`."""
+        """Initializes the factory for a connection of the `worker` from the client's `address`."""
         self.worker = worker
         self.address = address
 
     def buildProtocol(self, peer):
-        """Returns the connection, once it is up."""
+        """Returns the protocol of the established connection."""
         return ClientConnection(self.worker, self.address)
 
     def clientConnectionFailed(self, connector, reason):
-        """Counts the failure, and connects again after a delay."""
+        """Counts the failure, and reconnects after a delay."""
         self.worker.failed_connects += 1
         reactor.callLater(RECONNECT_DELAY_S, self.worker.connect, self.address)
--- a/lichenquay/load/client_query.py
+++ b/lichenquay/load/client_query.py
@@ -1,4 +1,4 @@
-"""A query as its client records it, and the table that a worker process writes of its queries."""
+"""The client's record of a query, and the table of queries that a worker process writes."""
 
 from dataclasses import dataclass
 from math import nan
@@ -8,14 +8,14 @@
 
 from lichenquay.load.task import Task
 
-NOT_ANSWERED = -1  # in place of an answer code
+NO_ANSWER_CODE = -1  # the answer code of a query without an answer
 
 
 @dataclass(eq=False, slots=True)
 class ClientQuery:
-    """A query as its client records it.
+    """The client's record of a query.
 
-    Times are milliseconds of the run, NaN for what has not happened.
+    Times are milliseconds since the start of the run, NaN if the event has not happened.
     """
 
     ref: str
@@ -27,12 +27,12 @@
     estimated_work_ms: float
     estimated_memory_mb: float
     timeout_ms: int
-    cancel_after_ms: float  # infinite if the client waits for its answer
+    cancel_after_ms: float  # infinite if the client does not cancel
     retry_count: int = 0
-    due_handled_ms: float = nan  # when the generator came to it
+    due_handled_ms: float = nan  # when the generator handled it as due
     sent_ms: float = nan
     answered_ms: float = nan
-    answer_code: int = NOT_ANSWERED
+    answer_code: int = NO_ANSWER_CODE
     answer_count: int = 0
     has_wrong_rows: bool = False
     is_cancelled: bool = False
@@ -44,12 +44,12 @@
     @property
     def is_outstanding(self):
         """Whether it was sent and its client still waits for the answer."""
-        is_sent = self.sent_ms == self.sent_ms  # NaN differs from itself
+        is_sent = self.sent_ms == self.sent_ms  # False for NaN, which differs from itself
         return is_sent and self.answer_count == 0 and not (self.connection_lost or self.is_cancelled)
 
 
 class RecordedColumn(NamedTuple):
-    """A column of the stored table, and the attribute of `ClientQuery` that it holds."""
+    """A column of the stored table, and the attribute of `ClientQuery` that it stores."""
 
     name: str
     attribute: str
--- a/lichenquay/load/compare.py
+++ b/lichenquay/load/compare.py
@@ -1,4 +1,4 @@
-"""Compares two sets of runs: metrics, and bootstrap intervals of their difference."""
+"""Compares the metrics of two sets of runs, with bootstrap intervals of their differences."""
 
 import json
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
 from lichenquay.gateway.frames import AnswerCode
 from lichenquay.load.errors import ComparisonError
 
-RESAMPLES = 2000
-BLOCK_MS = 500.0
+RESAMPLE_COUNT = 2000
+RESAMPLING_BLOCK_MS = 500.0
 INTERVAL_PERCENTILES = (2.5, 97.5)
 NOT_ANSWERED_MS = 1e9  # the latency of a query without an answer, so that percentiles stay finite
 METRICS = ("finished share", "in time share", "p50 ms", "p90 ms", "p99 ms")
@@ -24,7 +24,7 @@
 
 
 class MetricComparison(NamedTuple):
-    """A metric of two sets of runs; the interval holds 95 of 100 resampled differences."""
+    """A metric of two sets of runs, with the 95% bootstrap interval of the difference."""
 
     metric: str
     first: float
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class QuerySample:
-    """The outcomes of queries, an entry each; latency in milliseconds is infinite without an answer."""
+    """Parallel arrays of the outcomes of queries; the latency of a query without an answer is infinite."""
 
     latency_ms: np.ndarray
     finished: np.ndarray
@@ -48,7 +48,7 @@
 
     @classmethod
     def join(cls, samples):
-        """Returns the queries of all samples in one."""
+        """Returns a sample with the queries of all samples."""
         return cls(
             np.concatenate([sample.latency_ms for sample in samples]),
             np.concatenate([sample.finished for sample in samples]),
@@ -66,21 +66,21 @@
 
 @dataclass(frozen=True)
 class ComparedRun:
-    """A run whose queries are compared; `at_ms` are their intended send times."""
+    """The queries of a run, with their intended send times in `at_ms`."""
 
     at_ms: np.ndarray
     queries: QuerySample
 
     @cached_property
     def blocks(self):
-        """The indices of the queries in each block of time that has any."""
-        block_numbers = (self.at_ms // BLOCK_MS).astype(int)
+        """The indices of the queries in each time block that has queries."""
+        block_numbers = (self.at_ms // RESAMPLING_BLOCK_MS).astype(int)
         blocks = [np.flatnonzero(block_numbers == number) for number in np.unique(block_numbers)]
         return blocks or [np.zeros(0, int)]
 
 
-def runs_in(folder: str | Path) -> list[ComparedRun]:
-    """Returns the runs of a folder: itself, or its sub-folders. Raises ComparisonError."""
+def read_runs(folder: str | Path) -> list[ComparedRun]:
+    """Returns the run stored in a folder, or else those in its subfolders. Raises ComparisonError."""
     folder = Path(folder)
     paths = sorted(folder.glob(QUERIES_FILE)) or sorted(folder.glob(f"*/{QUERIES_FILE}"))
     if not paths:
@@ -89,9 +89,12 @@
 
 
 def compare(
-    first_runs: list[ComparedRun], second_runs: list[ComparedRun], seed: int = 1, resamples: int = RESAMPLES
+    first_runs: list[ComparedRun],
+    second_runs: list[ComparedRun],
+    seed: int = 1,
+    resamples: int = RESAMPLE_COUNT,
 ) -> list[MetricComparison]:
-    """Returns a MetricComparison for each of `METRICS`."""
+    """Returns the comparison of each of `METRICS`."""
     random = np.random.default_rng(seed)
     differences = [
         _resample(second_runs, random).metrics() - _resample(first_runs, random).metrics()
@@ -112,7 +115,7 @@
         table = parquet.read_table(folder / QUERIES_FILE)
         targets_ms = json.loads((folder / TARGETS_FILE).read_text())
     except (OSError, ValueError) as error:
-        raise ComparisonError(f"{folder}: cannot be read: {error}") from None
+        raise ComparisonError(f"{folder}: cannot read the run: {error}") from None
     columns = {name: table.column(name).to_numpy(zero_copy_only=False) for name in COLUMNS}
     # A client that cancelled its query did not wait for the outcome.
     compared = ~columns["left"]
@@ -125,7 +128,7 @@
 
 
 def _resample(runs, random):
-    """Draws runs, and blocks of time within each: queries near each other in time are not independent."""
+    """Draws runs with replacement, and time blocks in each: queries close in time are not independent."""
     samples = []
     for run_index in random.integers(0, len(runs), len(runs)):
         run = runs[run_index]
--- a/lichenquay/load/errors.py
+++ b/lichenquay/load/errors.py
@@ -6,12 +6,12 @@
 
 
 class TraceError(LoadError, ValueError):
-    """A trace cannot be used; the message names the file, the row, the column and the cause."""
+    """An invalid or unreadable trace; the message names the file, the row, the column and the cause."""
 
 
 class ComparisonError(LoadError, ValueError):
-    """A folder holds no readable runs to compare."""
+    """A folder has no readable runs to compare."""
 
 
 class RunError(LoadError):
-    """A run cannot start, as one of its processes is not ready."""
+    """A run cannot start, as one of its processes did not become ready."""
--- a/lichenquay/load/null_server.py
+++ b/lichenquay/load/null_server.py
@@ -1,8 +1,8 @@
-"""A null server: it answers each query at once, and so shows what the generator alone can do.
+"""A server that completes each query at once, to measure the load generator itself.
 
     python -m lichenquay.load.null_server
 
-prints its address. It is suspended by SIGSTOP, which is how a stall is inserted.
+prints its address. SIGSTOP suspends it, which simulates a stall of the server.
 """
 
 import click
@@ -15,18 +15,18 @@
 
 
 class NullServer(Protocol):
-    """A connection that completes each query as soon as it is read."""
+    """A server connection that completes each query as soon as it is read."""
 
     def __init__(self):
-        """Creates the connection's own frame reader."""
+        """Initializes the frame reader of the connection."""
         self.frame_reader = frames.FrameReader()
 
     def connectionMade(self):
-        """Turns off delays of small packets."""
+        """Disables Nagle's algorithm, which delays small packets."""
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data):
-        """Answers the queries in the data."""
+        """Completes the queries in the data."""
         answers = [
             frames.encode_answer(stream, frames.AnswerCode.COMPLETED)
             for frame_type, stream, _ in self.frame_reader.feed(data)
@@ -37,7 +37,7 @@
 
 @click.command()
 def main():
-    """Answers every query at once; prints the address that it listens on."""
+    """Prints the listening address, and completes each query at once."""
     factory = Factory.forProtocol(NullServer)
     factory.noisy = False
     port = reactor.listenTCP(0, factory, interface="127.0.0.1", backlog=LISTEN_BACKLOG)
--- a/lichenquay/load/page.py
+++ b/lichenquay/load/page.py
@@ -1,4 +1,4 @@
-"""The HTML page of a run, one file with its plots and figures. Percentiles are by intended send time."""
+"""The HTML page of a run, a single file with plots and tables. Latency counts from the intended send time."""
 
 import base64
 import html
@@ -11,10 +11,10 @@
 import matplotlib.pyplot as plt  # noqa: E402
 import numpy as np  # noqa: E402
 
-BINS = 60
+TIME_BINS = 60
 ENGINE_SAMPLES = 240
 SPECTRUM_POINTS = 120
-MIN_SECONDS = 0.1
+MIN_DURATION_S = 0.1
 
 STYLE = (
     "body{font:14px sans-serif;margin:2em}"
@@ -23,7 +23,7 @@
 
 
 class EngineSpan(NamedTuple):
-    """The time in which a query ran at an engine, in milliseconds."""
+    """The interval in which a query ran at an engine, in milliseconds."""
 
     engine: str
     start_ms: float
@@ -31,7 +31,7 @@
 
 
 def picture(figure):
-    """Returns a figure as an HTML image with its data in it, and closes the figure."""
+    """Returns a figure as an HTML image with embedded data, and closes the figure."""
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=90, bbox_inches="tight")
     plt.close(figure)
@@ -39,17 +39,17 @@
 
 
 def plot_over_time(columns, seconds):
-    """Returns the plot of latency percentiles and rates by the intended send time."""
-    edges_ms = np.linspace(0, max(seconds, MIN_SECONDS) * 1000, BINS + 1)
-    bins = np.clip(np.digitize(columns["at_ms"], edges_ms) - 1, 0, BINS - 1)
+    """Returns the plots of latency percentiles and rates over the intended send time."""
+    edges_ms = np.linspace(0, max(seconds, MIN_DURATION_S) * 1000, TIME_BINS + 1)
+    bins = np.clip(np.digitize(columns["at_ms"], edges_ms) - 1, 0, TIME_BINS - 1)
     centers_s = (edges_ms[:-1] + edges_ms[1:]) / 2000
     bin_seconds = (edges_ms[1] - edges_ms[0]) / 1000
     figure, (latency_plot, rate_plot) = plt.subplots(2, 1, figsize=(10, 6), sharex=True)
     _plot_percentiles(latency_plot, centers_s, bins, columns["answered_ms"] - columns["at_ms"])
     answered_ms = columns["answered_ms"][~np.isnan(columns["answered_ms"])]
-    rate_plot.plot(centers_s, np.bincount(bins, minlength=BINS) / bin_seconds, label="asked")
+    rate_plot.plot(centers_s, np.bincount(bins, minlength=TIME_BINS) / bin_seconds, label="asked")
     rate_plot.plot(centers_s, np.histogram(answered_ms, edges_ms)[0] / bin_seconds, label="answered")
-    rate_plot.set_ylabel("a second")
+    rate_plot.set_ylabel("queries per second")
     rate_plot.set_xlabel("s")
     rate_plot.legend()
     return picture(figure)
@@ -57,17 +57,17 @@
 
 def _plot_percentiles(plot, centers_s, bins, latency_ms):
     is_answered = ~np.isnan(latency_ms)
-    latency_by_bin = [latency_ms[(bins == number) & is_answered] for number in range(BINS)]
+    latency_by_bin = [latency_ms[(bins == number) & is_answered] for number in range(TIME_BINS)]
     for percentile, label in ((50, "p50"), (90, "p90"), (99, "p99"), (100, "max")):
         values = [np.percentile(values, percentile) if len(values) else np.nan for values in latency_by_bin]
         plot.plot(centers_s, values, label=label)
     plot.set_yscale("log")
-    plot.set_ylabel("ms from the intended time")
+    plot.set_ylabel("ms since the intended send time")
     plot.legend(ncols=4)
 
 
 def plot_spectrum(latency):
-    """Returns the plot of latency against the share that is slower, from histograms by group."""
+    """Returns the plot of latency percentiles on a logarithmic scale, from histograms by group."""
     figure, plot = plt.subplots(figsize=(10, 4))
     quantiles = 1 - np.logspace(0, -5, SPECTRUM_POINTS)
     for group, histogram in latency.items():
@@ -76,14 +76,14 @@
             plot.plot(1 / (1 - quantiles), latency_ms, label=group)
     plot.set_xscale("log")
     plot.set_yscale("log")
-    plot.set_xlabel("one in so many is slower")
+    plot.set_xlabel("1 / share of slower queries")
     plot.set_ylabel("ms")
     plot.legend()
     return picture(figure)
 
 
 def plot_engines(ledger):
-    """Returns the plot of the queries that run at each engine over time, '' if none ran."""
+    """Returns the plot of the running queries of each engine over time, or '' if none ran."""
     spans = _engine_spans(ledger)
     if not spans:
         return ""
@@ -98,7 +98,7 @@
         running = [((starts_ms <= time_ms) & (ends_ms > time_ms)).sum() for time_ms in times_ms]
         plot.plot((times_ms - start_ms) / 1000, running, label=engine)
     plot.set_xlabel("s")
-    plot.set_ylabel("queries that run")
+    plot.set_ylabel("running queries")
     plot.legend(ncols=4, fontsize="small")
     return picture(figure)
 
@@ -117,16 +117,16 @@
 
 
 def write_page(path, title, figures, columns, latency, ledger=()):
-    """Writes the page of a run.
+    """Writes the HTML page of a run.
 
     Parameters
     ----------
-    path: the file.
-    title: the heading.
-    figures: as `report_of` returns them; nested ones are left out, but for the groups.
-    columns: of the run's queries, by name.
+    path: the file to write.
+    title: the heading of the page.
+    figures: a report as from `report_of`; nested values other than the groups are omitted.
+    columns: arrays of the run's queries, by column name.
     latency: histograms in microseconds, by group.
-    ledger: what each engine did, as entries of the ledger.
+    ledger: the entries of the engines' ledgers.
     """
     escaped_title = html.escape(title)
     text = (
--- a/lichenquay/load/plan.py
+++ b/lichenquay/load/plan.py
@@ -1,4 +1,4 @@
-"""Draws what is sent and when, before the run starts; free of I/O.
+"""Draws the queries of a run and their send times before the run starts. Does no I/O.
 
 Times are milliseconds from the start of the run.
 """
@@ -7,16 +7,17 @@
 
 from lichenquay.config import lichenquay_pb2 as pb
 
-INTEGRATION_STEPS = 20_000  # of the rate over the run
-PLAN_STREAM = 2  # of the random streams of a seed
+INTEGRATION_STEPS = 20_000  # in the numeric integral of the rate over the run
+PLAN_STREAM = 2  # index of the plan's random stream among those of a seed
 
-MEMORY_SIGMA = 0.3  # of the lognormal spread of a query's memory
+MEMORY_SIGMA = 0.3  # standard deviation of the logarithm of a query's memory
 
-STEP_AT = 0.5  # shares of the run from here on
+# The shapes below are in shares of the run.
+STEP_START = 0.5
 SURGE_CENTER = 0.45
 SURGE_WIDTH = 0.17
 BURST_PERIOD = 0.25
-BURST_START = 0.1  # within each period
+BURST_START = 0.1  # offset from the start of each period
 BURST_END = 0.15
 
 COLUMNS = {
@@ -34,10 +35,10 @@
 
 
 def rate_multiplier(load: pb.Load, run_share: np.ndarray) -> np.ndarray:
-    """Returns the factors on the base rate at the given shares (array, 0 to 1) of the run."""
+    """Returns the factors on the base rate at the given shares (an array, 0 to 1) of the run."""
     peak = load.peak or 1.0
     if load.shape == pb.Load.STEP:
-        return np.where(run_share < STEP_AT, 1.0, peak)
+        return np.where(run_share < STEP_START, 1.0, peak)
     if load.shape == pb.Load.SURGE:
         return 1 + (peak - 1) * np.exp(-(((run_share - SURGE_CENTER) / SURGE_WIDTH) ** 2))
     if load.shape == pb.Load.DAILY:
@@ -49,7 +50,7 @@
 
 
 def arrival_times_ms(load: pb.Load, random: np.random.Generator) -> np.ndarray:
-    """Draws the intended send times, ascending.
+    """Draws the intended send times in ascending order.
 
     The integral of the rate is inverted at unit steps (constant arrivals) or exponential steps (Poisson
     arrivals).
@@ -62,7 +63,7 @@
     if load.arrivals == pb.Load.CONSTANT:
         arrivals = np.arange(0.5, total, 1.0)
     else:
-        # Six standard deviations above the mean, so that the draws reach the end of the run.
+        # Six standard deviations above the mean, so that the arrivals reach the end of the run.
         draw_count = int(total + 6 * np.sqrt(total) + 20)
         arrivals = np.cumsum(random.exponential(1.0, draw_count))
         arrivals = arrivals[arrivals < total]
@@ -82,9 +83,9 @@
 
 
 def draw_plan(testbed: pb.Lab, seed: int | None = None) -> dict[str, np.ndarray]:
-    """Draws the queries of a run as columns (`COLUMNS`), one entry a query.
+    """Draws the queries of a run as columns (`COLUMNS`) with one entry per query.
 
-    The testbed gives the load, the groups and the tenants; `seed` takes the place of its own.
+    The testbed gives the load, the groups and the tenants; `seed` overrides its seed.
     """
     plan_seed = testbed.seed if seed is None else seed
     random = np.random.default_rng(np.random.SeedSequence([plan_seed, PLAN_STREAM]))
@@ -102,9 +103,9 @@
 def fill_missing_columns(
     testbed: pb.Lab, random: np.random.Generator, given_columns: dict[str, np.ndarray]
 ) -> dict[str, np.ndarray]:
-    """Returns all columns: the given ones, and the others drawn by each query's group.
+    """Returns all columns: the given ones, and the missing ones drawn by the group of each query.
 
-    Every column is drawn even when it is given, so that the others do not depend on which are given.
+    Given columns are drawn too, so that the draws of the others do not depend on which columns are given.
     """
     load = testbed.load
     count = len(given_columns["at_ms"])
--- a/lichenquay/load/report.py
+++ b/lichenquay/load/report.py
@@ -1,4 +1,4 @@
-"""The figures of a run: counts, latency from the intended send time, and the generator's own overhead."""
+"""The report of a run: counts, latency from the intended send time, and the generator's own overhead."""
 
 import numpy as np
 
@@ -7,13 +7,13 @@
 from lichenquay.load.run import RunResult
 from lichenquay.load.worker_results import ALL_GROUPS
 
-LAG_BOUND_MS = 5.0  # p99 of the generator's lag; a run beyond it is void
-MIN_SECONDS = 0.001
-QUANTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
+MAX_P99_LAG_MS = 5.0  # of the generator; a run with a higher lag is void
+MIN_DURATION_S = 0.001
+PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
 
 
 def report_of(result: RunResult, testbed: pb.Lab) -> dict:
-    """Returns the figures of a RunResult as a dict that JSON can hold; latency is in milliseconds."""
+    """Returns the report of a run as a JSON-serializable dict; latencies are in milliseconds."""
     columns = result.columns()
     if not columns:
         return {"asked": 0, "void": True, "why_void": "no worker kept anything", "missing": result.missing}
@@ -21,16 +21,16 @@
         **_count_queries(columns, np.ones(len(columns["at_ms"]), bool)),
         **_exceptions(columns, result.worker_facts),
         **_rates(columns, result.seconds),
-        **_quantiles(result.latency.get(ALL_GROUPS)),
-        **_quantiles(result.lag, "lag_"),
-        **_finished_quantiles(columns),
+        **_percentiles(result.latency.get(ALL_GROUPS)),
+        **_percentiles(result.lag, "lag_"),
+        **_finished_percentiles(columns),
         **_overhead(result.worker_facts),
         "missing": result.missing,
         "stopped": result.interrupted,
         "groups": {
             group.name: {
                 **_count_queries(columns, columns["group"] == group.name),
-                **_quantiles(result.latency.get(group.name)),
+                **_percentiles(result.latency.get(group.name)),
             }
             for group in testbed.groups
         },
@@ -42,7 +42,7 @@
 
 
 def _count_queries(columns, rows):
-    """Counts the queries among the given rows (a mask) by how they ended."""
+    """Counts the queries that the mask `rows` selects by their outcome."""
     code = columns["code"]
     silent = ~np.isnan(columns["sent_ms"]) & (columns["answers"] == 0) & ~columns["left"]
     return {
@@ -67,7 +67,7 @@
 
 
 def _rates(columns, run_seconds):
-    seconds = max(run_seconds, MIN_SECONDS)
+    seconds = max(run_seconds, MIN_DURATION_S)
     answered_count = float((~np.isnan(columns["answered_ms"])).sum())
     return {
         "seconds": round(seconds, 2),
@@ -76,16 +76,16 @@
     }
 
 
-def _quantiles(histogram, prefix=""):
+def _percentiles(histogram, prefix=""):
     if not histogram or not histogram.get_total_count():
-        return {f"{prefix}{name}_ms": None for name in QUANTILES}
+        return {f"{prefix}{name}_ms": None for name in PERCENTILES}
     return {
         f"{prefix}{name}_ms": round(histogram.get_value_at_percentile(percentile) / 1000, 3)
-        for name, percentile in QUANTILES.items()
+        for name, percentile in PERCENTILES.items()
     }
 
 
-def _finished_quantiles(columns):
+def _finished_percentiles(columns):
     finished = columns["code"] == AnswerCode.COMPLETED
     if not finished.any():
         return {"finished_p50_ms": None, "finished_p99_ms": None}
@@ -97,7 +97,7 @@
 
 
 def _overhead(worker_facts):
-    cpu_shares = [facts["cpu_s"] / max(MIN_SECONDS, facts["seconds"]) for facts in worker_facts]
+    cpu_shares = [facts["cpu_s"] / max(MIN_DURATION_S, facts["seconds"]) for facts in worker_facts]
     return {
         "generator_cpu_s": [round(facts["cpu_s"], 2) for facts in worker_facts],
         "generator_cpu_share": round(sum(cpu_shares), 3),
@@ -110,6 +110,6 @@
     if lag_p99_ms is None:
         reasons.append("nothing was sent")
     reasons += missing
-    if lag_p99_ms is not None and lag_p99_ms > LAG_BOUND_MS:
-        reasons.append(f"the generator's own lag was {lag_p99_ms:.1f} ms at p99, over {LAG_BOUND_MS:g} ms")
+    if lag_p99_ms is not None and lag_p99_ms > MAX_P99_LAG_MS:
+        reasons.append(f"the generator's own lag was {lag_p99_ms:.1f} ms at p99, over {MAX_P99_LAG_MS:g} ms")
     return reasons
--- a/lichenquay/load/run.py
+++ b/lichenquay/load/run.py
@@ -1,6 +1,6 @@
 """A run of the load generator: the plan, the worker processes, and their results.
 
-A killed worker or an interrupted run leaves the results of what ran, and the names of what is missing.
+If a worker is killed or the run is interrupted, the results so far are kept and the missing ones are named.
 """
 
 import contextlib
@@ -24,13 +24,13 @@
 from lichenquay.load.worker_results import new_histogram
 
 READY_TIMEOUT_S = 15.0
-END_TIMEOUT_S = 15.0  # after the longest timeout of a query
-STOP_TIMEOUT_S = 1.5  # for answers after an interrupt
-START_DELAY_S = 0.3  # until all workers have read START
+END_TIMEOUT_S = 15.0  # beyond the longest query timeout
+STOP_TIMEOUT_S = 1.5  # wait for answers after an interrupt
+START_DELAY_S = 0.3  # time for all workers to read START
 MAX_SLEEP_S = 0.05
 MIN_SLEEP_S = 0.001
 EXIT_TIMEOUT_S = 2
-WORKER_STREAM = 4  # of the random streams of a seed
+WORKER_STREAM = 4  # index of the workers' random stream among those of a seed
 
 ADDRESSES_PER_BLOCK = 250
 BLOCKS_PER_NETWORK = 250
@@ -41,19 +41,22 @@
 
 @dataclass
 class RunResult:
-    """The results of all workers: one row a query, histograms in microseconds, and what is missing."""
+    """The results of all workers.
+
+    The table has one row per query, histograms are in microseconds, and `missing` describes lost results.
+    """
 
     table: pa.Table | None
     latency: dict
     lag: object
     worker_facts: list
     missing: list = field(default_factory=list)
-    started_ms: float = 0.0  # of the monotonic clock
+    started_ms: float = 0.0  # on the monotonic clock
     interrupted: bool = False
     seconds: float = 0.0
 
     def columns(self) -> dict[str, np.ndarray]:
-        """Returns the table as arrays by column name; empty if no worker left a table."""
+        """Returns the table as arrays by column name; empty if no worker wrote a table."""
         if not self.table:
             return {}
         return {
@@ -82,10 +85,10 @@
         ----------
         testbed: the settings of the load, the groups and the tenants.
         target: the address of the gateway, HOST:PORT.
-        out: the folder of the run's files.
-        rows: whether the rows of results are checked.
+        out: the folder for the run's files.
+        rows: whether workers check the rows of results.
         plan: columns as from `draw_plan`; by default the trace of the settings, or a drawn plan.
-        run: a number that tells the refs of runs at the same time apart.
+        run: a number that makes the refs of concurrent runs distinct.
         """
         self.testbed = testbed
         self.out = Path(out)
@@ -101,7 +104,7 @@
             self.write_job(job)
 
     def start(self) -> None:
-        """Starts the processes; raises RunError if one cannot connect to its target."""
+        """Starts the processes. Raises RunError if one cannot connect to its target."""
         for job in self.jobs:
             self.processes.append(start_module("lichenquay.load.worker", str(self._job_path(job))))
         for process in self.processes:
@@ -109,13 +112,13 @@
                 self.close()
                 raise RunError("a worker of the load generator could not connect to its target")
 
-    def run(self, progress=lambda done: None, during=()) -> RunResult:
-        """Runs the load and returns its RunResult. Ctrl-C ends the sending, and keeps the results so far.
+    def run(self, progress=lambda completed: None, during=()) -> RunResult:
+        """Runs the load and returns its results. Ctrl-C ends the sending and keeps the results so far.
 
         Parameters
         ----------
-        progress: called with the share of the run that is over.
-        during: (seconds, call) pairs; each is called at its time from the start of the run.
+        progress: called with the share of the run that has passed, 0 to 1.
+        during: (seconds, function) pairs; each function is called at its time since the start of the run.
         """
         started_s = time.monotonic() + START_DELAY_S
         self.started_ms = started_s * 1000
@@ -125,7 +128,7 @@
             self._wait_until_end(started_s, progress, sorted(during, key=lambda pair: pair[0]))
         except KeyboardInterrupt:
             interrupted = True
-            log.warning("stopped on the way", after_s=round(time.monotonic() - started_s, 1))
+            log.warning("run interrupted", after_s=round(time.monotonic() - started_s, 1))
             self._send_command(STOP)
         seconds = min(self.end_s, time.monotonic() - started_s)
         self._wait_until_done(interrupted)
@@ -134,7 +137,7 @@
         return self._collect_results(interrupted, seconds)
 
     def close(self) -> None:
-        """Ends the processes, by a signal if they do not end by themselves."""
+        """Waits for the processes to exit, and kills those that do not exit in time."""
         for process in self.processes:
             with contextlib.suppress(OSError):
                 process.stdin.close()
@@ -146,7 +149,7 @@
             process.stdout.close()
 
     def write_job(self, job: WorkerJob) -> None:
-        """Writes the job file of a worker, again after a change of the job."""
+        """Writes the job file of a worker; called again after a change of the job."""
         write_job(self._job_path(job), job)
 
     def _default_plan(self):
@@ -230,7 +233,7 @@
 
     def _send_command(self, command):
         for process in self.processes:
-            # A process that has ended is reported with the results.
+            # A process that has exited is reported with the results.
             with contextlib.suppress(OSError):
                 process.stdin.write(command + "\n")
                 process.stdin.flush()
--- a/lichenquay/load/self_test.py
+++ b/lichenquay/load/self_test.py
@@ -1,4 +1,4 @@
-"""Measures the generator itself: a stall that a closed loop misses, and the rate that it sustains."""
+"""Measures the generator itself: a stall that only an open loop shows, and the sustained rate."""
 
 import signal
 import subprocess
@@ -9,15 +9,15 @@
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.child import read_line, start_module
 from lichenquay.load.errors import RunError
-from lichenquay.load.report import LAG_BOUND_MS, report_of
+from lichenquay.load.report import MAX_P99_LAG_MS, report_of
 from lichenquay.load.run import Workers
 
 NULL_SERVER_TIMEOUT_S = 10.0
 CAPACITY_RATES = (1000, 2000, 3000, 5000, 7500, 10000, 12500)
 OPEN_LOOP_CONNECTIONS = 8
-CONNECTIONS_OF_WORKER = 4  # in the measure of capacity
+CONNECTIONS_PER_WORKER = 4  # in `measure_capacity`
 
-STALL_FIGURES = (
+STALL_METRICS = (
     "asked",
     "finished",
     "silent",
@@ -27,8 +27,8 @@
     "p999_ms",
     "max_ms",
 )
-LAG_FIGURES = ("lag_p99_ms", "void")  # a closed loop has no intended send times to lag behind
-CAPACITY_FIGURES = (
+LAG_METRICS = ("lag_p99_ms", "void")  # not for a closed loop, which has no intended send times
+CAPACITY_METRICS = (
     "asked",
     "finished",
     "silent",
@@ -45,7 +45,7 @@
 
 @contextmanager
 def null_server():
-    """Runs a null server; gives its address and its process. Raises RunError if it does not start."""
+    """Runs a null server, and yields its address and process. Raises RunError if it does not start."""
     process = start_module("lichenquay.load.null_server", stdin=subprocess.DEVNULL)
     try:
         address = read_line(process, NULL_SERVER_TIMEOUT_S)
@@ -60,7 +60,7 @@
 
 
 def null_testbed(rate, seconds, workers, connections, closed=False, seed=1):
-    """Returns settings for a load on a null server: `rate` in queries a second, from one address."""
+    """Returns a testbed for a load on a null server from one address, at `rate` queries per second."""
     return read_testbed(
         f"""seed: {seed} load {{ rate: {rate} seconds: {seconds} workers: {workers} connections: {connections}
         addresses: 1 closed: {str(closed).lower()} }}""",
@@ -68,9 +68,9 @@
     )
 
 
-def measure_stall(out, rate=400.0, seconds=20.0, stall_ms=500.0, progress=lambda done: None):
-    """Returns the figures of the same stall as an open and a closed loop of the same rate measure it."""
-    # In a closed loop, each connection meets the stall with one query.
+def measure_stall(out, rate=400.0, seconds=20.0, stall_ms=500.0, progress=lambda completed: None):
+    """Returns reports of the same stall, measured by an open loop and by a closed loop of the same rate."""
+    # In a closed loop, the stall delays only one query per connection.
     closed_loop_connections = max(1, int(rate * seconds / 2000))
     open_loop = null_testbed(rate, seconds, 1, OPEN_LOOP_CONNECTIONS)
     closed_loop = null_testbed(rate, seconds, 1, closed_loop_connections, closed=True)
@@ -80,10 +80,18 @@
         "rate": rate,
         "seconds": seconds,
         "open": _run_with_stall(
-            open_loop, out / "open", stall_ms, STALL_FIGURES + LAG_FIGURES, lambda done: progress(done / 2)
+            open_loop,
+            out / "open",
+            stall_ms,
+            STALL_METRICS + LAG_METRICS,
+            lambda completed: progress(completed / 2),
         ),
         "closed": _run_with_stall(
-            closed_loop, out / "closed", stall_ms, STALL_FIGURES, lambda done: progress((1 + done) / 2)
+            closed_loop,
+            out / "closed",
+            stall_ms,
+            STALL_METRICS,
+            lambda completed: progress((1 + completed) / 2),
         ),
     }
 
@@ -93,13 +101,13 @@
     rates=CAPACITY_RATES,
     seconds=5.0,
     workers=4,
-    progress=lambda done: None,
+    progress=lambda completed: None,
 ):
-    """Returns the highest rate that the generator sustains, and the figures of each step.
+    """Returns the highest rate that the generator sustains, and a report of each step.
 
-    A rate is sustained if all queries are answered and the generator's lag stays under its bound at p99.
-    The steps end with the first rate that is not sustained. `rates` are queries a second, `seconds` is the
-    length of a step.
+    A rate is sustained if all queries are answered and the p99 of the generator's lag is within its limit.
+    The first rate that is not sustained ends the steps. `rates` are in queries per second, `seconds` is the
+    duration of a step.
     """
     steps = []
     sustained_per_s = 0.0
@@ -112,13 +120,13 @@
         sustained_per_s = step["answered_per_s"]
     return {
         "sustained_per_s": sustained_per_s,
-        "lag_bound_ms": LAG_BOUND_MS,
+        "lag_bound_ms": MAX_P99_LAG_MS,
         "workers": workers,
         "steps": steps,
     }
 
 
-def _run_with_stall(testbed, out, stall_ms, figure_names, progress):
+def _run_with_stall(testbed, out, stall_ms, metric_names, progress):
     stall_start_s = testbed.load.seconds / 2
     with null_server() as (address, process):
         workers = Workers(testbed, address, out, rows=False)
@@ -131,13 +139,13 @@
     report = report_of(result, testbed)
     columns = result.columns()
     slow_count = int((columns["answered_ms"] - columns["at_ms"] > stall_ms / 5).sum())
-    figures = {name: report[name] for name in figure_names}
-    return {**figures, "slower_than_a_fifth_of_the_stall": slow_count}
+    metrics = {name: report[name] for name in metric_names}
+    return {**metrics, "slower_than_a_fifth_of_the_stall": slow_count}
 
 
 def _run_capacity_step(out, rate, seconds, worker_count):
-    """Runs one rate; half of the workers go to each of two null servers, so that these are not the limit."""
-    testbed = null_testbed(rate, seconds, worker_count, CONNECTIONS_OF_WORKER * worker_count)
+    """Runs one rate; the workers share two null servers, so that the servers do not limit the rate."""
+    testbed = null_testbed(rate, seconds, worker_count, CONNECTIONS_PER_WORKER * worker_count)
     with null_server() as (first_address, _), null_server() as (second_address, _):
         workers = Workers(testbed, first_address, out, rows=False)
         for job in workers.jobs[1::2]:
@@ -151,5 +159,5 @@
         "rate": rate,
         "ok": is_sustained,
         "took_s": round(time.monotonic() - started_s, 1),
-        **{name: report[name] for name in CAPACITY_FIGURES},
+        **{name: report[name] for name in CAPACITY_METRICS},
     }
--- a/lichenquay/load/task.py
+++ b/lichenquay/load/task.py
@@ -1,12 +1,12 @@
-"""The real need of a query, and the statement whose comment states it.
+"""The actual resource need of a query, and its encoding in a comment of the statement.
 
-Clients write the statement, emulated engines read it.
+Clients write the statement, and emulated engines read it.
 """
 
 from dataclasses import dataclass
 from math import inf
 
-RUNNING = "running"  # the outcome of a task that has not ended
+RUNNING = "running"  # the outcome of an unfinished task
 
 NEED_START = "/* need "
 NEED_END = " */"
@@ -14,7 +14,7 @@
 
 @dataclass(eq=False)
 class Task:
-    """The real need of a query, and its state at an emulated engine. Times and work are in milliseconds."""
+    """The actual need of a query, and its state at an emulated engine. Times and work are in milliseconds."""
 
     ref: str
     group: str
@@ -28,10 +28,10 @@
     rank: int = 1
     submitted_ms: float = 0.0
     started_ms: float = 0.0
-    remaining_ms: float = 0.0  # of `total_ms`
-    total_ms: float = 0.0  # the work with the cost of spilling and cold tables
+    remaining_ms: float = 0.0  # part of `total_ms` that is left
+    total_ms: float = 0.0  # the work, including the cost of spilling and cold tables
     wait_reason: str = ""  # "memory", "load" or ""
-    pending_event: tuple | None = None  # a progress event that is not sent yet
+    pending_event: tuple | None = None  # a progress event that has not been sent
     last_event_ms: float = 0.0
     outcome: str = RUNNING
     ended_ms: float = 0.0
@@ -39,7 +39,7 @@
 
 
 def statement_of(task: Task) -> bytes:
-    """Returns the statement (bytes) of a task, with its real need in a comment."""
+    """Returns the statement (bytes) of a task, with its actual need in a comment."""
     if task.load:
         verb = f"insert into sales_{task.tables}.orders select * from staging.x"
     else:
@@ -52,10 +52,10 @@
 
 
 def task_of(ref: str, group: str, statement: bytes, grant_mb: float, rank: int) -> Task:
-    """Returns the task whose need a statement (bytes) states. Raises ValueError if it states none."""
+    """Returns the task with the need in the comment of a statement (bytes). Raises ValueError without one."""
     _, marker, comment = statement.decode("utf-8", "replace").partition(NEED_START)
     if not marker:
-        raise ValueError("a statement that does not say what it needs")
+        raise ValueError(f"statement without the comment {NEED_START.strip()!r}")
     need = dict(entry.split("=", 1) for entry in comment.partition(NEED_END)[0].split())
     return Task(
         ref=ref,
--- a/lichenquay/load/trace.py
+++ b/lichenquay/load/trace.py
@@ -1,4 +1,4 @@
-"""Reads and writes traces: the queries of a run as CSV or Parquet. A bad row refuses the whole trace."""
+"""Reads and writes traces, the queries of a run as CSV or Parquet. An invalid row invalidates the trace."""
 
 import math
 from pathlib import Path
@@ -11,11 +11,11 @@
 from lichenquay.load.errors import TraceError
 from lichenquay.load.plan import COLUMNS, fill_missing_columns
 
-TRACE_STREAM = 3  # of the random streams of a seed
-FIRST_ROW = 2  # rows are counted as in a CSV file, whose row 1 is the header
+TRACE_STREAM = 3  # index of the trace's random stream among those of a seed
+FIRST_ROW = 2  # rows are numbered as in a CSV file, where row 1 is the header
 REQUIRED_COLUMNS = ("at_ms", "group")
 
-LOWEST_VALUES = {
+MIN_VALUES = {
     "at_ms": 0.0,
     "work_ms": 0.001,
     "memory_mb": 0.0,
@@ -30,7 +30,7 @@
 def read_trace(path: str | Path, testbed: pb.Lab, seed: int = 0) -> dict[str, np.ndarray]:
     """Reads the queries of a trace as the columns of a plan.
 
-    `at_ms` and `group` are required; other missing columns are drawn by the group. Raises TraceError.
+    `at_ms` and `group` are required; other missing columns are drawn by group. Raises TraceError.
     """
     table = _read_table(path)
     columns = {}
@@ -52,7 +52,10 @@
     """Writes a plan as a trace for `read_trace`; the suffix `.csv` selects CSV, any other Parquet."""
     path = Path(path)
     table = pa.table(
-        {name: pa.array(np.asarray(plan[name]).astype(kind).tolist()) for name, kind in COLUMNS.items()}
+        {
+            name: pa.array(np.asarray(plan[name]).astype(value_type).tolist())
+            for name, value_type in COLUMNS.items()
+        }
     )
     if path.suffix == ".csv":
         csv.write_csv(table, path)
@@ -75,7 +78,7 @@
 
 
 def _read_csv(path):
-    """Reads a CSV file with all values as text, so that a bad value can be named as it stands in the file."""
+    """Reads a CSV file with all values as text, so that errors can quote them as they are in the file."""
     with open(path, encoding="utf-8") as file:
         names = file.readline().strip().split(",")
     invalid_rows = []
@@ -99,25 +102,25 @@
 
 
 def _parse_column(path, name, values):
-    kind = COLUMNS[name]
+    value_type = COLUMNS[name]
     parsed = []
     for row, text in enumerate(values, FIRST_ROW):
         try:
-            value = _parse_value(kind, text)
+            value = _parse_value(value_type, text)
         except (TypeError, ValueError):
             raise TraceError(f"{path}: row {row}: {name}: not a number: {text!r}") from None
-        if name in LOWEST_VALUES and value < LOWEST_VALUES[name]:
-            raise TraceError(f"{path}: row {row}: {name}: {value:g} is below {LOWEST_VALUES[name]:g}")
+        if name in MIN_VALUES and value < MIN_VALUES[name]:
+            raise TraceError(f"{path}: row {row}: {name}: {value:g} is below {MIN_VALUES[name]:g}")
         parsed.append(value)
-    return np.array(parsed, dtype=object if kind is str else kind)
+    return np.array(parsed, dtype=object if value_type is str else value_type)
 
 
-def _parse_value(kind, text):
-    if kind is np.int64:
+def _parse_value(value_type, text):
+    if value_type is np.int64:
         return int(text)
-    value = kind(text)
-    if kind is float and math.isnan(value):
-        raise ValueError("NaN is no value")
+    value = value_type(text)
+    if value_type is float and math.isnan(value):
+        raise ValueError("NaN is not allowed")
     return value
 
 
--- a/lichenquay/load/worker.py
+++ b/lichenquay/load/worker.py
@@ -1,9 +1,10 @@
-"""One process of the load generator: it sends each query at its intended time, whatever is answered.
+"""A worker process of the load generator, which sends each query at its intended time.
 
     python -m lichenquay.load.worker JOB
 
-JOB is a JSON file (`worker_job`). READY is printed once all connections are up; `START SECONDS` (of the
-monotonic clock) begins the run, `STOP` ends its sending; DONE is printed when the results are written.
+JOB is a JSON file (see `worker_job`). The worker prints READY when all connections are open. On its standard
+input, `START SECONDS` (on the monotonic clock) starts the run, and `STOP` ends its sending. The worker prints
+DONE when the results are written.
 """
 
 import gc
@@ -24,20 +25,20 @@
 from lichenquay.load.worker_job import DONE, READY, START, STOP, read_job
 from lichenquay.load.worker_results import LatencyRecorder, WorkerCounters, write_facts, write_table
 
-ANSWER_GRACE_MS = 400.0  # after its timeout a query without an answer counts as silent
-STOP_GRACE_MS = 1000.0  # for answers after STOP
-TICK_S = 0.001
+ANSWER_GRACE_MS = 400.0  # beyond its timeout; then a query without an answer counts as silent
+STOP_GRACE_MS = 1000.0  # wait for answers after STOP
+TICK_INTERVAL_S = 0.001
 CONNECT_TIMEOUT_S = 5
 RETRY_DELAY_MIN_S = 0.02
 RETRY_DELAY_MAX_S = 0.2
-RECENT_QUERIES = 4096  # looked through for outstanding ones
+RECENT_QUERY_COUNT = 4096  # checked for outstanding queries
 
 
 class Worker:
     """Sends its part of the plan on its connections, and records each query."""
 
     def __init__(self, job):
-        """Takes its `WorkerJob`, and opens the plan that it names."""
+        """Initializes a worker from its `WorkerJob`, and opens the plan of the job."""
         self.job = job
         self.groups = {group.name: group for group in job.groups}
         self.plan = np.load(job.plan_path, allow_pickle=False)
@@ -46,10 +47,10 @@
         self.next_planned = 0
         self.queries = []
         self.connections = {}  # by address: lists
-        self.waiting = {}  # by address: queues of queries that found no free stream
+        self.waiting = {}  # by address: queues of queries without a free stream
         self.random = np.random.default_rng(job.seed)
         self.recorder = LatencyRecorder(self.groups)
-        self.started_s = None  # of the monotonic clock
+        self.started_s = None  # on the monotonic clock
         self.is_stopped = False
         self.stopped_ms = 0.0
         self.cpu_at_start_s = 0.0
@@ -59,13 +60,13 @@
         self.lost_connections = 0
 
     def now_ms(self):
-        """Returns the time since the start of the run, 0 before it."""
+        """Returns the time since the start of the run, or 0 before it."""
         if self.started_s is None:
             return 0.0
         return (time.monotonic() - self.started_s) * 1000
 
     def open_connections(self):
-        """Opens all connections."""
+        """Opens the connections from all addresses of the job."""
         for address in self.job.addresses:
             self.connect(address)
 
@@ -78,7 +79,7 @@
         reactor.connectTCP(host, int(port), factory, timeout=CONNECT_TIMEOUT_S, bindAddress=(address, 0))
 
     def on_connected(self, connection):
-        """Adds a connection; tells the parent once all are up."""
+        """Adds a connection, and tells the parent when all are open."""
         self.connections.setdefault(connection.address, []).append(connection)
         connection_count = sum(map(len, self.connections.values()))
         if self.started_s is None and connection_count == len(self.job.addresses):
@@ -86,7 +87,7 @@
         self.send_waiting(connection)
 
     def on_going_away(self, connection):
-        """Replaces a connection that takes no more queries; its open ones are still answered."""
+        """Replaces a connection that accepts no more queries; its open queries are still answered."""
         if connection in self.connections.get(connection.address, ()):
             self.connections[connection.address].remove(connection)
             self.connect(connection.address)
@@ -101,11 +102,11 @@
         self.on_going_away(connection)
 
     def start(self, started_s):
-        """Starts the run, whose time 0 is `started_s` of the monotonic clock."""
+        """Starts the run, whose time 0 is `started_s` on the monotonic clock."""
         self.started_s = started_s
         self.columns = {name: self.plan[name].tolist() for name in self.plan.files}
         self.planned_ms = self.columns["at_ms"]
-        # A garbage collection of the plan's many objects would delay the sending.
+        # Without a freeze, garbage collections would scan the many objects of the plan and delay the sending.
         gc.collect()
         gc.freeze()
         self.cpu_at_start_s = time.process_time()
@@ -116,7 +117,7 @@
         self._tick()
 
     def stop(self):
-        """Ends the sending; before the start it ends the process."""
+        """Ends the sending, or the process if the run has not started."""
         if self.is_stopped:
             return
         self.is_stopped = True
@@ -131,7 +132,7 @@
             self._send_on(connection, waiting.popleft())
 
     def on_answer(self, query, payload, now_ms):
-        """Records the first answer to a query; a rejected one is tried again."""
+        """Records the first answer to a query, and schedules a retry if it was rejected."""
         query.answer_count = 1
         query.answered_ms = now_ms
         query.answer_code = payload[0]
@@ -156,7 +157,7 @@
         if self._is_finished(now_ms):
             self._finish()
             return
-        reactor.callLater(TICK_S, self._tick)
+        reactor.callLater(TICK_INTERVAL_S, self._tick)
 
     def _send_due(self, now_ms):
         while (
@@ -184,7 +185,7 @@
                 return True
         if any(self.waiting.values()):
             return True
-        return any(query.is_outstanding for query in self.queries[-RECENT_QUERIES:])
+        return any(query.is_outstanding for query in self.queries[-RECENT_QUERY_COUNT:])
 
     def _next_ref(self):
         return f"{self.job.index + 1:04x}{self.job.run:04x}{len(self.queries):08x}"
@@ -220,7 +221,7 @@
         return query
 
     def _retry(self, rejected):
-        """Sends a rejected query again as a new one that is due now."""
+        """Sends a rejected query again, as a new query that is due now."""
         query = ClientQuery(
             ref=self._next_ref(),
             group=rejected.group,
@@ -239,7 +240,7 @@
         self._send(query)
 
     def _send(self, query):
-        """Sends a query on the least used connection of its address, or lets it wait for a free stream."""
+        """Sends a query on the least used connection of its address, or queues it for a free stream."""
         now_ms = self.now_ms()
         query.due_handled_ms = now_ms
         self.recorder.record_lag(now_ms - query.at_ms)
@@ -271,12 +272,13 @@
     def _schedule_closed_loop(self, connection):
         """Schedules the next query of a connection, once the last one is answered.
 
-        Sends that were missed meanwhile are left out, and time counts from the sending: this hides a stall.
+        Sends that fell due while the last query was open are skipped, and latency counts from the actual
+        send, so a closed loop hides a stall.
         """
         now_ms = self.now_ms()
         if self.is_stopped or now_ms > self.job.end_ms:
             return
-        # Drawn at each call, though only the first is used: the draws after it depend on it.
+        # Drawn in each call, though used only in the first, so that later draws are the same for a seed.
         first_send_ms = self.random.uniform(0, self.job.send_interval_ms)
         if connection.next_send_ms is None:
             connection.next_send_ms = first_send_ms
@@ -298,7 +300,7 @@
         self.is_stopped = True
         cpu_s = time.process_time() - self.cpu_at_start_s
         write_table(self.job.output_path, self.queries)
-        # The writing of the table counts as time of the run, its processor time does not.
+        # Writing the table counts towards the duration of the run, but not towards its processor time.
         counters = WorkerCounters(
             unknown_answers=self.unknown_answers,
             notices=self.notices,
@@ -317,16 +319,16 @@
 
 
 class ParentCommands(LineReceiver):
-    """Reads the commands of the parent process from the standard input."""
+    """Reads the commands of the parent process from standard input."""
 
     delimiter = b"\n"
 
     def __init__(self, worker):
-        """Takes the worker that the commands are for."""
+        """Initializes the reader of commands for a worker."""
         self.worker = worker
 
     def lineReceived(self, line):
-        """Handles START and STOP."""
+        """Handles the commands START and STOP."""
         command, _, argument = line.decode().partition(" ")
         if command == START:
             started_s = float(argument)
@@ -335,12 +337,12 @@
             self.worker.stop()
 
     def connectionLost(self, reason):
-        """Stops the worker, as its parent has ended."""
+        """Stops the worker, as its parent has exited."""
         self.worker.stop()
 
 
 def main():
-    """Runs the worker of the job file that the first argument names."""
+    """Runs a worker with the job file named by the first argument."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent decides when to stop
     worker = Worker(read_job(sys.argv[1]))
     stdio.StandardIO(ParentCommands(worker))
--- a/lichenquay/load/worker_job.py
+++ b/lichenquay/load/worker_job.py
@@ -1,18 +1,18 @@
-"""What a worker process and its parent exchange: the JSON file of the job, and the messages."""
+"""The JSON job file of a worker process, and the messages between the worker and its parent."""
 
 import json
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-READY = "READY"  # from the worker: its connections are up
-START = "START"  # to the worker, with the time of the monotonic clock in seconds
-STOP = "STOP"  # to the worker: it sends no more
+READY = "READY"  # from the worker: all connections are open
+START = "START"  # to the worker, with the start time on the monotonic clock in seconds
+STOP = "STOP"  # to the worker: it ends the sending
 DONE = "DONE"  # from the worker: its results are written
 
 
 @dataclass(frozen=True)
 class JobGroup:
-    """What a worker has to know of a group of queries."""
+    """The settings of a query group that a worker uses."""
 
     name: str
     threads: int
@@ -28,9 +28,9 @@
     index: int
     run: int
     plan_path: str  # .npz with the worker's part of the plan
-    output_path: str  # without suffix
+    output_path: str  # without a suffix
     target: str
-    addresses: list[str]  # of its connections
+    addresses: list[str]  # of the worker's connections
     all_addresses: list[str]  # of the whole run
     groups: list[JobGroup]
     seed: list[int]
@@ -39,10 +39,10 @@
     checks_rows: bool
     end_ms: float
     longest_timeout_ms: float
-    send_interval_ms: float  # of a connection in a closed loop
+    send_interval_ms: float  # of each connection in a closed loop
 
 
-# Attribute -> key in the file.
+# Keys of the file, by attribute.
 JOB_KEYS = {
     "index": "number",
     "run": "run",
@@ -63,13 +63,13 @@
 
 
 def write_job(path: str | Path, job: WorkerJob) -> None:
-    """Writes a job as JSON."""
+    """Writes a job file."""
     values = {key: getattr(job, name) for name, key in JOB_KEYS.items()}
     Path(path).write_text(json.dumps(values, default=asdict))
 
 
 def read_job(path: str | Path) -> WorkerJob:
-    """Reads a job that `write_job` wrote."""
+    """Reads a job file written by `write_job`."""
     with open(path, encoding="utf-8") as file:
         stored = json.load(file)
     values = {name: stored[key] for name, key in JOB_KEYS.items()}
--- a/lichenquay/load/worker_results.py
+++ b/lichenquay/load/worker_results.py
@@ -1,4 +1,4 @@
-"""What a worker process measures, and the files in which it leaves it: OUT.parquet and OUT.json."""
+"""The measurements of a worker process, and its result files OUTPUT.parquet and OUTPUT.json."""
 
 import json
 import os
@@ -10,39 +10,39 @@
 
 from lichenquay.load.client_query import ClientQuery, table_of_queries
 
-LOWEST_US = 1
-HIGHEST_US = 120_000_000
+MIN_RECORDED_US = 1
+MAX_RECORDED_US = 120_000_000
 SIGNIFICANT_DIGITS = 3
 ALL_GROUPS = "all"
 
 
 def new_histogram() -> HdrHistogram:
     """Returns an empty histogram of microseconds."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_RECORDED_US, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
 
 
 class LatencyRecorder:
-    """Histograms of a worker: the latency of all groups and of each, and the generator's own lag."""
+    """Histograms of the latency, overall and by group, and of the generator's own lag."""
 
     def __init__(self, groups):
-        """Takes the names of the groups."""
+        """Initializes empty histograms for the given group names."""
         self.latency = {group: new_histogram() for group in (ALL_GROUPS, *groups)}
         self.lag = new_histogram()
 
     def record_latency(self, group, latency_ms):
-        """Records the time from the intended send of a query to its answer."""
-        latency_us = max(LOWEST_US, min(HIGHEST_US, int(latency_ms * 1000)))
+        """Records the time from the intended send time of a query to its answer."""
+        latency_us = max(MIN_RECORDED_US, min(MAX_RECORDED_US, int(latency_ms * 1000)))
         self.latency[ALL_GROUPS].record_value(latency_us)
         self.latency[group].record_value(latency_us)
 
     def record_lag(self, lag_ms):
-        """Records the time from the intended send of a query until the generator came to it."""
-        self.lag.record_value(max(LOWEST_US, int(lag_ms * 1000)))
+        """Records the time from the intended send time of a query until the generator handled it."""
+        self.lag.record_value(max(MIN_RECORDED_US, int(lag_ms * 1000)))
 
 
 @dataclass(frozen=True)
 class WorkerCounters:
-    """Counters of a worker at its end."""
+    """The counters of a worker at its end."""
 
     unknown_answers: int
     notices: int
@@ -53,14 +53,14 @@
 
 
 def write_table(output_path: str, queries: list[ClientQuery]) -> None:
-    """Writes the table of queries, whole or not at all."""
+    """Writes the table of queries atomically."""
     table_path = output_path + ".parquet"
     parquet.write_table(table_of_queries(queries), table_path + ".part")
     os.replace(table_path + ".part", table_path)
 
 
 def write_facts(output_path: str, recorder: LatencyRecorder, counters: WorkerCounters) -> None:
-    """Writes the counters and histograms, whole or not at all."""
+    """Writes the counters and histograms atomically."""
     stored = {
         "strange": counters.unknown_answers,
         "told": counters.notices,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator: plans, traces, runs on a null server, reports of incomplete runs, and comparisons."""
+"""Tests of the load generator: plans, traces, runs on a null server, reports, comparisons and commands."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("shape", list(pb.Load.Shape.values()))
 @pytest.mark.parametrize("arrivals", list(pb.Load.Arrivals.values()))
 def test_arrivals_follow_their_shape(shape, arrivals):
-    """The count of each second of the run is near the integral of the rate over that second."""
+    """The number of arrivals in each second is near the integral of the rate over that second."""
     load = read_testbed("load { rate: 200 seconds: 40 peak: 3 }").load
     load.shape = shape
     load.arrivals = arrivals
@@ -44,7 +44,7 @@
 
 
 def test_same_seed_draws_same_plan_and_other_seed_another():
-    """A plan depends on the seed alone, and has the share of cancelled queries that is set."""
+    """A plan depends only on the seed, and has the configured share of cancelled queries."""
     testbed = read_testbed("load { leave_share: 0.3 }")
     first = plan.draw_plan(testbed)
     second = plan.draw_plan(testbed)
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("name", ["t.csv", "t.parquet"])
 def test_trace_reads_back_as_written(tmp_path, name):
-    """Both formats keep every column of a plan exactly."""
+    """Both formats preserve every column of a plan exactly."""
     testbed = read_testbed("load { leave_share: 0.5 seconds: 2 }")
     written = plan.draw_plan(testbed)
     write_trace(tmp_path / name, written)
@@ -100,7 +100,7 @@
         max_size=6,
     ).map(lambda rows: "\n".join(["at_ms,group", *rows]).encode())
 )
-def test_any_trace_file_is_read_or_refused_in_one_line(tmp_path_factory, data):
+def test_any_trace_file_is_read_or_rejected_in_one_line(tmp_path_factory, data):
     """No file content raises anything but a TraceError."""
     path = tmp_path_factory.getbasetemp() / "any.csv"
     path.write_bytes(data)
@@ -121,7 +121,7 @@
 
 
 def test_run_on_null_server_is_complete(tmp_path):
-    """Each planned query has one record, and one answer unless its client cancelled it."""
+    """Each planned query has one record, and one answer unless its client cancels it."""
     testbed = short_load(more="leave_share: 0.2")
     with null_server() as (address, _):
         workers = Workers(testbed, address, tmp_path, rows=False)
@@ -145,7 +145,7 @@
 
 
 def test_latency_counts_from_intended_send_while_waiting_for_a_stream(tmp_path):
-    """A stalled server would hide its delay if queries that could not be sent were not counted."""
+    """Latency counted from the actual send would hide the delay of queries that wait during a stall."""
     testbed = short_load(rate=500, seconds=2.0, workers=1, connections=2)
     with null_server() as (address, process):
         workers = Workers(testbed, address, tmp_path, rows=False)
@@ -169,7 +169,7 @@
 
 
 def test_killed_worker_is_reported_missing(tmp_path):
-    """The report counts the remaining worker's queries, and is void."""
+    """The report counts only the queries of the remaining worker, and is void."""
     testbed = short_load()
     with null_server() as (address, _):
         workers = Workers(testbed, address, tmp_path, rows=False)
@@ -184,7 +184,7 @@
 
 
 def test_ctrl_c_leaves_a_report_of_what_ran(tmp_path):
-    """An interrupt ends the sending early; every query that was sent is recorded."""
+    """An interrupt ends the sending early, and every sent query is recorded."""
     testbed = short_load(seconds=20)
     with null_server() as (address, _):
         workers = Workers(testbed, address, tmp_path, rows=False)
@@ -202,7 +202,7 @@
 
 
 def test_run_of_a_suspended_generator_is_void(tmp_path):
-    """Queries that the generator itself sent late make its figures unusable."""
+    """Queries that the generator itself sends late make the measurements unusable."""
     testbed = short_load(rate=300, seconds=1.5, workers=1)
     with null_server() as (address, _):
         workers = Workers(testbed, address, tmp_path, rows=False)
@@ -220,17 +220,17 @@
     assert report["lag_max_ms"] > 200
 
 
-def test_open_loop_measures_a_stall_that_a_closed_loop_misses(tmp_path):
-    """In the open loop many queries meet the stall, in the closed one as many as connections."""
-    figures = measure_stall(tmp_path, rate=400, seconds=6, stall_ms=400)
-    assert figures["open"]["p999_ms"] > 200
-    assert figures["open"]["slower_than_a_fifth_of_the_stall"] > 60
-    assert figures["closed"]["p999_ms"] < 200
-    assert figures["closed"]["slower_than_a_fifth_of_the_stall"] <= 4
+def test_open_loop_shows_a_stall_that_a_closed_loop_hides(tmp_path):
+    """The stall delays many queries of the open loop, but only one per connection of the closed loop."""
+    reports = measure_stall(tmp_path, rate=400, seconds=6, stall_ms=400)
+    assert reports["open"]["p999_ms"] > 200
+    assert reports["open"]["slower_than_a_fifth_of_the_stall"] > 60
+    assert reports["closed"]["p999_ms"] < 200
+    assert reports["closed"]["slower_than_a_fifth_of_the_stall"] <= 4
 
 
 def random_run(seed, added_ms, count=3000):
-    """Returns a run with random latencies, each longer by `added_ms`, against a target of 60 ms."""
+    """Returns a run with random latencies plus `added_ms`, and a latency objective of 60 ms."""
     random = np.random.default_rng(seed)
     latency_ms = random.lognormal(3, 0.5, count) + added_ms
     finished = random.random(count) < 0.98
@@ -239,13 +239,13 @@
 
 
 def compare_with_added_latency(added_ms):
-    """Returns the comparisons, by metric, of three runs with three others that are slower by `added_ms`."""
+    """Returns the comparisons, by metric, of three runs with three that are slower by `added_ms`."""
     first_runs = [random_run(seed, 0) for seed in range(3)]
     second_runs = [random_run(seed + 9, added_ms) for seed in range(3)]
     return {row.metric: row for row in compare(first_runs, second_runs, resamples=300)}
 
 
-def test_comparison_tells_a_difference_from_chance():
+def test_comparison_distinguishes_a_difference_from_chance():
     """The interval holds 0 for equal distributions, and the added latency for shifted ones."""
     same = compare_with_added_latency(0)
     assert same["p50 ms"].low <= 0 <= same["p50 ms"].high
@@ -262,7 +262,7 @@
 
 
 def test_commands_report_errors_in_one_line(tmp_path):
-    """The last line of the output names the cause, and the exit code tells the kind of error."""
+    """The last line of the output names the cause, and the exit code shows the kind of error."""
     assert invoke("load", "run", "8.8.8.8:1") == (
         2,
         "Error: TARGET: '8.8.8.8:1' is no loopback address with a port",
@@ -294,7 +294,7 @@
 
 
 def test_a_log_file_may_have_any_name(tmp_path, monkeypatch):
-    """Also one that click takes for standard output, on which a command's result is printed."""
+    """The name "-", which click takes for standard output, is a file too: commands print results there."""
     monkeypatch.chdir(tmp_path)
     assert invoke("--log-file", "-", "check", tmp_path / "x")[0] == 1
     assert (tmp_path / "-").exists()
