--- a/lichenquay/cli/capacity.py
+++ b/lichenquay/cli/capacity.py
@@ -17,7 +17,7 @@
 
 SLOPE_HEADINGS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest size")
 ROW_HEADINGS = ("role: what", "slope", "low", "high", "sizes", "at the size", "budget", "ratio")
-PREDICTION_CELLS = {None: None, True: "predicted", False: "not predicted"}
+PREDICTION_CELLS = {None: None, True: "as predicted", False: "not as predicted"}
 
 
 def format_number(value: float | None) -> str | None:
--- a/scripts/environment.sh
+++ b/scripts/environment.sh
@@ -1,5 +1,5 @@
-# Sourced by the other scripts. `prepare_environment EXTRA` installs the package with an extra of pyproject.toml
-# ("lab" or "dev") in .venv, on first use and after each change of pyproject.toml.
+# Sourced by the other scripts. `prepare_environment EXTRA` installs the package with an extra of
+# pyproject.toml ("lab" or "dev") in .venv, on first use and after each change of pyproject.toml.
 root="$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)"
 
 prepare_environment() {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -239,8 +239,8 @@
     assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_fingerprint_covers_exactly_the_shared_settings():
-    """It is the same on gateways that differ in name and folder, and differs with any shared value."""
+def test_fingerprint_covers_only_the_shared_settings():
+    """It is the same on gateways that differ in name and folder, and differs if a shared value does."""
 
     def fingerprint_of(text):
         return fingerprint(read_settings(text).fleet)
--- a/tests/test_config_control.py
+++ b/tests/test_config_control.py
@@ -209,7 +209,7 @@
     assert followed_prefixes(distribution) == ("config/",)
 
 
-def test_fingerprint_covers_exactly_the_shared_settings():
+def test_fingerprint_covers_only_the_shared_settings():
     """It is the same on voters that differ in name and folder, and differs with the lease duration."""
     first = read_control(control_text()).control
     second = read_control(control_text(name="v2", folder='folder: "g"')).control
