--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -35,7 +35,7 @@
     """Sends a load to a gateway at TARGET (127.0.0.1:PORT)."""
     host, _, port = target.rpartition(":")
     if not host.startswith("127.") or not port.isdigit():
-        raise click.UsageError(f"TARGET: {target!r} is no loopback address with a port")
+        raise click.UsageError(f"TARGET: {target!r} is not a loopback address with a port")
     testbed = read_file(world) if world else read_testbed("")
     testbed.load.trace = trace or testbed.load.trace
     testbed.load.rate = rate or testbed.load.rate
@@ -159,7 +159,9 @@
     plan = read_trace(source, testbed, testbed.seed)
     if target:
         if Path(target).suffix not in (".csv", ".parquet", ".pq"):
-            raise click.UsageError(f"TARGET: {target!r} is neither .csv nor .parquet")
+            raise click.UsageError(
+                f"TARGET: {target!r} has an unknown suffix; expected .csv, .parquet or .pq"
+            )
         write_trace(target, plan)
     arrivals_ms = plan["at_ms"]
     duration_s = arrivals_ms[-1] / 1000 if len(arrivals_ms) else 0
--- a/lichenquay/load/compare.py
+++ b/lichenquay/load/compare.py
@@ -84,7 +84,7 @@
     folder = Path(folder)
     paths = sorted(folder.glob(QUERIES_FILE)) or sorted(folder.glob(f"*/{QUERIES_FILE}"))
     if not paths:
-        raise ComparisonError(f"{folder}: no run is kept there ({QUERIES_FILE})")
+        raise ComparisonError(f"{folder}: no runs; expected {QUERIES_FILE} there or in its subfolders")
     return [_read_run(path.parent) for path in paths]
 
 
--- a/lichenquay/load/trace.py
+++ b/lichenquay/load/trace.py
@@ -36,11 +36,11 @@
     columns = {}
     for name in table.column_names:
         if name not in COLUMNS:
-            raise TraceError(f"{path}: a column that is not known: {name!r}")
+            raise TraceError(f"{path}: unknown column {name!r}; expected some of {', '.join(COLUMNS)}")
         columns[name] = _parse_column(path, name, table.column(name).to_pylist())
     for name in REQUIRED_COLUMNS:
         if name not in columns:
-            raise TraceError(f"{path}: no column {name!r}")
+            raise TraceError(f"{path}: required column {name!r} is missing")
     _check_names(path, "group", columns, testbed.groups)
     _check_names(path, "tenant", columns, testbed.tenants)
     _check_ascending(path, columns["at_ms"])
@@ -69,7 +69,7 @@
         if path.suffix in (".parquet", ".pq"):
             return parquet.read_table(path)
         if path.suffix != ".csv":
-            raise TraceError(f"{path}: neither .csv nor .parquet")
+            raise TraceError(f"{path}: unknown suffix; expected .csv, .parquet or .pq")
         return _read_csv(path)
     except OSError as error:
         raise TraceError(f"{path}: {error.strerror or error}") from None
@@ -97,7 +97,9 @@
     )
     if invalid_rows:
         row = invalid_rows[0]
-        raise TraceError(f"{path}: row {row.number}: {row.actual_columns} values, not {row.expected_columns}")
+        raise TraceError(
+            f"{path}: row {row.number}: {row.actual_columns} values; expected {row.expected_columns}"
+        )
     return table
 
 
@@ -108,7 +110,7 @@
         try:
             value = _parse_value(value_type, text)
         except (TypeError, ValueError):
-            raise TraceError(f"{path}: row {row}: {name}: not a number: {text!r}") from None
+            raise TraceError(f"{path}: row {row}: {name}: {text!r} is not a valid value") from None
         if name in MIN_VALUES and value < MIN_VALUES[name]:
             raise TraceError(f"{path}: row {row}: {name}: {value:g} is below {MIN_VALUES[name]:g}")
         parsed.append(value)
@@ -128,7 +130,7 @@
     known_names = {item.name for item in items}
     for row, name in enumerate(columns.get(column, ()), FIRST_ROW):
         if name not in known_names:
-            raise TraceError(f"{path}: row {row}: {column}: not known: {name!r}")
+            raise TraceError(f"{path}: row {row}: {column}: {name!r} is not in the settings")
 
 
 def _check_ascending(path, at_ms):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -69,16 +69,16 @@
 @pytest.mark.parametrize(
     "text, message",
     [
-        ("at_ms,group\n1,status\n2,odd\n", "row 3: group: not known: 'odd'"),
-        ("at_ms,group\n1,status\nx,status\n", "row 3: at_ms: not a number: 'x'"),
+        ("at_ms,group\n1,status\n2,odd\n", "row 3: group: 'odd' is not in the settings"),
+        ("at_ms,group\n1,status\nx,status\n", "row 3: at_ms: 'x' is not a valid value"),
         ("at_ms,group\n5,status\n4,status\n", "row 3: at_ms: 4 is before 5"),
-        ("at_ms,group\n1,status\n2\n", "row 3: 1 values, not 2"),
-        ("group\nstatus\n", "no column 'at_ms'"),
-        ("at_ms,group,odd\n1,status,2\n", "a column that is not known: 'odd'"),
+        ("at_ms,group\n1,status\n2\n", "row 3: 1 values; expected 2"),
+        ("group\nstatus\n", "required column 'at_ms' is missing"),
+        ("at_ms,group,odd\n1,status,2\n", "unknown column 'odd'; expected some of at_ms, group"),
         ("at_ms,group,work_ms\n1,status,-3\n", "row 2: work_ms: -3 is below"),
-        ("at_ms,group\nnan,status\n", "row 2: at_ms: not a number"),
-        ("at_ms,group,tenant\n1,status,nobody\n", "row 2: tenant: not known"),
-        ("at_ms,group,tables\n1,status,1.5\n", "row 2: tables: not a number: '1.5'"),
+        ("at_ms,group\nnan,status\n", "row 2: at_ms: 'nan' is not a valid value"),
+        ("at_ms,group,tenant\n1,status,nobody\n", "row 2: tenant: 'nobody' is not in the settings"),
+        ("at_ms,group,tables\n1,status,1.5\n", "row 2: tables: '1.5' is not a valid value"),
     ],
 )
 def test_invalid_trace_row_is_named(tmp_path, text, message):
@@ -265,14 +265,14 @@
     """The last line of the output names the cause, and the exit code shows the kind of error."""
     assert invoke("load", "run", "8.8.8.8:1") == (
         2,
-        "Error: TARGET: '8.8.8.8:1' is no loopback address with a port",
+        "Error: TARGET: '8.8.8.8:1' is not a loopback address with a port",
     )
     assert invoke("check", tmp_path / "x")[0] == 1
     assert invoke("check", tmp_path / "x.json")[0] == 1
     assert invoke("nothing")[0] == 2
     assert invoke("load", "compare", tmp_path, tmp_path) == (
         1,
-        f"Error: {tmp_path}: no run is kept there (queries.parquet)",
+        f"Error: {tmp_path}: no runs; expected queries.parquet there or in its subfolders",
     )
     (tmp_path / "w").write_text("load { rate: 0 }")
     assert invoke("check", tmp_path / "w") == (
