--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -105,14 +105,14 @@
         self.run_due_parts()
 
     def leave(self) -> None:
-        """Start to leave in order; `is_over` says when the process may end. Later calls change nothing."""
+        """Start to leave in order; `is_leave_complete` says when the process may end. Later calls change nothing."""
         if self.leave_deadline_ms is not None:
             return
         self.leave_deadline_ms = self.now_ms() + MAX_LEAVE_MS
         self.start_leaving(self.now_ms())
         self.run_due_parts()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """Whether, after `leave`, everything is released, or the time for it is up."""
         return self.has_left() or self.now_ms() >= self.leave_deadline_ms
 
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -18,7 +18,7 @@
 from lichenquay.distribution.subscriber import Subscriber
 from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.fleet.message_envelope import Layer
-from lichenquay.fleet.source_ranking import ranked
+from lichenquay.fleet.source_ranking import rank_sources
 
 MESSAGE_TYPES = {Layer.DISTRIBUTION: distribution_pb2.Message}
 NEVER_MS = float("inf")
@@ -60,7 +60,7 @@
         region = next((relay.region for relay in settings.relays if relay.zone == settings.zone), "")
         self.subscriber = Subscriber(
             name,
-            ranked(settings.relays, name, settings.zone, region),
+            rank_sources(settings.relays, name, settings.zone, region),
             followed_prefixes(settings),
             rng,
             distribution_settings(settings.figures),
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -48,7 +48,14 @@
             for number in range(size):
                 path = folder / f"{number}.settings"
                 path.write_text(settings_of(folder, ports, number, KINDS[kind]), encoding="utf-8")
-                command = [sys.executable, "-m", "lichenquay.testbed.scale.talker", path, WARM_S, MEASURED_S]
+                command = [
+                    sys.executable,
+                    "-m",
+                    "lichenquay.testbed.scale.fleet_only_gateway",
+                    path,
+                    WARM_S,
+                    MEASURED_S,
+                ]
                 running.append(
                     subprocess.Popen(
                         [str(word) for word in command],
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -24,7 +24,7 @@
     quota,
     starved,
 )
-from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
+from lichenquay.testbed.scale.probes.virtual_gateway import VirtualDoor, make_engines
 from lichenquay.testbed.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
 from lichenquay.testbed.scale.sample import Sample, Stopwatch, state_bytes
 
