--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -9,7 +9,7 @@
 from lichenquay.config.reader import read_file
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.errors import ComparisonError
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 
 OUT_OPTION = click.option("--out", type=click.Path(file_okay=False), help="Folder of the run's files.")
@@ -47,7 +47,7 @@
     workers.start()
     with console.progress("load") as report_progress:
         result = workers.run(report_progress)
-    report = {**report_of(result, testbed), "out": str(out)}
+    report = {**build_report(result, testbed), "out": str(out)}
     keep(out, testbed, result, report)
     console.write_json(json_path, report)
     console.print_table(f"load on {target}", [(name, report[name]) for name in RUN_METRICS if name in report])
--- a/lichenquay/config/control_settings.py
+++ b/lichenquay/config/control_settings.py
@@ -50,7 +50,7 @@
     )
 
 
-def warnings_of(settings) -> list[str]:
+def find_warnings(settings) -> list[str]:
     """Returns warnings about valid settings with avoidable single points of failure, one line each."""
     if settings.HasField("control") and settings.control.role == VOTER:
         return _voter_warnings(settings.control.voters)
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -26,12 +26,12 @@
     return None if value == COMPLETE else f"{COMPLETE_KEY}: {COMPLETE.decode()!r} is all that it can be"
 
 
-def key_of(record: EndpointRecord) -> str:
+def endpoint_key(record: EndpointRecord) -> str:
     """Returns the key of an engine."""
     return f"{ENGINE_PREFIX}{record.zone}/{record.uid}"
 
 
-def value_of(record: EndpointRecord) -> bytes:
+def encode_endpoint(record: EndpointRecord) -> bytes:
     """Serializes an engine that is not removed."""
     return pb.ListedEngine(
         address=record.address,
@@ -43,7 +43,7 @@
     ).SerializeToString(deterministic=True)
 
 
-def record_of(key: str, value: bytes) -> EndpointRecord:
+def decode_endpoint(key: str, value: bytes) -> EndpointRecord:
     """Parses the entry of an engine. Raises InvalidEndpointError."""
     zone, separator, uid = key.removeprefix(ENGINE_PREFIX).partition("/")
     if not key.startswith(ENGINE_PREFIX) or not separator or not uid or "/" in uid:
@@ -74,7 +74,7 @@
 def find_endpoint_error(key: str, value: bytes) -> str | None:
     """Returns why the entry does not describe a valid engine, or None."""
     try:
-        record_of(key, value)
+        decode_endpoint(key, value)
     except InvalidEndpointError as error:
         return str(error)
     return None
--- a/lichenquay/load/child.py
+++ b/lichenquay/load/child.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def environment() -> dict[str, str]:
+def child_environment() -> dict[str, str]:
     """Returns a copy of `os.environ` with the package on the Python path, for any working directory."""
     paths = (str(ROOT), os.environ.get("PYTHONPATH", ""))
     return {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in paths if path)}
@@ -22,7 +22,7 @@
     """
     return subprocess.Popen(
         [sys.executable, "-m", module, *arguments],
-        env=environment(),
+        env=child_environment(),
         text=True,
         stdin=stdin,
         stdout=subprocess.PIPE,
--- a/lichenquay/load/page.py
+++ b/lichenquay/load/page.py
@@ -30,7 +30,7 @@
     end_ms: float
 
 
-def picture(figure):
+def figure_as_html(figure):
     """Returns a figure as an HTML image with embedded data, and closes the figure."""
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=90, bbox_inches="tight")
@@ -52,7 +52,7 @@
     rate_plot.set_ylabel("queries per second")
     rate_plot.set_xlabel("s")
     rate_plot.legend()
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def _plot_percentiles(plot, centers_s, bins, latency_ms):
@@ -79,7 +79,7 @@
     plot.set_xlabel("1 / share of slower queries")
     plot.set_ylabel("ms")
     plot.legend()
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def plot_engines(ledger):
@@ -100,7 +100,7 @@
     plot.set_xlabel("s")
     plot.set_ylabel("running queries")
     plot.legend(ncols=4, fontsize="small")
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def _engine_spans(ledger):
@@ -123,7 +123,7 @@
     ----------
     path: the file to write.
     title: the heading of the page.
-    figures: a report as from `report_of`; nested values other than the groups are omitted.
+    figures: a report as from `build_report`; nested values other than the groups are omitted.
     columns: arrays of the run's queries, by column name.
     latency: histograms in microseconds, by group.
     ledger: the entries of the engines' ledgers.
--- a/lichenquay/load/report.py
+++ b/lichenquay/load/report.py
@@ -12,7 +12,7 @@
 PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
 
 
-def report_of(result: RunResult, testbed: pb.Lab) -> dict:
+def build_report(result: RunResult, testbed: pb.Lab) -> dict:
     """Returns the report of a run as a JSON-serializable dict; latencies are in milliseconds."""
     columns = result.columns()
     if not columns:
--- a/lichenquay/testbed/scale/real_gateways.py
+++ b/lichenquay/testbed/scale/real_gateways.py
@@ -9,7 +9,7 @@
 
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.scale import measure
@@ -152,7 +152,7 @@
         """
         for i, gateway in enumerate(self.gateways):
             if i in self.load_results:
-                gateway.report = selected_report(report_of(self.load_results[i], self.lab))
+                gateway.report = selected_report(build_report(self.load_results[i], self.lab))
                 gateway.broken_rules += broken_rules_of(gateway)
             else:
                 gateway.broken_rules.append(f"{gateway.name}: its load did not end in time")
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.load.child import ROOT, environment, read_line
+from lichenquay.load.child import ROOT, child_environment, read_line
 from lichenquay.testbed.scale import commands, measure
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import WorldSpec
@@ -41,7 +41,7 @@
                 stdout=subprocess.PIPE,
                 stderr=log,
                 text=True,
-                env=environment(),
+                env=child_environment(),
                 cwd=ROOT,
                 start_new_session=True,
             )
--- a/tests/test_config_control.py
+++ b/tests/test_config_control.py
@@ -5,10 +5,10 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.control_settings import (
     RANGES,
+    find_warnings,
     group_fingerprint,
     lease_duration_ms,
     region_of,
-    warnings_of,
 )
 from lichenquay.config.distribution_settings import (
     distribution_fingerprint,
@@ -160,7 +160,7 @@
 def test_a_single_voter_is_valid_with_a_warning():
     """The process logs the warning at its start, and the command `check` prints it."""
     single = read_settings(control_text(voters=VOTERS[:1], relays=[]))
-    assert warnings_of(single) == [
+    assert find_warnings(single) == [
         "control.voters: one alone; no changes while it is down, and its folder is the only copy"
     ]
 
@@ -177,7 +177,7 @@
 def test_a_region_with_a_majority_of_voters_is_warned_about(regions, message):
     """The loss of such a region stops all changes; of two regions, one always has a majority."""
     voters = [(f"v{i}", i, region) for i, region in enumerate(regions, 1)]
-    warnings = warnings_of(read_settings(control_text(voters=voters)))
+    warnings = find_warnings(read_settings(control_text(voters=voters)))
     assert len(warnings) == (message is not None) and (not message or message in warnings[0])
 
 
--- a/tests/test_golden_config.py
+++ b/tests/test_golden_config.py
@@ -18,7 +18,13 @@
     distribution_settings,
     followed_prefixes,
 )
-from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, record_of, value_of
+from lichenquay.config.endpoint_list import (
+    COMPLETE,
+    COMPLETE_KEY,
+    decode_endpoint,
+    encode_endpoint,
+    endpoint_key,
+)
 from lichenquay.config.fleet_settings import (
     fingerprint,
     gateway_names,
@@ -91,11 +97,11 @@
 @pytest.mark.parametrize("case", EXPECTED["endpoints"], ids=lambda case: case["key"])
 def test_endpoint_entries_are_unchanged(case):
     """An entry is parsed to the same fields and serialized to the same bytes."""
-    record = record_of(case["key"], bytes.fromhex(case["value"]))
+    record = decode_endpoint(case["key"], bytes.fromhex(case["value"]))
     fields = [*record]
     fields[5] = ENDPOINT_STATES.index(record.state)
     assert fields == case["fields"]
-    assert (key_of(record), value_of(record).hex()) == (case["key"], case["value"])
+    assert (endpoint_key(record), encode_endpoint(record).hex()) == (case["key"], case["value"])
 
 
 def test_completeness_marker_of_the_endpoint_list_is_unchanged():
