--- a/tests/crossings/hooks.py
+++ b/tests/crossings/hooks.py
@@ -1,4 +1,4 @@
-"""What tests of crossings control: when a connection comes up, a descriptor is free, or a byte is read."""
+"""Controls and assertions for tests of events that coincide in the gateway."""
 
 import os
 import socket
@@ -15,33 +15,40 @@
 
 
 class DelayedConnections:
-    """Connections to engines are asked for, and come up when a test says so."""
+    """Holds back connections from the gateway to engines until a test establishes them.
+
+    delayed: the held calls of connectTCP, as (arguments, options).
+    """
 
     def __init__(self, world):
-        """From now on those of this world are delayed."""
+        """Delays all connections that the gateway of this world asks for from now on."""
         self.reactor = world.service.engines.reactor
         self.delayed = []
         self.connect = self.reactor.connectTCP
-        self.reactor.connectTCP = lambda *call, **options: self.delayed.append((call, options))
+        self.reactor.connectTCP = lambda *arguments, **options: self.delayed.append((arguments, options))
 
-    def come_up(self):
-        """Those delayed now come up; what is asked for later is still delayed."""
+    def establish_delayed(self):
+        """Establishes the connections delayed so far; later ones are still delayed."""
         delayed = self.delayed
         self.delayed = []
-        for call, options in delayed:
-            self.connect(*call, **options)
+        for arguments, options in delayed:
+            self.connect(*arguments, **options)
 
     def resume(self):
-        """They come up as they are asked for again."""
+        """Establishes the delayed connections, and delays no further ones."""
         self.reactor.connectTCP = self.connect
-        self.come_up()
+        self.establish_delayed()
+
 
+class SocketClient:
+    """A client on a plain socket, without the reactor: the test decides when it reads, writes or closes.
 
-class PlainClient:
-    """A client's socket without a reactor: it reads, writes, ends and resets when a test says so."""
+    received: all bytes read so far. ended: "end" or "reset" once the gateway has closed or reset the
+    connection, else None.
+    """
 
     def __init__(self, port, receive_buffer_bytes=None):
-        """`receive_buffer_bytes`: what the kernel holds for it."""
+        """Connects to the port; `receive_buffer_bytes` sets the size of the kernel's receive buffer."""
         self.socket = socket.socket()
         if receive_buffer_bytes:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
@@ -51,7 +58,7 @@
         self.ended = None
 
     def read(self):
-        """All that has come; `ended`: "end" or "reset" once it has."""
+        """Reads what has arrived, updates `ended`, and returns all bytes received so far."""
         while self.ended is None:
             try:
                 data = self.socket.recv(READ_BYTES)
@@ -66,13 +73,13 @@
         return self.received
 
     def reset(self):
-        """Ends it with a reset."""
+        """Closes the socket with a TCP reset."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.socket.close()
 
 
 def query_frame(stream, group="status", allow=2000, ref=None, statement=b"select 1"):
-    """The frame of a query, as a client writes it; `ref`: from its stream where none is given."""
+    """Returns an encoded query frame; `allow` is in ms, and `ref` defaults to the stream number."""
     fields = [
         ("service", group),
         ("ref", ref or f"{stream:016x}"),
@@ -85,26 +92,32 @@
 
 
 def counter(world, name):
-    """A counter of the gateway."""
+    """Returns the value of a counter of the gateway."""
     return world.service.metrics.counters[name]
 
 
-def _is_over(service):
+def _is_complete(service):
     in_flight = service.adapter.open_queries or service.attempts.in_flight_count
     return not in_flight and not service.engines.waiting_calls
 
 
-def wait_until_over(world, timeout_s=5.0):
-    """All that was accepted has ended, without a fault, and no request id is open any more."""
+def wait_until_complete(world, timeout_s=5.0):
+    """Waits until all accepted queries are complete.
+
+    Asserts that no fault was counted and that no request id is open any more.
+    """
     service = world.service
-    until(lambda: _is_over(service), timeout_s)
+    until(lambda: _is_complete(service), timeout_s)
     assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
 
 
 def assert_all_released(world):
-    """All that was accepted has ended, without a fault, and nothing is held for clients any more."""
+    """Waits until all accepted queries are complete.
+
+    Asserts that no fault was counted, no request id is open, and no bytes are held for clients.
+    """
     service = world.service
-    until(lambda: _is_over(service), 5)
+    until(lambda: _is_complete(service), 5)
     wait(0.05)
     assert not service.metrics.counters["faults"] and not service.clients.open_request_ids
     assert all(not connection.unsent_bytes for connection in service.clients.connections)
@@ -112,22 +125,22 @@
 
 
 def assert_no_more_posts(world, seconds=0.25):
-    """No attempt comes to an engine for so long."""
-    before = world.posts()
+    """Asserts that no engine receives another attempt within this time."""
+    posts_before = world.posts()
     end_s = time.monotonic() + seconds
     while time.monotonic() < end_s:
         wait(0.02)
-        assert world.posts() == before, "sent after all"
+        assert world.posts() == posts_before, "an attempt was sent although none was expected"
 
 
-def environment(config):
-    """Of the program, with that configuration."""
-    return {**os.environ, "PYTHONPATH": str(ROOT), "BALANCER_CONFIG": str(config)}
+def gateway_environment(config_path):
+    """Returns the environment variables for a gateway process with this configuration file."""
+    return {**os.environ, "PYTHONPATH": str(ROOT), "BALANCER_CONFIG": str(config_path)}
 
 
-def is_ready(port):
-    """What a gateway says of itself; it may have to be asked again."""
-    client = PlainClient(port)
+def ask_readiness(port):
+    """Asks the gateway on this port once; returns whether it says that it is ready."""
+    client = SocketClient(port)
     client.socket.sendall(frames.encode_frame(frames.FrameType.READINESS_CHECK, 1, b"\0"))
     until(lambda: client.read() or client.ended)
     client.socket.close()
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service is silent, moves, goes out of reach, or its connection finds no descriptor."""
+"""Tests of a discovery service that is silent, moves or is unreachable, or finds the descriptors used up."""
 
 import json
 import resource
@@ -9,19 +9,22 @@
 
 import pytest
 from gateway_world import answered
-from hooks import PlainClient, environment, is_ready, wait_until_over
+from hooks import SocketClient, ask_readiness, gateway_environment, wait_until_complete
 from loopback import StandInDiscovery, until, wait
 from ports import listening_port
 
 from lichenquay.gateway import frames, service
 
-# LATER: after a stop, what it would have announced counts as announced 2 s after the wait that was asked for
-# (1 s)
-ANNOUNCED_AGAIN_S = 3.0
+# LATER: after an interruption, events that would have been announced in it count as announced 2 s after the
+# requested wait of the poll (1 s).
+REANNOUNCED_WITHIN_S = 3.0
 
 
 def test_a_gateway_without_discovery_is_ready_by_its_last_endpoint_list(make_world, monkeypatch):
-    """It serves by that list once all events count as announced, and must say so, or no client comes."""
+    """Guards against a gateway that serves by its cached endpoint list but reports that it is not ready.
+
+    It is ready once all events count as announced; clients do not connect before.
+    """
     monkeypatch.setattr(service, "EVENTS_ANNOUNCED_WITHIN_MS", 400.0)
     world = make_world(engines=1, start=False)
     world.discovery.is_silent = True
@@ -40,39 +43,39 @@
         connection.transport.abortConnection()
     until(lambda: world.service.discovery.last_number == 2)
     assert answered(client, client.ask(allow=300))[0] != frames.AnswerCode.COMPLETED
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
-@pytest.mark.parametrize("silent", ["before", "in", "behind"])
-def test_a_poll_that_is_not_answered_is_repeated(make_world, silent):
-    """An event is announced while the gateway waits on a connection on which nothing comes any more."""
+@pytest.mark.parametrize("silence", ["no_reply", "within_a_reply", "after_two_polls"])
+def test_an_unanswered_poll_is_repeated(make_world, silence):
+    """Guards against an event missed while the gateway waits on a connection on which nothing arrives."""
     world = make_world(engines=2)
-    heard, discovery = world.discovery.on_request, world.discovery
+    original_on_request, discovery = world.discovery.on_request, world.discovery
 
     def answer(connection, verb, path, headers, body):
-        if silent == "behind" and discovery.polls < 3:
-            return heard(connection, verb, path, headers, body)
+        if silence == "after_two_polls" and discovery.polls < 3:
+            return original_on_request(connection, verb, path, headers, body)
         discovery.polls += 1
-        if silent == "in":
+        if silence == "within_a_reply":
             connection.transport.write(b'HTTP/1.1 200 X\r\nContent-Length: 500\r\n\r\n{"no": 2, "items"')
 
     discovery.on_request = answer
     for connection in list(discovery.connections):
         connection.transport.abortConnection()
-    calls = discovery.polls
-    until(lambda: discovery.polls > calls)
+    polls_before = discovery.polls
+    until(lambda: discovery.polls > polls_before)
     announced_s = time.monotonic()
     world.announce(world.engines[0], "DRAINING")
     wait(0.3)
-    discovery.on_request = heard
-    until(lambda: world.service.discovery.last_number == 2, ANNOUNCED_AGAIN_S)
-    assert time.monotonic() - announced_s < ANNOUNCED_AGAIN_S
+    discovery.on_request = original_on_request
+    until(lambda: world.service.discovery.last_number == 2, REANNOUNCED_WITHIN_S)
+    assert time.monotonic() - announced_s < REANNOUNCED_WITHIN_S
     client = world.client()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED and not world.engines[0].posts
 
 
 def test_events_of_the_old_discovery_service_are_ignored_after_a_move(make_world):
-    """An event of the old one, still on its way, must not come after the new one's."""
+    """Guards against an event of the old service, in flight at the move, that is applied after it."""
     world = make_world(engines=2)
     old, new = world.discovery, StandInDiscovery()
     new.events = list(old.events)
@@ -92,8 +95,8 @@
         connection.transport.abortConnection()
 
 
-def test_discovery_that_moves_while_the_gateway_leaves_is_followed(make_world):
-    """SIGHUP after SIGTERM: a drain that the new service announces must be known to retries."""
+def test_discovery_that_moves_during_graceful_shutdown_is_followed(make_world):
+    """Guards against a retry at a draining engine: SIGHUP must change discovery even after SIGTERM."""
     world = make_world(engines=2)
     old, new = world.discovery, StandInDiscovery()
     new.events = list(old.events)
@@ -112,92 +115,93 @@
 
 @pytest.fixture
 def start_program(make_world, tmp_path):
-    """Starts the gateway as a process with few descriptors; it is ended with the test."""
-    runs = []
+    """Returns a function that starts a gateway process with few descriptors; it is killed after the test."""
+    processes = []
 
-    def start(world, sockets, **more):
+    def start(world, max_sockets, **other_settings):
         world.port = listening_port()
         world.path.write_text(
             json.dumps(
                 {
                     **world.config,
                     "listen": f"127.0.0.1:{world.port}",
-                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-                    **more,
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": max_sockets},
+                    **other_settings,
                 }
             )
         )
-        runs.append(
+        processes.append(
             subprocess.Popen(
                 [sys.executable, "-m", "lichenquay.gateway"],
                 stderr=subprocess.PIPE,
                 text=True,
-                env=environment(world.path),
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
+                env=gateway_environment(world.path),
+                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (max_sockets, max_sockets)),
             )
         )
-        return runs[-1]
+        return processes[-1]
 
     yield start
-    for run in runs:
-        if run.poll() is None:
-            run.kill()
-        run.wait()
-        run.stderr.close()
+    for process in processes:
+        if process.poll() is None:
+            process.kill()
+        process.wait()
+        process.stderr.close()
 
 
-def test_discovery_finds_a_descriptor_though_idle_clients_hold_many(make_world, start_program):
-    """Its connection must find one once the service is back."""
+def test_discovery_reconnects_though_idle_clients_hold_many_descriptors(make_world, start_program):
+    """Guards against idle clients that leave no descriptor to reconnect to discovery."""
     world = make_world(engines=2, start=False)
-    at = listening_port()
-    run = start_program(world, 120, bulletin=f"127.0.0.1:{at}")
-    until(lambda: accepts_connections(world.port), 10)
-    crowd = []
-    for _ in range(200):  # they say nothing, and hold on as long as they may
-        crowd.append(socket.create_connection(("127.0.0.1", world.port)))
+    discovery_port = listening_port()
+    process = start_program(world, 120, bulletin=f"127.0.0.1:{discovery_port}")
+    until(lambda: try_connect(world.port), 10)
+    idle_clients = []
+    for _ in range(200):  # idle until the gateway closes them
+        idle_clients.append(socket.create_connection(("127.0.0.1", world.port)))
     wait(0.5)
     world.discovery.port.stopListening()
-    world.discovery.port = listen(world.discovery, at)
+    world.discovery.port = listen(world.discovery, discovery_port)
     world.announce(world.engines[0], "DRAINING")
-    more = [socket.create_connection(("127.0.0.1", world.port)) for _ in range(100)]
+    later_clients = [socket.create_connection(("127.0.0.1", world.port)) for _ in range(100)]
     until(lambda: world.discovery.polls > 0, 2)
-    until(lambda: is_ready(world.port), 2)
+    until(lambda: ask_readiness(world.port), 2)
     client = world.client()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED and not world.engines[0].posts
-    run.terminate()
-    until(lambda: run.poll() is not None, 5)
-    said = run.stderr.read()
-    assert run.returncode == 0 and "Traceback" not in said
-    for stream in crowd + more:
-        stream.close()
+    process.terminate()
+    until(lambda: process.poll() is not None, 5)
+    error_output = process.stderr.read()
+    assert process.returncode == 0 and "Traceback" not in error_output
+    for idle_client in idle_clients + later_clients:
+        idle_client.close()
 
 
 def test_a_gateway_is_ready_within_ten_seconds_without_discovery(make_world, start_program):
-    """The term: nine in ten restarted gateways. The discovery service accepts connections and answers
-    nothing.
+    """The target is 10 s for nine in ten restarted gateways.
+
+    The discovery service accepts connections and answers nothing.
     """
     world = make_world(engines=1, start=False)
     world.discovery.is_silent = True
-    began = time.monotonic()
+    started_s = time.monotonic()
     start_program(world, 400)
-    until(lambda: accepts_connections(world.port), 5)
-    until(lambda: is_ready(world.port), 10)
-    assert 7.0 < time.monotonic() - began < 9.0
+    until(lambda: try_connect(world.port), 5)
+    until(lambda: ask_readiness(world.port), 10)
+    assert 7.0 < time.monotonic() - started_s < 9.0
     client = world.client()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
 
 
-def accepts_connections(port):
-    """Whether something listens on the port."""
+def try_connect(port):
+    """Connects to the port and closes again; returns whether something listens on it."""
     try:
-        PlainClient(port).socket.close()
+        SocketClient(port).socket.close()
         return True
     except ConnectionRefusedError:
         return False
 
 
 def listen(stand_in, port):
-    """Lets a stand-in listen on this port."""
+    """Starts to listen on this port for a stand-in; returns the listening port."""
     from twisted.internet import reactor
 
     return reactor.listenTCP(port, stand_in, interface="127.0.0.1")
--- a/tests/crossings/test_engine_connections.py
+++ b/tests/crossings/test_engine_connections.py
@@ -1,11 +1,11 @@
-"""Bytes, an end or a reset on an engine's connection as it is used again, within a reply, or behind one."""
+"""Tests of bytes, a close or a reset on an engine's connection at its reuse, within a reply or after one."""
 
 import socket
 from types import SimpleNamespace
 
 import pytest
 from gateway_world import RESULT, answered
-from hooks import DelayedConnections, counter, wait_until_over
+from hooks import DelayedConnections, counter, wait_until_complete
 from loopback import PAGES, until, wait
 from twisted.internet.error import ConnectionAborted
 from twisted.python.failure import Failure
@@ -17,62 +17,64 @@
 
 
 def wait_until_idle(world):
-    """The connections to engines are idle, for long enough to be used again."""
+    """Waits until all connections to engines have been idle for long enough to be reused."""
     until(
         lambda: (
             world.service.engines.connections
-            and all(x.call is None for x in world.service.engines.connections)
+            and all(connection.call is None for connection in world.service.engines.connections)
         )
     )
     wait(2 * MIN_IDLE_S)
 
 
 @pytest.mark.parametrize("group", ["report", "manifest"])
-@pytest.mark.parametrize("comes", ["bytes", "end", "reset"])
-def test_what_arrives_as_an_idle_connection_is_used_again_is_no_reply(make_world, comes, group):
-    """A POST must not go out on a connection that closes, nor take what arrived on it for its reply."""
+@pytest.mark.parametrize("arrival", ["bytes", "end", "reset"])
+def test_what_arrives_as_an_idle_connection_is_reused_is_not_a_reply(make_world, arrival, group):
+    """Guards against a POST sent on a closing connection, or answered by bytes that arrived before it."""
     world = make_world(engines=1)
     client, engine = world.client(), world.engines[0]
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
     wait_until_idle(world)
-    pool, real = world.service.engines, world.service.engines.pick_idle_connection
-
-    def idle(call):
-        connection = real(call)
-        if connection is not None and engine.connections:  # chosen, not yet looked at
-            pool.pick_idle_connection = real
-            far = next(iter(engine.connections))
-            if comes == "bytes":
-                far.transport.socket.send(b"HTTP/1.1 503 X\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n")
-            elif comes == "end":
-                far.transport.socket.shutdown(socket.SHUT_RDWR)
+    pool, original = world.service.engines, world.service.engines.pick_idle_connection
+
+    def pick_and_disturb(call):
+        connection = original(call)
+        if connection is not None and engine.connections:  # picked, but its socket is not read yet
+            pool.pick_idle_connection = original
+            engine_side = next(iter(engine.connections))
+            if arrival == "bytes":
+                engine_side.transport.socket.send(
+                    b"HTTP/1.1 503 X\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
+                )
+            elif arrival == "end":
+                engine_side.transport.socket.shutdown(socket.SHUT_RDWR)
             else:
-                far.transport.connectionLost(Failure(ConnectionAborted()))
+                engine_side.transport.connectionLost(Failure(ConnectionAborted()))
         return connection
 
-    pool.pick_idle_connection = idle
+    pool.pick_idle_connection = pick_and_disturb
     assert answered(client, client.ask(group, allow=4000)) == (frames.AnswerCode.COMPLETED, RESULT)
-    assert world.posts() == 2 and pool.pick_idle_connection == real
-    wait_until_over(world)
+    assert world.posts() == 2 and pool.pick_idle_connection == original
+    wait_until_complete(world)
 
 
 @pytest.mark.parametrize("status", [503, 504, 500])
-def test_a_late_copy_of_a_refusal_is_no_reply_to_another_query(make_world, status):
-    """It would say 'overloaded' of a non-idempotent query that runs, and the query would be retried."""
+def test_a_late_duplicate_of_a_rejection_is_not_a_reply_to_another_query(make_world, status):
+    """Guards against a retry of a non-idempotent query that runs, as the duplicate says 'overloaded'."""
     world = make_world(engines=2)
     world.announce(world.engines[1], "DRAINING")
     until(lambda: world.service.discovery.last_number == 2)
     client, engine = world.client(), world.engines[0]
-    real, connections = engine.start, []
+    original, connections = engine.start, []
 
-    def first(connection, ref, behaviour):
-        engine.start = real
+    def start_first_attempt(connection, ref, behaviour):
+        engine.start = original
         connections.append(connection)
         world.in_flight.discard(ref)
         engine.running.pop(ref)
         connection.answer(status, [("X-No-Effect", "1")] if status != 500 else [])
 
-    engine.start = first
+    engine.start = start_first_attempt
     engine.behaviours = ["refused", "hold"]
     stream = client.ask("status", allow=300)
     until(lambda: world.posts() == 1)
@@ -80,53 +82,53 @@
     wait(2 * MIN_IDLE_S)
     world.in_flight.clear()
     engine.behaviours, engine.is_paused = ["ok"], True
-    second = client.ask("manifest", allow=4000)
+    second_stream = client.ask("manifest", allow=4000)
     until(lambda: any(call[1] == "POST" for call in engine.paused_requests))
-    # The copy, before the engine has read what came on the connection since.
+    # The duplicate is sent before the engine has read what the gateway sent on the connection since.
     if connections[0].transport.connected:
         connections[0].answer(status, [("X-No-Effect", "1")] if status != 500 else [])
     wait(0.05)
     engine.resume()
-    assert answered(client, second) == (frames.AnswerCode.COMPLETED, RESULT)
+    assert answered(client, second_stream) == (frames.AnswerCode.COMPLETED, RESULT)
     assert sum(headers["X-Sort"] == "manifest" for headers, _ in engine.posts) == 1
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
 @pytest.mark.parametrize("group", ["report", "manifest"])
-def test_a_reply_in_the_same_read_as_its_reset_counts(make_world, group):
-    """It is whole, and no attempt is repeated."""
+def test_a_complete_reply_counts_though_a_reset_follows_at_once(make_world, group):
+    """Guards against a retry of an attempt whose complete reply is read together with the reset."""
     world = make_world(engines=1)
     client, engine = world.client(), world.engines[0]
 
-    def first(connection, ref, behaviour):
+    def start_first_attempt(connection, ref, behaviour):
         engine.start = type(engine).start.__get__(engine)
         world.in_flight.discard(ref)
-        said = (
+        reply = (
             b"HTTP/1.1 200 X\r\nX-Parts: 1\r\nX-Cpu-Ms: 1\r\nX-Mem-Used: 8\r\nContent-Length: %d\r\n\r\n"
             % len(PAGES[0])
             + PAGES[0]
         )
-        connection.transport.socket.send(said)
+        connection.transport.socket.send(reply)
         connection.transport.connectionLost(Failure(ConnectionAborted()))
 
-    engine.start = first
+    engine.start = start_first_attempt
     engine.behaviours = ["ok"]
     assert (
         answered(client, client.ask(group, allow=4000))[0] == frames.AnswerCode.COMPLETED
         and world.posts() == 1
     )
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
-@pytest.mark.parametrize("where", ["answer", "page"])
+@pytest.mark.parametrize("hung_reply", ["answer", "page"])
 @pytest.mark.parametrize("group", ["report", "manifest"])
-def test_an_engine_that_hangs_within_a_reply_ends_the_query_once(make_world, where, group):
-    """The engine writes half a reply, answers nothing for a second, and goes on."""
+def test_an_engine_that_hangs_within_a_reply_completes_the_query_once(make_world, hung_reply, group):
+    """The engine writes half a reply, is silent for a second, and continues."""
     world = make_world(engines=1)
     client, engine = world.client(), world.engines[0]
     hung = []
 
-    def half(connection, *_):
+    def send_half_reply(connection, *_):
         if not hung:
             hung.append(connection)
             engine.is_silent = True
@@ -134,24 +136,24 @@
                 b"HTTP/1.1 200 OK\r\nX-Parts: 3\r\nContent-Length: 5000\r\n\r\n1\ta\tb\n"
             )
         else:
-            (type(engine).start if where == "answer" else type(engine).page)(engine, connection, *_)
+            (type(engine).start if hung_reply == "answer" else type(engine).page)(engine, connection, *_)
 
-    setattr(engine, "start" if where == "answer" else "page", half)
+    setattr(engine, "start" if hung_reply == "answer" else "page", send_half_reply)
     stream = client.ask(group, allow=4000)
     until(lambda: hung)
-    if where == "answer":
+    if hung_reply == "answer":
         engine.running[next(iter(engine.running))] = "ok"
     wait(1.0)
     assert stream not in client.answers
     engine.is_silent = False
     assert answered(client, stream) == (frames.AnswerCode.COMPLETED, RESULT)
-    # What may run again is retried, once the first attempt surely is over.
+    # An idempotent query may be retried, once the first attempt has certainly ended.
     assert world.posts() == 1 or group == "report"
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
-def test_a_connection_that_comes_up_for_a_withdrawn_call_can_be_closed(make_world):
-    """It is idle, and counted, until it is closed."""
+def test_a_connection_established_for_a_withdrawn_call_can_be_closed(make_world):
+    """Guards against a leaked connection: it must be idle and counted until it is closed."""
     world = make_world(engines=1)
     delayed_connections, client = DelayedConnections(world), world.client()
     streams = [client.ask("report") for _ in range(3)]
@@ -162,97 +164,110 @@
     delayed_connections.resume()
     pool = world.service.engines
     until(lambda: len(pool.connections) == 3)
-    assert pool.open_count == 3 and all(x.call is None for x in pool.connections) and not world.posts()
+    assert (
+        pool.open_count == 3
+        and all(connection.call is None for connection in pool.connections)
+        and not world.posts()
+    )
     pool.close_idle_connections(next(iter(world.service.engines_by_id.values())))
     until(lambda: pool.open_count == 0)
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
-def test_copies_of_204_and_202_are_no_reply_to_other_calls():
-    """A copy may pass for a reply to a poll or a priority alone, which ends no attempt and starts none."""
+def test_duplicates_of_204_and_202_are_not_replies_to_other_calls():
+    """A duplicate may pass only for a reply to a poll or a priority change.
+
+    These neither end nor start an attempt.
+    """
     assert not engine_protocol.is_overloaded(http.Reply(204, {}, True)) and not engine_protocol.is_poll_reply(
         http.Reply(204, {}, True)
     )
     assert not engine_protocol.is_acknowledgement(http.Reply(202, {}, True))
 
 
-@pytest.mark.parametrize("here", [True, False])
-def test_who_closed_a_connection_is_known_once_its_loss_is_reported(make_world, here):
-    """A close by the gateway taken for the engine's would make two refusals prove the engine's death."""
+@pytest.mark.parametrize("closed_locally", [True, False])
+def test_which_side_closed_a_connection_is_known_once_its_loss_is_reported(make_world, closed_locally):
+    """Guards against a close by the gateway that counts as the engine's.
+
+    Together with two refused connections, it would prove that the engine is dead.
+    """
     world = make_world(engines=1)
     client, engine = world.client(), world.engines[0]
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
     wait_until_idle(world)
     connection = next(iter(world.service.engines.connections))
-    connection.abort() if here else next(iter(engine.connections)).transport.abortConnection()
+    connection.abort() if closed_locally else next(iter(engine.connections)).transport.abortConnection()
     until(lambda: connection.is_closed)
-    assert connection.closed_locally is here
+    assert connection.closed_locally is closed_locally
 
 
-def test_a_late_copy_of_an_acknowledgement_is_no_reply_to_another_cancellation(make_world):
-    """The engine would be taken to have cancelled what it does not know of, and the next query of the
-    ordering key would be sent beside it.
+def test_a_late_duplicate_of_an_acknowledgement_is_not_a_reply_to_another_cancellation(make_world):
+    """Guards against a query that counts as cancelled although the engine has not read the cancellation.
+
+    The next query of the ordering key would then run concurrently with it.
     """
     world = make_world(engines=1)
     client, engine = world.client(), world.engines[0]
-    cancelled_on, heard = [], engine.on_request
+    cancelled_on, original_on_request = [], engine.on_request
 
-    def remembers(connection, verb, *call):
+    def record_cancellation(connection, verb, *call):
         if verb == "DELETE":
             cancelled_on.append(connection)
-        heard(connection, verb, *call)
+        original_on_request(connection, verb, *call)
 
-    engine.on_request = remembers
+    engine.on_request = record_cancellation
     engine.behaviours = ["hold", "hold"]
-    first = client.ask("report", allow=4000)
+    first_stream = client.ask("report", allow=4000)
     until(lambda: engine.polls > 1)
-    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, first))
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, first_stream))
     until(lambda: counter(world, "attempts cancelled") == 1)
-    wait(0.06 + 2 * MIN_IDLE_S)  # both its connections rest, the one that cancelled it for longer
-    second = client.ask("report", allow=4000)
+    wait(0.06 + 2 * MIN_IDLE_S)  # both its connections are idle, the one used for the cancellation for longer
+    second_stream = client.ask("report", allow=4000)
     until(lambda: engine.polls > 3)
     engine.is_paused = True
-    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, second))
+    client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, second_stream))
     until(lambda: any(verb == "DELETE" for _, verb, *_ in engine.paused_requests))
     cancelled_on[0].answer(204)
     wait(0.1)
-    assert counter(world, "attempts cancelled") == 1, "nothing has read the second cancellation"
+    assert counter(world, "attempts cancelled") == 1, "the engine has not read the second cancellation"
     engine.resume()
     until(lambda: counter(world, "attempts cancelled") == 2)
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
-def test_a_connection_serves_no_other_query_after_a_reply_that_names_none():
-    """Another query's 202 or 204 may come once more, and would be taken for the reply."""
+def test_a_connection_is_not_reused_for_another_query_after_an_ambiguous_reply():
+    """Guards against a duplicate 202 or 204, which names no query, taken for the reply to another query."""
     pool = EnginePool(SimpleNamespace(seconds=lambda: 100.0, callLater=None), 0, 1.0, 1.0, 1000.0)
     engine = GatewayEngine("e", address="127.0.0.1:1")
 
-    def after(answer, accepts):
-        """A connection on which the query 'before' was answered with this, and has rested."""
-        connection = EngineConnection(pool, EngineCall(engine, b"", accepts, attempt="before"))
-        connection.transport, connection.attempt = SimpleNamespace(abortConnection=lambda: None), "before"
+    def connection_after(reply_bytes, accepts):
+        """Returns an idle connection on which the attempt 'first' received this reply."""
+        connection = EngineConnection(pool, EngineCall(engine, b"", accepts, attempt="first"))
+        connection.transport, connection.attempt = SimpleNamespace(abortConnection=lambda: None), "first"
         pool.connections.add(connection)
         connection.call.reply.addCallback(lambda reply: None)
-        connection.dataReceived(answer)
+        connection.dataReceived(reply_bytes)
         connection.idle_since_s -= 0.1
         return connection
 
-    def serves(connection, accepts, owner):
+    def pick_returns(connection, accepts, attempt_name):
         return (
             pool.pick_idle_connection(
-                EngineCall(engine, b"", accepts, preferred_connection=connection, attempt=owner)
+                EngineCall(engine, b"", accepts, preferred_connection=connection, attempt=attempt_name)
             )
             is connection
         )
 
-    accepted = after(b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n", engine_protocol.is_poll_reply)
-    assert serves(accepted, engine_protocol.is_poll_reply, "before") and serves(
-        accepted, engine_protocol.is_acknowledgement, "another"
+    connection_after_202 = connection_after(
+        b"HTTP/1.1 202 X\r\nContent-Length: 0\r\n\r\n", engine_protocol.is_poll_reply
+    )
+    assert pick_returns(connection_after_202, engine_protocol.is_poll_reply, "first") and pick_returns(
+        connection_after_202, engine_protocol.is_acknowledgement, "another"
     )
-    assert not serves(accepted, engine_protocol.is_poll_reply, "another")
-    accepted.abort()
-    done = after(b"HTTP/1.1 204 X\r\n\r\n", engine_protocol.is_acknowledgement)
-    assert serves(done, engine_protocol.is_acknowledgement, "before") and serves(
-        done, engine_protocol.is_poll_reply, "another"
+    assert not pick_returns(connection_after_202, engine_protocol.is_poll_reply, "another")
+    connection_after_202.abort()
+    connection_after_204 = connection_after(b"HTTP/1.1 204 X\r\n\r\n", engine_protocol.is_acknowledgement)
+    assert pick_returns(connection_after_204, engine_protocol.is_acknowledgement, "first") and pick_returns(
+        connection_after_204, engine_protocol.is_poll_reply, "another"
     )
-    assert not serves(done, engine_protocol.is_acknowledgement, "another")
+    assert not pick_returns(connection_after_204, engine_protocol.is_acknowledgement, "another")
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -1,8 +1,8 @@
-"""Each event against each state of a query.
+"""Tests of each event in each state of a query.
 
-The query is brought to the state, the event comes, what kept it there is taken away. Then it has one answer
-or none, no attempt was sent that may not be, and nothing is held. docs/crossings.md names the cells, and what
-cannot occur.
+A test brings the query to the state, causes the event, and lets the query continue. The client then has one
+answer, or none if it has left; no forbidden attempt was sent; and nothing is held for the query.
+docs/crossings.md lists the combinations, and those that cannot occur.
 """
 
 import pytest
@@ -12,16 +12,19 @@
 
 from lichenquay.gateway import frames
 
-CLIENT_GONE = {"cancel", "end", "reset"}
-FINAL = {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED}
+CLIENT_DEPARTURES = {"client_cancels", "client_closes", "client_resets"}
+FINAL_CODES = {frames.AnswerCode.COMPLETED, frames.AnswerCode.REJECTED, frames.AnswerCode.FAILED}
 REQUEST_ID = "00000000000000fe"
 
 
 class Case:
-    """A query in a state. `resume` takes away what keeps it there; `after` checks what the event began."""
+    """A query in a state.
+
+    resume: lets the query leave its state. check_event_result: checks what the event caused beside the query.
+    """
 
     def __init__(self, world, group):
-        """A client that has not asked yet."""
+        """Connects a client that has not sent its query yet."""
         self.world = world
         self.group = group
         self.service = world.service
@@ -33,12 +36,12 @@
         """Sends the query."""
         self.stream = self.client.ask(self.group, ref=REQUEST_ID, allow=3000)
 
-    def engine(self):
-        """The engine that has it, or any."""
+    def current_engine(self):
+        """Returns the engine that received the query, or the first one if none did."""
         return next((engine for engine in self.world.engines if engine.posts), self.world.engines[0])
 
-    def without_descriptors(self):
-        """Calls wait for a descriptor; returns what ends that."""
+    def exhaust_descriptors(self):
+        """Makes calls to engines wait for a descriptor; returns the function that ends this."""
         engines = self.service.engines
         budget = engines.descriptor_budget
         engines.descriptor_budget = 0
@@ -51,8 +54,8 @@
 
     # States.
 
-    def read(self):
-        """The request was read; the controller's turn has not come."""
+    def received(self):
+        """Sends the query; it is read, and the controller's next turn is delayed."""
         self.adapter.min_turn_ms = 400.0
         self.adapter.last_turn_ms = self.adapter.clock_ms()
         self.ask()
@@ -64,28 +67,28 @@
 
         self.resume = resume
 
-    def held(self):
-        """The controller dispatches nothing, as the endpoint list may be stale."""
+    def awaiting_endpoint_list(self):
+        """Sends the query; it waits, as the endpoint list may be stale and nothing is dispatched."""
         self.adapter.endpoints_stale(2000.0)
         self.ask()
         until(lambda: not self.adapter.controller.waiting.is_empty())
         self.resume = self.adapter.endpoints_confirmed
 
     def connecting(self):
-        """The attempt's connection comes up."""
-        connections = DelayedConnections(self.world)
+        """Sends the query; its attempt waits for a connection to be established."""
+        delayed_connections = DelayedConnections(self.world)
         self.ask()
-        until(lambda: connections.delayed)
-        self.resume = connections.resume
+        until(lambda: delayed_connections.delayed)
+        self.resume = delayed_connections.resume
 
-    def descriptor(self):
-        """The attempt waits for a descriptor."""
-        self.resume = self.without_descriptors()
+    def awaiting_descriptor(self):
+        """Sends the query; its attempt waits for a descriptor."""
+        self.resume = self.exhaust_descriptors()
         self.ask()
         until(lambda: self.service.engines.waiting_calls)
 
     def written(self):
-        """The POST is written; its engine has not read it."""
+        """Sends the query; the POST is written, but no engine reads it."""
         for engine in self.world.engines:
             engine.is_paused = True
         self.ask()
@@ -97,8 +100,8 @@
 
         self.resume = resume
 
-    def known(self):
-        """Its engine runs it, and answers polls."""
+    def running(self):
+        """Sends the query; its engine runs it and answers polls."""
         behaviours = ["hold"]
         for engine in self.world.engines:
             engine.behaviours = behaviours
@@ -111,13 +114,13 @@
 
         self.resume = resume
 
-    def gathering(self):
-        """The first page has come; the next is not answered."""
+    def fetching_pages(self):
+        """Sends the query; its first page arrives, and the request for the next is not answered."""
         delayed = []
 
         def delay(engine):
             answer_page = engine.page
-            engine.page = lambda *call: delayed.append((answer_page, engine, call))
+            engine.page = lambda *arguments: delayed.append((answer_page, engine, arguments))
             return answer_page
 
         pages = [delay(engine) for engine in self.world.engines]
@@ -127,18 +130,18 @@
         def resume():
             for engine, answer_page in zip(self.world.engines, pages, strict=True):
                 engine.page = answer_page
-            for answer_page, engine, call in delayed:
-                connection, request_id, _ = call
+            for answer_page, engine, arguments in delayed:
+                connection, request_id, _ = arguments
                 if connection.transport.connected and request_id in engine.running:
-                    answer_page(*call)
+                    answer_page(*arguments)
 
         self.resume = resume
 
-    def given_up(self):
-        """It has its final answer; its engine does not answer the cancellation."""
-        self.known()
+    def evicted(self):
+        """Sends the query and evicts it; its engine does not answer the cancellation."""
+        self.running()
         (query,) = self.adapter.open_queries
-        engine = self.engine()
+        engine = self.current_engine()
         engine.is_silent = True
         self.adapter.evict(query)
         until(lambda: self.stream in self.client.answers)
@@ -148,79 +151,79 @@
 
         self.resume = resume
 
-    def answered(self):
-        """It is completed."""
+    def completed(self):
+        """Sends the query and waits for its answer."""
         self.ask()
         answered(self.client, self.stream)
 
     # Events.
 
-    def request(self):
-        """Another request comes on the connection."""
-        second = self.client.ask("status", allow=3000)
-        self.after = lambda: answered(self.client, second)[0] in FINAL
+    def another_request(self):
+        """Sends another request on the connection."""
+        second_stream = self.client.ask("status", allow=3000)
+        self.check_event_result = lambda: answered(self.client, second_stream)[0] in FINAL_CODES
 
-    def cancel(self):
-        """The client cancels it."""
+    def client_cancels(self):
+        """Sends the client's cancellation of the query."""
         self.client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, self.stream))
 
-    def end(self):
-        """The client closes its connection."""
+    def client_closes(self):
+        """Closes the client's connection."""
         self.client.transport.loseConnection()
 
-    def reset(self):
-        """The client resets its connection."""
+    def client_resets(self):
+        """Resets the client's connection."""
         self.client.transport.abortConnection()
 
-    def half_frame(self):
-        """Half of another request comes, and the rest afterwards."""
-        whole = query_frame(77, ref="00000000000000fd", statement=STATEMENT)
-        self.client.transport.write(whole[:40])
+    def partial_frame(self):
+        """Sends half of another request, and the rest once the query has continued."""
+        frame = query_frame(77, ref="00000000000000fd", statement=STATEMENT)
+        self.client.transport.write(frame[:40])
 
-        def after():
-            self.client.transport.write(whole[40:])
-            return answered(self.client, 77)[0] in FINAL
+        def check_event_result():
+            self.client.transport.write(frame[40:])
+            return answered(self.client, 77)[0] in FINAL_CODES
 
-        self.after = after
+        self.check_event_result = check_event_result
 
-    def bad_frame(self):
-        """Bytes come that are no frame."""
+    def invalid_frame(self):
+        """Sends bytes that are not a frame."""
         self.client.transport.write(b"\0\0\0\0" + b"x" * 100)
 
-    def drains(self):
-        """Its engine drains."""
-        self.world.announce(self.engine(), "DRAINING")
+    def engine_drains(self):
+        """Announces that the engine drains."""
+        self.world.announce(self.current_engine(), "DRAINING")
         until(lambda: self.service.discovery.last_number == 2)
 
-    def gone_from_list(self):
-        """Its engine leaves the endpoint list."""
-        self.world.announce(self.engine(), "DELETED")
+    def engine_removed(self):
+        """Announces that the engine is removed from the endpoint list."""
+        self.world.announce(self.current_engine(), "DELETED")
         until(lambda: self.service.discovery.last_number == 2)
 
-    def broken(self):
-        """All connections to engines are reset."""
+    def engine_connections_reset(self):
+        """Resets all connections to engines."""
         for engine in self.world.engines:
             for connection in list(engine.connections):
                 connection.transport.abortConnection()
 
-    def half_answer(self):
-        """Half of a reply comes from each engine."""
+    def partial_reply(self):
+        """Sends half of a reply from each engine."""
         for engine in self.world.engines:
             for connection in list(engine.connections):
                 connection.transport.write(b"HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Le")
 
-    def stops(self):
-        """SIGTERM."""
+    def sigterm(self):
+        """Starts the graceful shutdown, as SIGTERM does."""
         self.service.leave()
 
-    def hangs_up(self):
-        """SIGHUP."""
+    def sighup(self):
+        """Reloads the configuration, as SIGHUP does."""
         self.service.reload()
 
-    def no_descriptor(self):
-        """No descriptor is left, until what keeps the query in its state is taken away."""
+    def descriptors_exhausted(self):
+        """Leaves no descriptor until the query continues."""
         resume_state = self.resume
-        restore_descriptors = self.without_descriptors()
+        restore_descriptors = self.exhaust_descriptors()
 
         def resume():
             restore_descriptors()
@@ -228,26 +231,36 @@
 
         self.resume = resume
 
-    def after(self):
-        """Most events begin nothing that is to be checked."""
+    def check_event_result(self):
+        """Returns True: most events cause nothing beside the query that has to be checked."""
         return True
 
 
-STATES = ["read", "held", "connecting", "descriptor", "written", "known", "gathering", "given_up", "answered"]
+STATES = [
+    "received",
+    "awaiting_endpoint_list",
+    "connecting",
+    "awaiting_descriptor",
+    "written",
+    "running",
+    "fetching_pages",
+    "evicted",
+    "completed",
+]
 EVENTS = [
-    "request",
-    "cancel",
-    "end",
-    "reset",
-    "half_frame",
-    "bad_frame",
-    "drains",
-    "gone_from_list",
-    "broken",
-    "half_answer",
-    "stops",
-    "hangs_up",
-    "no_descriptor",
+    "another_request",
+    "client_cancels",
+    "client_closes",
+    "client_resets",
+    "partial_frame",
+    "invalid_frame",
+    "engine_drains",
+    "engine_removed",
+    "engine_connections_reset",
+    "partial_reply",
+    "sigterm",
+    "sighup",
+    "descriptors_exhausted",
 ]
 
 
@@ -255,13 +268,13 @@
 @pytest.mark.parametrize("event", EVENTS)
 @pytest.mark.parametrize("state", STATES)
 def test_an_event_in_a_state(make_world, state, event, group):
-    """One answer for a client that is there, none for one that has gone, and nothing held in the end."""
+    """The client has one answer, or none if it left before; nothing is held for the query in the end."""
     world = make_world(engines=2)
     case = Case(world, group)
     getattr(case, state)()
     had_answer = case.stream in case.client.answers
     getattr(case, event)()
-    if event in CLIENT_GONE and not had_answer:
+    if event in CLIENT_DEPARTURES and not had_answer:
         until(lambda: counter(world, "queries cancelled by their clients") == 1, 1.0)
     unread_posts = [
         request for engine in world.engines for request in engine.paused_requests if request[1] == "POST"
@@ -269,16 +282,18 @@
     posts_written = world.posts() + len(unread_posts)
     wait(0.05)
     case.resume()
-    if event in CLIENT_GONE:
+    if event in CLIENT_DEPARTURES:
         wait(0.15)
-        assert world.posts() == posts_written, "sent for a client that has gone"
+        assert world.posts() == posts_written, "attempt sent for a client that has left"
         assert had_answer or case.stream not in case.client.answers
     else:
-        code = answered(case.client, case.stream)[0]
-        # What has not run by the event, and what the event cannot end, is completed.
-        may_end = had_answer or event in ("broken", "half_answer", "gone_from_list")
-        assert code == frames.AnswerCode.COMPLETED or (may_end and code in FINAL), code
-        assert case.after()
+        answer_code = answered(case.client, case.stream)[0]
+        # The query is completed unless it had started to run and the event ends it.
+        may_fail = had_answer or event in ("engine_connections_reset", "partial_reply", "engine_removed")
+        assert answer_code == frames.AnswerCode.COMPLETED or (may_fail and answer_code in FINAL_CODES), (
+            answer_code
+        )
+        assert case.check_event_result()
     assert_all_released(world)
-    if event == "stops":
+    if event == "sigterm":
         until(lambda: world.ended, 4.5)
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -1,10 +1,10 @@
-"""Settings of other deployments: unusual ones are served, impossible ones are named in one line."""
+"""Tests of settings: unusual ones are served, and invalid ones are reported in a one-line error."""
 
 import json
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, reactor_for
-from hooks import counter, wait_until_over
+from hooks import counter, wait_until_complete
 from loopback import until
 
 from lichenquay.gateway import frames
@@ -12,10 +12,10 @@
 from lichenquay.gateway.service import Service
 
 
-def changed(**parts):
-    """The usual settings with these parts changed; `classes`: in each class."""
+def settings_with(**changes):
+    """Returns the default settings with these parts changed; `classes` changes each resource group."""
     settings = json.loads(json.dumps(SETTINGS))
-    for name, value in parts.items():
+    for name, value in changes.items():
         if name == "classes":
             for group in settings["classes"]:
                 group.update(value)
@@ -26,72 +26,72 @@
     return settings
 
 
-def start(make_world, settings, **more):
-    """A world whose gateway runs with these settings."""
+def start_world(make_world, settings, **other_configuration):
+    """Starts a world whose gateway runs with these settings, and waits until it is ready."""
     world = make_world(start=False, engines=2)
-    world.path.write_text(json.dumps({**world.config, "settings": settings, **more}))
+    world.path.write_text(json.dumps({**world.config, "settings": settings, **other_configuration}))
     world.start()
     until(world.service.is_ready, 2)
     return world
 
 
-ODD = {
-    "no tenants": changed(tenants=[]),
-    "no zone": changed(my_zone=""),
-    "one gateway": changed(replicas_of_me=1, slot_no=0),
-    "1,024 gateways": changed(replicas_of_me=1024, slot_no=1023),
-    "a deadline of 30 s": changed(classes={"deadline_us": 30_000_000}),
-    "a window shorter than the connect limit": changed(
+UNUSUAL_SETTINGS = {
+    "no tenants": settings_with(tenants=[]),
+    "no zone": settings_with(my_zone=""),
+    "one gateway": settings_with(replicas_of_me=1, slot_no=0),
+    "1,024 gateways": settings_with(replicas_of_me=1024, slot_no=1023),
+    "a deadline of 30 s": settings_with(classes={"deadline_us": 30_000_000}),
+    "a window shorter than the connect timeout": settings_with(
         classes={"effect": "keyed", "key_ttl_us": 100_000, "group": "all"}
     ),
-    "no window": changed(classes={"effect": "keyed", "key_ttl_us": 0, "group": "zone"}),
-    "all mutating": changed(classes={"effect": "unsafe"}),
-    "one try": changed(limits={"most_tries": 1}),
-    "no cancel": changed(limits={"cancel": False}),
-    "no further attempt": changed(
+    "no idempotency window": settings_with(classes={"effect": "keyed", "key_ttl_us": 0, "group": "zone"}),
+    "all groups mutating": settings_with(classes={"effect": "unsafe"}),
+    "one attempt": settings_with(limits={"most_tries": 1}),
+    "no cancellation": settings_with(limits={"cancel": False}),
+    "no further attempts": settings_with(
         rules={"extra_free": 0, "further_ratio": 0.0, "counted_over_us": 5_000_000}
     ),
-    "no reports": changed(report={"how": "none", "columns": []}),
-    "no notes, no grants": changed(
+    "no load reports": settings_with(report={"how": "none", "columns": []}),
+    "no progress, no memory grants": settings_with(
         family_info={"progress_pace_us": 0, "takes_grants": False, "ranks_heeded": False, "says_cost": False}
     ),
-    "placed elsewhere too": changed(classes={"failure_domains_only": ["a", "elsewhere"]}),
-    "unknown parts": changed(whatever={"x": [1, {"y": None}]}),
+    "a failure domain without engines": settings_with(classes={"failure_domains_only": ["a", "elsewhere"]}),
+    "unknown fields": settings_with(whatever={"x": [1, {"y": None}]}),
 }
 
 
-@pytest.mark.parametrize("name", ODD)
+@pytest.mark.parametrize("name", UNUSUAL_SETTINGS)
 def test_unusual_settings_are_served(make_world, name):
-    """A query of each group is completed."""
-    world = start(make_world, ODD[name])
+    """Guards against unusual settings with which a query of some resource group is not completed."""
+    world = start_world(make_world, UNUSUAL_SETTINGS[name])
     client = world.client()
     project = {"project": None} if name == "no tenants" else {}
     assert [
         answered(client, client.ask(group, allow=2000, replay="a1", **project))
         for group in ("status", "report", "manifest")
     ] == [(frames.AnswerCode.COMPLETED, RESULT)] * 3
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
 @pytest.mark.parametrize(
     "name",
     [
-        "a window shorter than the connect limit",
-        "no window",
-        "all mutating",
-        "one try",
-        "no further attempt",
+        "a window shorter than the connect timeout",
+        "no idempotency window",
+        "all groups mutating",
+        "one attempt",
+        "no further attempts",
     ],
 )
-def test_what_may_not_be_retried_is_not(make_world, name):
-    """Settings that allow no retry, after an attempt that may have run."""
-    world = start(make_world, ODD[name])
+def test_a_query_that_may_not_be_retried_is_sent_once(make_world, name):
+    """Guards against a retry, after an attempt that may have run, that the settings do not allow."""
+    world = start_world(make_world, UNUSUAL_SETTINGS[name])
     behaviours = ["error"] * 9
     for engine in world.engines:
         engine.behaviours = behaviours
-    world.on_attempt = lambda *sent: None
+    world.on_attempt = lambda *attempt: None
     client = world.client()
-    if name == "a window shorter than the connect limit":  # it may be, within its window
+    if name == "a window shorter than the connect timeout":  # a retry within the window is allowed
         assert answered(client, client.ask("manifest", replay="a1"))[0] in (
             frames.AnswerCode.FAILED,
             frames.AnswerCode.REJECTED,
@@ -102,60 +102,60 @@
             in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
             and world.posts() == 1
         )
-    wait_until_over(world)
+    wait_until_complete(world)
 
 
 def test_a_deadline_of_50_ms_is_kept(make_world):
-    """The final answer comes in time, and is not 'completed'."""
-    world = start(make_world, changed(classes={"deadline_us": 50_000, "aim_us": 20_000}))
+    """The final answer arrives in time and is not COMPLETED."""
+    world = start_world(make_world, settings_with(classes={"deadline_us": 50_000, "aim_us": 20_000}))
     for engine in world.engines:
         engine.behaviours = ["hold"] * 9
     client = world.client()
     until(lambda: world.service.is_ready())
     query = client.ask("report", allow=5000)
     assert answered(client, query, 0.3)[0] in (frames.AnswerCode.FAILED, frames.AnswerCode.REJECTED)
-    wait_until_over(world)
+    wait_until_complete(world)
     assert counter(world, "answers completed") == 0
 
 
-BAD = {
-    "no classes": (changed(classes=[]) | {"classes": []}, "no classes"),
-    "an effect unknown": (changed(classes={"effect": "odd"}), "effect"),
-    "no deadline": (changed(classes={"deadline_us": None}), "deadline"),
-    "words for figures": (changed(resolution_us="soon"), "resolution"),
-    "nothing": (None, "settings"),
+INVALID_SETTINGS = {
+    "no classes": (settings_with(classes=[]) | {"classes": []}, "no classes"),
+    "unknown effect": (settings_with(classes={"effect": "odd"}), "effect"),
+    "no deadline": (settings_with(classes={"deadline_us": None}), "deadline"),
+    "text instead of a number": (settings_with(resolution_us="soon"), "resolution"),
+    "null": (None, "settings"),
     "a list": ([1], "settings"),
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_impossible_settings_are_named_in_one_line(make_world, name):
-    """The error names what is wrong."""
-    settings, word = BAD[name]
+@pytest.mark.parametrize("name", INVALID_SETTINGS)
+def test_invalid_settings_are_reported_in_one_line(make_world, name):
+    """The error names the invalid part of the settings."""
+    settings, expected_word = INVALID_SETTINGS[name]
     world = make_world(start=False)
     world.path.write_text(json.dumps({**world.config, "settings": settings}))
     with pytest.raises(StartError) as error:
         Service(reactor_for(world), {"BALANCER_CONFIG": str(world.path)})
-    assert word in str(error.value) and "\n" not in str(error.value)
+    assert expected_word in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("content", ["", "{", "[]", "null", '{"name": "n1"}', "\x00", '{"listen": 3}'])
-def test_a_configuration_half_written_changes_nothing(make_world, content):
-    """It is counted as rejected, and the gateway serves."""
+def test_an_incomplete_configuration_file_changes_nothing(make_world, content):
+    """The file is counted as rejected, and the gateway continues with its previous configuration."""
     world = make_world(engines=1)
-    before = world.service.config.discovery_address, world.service.engines.descriptor_budget
+    previous = world.service.config.discovery_address, world.service.engines.descriptor_budget
     world.path.write_text(content)
     world.service.reload()
     assert (
         world.service.config.discovery_address,
         world.service.engines.descriptor_budget,
-    ) == before and counter(world, "configurations rejected") == 1
+    ) == previous and counter(world, "configurations rejected") == 1
     client = world.client()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED
 
 
 @pytest.mark.parametrize(
-    "told_",
+    "raw_answer",
     [
         b"",
         b"{",
@@ -167,14 +167,14 @@
         b'{"no": 2, "items": [{"no": 2, "roster": {"all": true}}]}',
     ],
 )
-def test_an_endpoint_list_that_cannot_be_read_changes_nothing(make_world, told_):
-    """The gateway serves by the last one, and follows the next good one."""
+def test_an_invalid_endpoint_list_changes_nothing(make_world, raw_answer):
+    """The gateway continues with its last endpoint list, and applies the next valid one."""
     world = make_world(engines=1)
-    world.discovery.raw_answer = told_
-    calls = world.discovery.polls
+    world.discovery.raw_answer = raw_answer
+    polls_before = world.discovery.polls
     for connection in list(world.discovery.connections):
         connection.transport.abortConnection()
-    until(lambda: world.discovery.polls > calls + 1)
+    until(lambda: world.discovery.polls > polls_before + 1)
     client = world.client()
     assert answered(client, client.ask())[0] == frames.AnswerCode.COMPLETED and list(
         world.service.engines_by_id
