--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -46,14 +46,14 @@
     wait_until_complete(world)
 
 
-@pytest.mark.parametrize("silence", ["no_reply", "within_a_reply", "after_two_polls"])
+@pytest.mark.parametrize("silence", ["no_reply", "within_a_reply", "after_replies"])
 def test_an_unanswered_poll_is_repeated(make_world, silence):
     """Guards against an event missed while the gateway waits on a connection on which nothing arrives."""
     world = make_world(engines=2)
     original_on_request, discovery = world.discovery.on_request, world.discovery
 
     def answer(connection, verb, path, headers, body):
-        if silence == "after_two_polls" and discovery.polls < 3:
+        if silence == "after_replies" and discovery.polls < 3:
             return original_on_request(connection, verb, path, headers, body)
         discovery.polls += 1
         if silence == "within_a_reply":
