--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -77,7 +77,7 @@
 
     def judge(self, now, tenant, front, estimate, work):
         query = SimpleNamespace(over_quota=None, tenant=self.tenants[tenant])
-        return not self.fronts[front].is_over_quota(query, now)
+        return not self.fronts[front].record_and_check(query, now)
 
     def of(self, tenant, seconds):
         return {}
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from lichenquay.load.page import write_page
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import STRANGE, audit, read_ledger, value_of
 from lichenquay.testbed.world import World
@@ -12,7 +12,7 @@
 
 def figures_of(kept, lab, ledger):
     """A run's report with what the audit found and the value in time."""
-    report, c = report_of(kept, lab), kept.columns()
+    report, c = build_report(kept, lab), kept.columns()
     findings = audit(c, ledger, lab) if c else []
     if report.get("strange_answers"):
         findings.append((STRANGE, report["strange_answers"], []))
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -13,7 +13,7 @@
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import ROOT, environment, read_line, start_module
+from lichenquay.load.child import ROOT, child_environment, read_line, start_module
 
 READY_S = 15.0
 EFFECTS = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
@@ -141,7 +141,7 @@
                 stderr=out,
                 stdout=out,
                 stdin=subprocess.DEVNULL,
-                env={**environment(), **more},
+                env={**child_environment(), **more},
                 cwd=ROOT,
                 start_new_session=True,
             )
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -100,7 +100,7 @@
         except OSError:
             break  # expected: the gateway has closed the connection
         wait(0.01)
-    until(lambda: not world.service.clients.connections, 2 * client_connection.CLOSE_S + 0.3)
+    until(lambda: not world.service.clients.connections, 2 * client_connection.CLOSE_TIMEOUT_S + 0.3)
     client.socket.close()
 
 
@@ -109,7 +109,7 @@
     world = make_world(engines=1)
     client, connection = connect_slow_reader(world)
     connection.close()
-    wait(2 * client_connection.CLOSE_S)
+    wait(2 * client_connection.CLOSE_TIMEOUT_S)
     until(lambda: client.read() and client.ended)
     assert client.ended == "end" and read_answers(client)[1] == (frames.AnswerCode.COMPLETED, LARGE_BODY)
     until(lambda: not world.service.clients.connections)
@@ -121,7 +121,7 @@
     world = make_world(engines=1)
     client, connection = connect_slow_reader(world, allow=900)
     connection.close()
-    until(lambda: not world.service.clients.connections, 0.9 + 2 * client_connection.CLOSE_S)
+    until(lambda: not world.service.clients.connections, 0.9 + 2 * client_connection.CLOSE_TIMEOUT_S)
     client.socket.close()
     assert world.service.clients.held_bytes == 0
 
@@ -132,7 +132,7 @@
     client, connection = connect_slow_reader(world)
     client.socket.sendall(b"\0\0\0\0" + b"y" * 500)
     until(lambda: connection.is_rejecting_input)
-    wait(2 * client_connection.CLOSE_S)
+    wait(2 * client_connection.CLOSE_TIMEOUT_S)
     until(lambda: client.read() and client.ended)
     received_answers = read_answers(client)
     assert (
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -25,7 +25,7 @@
 
     It is ready once all events count as announced; clients do not connect before.
     """
-    monkeypatch.setattr(service, "EVENTS_ANNOUNCED_WITHIN_MS", 400.0)
+    monkeypatch.setattr(service, "MAX_ANNOUNCEMENT_DELAY_MS", 400.0)
     world = make_world(engines=1, start=False)
     world.discovery.is_silent = True
     world.start()
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -56,13 +56,13 @@
 
     def received(self):
         """Sends the query; it is read, and the controller's next turn is delayed."""
-        self.adapter.min_turn_ms = 400.0
+        self.adapter.min_loop_interval_ms = 400.0
         self.adapter.last_turn_ms = self.adapter.clock_ms()
         self.ask()
         until(lambda: counter(self.world, "queries received") == 1)
 
         def resume():
-            self.adapter.min_turn_ms = 5.0
+            self.adapter.min_loop_interval_ms = 5.0
             self.adapter.schedule_turn(0.0)
 
         self.resume = resume
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_written_later.py
@@ -67,7 +67,7 @@
     """The cancellation is queued, and the connection is established before the turn that delivers it."""
     world = make_world(engines=1)
     delayed_connections, client, stream = ask_delayed(world)
-    world.service.adapter.min_turn_ms = 200.0  # delays the next turn
+    world.service.adapter.min_loop_interval_ms = 200.0  # delays the next turn
     world.service.adapter.last_turn_ms = world.service.adapter.clock_ms()
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     until(lambda: counter(world, "queries cancelled by their clients") == 1)
@@ -124,9 +124,9 @@
     client = world.client()
     assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     wait(0.1)  # the connection has been idle for long enough to be reused
-    refusals, may_dispatch = [], world.service.dispatcher.may_dispatch
-    world.service.dispatcher.may_dispatch = lambda in_flight: (
-        bool(refusals) and may_dispatch(in_flight) or bool(refusals.append(in_flight))
+    refusals, authorize_dispatch = [], world.service.dispatcher.authorize_dispatch
+    world.service.dispatcher.authorize_dispatch = lambda in_flight: (
+        bool(refusals) and authorize_dispatch(in_flight) or bool(refusals.append(in_flight))
     )
     assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     assert len(refusals) == 1 and world.posts() == 2
@@ -256,7 +256,7 @@
     )
     engine_state.slow_start_work.add(later_ms, budget_ms)
     query.deadline_ms = later_ms + 1000
-    assert not world.service.adapter.controller.may_dispatch(attempt, later_ms)
+    assert not world.service.adapter.controller.authorize_dispatch(attempt, later_ms)
     delayed_connections.resume()
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     wait_until_complete(world)
--- a/tests/distribution/test_distributed_engines.py
+++ b/tests/distribution/test_distributed_engines.py
@@ -5,7 +5,7 @@
 from installation import VOTERS, Installation
 from ports import listening_ports
 from running import until
-from test_distribution_front import Front
+from test_distribution_gateway import Front
 
 pytestmark = pytest.mark.together
 IN_FORCE_S = 7.0  # the operators' bound for a change
--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -52,13 +52,13 @@
             q
             for q in self.world.all.values()
             if q.fleet is not None
-            and q.fleet.quota_part is not None
-            and q.fleet.quota_part.group.holds(q.now_ms())
+            and q.fleet.quota_participant is not None
+            and q.fleet.quota_participant.group.holds(q.now_ms())
         ]
         if holders:
             self.must(len(holders) < 2, "two hold the ledger: {}", [q.name for q in holders])
             q = holders[0]
-            g = q.fleet.quota_part.group.generation
+            g = q.fleet.quota_participant.group.generation
             first = self.generations.setdefault(g, (q.name, q.starts))
             self.must(first == (q.name, q.starts), "generation {} is held by {} and {}", g, first, q.name)
         if p.fleet is None:
@@ -99,7 +99,7 @@
         seen[1] = watch.view.number
 
     def keeper(self, p):
-        made, old = p.fleet.quota_part.leader.committed, getattr(p, "made_of", (None, 0))
+        made, old = p.fleet.quota_participant.leader.committed, getattr(p, "made_of", (None, 0))
         if made is None or made is old[0] and made.record_number == old[1]:
             return
         fresh = made is not old[0]
@@ -160,7 +160,7 @@
         return account.terms.bucket_us + account.terms.rate_us * self.world.now * FAST / 1000
 
     def rights(self, p):
-        rights = p.fleet.quota_part.escrow
+        rights = p.fleet.quota_participant.escrow
         if not p.lives or p.lives[-1][1] is not rights:
             rights.sealed_holdings = Kept(rights.sealed_holdings)
             p.lives.append((rights.incarnation, rights))
@@ -180,7 +180,7 @@
     def took(self, p, tenant, within):
         self.within, self.beyond = self.within + within, self.beyond + (not within)
         if within:
-            rights = p.fleet.quota_part.escrow
+            rights = p.fleet.quota_participant.escrow
             key = p.name, rights.incarnation, rights.epoch
             self.must(key not in self.lapsed, "{} spends what was written off", key)
             self.must((*key, tenant) in self.rows, "{} spends what no record granted", key)
@@ -215,12 +215,12 @@
     def unrest(self):
         """What has not come to rest, or None."""
         up = [p for p in self.world.all.values() if p.fleet is not None]
-        holders = [p for p in up if p.fleet.quota_part.group.holds(p.now_ms())]
-        if len(holders) != 1 or holders[0].fleet.quota_part.leader.committed is None:
+        holders = [p for p in up if p.fleet.quota_participant.group.holds(p.now_ms())]
+        if len(holders) != 1 or holders[0].fleet.quota_participant.leader.committed is None:
             return "no keeper in office"
         if len({p.fleet.detector.view.digest for p in up}) > 1:
             return f"views differ: {[(p.name, p.fleet.detector.members()) for p in up]}"
-        group = holders[0].fleet.quota_part.group
+        group = holders[0].fleet.quota_participant.group
         for p in up:
             states = {n: p.fleet.detector.state_of(n) for n in self.world.all}
             for q in self.world.all.values():
@@ -228,14 +228,16 @@
                     ("alive",) if q.fleet is not None else ("left", "faulty", "removed")
                 ):
                     return f"{p.name} holds {q.name} for {states[q.name]}"
-            rights = p.fleet.quota_part.escrow
+            rights = p.fleet.quota_participant.escrow
             if (
-                p.fleet.has_left
+                p.fleet.is_leaving
                 or rights.sealed_holdings
                 or rights.reservations
                 or any(rights.overruns_us.values())
             ):
-                return f"{p.name}: {'leaves' if p.fleet.has_left else 'sealed books, open queries or debts'}"
+                return (
+                    f"{p.name}: {'leaves' if p.fleet.is_leaving else 'sealed books, open queries or debts'}"
+                )
             if rights.leader != (holders[0].name, group.generation):
                 return f"{p.name} takes {rights.leader} for the keeper"
             for tenant, mine in rights.holdings.items():
@@ -248,7 +250,7 @@
         for key in self.ledger.epochs:
             f = self.world.all[key[0]].fleet
             if key not in self.ledger.expired and not (
-                f and key[1:] == (f.incarnation, f.quota_part.escrow.epoch)
+                f and key[1:] == (f.incarnation, f.quota_participant.escrow.epoch)
             ):
                 return f"book {key} is not closed"
         for p in self.world.all.values():
--- a/tests/fleet/fleet_marks.py
+++ b/tests/fleet/fleet_marks.py
@@ -33,11 +33,11 @@
         return (process.name, None)
     out, seen = [], set()
     timer = f.timer.due if f.timer is not None and f.timer.active() else None
-    a, disk = f.quota_part, process.disk
+    a, disk = f.quota_participant, process.disk
     for part in (
         process.deaf,
         f.incarnation,
-        f.has_left,
+        f.is_leaving,
         timer,
         disk.free_ms,
         disk.state,
--- a/tests/fleet/fleet_mutations.py
+++ b/tests/fleet/fleet_mutations.py
@@ -19,10 +19,10 @@
 
 KINDS = {
     Layer.MEMBERS: (members_pb2.Message, "kind"),
-    Layer.OWNER: (lease_pb2.Message, "body"),
+    Layer.LEASE: (lease_pb2.Message, "body"),
     Layer.QUOTA: (quota_pb2.Message, "what"),
 }
-LAYERS = {Layer.MEMBERS: "members", Layer.OWNER: "owner", Layer.QUOTA: "quota"}
+LAYERS = {Layer.MEMBERS: "members", Layer.LEASE: "owner", Layer.QUOTA: "quota"}
 LATE_MS, LONG_MS, AFTER_MS = 400.0, 1500.0, 0.1
 MOST_OF = {Field.CPPTYPE_UINT32: 2**32 - 1, Field.CPPTYPE_UINT64: 2**64 - 1}
 
--- a/tests/fleet/fleet_scenario.py
+++ b/tests/fleet/fleet_scenario.py
@@ -12,7 +12,7 @@
 def keeper(world):
     """Who holds the ledger in truth; else the first that runs."""
     up = [p for p in world.all.values() if p.fleet is not None]
-    return next((p for p in up if p.fleet.quota_part.group.holds(p.now_ms())), up[0] if up else None)
+    return next((p for p in up if p.fleet.quota_participant.group.holds(p.now_ms())), up[0] if up else None)
 
 
 def others(world, p):
@@ -31,14 +31,14 @@
     p = keeper(world)
     if p is None:
         return
-    made, life, full = p.fleet.quota_part.leader.committed, p.starts, others(world, p)[0]
+    made, life, full = p.fleet.quota_participant.leader.committed, p.starts, others(world, p)[0]
     full.disk.how = "full"
     no = made.record_number if made else 0
 
     def look(times=0):
         if p.fleet is None or p.starts != life:
             return
-        now = p.fleet.quota_part.leader.committed
+        now = p.fleet.quota_participant.leader.committed
         if now is not None and now.record_number > no or times > 300:
             p.kill()
             world.at(world.now + 30, lambda: setattr(full.disk, "how", "well"))
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -240,7 +240,7 @@
 
     def ending(self, life):
         if self.fleet is not None and life == self.starts:
-            if self.fleet.is_over():
+            if self.fleet.is_leave_complete():
                 self.fleet.close()
                 self.fleet = None
             else:
@@ -347,11 +347,11 @@
     def query(self, name, tenant, work_ms, runs_ms=60.0, over=0.0):
         """work_ms: estimate; over: how much more is told at its end."""
         process = self.all[name]
-        if process.fleet is None or process.fleet.has_left:
+        if process.fleet is None or process.fleet.is_leaving:
             return
         fleet, life = process.fleet, process.starts
         q = Query(tenant, work_ms)
-        within = fleet.quota_part.reserve(fleet.now_ms(), q, work_ms)
+        within = fleet.quota_participant.reserve(fleet.now_ms(), q, work_ms)
         fleet.tenant_usage.set_timer()
         self.audit.took(process, tenant, within)
         self.stepped(process)
