--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -5,7 +5,7 @@
 
 import pytest
 from gateway_world import RESULT, answered
-from hooks import SocketClient, assert_no_more_posts, counter, query_frame, wait_until_complete
+from interleavings import SocketClient, assert_no_more_posts, counter, query_frame, wait_until_complete
 from loopback import until, wait
 
 from lichenquay.gateway import client_connection, frames, request_intake
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -9,9 +9,9 @@
 
 import pytest
 from gateway_world import answered
-from hooks import SocketClient, ask_readiness, gateway_environment, wait_until_complete
+from interleavings import SocketClient, ask_readiness, gateway_environment, wait_until_complete
 from loopback import StandInDiscovery, until, wait
-from ports import listening_port
+from ports import allocate_free_port
 
 from lichenquay.gateway import frames, service
 
@@ -119,7 +119,7 @@
     processes = []
 
     def start(world, max_sockets, **other_settings):
-        world.port = listening_port()
+        world.port = allocate_free_port()
         world.path.write_text(
             json.dumps(
                 {
@@ -152,7 +152,7 @@
 def test_discovery_reconnects_though_idle_clients_hold_many_descriptors(make_world, start_program):
     """Guards against idle clients that leave no descriptor to reconnect to discovery."""
     world = make_world(engines=2, start=False)
-    discovery_port = listening_port()
+    discovery_port = allocate_free_port()
     process = start_program(world, 120, bulletin=f"127.0.0.1:{discovery_port}")
     until(lambda: try_connect(world.port), 10)
     idle_clients = []
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -9,9 +9,9 @@
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, start_with_settings
-from hooks import SocketClient, ask_readiness, counter, gateway_environment, query_frame
+from interleavings import SocketClient, ask_readiness, counter, gateway_environment, query_frame
 from loopback import until, wait
-from ports import listening_port
+from ports import allocate_free_port
 
 from lichenquay.gateway import frames, service
 from lichenquay.gateway.service import ServicePhase
@@ -140,7 +140,7 @@
 def test_signals_in_quick_succession_end_the_program_in_order(make_world, signals):
     """The gateway process gets the signals while queries are open; it answers each query and exits with 0."""
     world = make_world(engines=2, start=False)
-    world.port = listening_port()
+    world.port = allocate_free_port()
     world.path.write_text(json.dumps({**world.config, "listen": f"127.0.0.1:{world.port}"}))
     process = subprocess.Popen(
         [sys.executable, "-m", "lichenquay.gateway"],
@@ -182,7 +182,7 @@
 @contextlib.contextmanager
 def gateway_with_stepping_clock(world, step_file, step_s):
     """Runs a gateway process whose wall clock steps by `step_s` once the file `step_file` exists."""
-    world.port = listening_port()
+    world.port = allocate_free_port()
     world.path.write_text(json.dumps({**world.config, "listen": f"127.0.0.1:{world.port}"}))
     process = subprocess.Popen(
         [sys.executable, "-c", CLOCK_STEP_PROGRAM, str(step_file), str(step_s)],
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -13,7 +13,7 @@
 from cluster import Cluster
 from gateway_world import SETTINGS
 from installation import FLEET, GATEWAY, RELAYS, ROOT, START_TIMEOUT_S, VOTERS, Installation
-from ports import listening_ports
+from ports import allocate_free_ports
 from running import until
 
 from lichenquay.cli.config import config
@@ -33,7 +33,7 @@
         self.name = name
         self.extra_settings = extra_settings
         self.known_engines = list(known_engines)
-        self.port, self.distribution_port = listening_ports(2)
+        self.port, self.distribution_port = allocate_free_ports(2)
         installation.links.targets[name] = ("127.0.0.1", self.distribution_port)
 
     def settings_text(self):
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from gateway_world import SETTINGS
-from ports import listening_ports
+from ports import allocate_free_ports
 from relay import Relay
 from running import Running, until
 
@@ -40,8 +40,8 @@
         )
         self.settings, self.folders, self.env, self.fleet = settings, folders, env or {}, fleet
         self.names = [chr(97 + i) for i in range(count)]
-        self.doors = dict(zip(self.names, listening_ports(count)))
-        self.ports = dict(zip(self.names, listening_ports(count)))
+        self.doors = dict(zip(self.names, allocate_free_ports(count)))
+        self.ports = dict(zip(self.names, allocate_free_ports(count)))
         self.relay, self.starts = Relay(self.names, seed), dict.fromkeys(self.names, 0)
         self.relay.targets = {n: ("127.0.0.1", p) for n, p in self.ports.items()}
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -31,7 +31,7 @@
     return True
 
 
-def listening_ports(count):
+def allocate_free_ports(count):
     """Returns `count` free ports for TCP or UDP.
 
     No other process takes one before the program under test listens on it: the system assigns
@@ -40,6 +40,6 @@
     return list(itertools.islice(filter(is_free, _candidates), count))
 
 
-def listening_port():
+def allocate_free_port():
     """Returns one free port."""
-    return listening_ports(1)[0]
+    return allocate_free_ports(1)[0]
