--- a/lichenquay/testbed/__init__.py
+++ b/lichenquay/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: engines, a bulletin and whole worlds on loopback, and an audit of what happened in them."""
+"""The testbed: emulated engines with an endpoint list, whole worlds on loopback, and an audit of each run."""
--- a/lichenquay/testbed/audit.py
+++ b/lichenquay/testbed/audit.py
@@ -1,129 +1,169 @@
-"""An audit of a run, from what the clients kept and what the engines wrote; free of I/O. Each check can fail, and tests let
-each one (a front that breaks its rule on purpose)."""
+"""Audits a run from the clients' records and the engines' ledger, without I/O.
+
+Each check can fail: a test starts a gateway that breaks the check's rule (testbed/faulty_gateway.py) and
+expects the finding.
+"""
 
 import json
 from collections import Counter, defaultdict
+from itertools import pairwise
 
 import numpy as np
 
 from lichenquay.config import lichenquay_pb2 as pb
 
-ONE_ANSWER, IN_TIME, NOTHING_AFTER, ROWS = (
+NO_ANSWER, ANSWERED_LATE, ANSWERED_TWICE, UNKNOWN_ROWS = (
     "no answer",
     "answered late",
     "answered twice",
-    "rows that no engine made",
+    "rows that no engine produced",
 )
-TWICE, COPIES, DRAINED, PUSHED, ORPHAN = (
+(
+    MUTATION_RUN_TWICE,
+    CONCURRENT_SUBMISSIONS,
+    SENT_AFTER_DRAIN,
+    COLD_ENGINE_OVERLOADED,
+    COMPLETED_WITHOUT_RUN,
+) = (
     "mutating query run twice",
-    "two submissions out",
-    "sent after a told drain",
-    "cold engine pushed over",
-    "finished without an engine's run",
+    "two submissions at once",
+    "sent after an announced drain",
+    "cold engine overloaded",
+    "completed without a run on an engine",
 )
-STRANGE = "answers to queries that nobody asked"
-SLACK_MS = 100.0  # for the way to the client and its own clock
-DRAIN_MS = 300.0  # 250 ms, and 50 ms on sockets
-MOST_SHOWN = 5
+UNASKED_ANSWERS = "answers to queries that nobody asked"
+ANSWER_TOLERANCE_MS = 100.0  # network delay to the client and rounding of its clock
+DRAIN_TOLERANCE_MS = 300.0  # 250 ms to stop sending, and 50 ms for data already on sockets
+MAX_EXAMPLES = 5
 
 
 def read_ledger(path):
-    """The ledger's entries; a last line that was cut off is left out, any other that cannot be read is an error."""
+    """Returns the ledger's entries; drops a truncated last line and raises ValueError for any other
+    unreadable one.
+    """
     with open(path, encoding="utf-8") as file:
         lines = file.read().split("\n")
     entries = []
-    for no, line in enumerate(lines, 1):
+    for line_number, line in enumerate(lines, 1):
         if line:
             try:
                 entries.append(json.loads(line))
             except ValueError:
-                if no < len(lines):
-                    raise ValueError(f"{path}: line {no} cannot be read") from None
+                if line_number < len(lines):
+                    raise ValueError(f"{path}: line {line_number} cannot be read") from None
     return entries
 
 
-def lives_of(ledger):
-    """(ref, engine, from, until) of each submission: from when it had come whole until it ended there or was given up."""
-    lives, out = [], {}
-    for x in ledger:
-        key = x["ref"], x["engine"]
-        if x["kind"] == "post":
-            out.setdefault(key, x["ms"])
-        elif x["kind"] in ("full", "end", "unread") and key in out:
-            lives.append((*key, out.pop(key), x["ms"]))
-        elif x["kind"] in ("died", "fell"):
-            for k in [k for k in out if k[1] == x["engine"]]:
-                lives.append((*k, out.pop(k), x["ms"]))
-    last = ledger[-1]["ms"] if ledger else 0.0
-    return lives + [(*k, since, last) for k, since in out.items()]
-
-
-def audit(c, ledger, lab):
-    """Findings: [(check, how many, examples)], for `c` columns of the clients' queries."""
-    found = defaultdict(list)
+def submissions_of(ledger):
+    """Returns (ref, engine, start_ms, end_ms) of each submission: from the complete POST until the query ends
+    at that engine or is abandoned.
+    """
+    submissions, open_since_ms = [], {}
+    for event in ledger:
+        key = event["ref"], event["engine"]
+        if event["kind"] == "post":
+            open_since_ms.setdefault(key, event["ms"])
+        elif event["kind"] in ("full", "end", "unread") and key in open_since_ms:
+            submissions.append((*key, open_since_ms.pop(key), event["ms"]))
+        elif event["kind"] in ("died", "fell"):
+            for lost_key in [key for key in open_since_ms if key[1] == event["engine"]]:
+                submissions.append((*lost_key, open_since_ms.pop(lost_key), event["ms"]))
+    last_ms = ledger[-1]["ms"] if ledger else 0.0
+    return submissions + [(*key, start_ms, last_ms) for key, start_ms in open_since_ms.items()]
+
+
+def audit(columns, ledger, lab):
+    """Returns findings [(check, count, examples)] for the columns of the clients' queries."""
+    findings = defaultdict(list)
     clients = zip(
-        c["ref"], c["answers"], c["left"], c["code"], c["odd"], c["sent_ms"], c["answered_ms"], c["allowed"]
+        columns["ref"],
+        columns["answers"],
+        columns["left"],
+        columns["code"],
+        columns["odd"],
+        columns["sent_ms"],
+        columns["answered_ms"],
+        columns["allowed"],
+        strict=True,
     )
-    finished, mutating = set(), {g.name for g in lab.groups if g.effect == pb.MUTATING}
-    for ref, answers, left, code, odd, sent, at, allowed in clients:
-        if not answers and not left and sent == sent:
-            found[ONE_ANSWER].append(ref)
+    completed, mutating_groups = set(), {group.name for group in lab.groups if group.effect == pb.MUTATING}
+    for ref, answers, client_left, code, has_wrong_rows, sent_ms, answered_ms, allowed_ms in clients:
+        if not answers and not client_left and sent_ms == sent_ms:
+            findings[NO_ANSWER].append(ref)
         if answers > 1:
-            found[NOTHING_AFTER].append(ref)
-        if code >= 0 and at - sent > allowed + SLACK_MS:
-            found[IN_TIME].append(f"{ref}: {at - sent:.0f} of {allowed} ms")
-        if odd:
-            found[ROWS].append(ref)
+            findings[ANSWERED_TWICE].append(ref)
+        if code >= 0 and answered_ms - sent_ms > allowed_ms + ANSWER_TOLERANCE_MS:
+            findings[ANSWERED_LATE].append(f"{ref}: {answered_ms - sent_ms:.0f} of {allowed_ms} ms")
+        if has_wrong_rows:
+            findings[UNKNOWN_ROWS].append(ref)
         if code == 0:
-            finished.add(ref)
-    groups = dict(zip(c["ref"], c["group"]))
-    runs, drained, ended = Counter(), {}, set()
-    for x in ledger:
-        if x["kind"] == "start":
-            runs[x["ref"]] += 1
-        elif x["kind"] == "end" and x["ending"] == "finished":
-            ended.add(x["ref"])
-        elif x["kind"] == "told":
-            if x["state"] == "SERVING":
-                drained.pop(x["engine"], None)
+            completed.add(ref)
+    groups = dict(zip(columns["ref"], columns["group"], strict=True))
+    run_counts, drain_known_ms, finished_runs = Counter(), {}, set()
+    for event in ledger:
+        if event["kind"] == "start":
+            run_counts[event["ref"]] += 1
+        elif event["kind"] == "end" and event["ending"] == "finished":
+            finished_runs.add(event["ref"])
+        elif event["kind"] == "told":
+            if event["state"] == "SERVING":
+                drain_known_ms.pop(event["engine"], None)
             else:
-                drained.setdefault(x["engine"], x["ms"])
-        elif x["kind"] == "post" and x["ms"] > drained.get(x["engine"], float("inf")) + DRAIN_MS:
-            found[DRAINED].append(
-                f"{x['ref']} at {x['engine']}, {x['ms'] - drained[x['engine']]:.0f} ms after"
+                drain_known_ms.setdefault(event["engine"], event["ms"])
+        elif (
+            event["kind"] == "post"
+            and event["ms"] > drain_known_ms.get(event["engine"], float("inf")) + DRAIN_TOLERANCE_MS
+        ):
+            findings[SENT_AFTER_DRAIN].append(
+                f"{event['ref']} at {event['engine']}, "
+                f"{event['ms'] - drain_known_ms[event['engine']]:.0f} ms after"
+            )
+        elif event["kind"] == "fell":
+            findings[COLD_ENGINE_OVERLOADED].append(
+                f"{event['engine']}: {event['sent_ms']} of {event['bound_ms']} ms"
             )
-        elif x["kind"] == "fell":
-            found[PUSHED].append(f"{x['engine']}: {x['sent_ms']} of {x['bound_ms']} ms")
-    found[TWICE] += [ref for ref, n in runs.items() if n > 1 and groups.get(ref) in mutating]
-    found[ORPHAN] += sorted(finished - ended)
-    lives = defaultdict(list)
-    for ref, engine, since, until in lives_of(ledger):
-        lives[ref].append((since, until, engine))
-    for ref, spans in lives.items():
+    findings[MUTATION_RUN_TWICE] += [
+        ref for ref, count in run_counts.items() if count > 1 and groups.get(ref) in mutating_groups
+    ]
+    findings[COMPLETED_WITHOUT_RUN] += sorted(completed - finished_runs)
+    submissions = defaultdict(list)
+    for ref, engine, start_ms, end_ms in submissions_of(ledger):
+        submissions[ref].append((start_ms, end_ms, engine))
+    for ref, spans in submissions.items():
         spans.sort()
-        for (_, until, one), (since, _, other) in zip(spans, spans[1:]):
-            if since < until - 1.0:
-                found[COPIES].append(f"{ref} at {one} and {other} for {until - since:.0f} ms")
-    return [(check, len(what), what[:MOST_SHOWN]) for check, what in found.items() if what]
-
-
-def value_of(c, lab):
-    """Value in time over value asked for, in all and by group and tenant, of queries whose clients stayed. Late ones count
-    their late share. The target grows with the work, as the fronts have it."""
-    groups = {g.name: g for g in lab.groups}
-    value = np.array([groups[g].value for g in c["group"]])
-    target = np.array([groups[g].target_ms for g in c["group"]])
-    late_value = np.array([groups[g].late_value for g in c["group"]])
-    took = np.where(np.isnan(c["answered_ms"]), np.inf, c["answered_ms"] - c["at_ms"])
-    done, stayed = c["code"] == 0, ~c["left"]
-    got = value * done * np.where(took <= target, 1.0, late_value)
-
-    def share(rows):
-        asked = float((value * rows).sum())
-        return round(float((got * rows).sum()) / asked, 4) if asked else None
+        for (_, end_ms, first_engine), (start_ms, _, second_engine) in pairwise(spans):
+            if start_ms < end_ms - 1.0:
+                findings[CONCURRENT_SUBMISSIONS].append(
+                    f"{ref} at {first_engine} and {second_engine} for {end_ms - start_ms:.0f} ms"
+                )
+    return [
+        (check, len(examples), examples[:MAX_EXAMPLES]) for check, examples in findings.items() if examples
+    ]
+
+
+def value_in_time(columns, lab):
+    """Returns earned over requested value, in all and by group and tenant, of queries whose clients stayed.
+
+    A late answer earns its group's late value. The target is the group's `target_ms`; it isn't stretched with
+    the query's work.
+    """
+    groups = {group.name: group for group in lab.groups}
+    value = np.array([groups[group].value for group in columns["group"]])
+    target = np.array([groups[group].target_ms for group in columns["group"]])
+    late_value = np.array([groups[group].late_value for group in columns["group"]])
+    latency_ms = np.where(np.isnan(columns["answered_ms"]), np.inf, columns["answered_ms"] - columns["at_ms"])
+    is_completed, client_stayed = columns["code"] == 0, ~columns["left"]
+    earned = value * is_completed * np.where(latency_ms <= target, 1.0, late_value)
+
+    def earned_share(rows):
+        requested = float((value * rows).sum())
+        return round(float((earned * rows).sum()) / requested, 4) if requested else None
 
     return {
-        "all": share(stayed),
-        "groups": {n: share(stayed & (c["group"] == n)) for n in groups},
-        "tenants": {t.name: share(stayed & (c["tenant"] == t.name)) for t in lab.tenants},
+        "all": earned_share(client_stayed),
+        "groups": {name: earned_share(client_stayed & (columns["group"] == name)) for name in groups},
+        "tenants": {
+            tenant.name: earned_share(client_stayed & (columns["tenant"] == tenant.name))
+            for tenant in lab.tenants
+        },
     }
--- a/lichenquay/testbed/detectors.py
+++ b/lichenquay/testbed/detectors.py
@@ -1,10 +1,11 @@
-"""Weighs `members` against phi-accrual and a small Rapid in one virtual network; prints JSON (docs/design/membership.md).
+"""Compares the failure detector with phi-accrual and a small Rapid in one simulated network; prints JSON.
 
-    python -m lichenquay.testbed.detectors [--sizes 10,200] [--seeds N] [--minutes M] [--only members,phi,...]
+    python -m lichenquay.testbed.detectors [--sizes 10,200] [--seeds N] [--minutes M] [--only members;phi;...]
 
-An episode is a time in which at least one front holds a front that runs for cut. `split_ms`: how long, in all, some
-held it for cut while others did not. Times to detect run from the kill to the last watcher's verdict. Intervals: 95
-of 100 (rates: Poisson's; times: bootstrap over the kills).
+An episode is a time in which at least one gateway considers a running gateway faulty. `split_ms` is the total
+time in which some do and others do not. Detection times run from the kill to the last watcher's verdict.
+Intervals are at 95 % (rates: Poisson; times: bootstrap over the kills). The design is in
+docs/design/membership.md.
 """
 
 import argparse
@@ -16,181 +17,209 @@
 from lichenquay.membership.failure_detector import FailureDetector
 from lichenquay.membership.member_state import MemberRecord, MemberState
 from lichenquay.membership.settings import Settings
-from lichenquay.testbed.baseline_policies import Phi, Rapid
+from lichenquay.testbed.baseline_policies import PhiAccrual, Rapid
 from lichenquay.testbed.fleetnet import FleetNet, Weather
 from lichenquay.testbed.observed_members import Watched
 
-PAUSE_MS, PAUSE_EVERY_MS, ONE_SIDED_MS = 2_000, 10_000, 20_000
-WARM_MS = 5_000
+PAUSE_MS, PAUSE_INTERVAL_MS, ASYMMETRIC_CUT_MS = 2_000, 10_000, 20_000
+WARM_UP_MS = 5_000
 
 
 def watch(name, incarnation, names, rng, now_ms):
-    """A watch that knows the fleet already: joining is not what is measured."""
-    w = FailureDetector(name, incarnation, names, rng, Settings(), now_ms)
-    for n in names:
-        if n != name:
-            w.table.apply(now_ms, MemberRecord(n, 1, 0, MemberState.ALIVE))
-    w.changes.clear()
-    return w
+    """Returns a failure detector that already knows the fleet: joining is not measured."""
+    detector = FailureDetector(name, incarnation, names, rng, Settings(), now_ms)
+    for member in names:
+        if member != name:
+            detector.table.apply(now_ms, MemberRecord(member, 1, 0, MemberState.ALIVE))
+    detector.changes.clear()
+    return detector
 
 
-KINDS = {
+DETECTORS = {
     "members": watch,
-    "phi": lambda *a: Phi(*a, watchers=10),
-    "phi, 2 s borne": lambda *a: Phi(*a, watchers=10, pause_ms=2_000.0),
+    "phi": lambda *arguments: PhiAccrual(*arguments, watchers=10),
+    "phi, 2 s borne": lambda *arguments: PhiAccrual(*arguments, watchers=10, pause_ms=2_000.0),
     "rapid": Rapid,
-    "rapid, 2 s borne": lambda *a: Rapid(*a, window=14, fails=12),
+    "rapid, 2 s borne": lambda *arguments: Rapid(*arguments, window=14, min_failures=12),
 }
 
 
-class Trial:
-    """One fleet of one kind; `held`: target -> who holds it for cut."""
+class FleetTrial:
+    """One fleet of one kind of detector. `accusers_of`: {gateway: those that consider it faulty}."""
 
-    def __init__(self, kind, n, seed, loss):
-        self.names = [f"f{i}" for i in range(n)]
-        self.net = FleetNet(f"{kind}/{n}/{seed}/{loss}", Weather(loss=loss))
-        self.held = {name: set() for name in self.names}
-        self.episodes, self.split_ms, self.since = 0, 0.0, {}
+    def __init__(self, kind, gateway_count, seed, loss):
+        """Starts the fleet, and counts episodes only after a warm-up."""
+        self.names = [f"f{i}" for i in range(gateway_count)]
+        self.net = FleetNet(f"{kind}/{gateway_count}/{seed}/{loss}", Weather(loss=loss))
+        self.accusers_of = {name: set() for name in self.names}
+        self.episodes, self.split_ms, self.split_since_ms = 0, 0.0, {}
         self.watchers = {}
-        make = KINDS[kind]
+        make = DETECTORS[kind]
         self.net.after = self._after
         for name in self.names:
             self.net.host(
                 name,
-                lambda h: {"it": make(h.name, h.incarnation, self.names, h.rng, h.now_ms())},
+                lambda host: {"it": make(host.name, host.incarnation, self.names, host.rng, host.now_ms())},
                 offset_ms=self.net.rng.uniform(0, 1e6),
             )
-        for name, h in self.net.hosts.items():
-            for target in getattr(h.parts["it"], "watched", self.names):
+        for name, host in self.net.hosts.items():
+            for target in getattr(host.parts["it"], "watched", self.names):
                 if target != name:
                     self.watchers.setdefault(target, set()).add(name)
-        self.net.run(WARM_MS)
+        self.net.run(WARM_UP_MS)
         self.episodes, self.split_ms = 0, 0.0
 
     def _after(self, host, _, part):
         for change in part.changes:
             name, state = (change.name, change.new_state) if hasattr(change, "view_number") else change
             if name != host.name and state in ("faulty", "removed", "alive"):
-                self._verdict(host.name, name, state != "alive")
+                self._record_verdict(host.name, name, state != "alive")
         part.changes.clear()
 
-    def _verdict(self, by, name, cut):
-        held = self.held[name]
-        began = not held
-        (held.add if cut else held.discard)(by)
-        self.episodes += began and bool(held)
-        split = bool(held) and not self.watchers.get(name, set()) <= held
-        if split:
-            self.since.setdefault(name, self.net.now_ms)
-        elif name in self.since:
-            self.split_ms += self.net.now_ms - self.since.pop(name)
+    def _record_verdict(self, watcher, name, is_faulty):
+        accusers = self.accusers_of[name]
+        had_no_accusers = not accusers
+        (accusers.add if is_faulty else accusers.discard)(watcher)
+        self.episodes += had_no_accusers and bool(accusers)
+        is_split = bool(accusers) and not self.watchers.get(name, set()) <= accusers
+        if is_split:
+            self.split_since_ms.setdefault(name, self.net.now_ms)
+        elif name in self.split_since_ms:
+            self.split_ms += self.net.now_ms - self.split_since_ms.pop(name)
 
     def traffic(self):
-        return sum(h.sent for h in self.net.hosts.values()), sum(
-            h.sent_bytes for h in self.net.hosts.values()
+        """Returns the messages and bytes sent so far, of all gateways."""
+        return sum(host.sent for host in self.net.hosts.values()), sum(
+            host.sent_bytes for host in self.net.hosts.values()
         )
 
 
-def detect(kind, n, seed, loss=0.1):
-    t = Trial(kind, n, seed, loss)
-    victim = t.names[seed % n]
-    t.net.run(t.net.now_ms + t.net.rng.uniform(0, 1_000))
-    began, watchers = t.net.now_ms, t.watchers[victim] - {victim}
-    t.net.kill(victim)
-    return t.net.now_ms - began if t.net.run(began + 60_000, lambda: watchers <= t.held[victim]) else None
-
-
-def false_verdicts(kind, n, seed, loss, minutes, pauses):
-    t = Trial(kind, n, seed, loss)
-    (sent, size), began = t.traffic(), t.net.now_ms
+def detection_time_ms(kind, gateway_count, seed, loss=0.1):
+    """Returns the time from a kill until all watchers consider the gateway faulty; None after 60 s."""
+    trial = FleetTrial(kind, gateway_count, seed, loss)
+    victim = trial.names[seed % gateway_count]
+    trial.net.run(trial.net.now_ms + trial.net.rng.uniform(0, 1_000))
+    started_ms, watchers = trial.net.now_ms, trial.watchers[victim] - {victim}
+    trial.net.kill(victim)
+    return (
+        trial.net.now_ms - started_ms
+        if trial.net.run(started_ms + 60_000, lambda: watchers <= trial.accusers_of[victim])
+        else None
+    )
+
+
+def measure_false_verdicts(kind, gateway_count, seed, loss, minutes, pauses):
+    """Returns the episodes of running gateways, and the messages and bytes sent per second and gateway."""
+    trial = FleetTrial(kind, gateway_count, seed, loss)
+    (sent_before, bytes_before), started_ms = trial.traffic(), trial.net.now_ms
     if pauses:
-        for i in range(int(minutes * 60_000 / PAUSE_EVERY_MS) - 1):
-            at = began + PAUSE_EVERY_MS * (i + t.net.rng.uniform(0, 0.5))
-            t.net.at(at, t.net.pause, t.net.rng.choice(t.names), PAUSE_MS)
-    t.net.run(began + 60_000 * minutes)
-    more, most = t.traffic()
-    return t.episodes, (more - sent) / (60 * minutes * n), (most - size) / (60 * minutes * n)
-
-
-def one_sided(kind, n, seed):
-    """f0 is not heard by half of the others for 20 s."""
-    t = Trial(kind, n, seed, 0.01)
-    began = t.net.now_ms
-    t.net.between(["f0"], t.names[1 : 1 + n // 2], cut=True)
-    t.net.run(began + ONE_SIDED_MS)
-    t.net.mend()
-    t.net.run(t.net.now_ms + 15_000)
+        for i in range(int(minutes * 60_000 / PAUSE_INTERVAL_MS) - 1):
+            at = started_ms + PAUSE_INTERVAL_MS * (i + trial.net.rng.uniform(0, 0.5))
+            trial.net.at(at, trial.net.pause, trial.net.rng.choice(trial.names), PAUSE_MS)
+    trial.net.run(started_ms + 60_000 * minutes)
+    sent_after, bytes_after = trial.traffic()
+    return (
+        trial.episodes,
+        (sent_after - sent_before) / (60 * minutes * gateway_count),
+        (bytes_after - bytes_before) / (60 * minutes * gateway_count),
+    )
+
+
+def measure_asymmetric_cut(kind, gateway_count, seed):
+    """Returns the episodes and split time when half of the others don't hear f0 for 20 s."""
+    trial = FleetTrial(kind, gateway_count, seed, 0.01)
+    started_ms = trial.net.now_ms
+    trial.net.between(["f0"], trial.names[1 : 1 + gateway_count // 2], cut=True)
+    trial.net.run(started_ms + ASYMMETRIC_CUT_MS)
+    trial.net.mend()
+    trial.net.run(trial.net.now_ms + 15_000)
     return {
-        "episodes": t.episodes,
-        "split_ms": round(t.split_ms + sum(t.net.now_ms - s for s in t.since.values())),
+        "episodes": trial.episodes,
+        "split_ms": round(
+            trial.split_ms + sum(trial.net.now_ms - since_ms for since_ms in trial.split_since_ms.values())
+        ),
     }
 
 
-def agreement(n, seed, loss=0.1):
-    """Watches only: two parts apart for 20 s, then mended: the time until all hold one view with all fronts alive."""
-    fleet = Watched([f"f{i}" for i in range(n)], seed, Weather(loss=loss))
+def agreement_time_ms(gateway_count, seed, loss=0.1):
+    """Returns the time from the end of a 20 s partition until all have one view with all gateways alive. Only
+    for the project's own detector.
+    """
+    fleet = Watched([f"f{i}" for i in range(gateway_count)], seed, Weather(loss=loss))
     fleet.until(fleet.agree, 60_000)
-    fleet.run(WARM_MS)
+    fleet.run(WARM_UP_MS)
     fleet.net.split(fleet.names[:2], fleet.names[2:])
     fleet.run(20_000)
     fleet.net.mend()
     return fleet.until(fleet.agree, 60_000, 10)
 
 
-def poisson(k, hours):
-    """The rate an hour with its interval (Wilson and Hilferty's approximation of the exact one)."""
+def rate_with_interval(events, hours):
+    """Returns the rate per hour with its interval (Wilson and Hilferty's approximation of the exact one)."""
 
-    def edge(k, z):
-        return 0.0 if k <= 0 else k * (1 - 1 / (9 * k) + z / (3 * k**0.5)) ** 3
+    def limit(events, z):
+        return 0.0 if events <= 0 else events * (1 - 1 / (9 * events) + z / (3 * events**0.5)) ** 3
 
-    return [round(x / hours, 2) for x in (k, edge(k, -1.96), edge(k + 1, 1.96))]
+    return [round(value / hours, 2) for value in (events, limit(events, -1.96), limit(events + 1, 1.96))]
 
 
-def quantile(some, q):
-    some = sorted(some)
-    return some[min(len(some) - 1, int(q * len(some)))]
+def quantile(values, q):
+    """Returns a quantile of values, for a share from 0 to 1."""
+    values = sorted(values)
+    return values[min(len(values) - 1, int(q * len(values)))]
 
 
-def interval(some, q, rng):
-    drawn = sorted(quantile(rng.choices(some, k=len(some)), q) for _ in range(400))
-    return [round(quantile(some, q)), round(drawn[10]), round(drawn[389])]
+def bootstrap_interval(values, q, rng):
+    """Returns a quantile with its 95 % interval by bootstrap, rounded."""
+    drawn = sorted(quantile(rng.choices(values, events=len(values)), q) for _ in range(400))
+    return [round(quantile(values, q)), round(drawn[10]), round(drawn[389])]
 
 
-def measure(kind, n, seeds, kills, minutes):
-    rng, began = random.Random(1), time.process_time()
-    took = [detect(kind, n, seed) for seed in range(kills)]
-    known = [x for x in took if x is not None]
-    row = {"kind": kind, "fronts": n, "kills": kills, "never": took.count(None)}
-    if known:
-        row["detect_p50_ms"], row["detect_p99_ms"] = interval(known, 0.5, rng), interval(known, 0.99, rng)
+def measure(kind, gateway_count, seeds, kills, minutes):
+    """Returns all figures of one detector and fleet size."""
+    rng, cpu_started_s = random.Random(1), time.process_time()
+    times_ms = [detection_time_ms(kind, gateway_count, seed) for seed in range(kills)]
+    detected_ms = [value for value in times_ms if value is not None]
+    row = {"kind": kind, "fronts": gateway_count, "kills": kills, "never": times_ms.count(None)}
+    if detected_ms:
+        row["detect_p50_ms"], row["detect_p99_ms"] = (
+            bootstrap_interval(detected_ms, 0.5, rng),
+            bootstrap_interval(detected_ms, 0.99, rng),
+        )
     for loss in (0.01, 0.05, 0.2):
         for pauses in (False, True):
-            runs = [false_verdicts(kind, n, seed, loss, minutes, pauses) for seed in range(seeds)]
-            row[f"false_an_hour_{round(100 * loss)}{'_pauses' if pauses else ''}"] = poisson(
-                sum(e for e, _, _ in runs), seeds * minutes / 60
+            runs = [
+                measure_false_verdicts(kind, gateway_count, seed, loss, minutes, pauses)
+                for seed in range(seeds)
+            ]
+            row[f"false_an_hour_{round(100 * loss)}{'_pauses' if pauses else ''}"] = rate_with_interval(
+                sum(episodes for episodes, _, _ in runs), seeds * minutes / 60
             )
             if not pauses:
                 row[f"sent_a_second_{round(100 * loss)}"] = [
-                    round(sum(r[i] for r in runs) / seeds, 1) for i in (1, 2)
+                    round(sum(run[i] for run in runs) / seeds, 1) for i in (1, 2)
                 ]
-    row["one_sided"] = [one_sided(kind, n, seed) for seed in range(seeds)]
-    if kind == "members" and n <= 20:
-        row["views_agree_ms"] = interval([agreement(n, seed) for seed in range(kills // 3)], 0.99, rng)
-    row["cpu_s"] = round(time.process_time() - began, 1)
+    row["one_sided"] = [measure_asymmetric_cut(kind, gateway_count, seed) for seed in range(seeds)]
+    if kind == "members" and gateway_count <= 20:
+        row["views_agree_ms"] = bootstrap_interval(
+            [agreement_time_ms(gateway_count, seed) for seed in range(kills // 3)], 0.99, rng
+        )
+    row["cpu_s"] = round(time.process_time() - cpu_started_s, 1)
     return row
 
 
 def main(argv=None):
-    p = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    p.add_argument("--sizes", default="10")
-    p.add_argument("--seeds", type=int, default=3)
-    p.add_argument("--kills", type=int, default=50)
-    p.add_argument("--minutes", type=float, default=1.0)
-    p.add_argument("--only", default=";".join(KINDS), help="kinds, split by ';'")
-    a = p.parse_args(argv)
-    for n in map(int, a.sizes.split(",")):
-        for kind in a.only.split(";"):
-            json.dump(measure(kind, n, a.seeds, a.kills, a.minutes), sys.stdout)
+    """Measures all that the command line selects; prints a JSON line for each."""
+    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
+    parser.add_argument("--sizes", default="10")
+    parser.add_argument("--seeds", type=int, default=3)
+    parser.add_argument("--kills", type=int, default=50)
+    parser.add_argument("--minutes", type=float, default=1.0)
+    parser.add_argument("--only", default=";".join(DETECTORS), help="detectors, separated by ';'")
+    args = parser.parse_args(argv)
+    for gateway_count in map(int, args.sizes.split(",")):
+        for kind in args.only.split(";"):
+            json.dump(measure(kind, gateway_count, args.seeds, args.kills, args.minutes), sys.stdout)
             print(flush=True)
 
 
--- a/lichenquay/testbed/faulty_gateway.py
+++ b/lichenquay/testbed/faulty_gateway.py
@@ -1,8 +1,8 @@
-"""A front that breaks one rule on purpose, so that the audit can be seen to find it.
+"""A gateway that breaks one rule on purpose, to test that the audit finds it. Not for service.
 
     BALANCER_CONFIG=... python -m lichenquay.testbed.faulty_gateway FAULT
 
-It sends each query to an engine in turn and passes on the result; FAULT says what it does wrong. Never for use.
+It sends each query to the next engine in turn and returns the result; FAULT selects the rule that it breaks.
 """
 
 import json
@@ -31,144 +31,167 @@
 
 
 class EngineCall(Protocol):
-    """One call on a connection of its own."""
+    """One HTTP request on a connection of its own; `result` fires with the reply."""
 
     def __init__(self):
-        self.reader, self.done = http.ReplyReader(), Deferred()
+        """Waits for a reply."""
+        self.reader, self.result = http.ReplyReader(), Deferred()
 
     def dataReceived(self, data):
+        """Fires the result once the reply is complete, and closes the connection."""
         reply = self.reader.feed(data)
         if reply is not None:
             reply.body = bytes(reply.body)
             self.transport.loseConnection()
-            done, self.done = self.done, None
+            done, self.result = self.result, None
             done.callback(reply)
 
     def connectionLost(self, reason):
-        if self.done is not None:
-            self.done.errback(reason)
+        """Fails the result if the reply is not complete."""
+        if self.result is not None:
+            self.result.errback(reason)
 
 
 @inlineCallbacks
-def call(address, data):
+def send_request(address, data):
+    """Sends a request to an address and returns its reply."""
     host, _, port = address.rpartition(":")
-    line = yield ClientCreator(reactor, EngineCall).connectTCP(host, int(port), timeout=1)
-    line.transport.write(data)
-    return (yield line.done)
+    connection = yield ClientCreator(reactor, EngineCall).connectTCP(host, int(port), timeout=1)
+    connection.transport.write(data)
+    return (yield connection.result)
 
 
-class BadFront(Factory):
+class FaultyGateway(Factory):
+    """Forwards queries to engines and commits one fault."""
+
     noisy = False
 
     def __init__(self, config, fault):
-        self.fault, self.turn, self.groups = fault, 0, {c["name"]: c for c in config["settings"]["classes"]}
+        """Reads the gateway configuration and starts to poll the endpoint list."""
+        self.fault, self.pick_count, self.groups = (
+            fault,
+            0,
+            {group["name"]: group for group in config["settings"]["classes"]},
+        )
         self.engines = {}
-        self.bulletin, self.no = config["bulletin"], 0
-        self.take(config["known"])
-        self.follow()
-
-    def take(self, told):
-        for item in told["items"]:
-            for row in item["roster"]["targets"]:
+        self.endpoint_list_address, self.event_number = config["bulletin"], 0
+        self.apply_events(config["known"])
+        self.poll_endpoint_list()
+
+    def apply_events(self, events):
+        """Applies watch events to the set of engines; one fault ignores drains."""
+        for event in events["items"]:
+            for row in event["roster"]["targets"]:
                 if row["state"] == "SERVING":
                     self.engines[row["uid"]] = row["endpoint"]
                 elif self.fault != "ignores drains":
                     self.engines.pop(row["uid"], None)
-        self.no = told["no"]
+        self.event_number = events["no"]
 
     @inlineCallbacks
-    def follow(self):
+    def poll_endpoint_list(self):
+        """Polls the endpoint list forever; retries 50 ms after an error."""
         while True:
             try:
-                reply = yield call(
-                    self.bulletin,
-                    http.encode_request("GET", f"/bulletins?after={self.no}&patience=1000", "b"),
+                reply = yield send_request(
+                    self.endpoint_list_address,
+                    http.encode_request("GET", f"/bulletins?after={self.event_number}&patience=1000", "b"),
                 )
-                self.take(json.loads(reply.body))
+                self.apply_events(json.loads(reply.body))
             except Exception:
-                yield wait(0.05)
+                yield sleep(0.05)
 
-    def pick(self):
-        self.turn += 1
+    def next_address(self):
+        """Returns the address of the next engine in turn, or always of the last one."""
+        self.pick_count += 1
         uids = sorted(self.engines)
-        return self.engines[uids[-1] if self.fault == "one engine" else uids[self.turn % len(uids)]]
+        return self.engines[uids[-1] if self.fault == "one engine" else uids[self.pick_count % len(uids)]]
 
     def buildProtocol(self, address):
-        return BadLine(self)
+        """Returns the protocol of a client's connection."""
+        return ClientConnection(self)
 
     @inlineCallbacks
-    def serve(self, line, stream, request, statement):
+    def serve(self, connection, stream, request, statement):
+        """Runs a query and answers it; the fault affects one query in ten."""
         group = self.groups[request.group]
-        bad = self.turn % 10 == 5
-        if bad and self.fault == "silent":
-            self.turn += 1
+        is_affected = self.pick_count % 10 == 5
+        if is_affected and self.fault == "silent":
+            self.pick_count += 1
             return
-        if bad and self.fault == "makes up":
-            self.turn += 1
-            return line.transport.write(
+        if is_affected and self.fault == "makes up":
+            self.pick_count += 1
+            return connection.transport.write(
                 frames.encode_answer(stream, frames.AnswerCode.COMPLETED, b"1\ta\tb\n")
             )
-        address = self.pick()
+        address = self.next_address()
         try:
-            if bad and self.fault == "copies":
-                self.run(self.pick(), request, statement).addErrback(lambda _: None)
-            result = yield self.run(address, request, statement)
-            if bad and self.fault == "runs twice" and group["effect"] == "unsafe":
-                result = yield self.run(self.pick(), request, statement)
+            if is_affected and self.fault == "copies":
+                self.run_query(self.next_address(), request, statement).addErrback(lambda _: None)
+            result = yield self.run_query(address, request, statement)
+            if is_affected and self.fault == "runs twice" and group["effect"] == "unsafe":
+                result = yield self.run_query(self.next_address(), request, statement)
         except Exception:
             result = None
-        if bad and self.fault == "late":
-            yield wait(group["deadline_us"] / 1e6 + 0.2)
+        if is_affected and self.fault == "late":
+            yield sleep(group["deadline_us"] / 1e6 + 0.2)
         if result is None:
-            return line.transport.write(frames.encode_answer(stream, frames.AnswerCode.FAILED, b"no"))
-        if bad and self.fault == "rows":
+            return connection.transport.write(frames.encode_answer(stream, frames.AnswerCode.FAILED, b"no"))
+        if is_affected and self.fault == "rows":
             result = result[:-1] + b"x\n" + result[-8:]
         answer = frames.encode_answer(stream, frames.AnswerCode.COMPLETED, result)
-        if bad and self.fault == "strange":
+        if is_affected and self.fault == "strange":
             answer += frames.encode_answer(stream + 90_000, frames.AnswerCode.COMPLETED, result)
-        line.transport.write(answer * (2 if bad and self.fault == "twice" else 1))
+        connection.transport.write(answer * (2 if is_affected and self.fault == "twice" else 1))
 
     @inlineCallbacks
-    def run(self, address, request, statement):
-        reply = yield call(
+    def run_query(self, address, request, statement):
+        """Returns a query's complete result from one engine, or None if it failed."""
+        reply = yield send_request(
             address,
             engine_protocol.encode_start("e", request.request_id, request.group, 4000, 0, None, statement),
         )
         while reply.status == 202:
-            reply = yield call(address, engine_protocol.encode_page("e", request.request_id, 0))
+            reply = yield send_request(address, engine_protocol.encode_page("e", request.request_id, 0))
         if reply.status != 200:
             return None
         pages = [reply.body]
-        for n in range(1, engine_protocol.page_count(reply)):
-            page = yield call(address, engine_protocol.encode_page("e", request.request_id, n))
+        for number in range(1, engine_protocol.page_count(reply)):
+            page = yield send_request(address, engine_protocol.encode_page("e", request.request_id, number))
             pages.append(page.body)
         return b"".join(pages)
 
 
-def wait(seconds):
+def sleep(seconds):
+    """Returns a Deferred that fires in so many seconds."""
     done = Deferred()
     reactor.callLater(seconds, done.callback, None)
     return done
 
 
-class BadLine(Protocol):
-    def __init__(self, front):
-        self.front, self.reader = front, frames.FrameReader()
+class ClientConnection(Protocol):
+    """One client's connection; passes on its queries."""
+
+    def __init__(self, gateway):
+        """Serves a client of `gateway`."""
+        self.gateway, self.reader = gateway, frames.FrameReader()
 
     def dataReceived(self, data):
+        """Starts to serve each complete query."""
         for kind, stream, payload in self.reader.feed(data):
             if kind == frames.FrameType.QUERY:
                 request = frames.read_query(bytes(payload))
-                self.front.serve(self, stream, request, bytes(request.statement))
+                self.gateway.serve(self, stream, request, bytes(request.statement))
 
 
 @click.command()
 @click.argument("fault", type=click.Choice(FAULTS))
 def main(fault):
+    """Runs a gateway with this fault until it is killed."""
     with open(os.environ["BALANCER_CONFIG"], encoding="utf-8") as file:
         config = json.load(file)
     host, _, port = config["listen"].rpartition(":")
-    reactor.listenTCP(int(port), BadFront(config, fault), interface=host)
+    reactor.listenTCP(int(port), FaultyGateway(config, fault), interface=host)
     reactor.run()
 
 
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -1,4 +1,4 @@
-"""A siege: depot clients that open a connection for each manifest, first in calm, then amid a flood, in one run."""
+"""Measures known clients with a connection for each query, first alone, then during a flood, in one run."""
 
 import json
 import socket
@@ -18,35 +18,39 @@
 from lichenquay.testbed.world import World
 
 ALLOWED_MS = 4000
-KNOWN = "127.90.0.0/16"
+KNOWN_PREFIX = "127.90.0.0/16"
 
 
-class Depot:
-    """Known clients: `rate` manifests a second, each on a connection of its own, in threads; times from the intended send."""
+class KnownClients:
+    """Sends `rate` manifest queries a second, each on a connection and thread of its own, and records each
+    query. Latencies count from the intended send.
+    """
 
     def __init__(self, target, rate):
+        """`target` is ADDRESS:PORT, `rate` in queries a second."""
         host, _, port = target.rpartition(":")
-        self.address, self.rate, self.rows, self.lock, self.sent = (
-            (host, int(port)),
-            rate,
-            [],
-            threading.Lock(),
-            0,
-        )
+        self.address, self.rate, self.records = (host, int(port)), rate, []
+        self.lock, self.queries_sent = threading.Lock(), 0
         self.source = "127.90.1.%d"
 
-    def play(self, name, seconds):
-        begun, threads = time.monotonic() + 0.1, []
-        for i in range(int(seconds * self.rate)):
-            at = begun + i / self.rate
-            time.sleep(max(0.0, at - time.monotonic()))
-            self.sent += 1
-            threads.append(threading.Thread(target=self.one, args=(name, self.sent, at), daemon=True))
+    def run_phase(self, name, seconds):
+        """Sends queries for `seconds` and waits for their ends; `name` marks the records of the phase."""
+        started_s, threads = time.monotonic() + 0.1, []
+        for number in range(int(seconds * self.rate)):
+            intended_s = started_s + number / self.rate
+            time.sleep(max(0.0, intended_s - time.monotonic()))
+            self.queries_sent += 1
+            threads.append(
+                threading.Thread(
+                    target=self.run_query, args=(name, self.queries_sent, intended_s), daemon=True
+                )
+            )
             threads[-1].start()
         for thread in threads:
             thread.join(ALLOWED_MS / 1000 + 3)
 
-    def one(self, name, number, at):
+    def run_query(self, name, number, intended_s):
+        """Sends one query and appends its record."""
         ref = f"d{number:015x}"
         task = Task(ref, "manifest", 30.0, 16.0, 1, 1, str(1 + number % 40))
         fields = frames.encode_fields(
@@ -59,16 +63,16 @@
                 ("memory", "16"),
             ]
         )
-        code, answers, body, sent = -1, 0, b"", float("nan")
+        code, answers, body, sent_s = -1, 0, b"", float("nan")
         try:
-            with socket.socket() as line:
-                line.settimeout(ALLOWED_MS / 1000 + 1)
-                line.bind((self.source % (2 + number % 200), 0))
-                line.connect(self.address)
-                line.sendall(frames.encode_frame(frames.FrameType.QUERY, 1, fields, statement_of(task)))
-                sent, reader = time.monotonic(), frames.FrameReader()
+            with socket.socket() as connection:
+                connection.settimeout(ALLOWED_MS / 1000 + 1)
+                connection.bind((self.source % (2 + number % 200), 0))
+                connection.connect(self.address)
+                connection.sendall(frames.encode_frame(frames.FrameType.QUERY, 1, fields, statement_of(task)))
+                sent_s, reader = time.monotonic(), frames.FrameReader()
                 while not answers:
-                    data = line.recv(65536)
+                    data = connection.recv(65536)
                     if not data:
                         break
                     for kind, stream, payload in reader.feed(data):
@@ -77,56 +81,68 @@
                             body = bytes(frames.read_fields(payload[1:])[1])
         except OSError:
             pass
-        done = time.monotonic()
-        odd = code == 0 and body.count(ref.encode()) != task.rows
+        ended_s = time.monotonic()
+        has_wrong_rows = code == 0 and body.count(ref.encode()) != task.rows
         with self.lock:
-            self.rows.append(
+            self.records.append(
                 {
                     "name": name,
                     "ref": ref,
                     "group": "manifest",
-                    "at": at,
-                    "sent": sent,
-                    "took": (done - at) * 1000,
+                    "intended_s": intended_s,
+                    "sent_s": sent_s,
+                    "latency_ms": (ended_s - intended_s) * 1000,
                     "code": code,
                     "answers": answers,
-                    "odd": odd,
+                    "odd": has_wrong_rows,
                 }
             )
 
     def columns(self):
-        r = self.rows
+        """Returns the records as the columns that the audit reads."""
+        records = self.records
         return {
-            "ref": [x["ref"] for x in r],
-            "group": [x["group"] for x in r],
-            "answers": [x["answers"] for x in r],
-            "left": [False] * len(r),
-            "code": [x["code"] for x in r],
-            "odd": [x["odd"] for x in r],
-            "sent_ms": [x["sent"] * 1000 for x in r],
-            "answered_ms": [x["at"] * 1000 + x["took"] if x["answers"] else float("nan") for x in r],
-            "allowed": [ALLOWED_MS] * len(r),
+            "ref": [record["ref"] for record in records],
+            "group": [record["group"] for record in records],
+            "answers": [record["answers"] for record in records],
+            "left": [False] * len(records),
+            "code": [record["code"] for record in records],
+            "odd": [record["odd"] for record in records],
+            "sent_ms": [record["sent_s"] * 1000 for record in records],
+            "answered_ms": [
+                record["intended_s"] * 1000 + record["latency_ms"] if record["answers"] else float("nan")
+                for record in records
+            ],
+            "allowed": [ALLOWED_MS] * len(records),
         }
 
 
-def quantile(values, q):
-    return round(float(np.percentile(values, q)), 2) if len(values) else None
+def quantile(values, percent):
+    """Returns a percentile (0 to 100), rounded to two digits; None of no values."""
+    return round(float(np.percentile(values, percent)), 2) if len(values) else None
 
 
 def siege(out, seconds=10.0, connections=1500, addresses=1, sockets=400, rate=20.0, gate=True, processes=4):
-    """Figures of a calm and a flooded part of `seconds` each. `gate`: with known clients and their reserve, else without."""
-    rules = f'gate {{ known: "{KNOWN}" reserve: 40 most_queries: 32 address {{ connections: 32 queries: 12 }} prefix {{ connections: 96 queries: 24 per_s: 20 burst: 40 }} lag_ms: 50 }}'
+    """Returns the figures of a phase without and one with the flood, of `seconds` each. `gate`: whether known
+    clients, their reserve and the caps are set.
+    """
+    gate_settings = (
+        f'gate {{ known: "{KNOWN_PREFIX}" reserve: 40 most_queries: 32 '
+        "address { connections: 32 queries: 12 } "
+        "prefix { connections: 96 queries: 24 per_s: 20 burst: 40 } lag_ms: 50 }"
+    )
     lab = read_testbed(
-        f"front {{ sockets: {sockets} memory_mb: 192 {rules if gate else ''} }} engines {{ cores: 8 most_open: 256 }}"
+        f"front {{ sockets: {sockets} memory_mb: 192 {gate_settings if gate else ''} }} "
+        "engines { cores: 8 most_open: 256 }"
     )
     out = Path(out)
     with World(lab, out) as world:
         world.start_script()
-        depot = Depot(world.addresses[0], rate)
-        idle = world.cpu_s()
-        depot.play("calm", seconds)
-        calm = (world.cpu_s() - idle) / max(1, len(depot.rows))
-        before, begun = world.cpu_s(), time.monotonic()
+        clients = KnownClients(world.addresses[0], rate)
+        cpu_before_calm_s = world.cpu_s()
+        clients.run_phase("calm", seconds)
+        query_cpu_s = (world.cpu_s() - cpu_before_calm_s) / max(1, len(clients.records))
+        cpu_before_flood_s, started_s = world.cpu_s(), time.monotonic()
         flooders = [
             subprocess.Popen(
                 [
@@ -137,52 +153,61 @@
                     str(seconds + 1),
                     str(connections // processes),
                     str(addresses),
-                    str(i),
+                    str(number),
                 ],
                 env=environment(),
                 text=True,
                 stdout=subprocess.PIPE,
                 start_new_session=True,
             )
-            for i in range(processes)
+            for number in range(processes)
         ]
         time.sleep(1.0)
-        depot.play("flood", seconds)
-        told = [json.loads(f.communicate(timeout=20)[0] or "{}") for f in flooders]
-        used, took = world.cpu_s() - before, time.monotonic() - begun
+        clients.run_phase("flood", seconds)
+        flood_reports = [json.loads(flooder.communicate(timeout=20)[0] or "{}") for flooder in flooders]
+        used_cpu_s, elapsed_s = world.cpu_s() - cpu_before_flood_s, time.monotonic() - started_s
         peak, code = world.peak_mb(), world.leave()
-    rows = {name: [x for x in depot.rows if x["name"] == name] for name in ("calm", "flood")}
-    refused = np.concatenate([np.array(t.get("refused_ms", [])) for t in told]) if told else np.array([])
-    findings = audit(depot.columns(), read_ledger(world.ledger), lab)
-    done = [x["took"] for x in rows["flood"] if x["code"] == 0]
-    total = {
-        k: sum(t.get(k, 0) for t in told) for k in sorted({k for t in told for k in t if k != "refused_ms"})
+    rows = {
+        name: [record for record in clients.records if record["name"] == name] for name in ("calm", "flood")
+    }
+    rejection_ms = (
+        np.concatenate([np.array(report.get("refused_ms", [])) for report in flood_reports])
+        if flood_reports
+        else np.array([])
+    )
+    findings = audit(clients.columns(), read_ledger(world.ledger), lab)
+    latencies_ms = [record["latency_ms"] for record in rows["flood"] if record["code"] == 0]
+    flood_counts = {
+        name: sum(report.get(name, 0) for report in flood_reports)
+        for name in sorted({name for report in flood_reports for name in report if name != "refused_ms"})
     }
-    served = len(rows["flood"]) + total.get("code 0", 0)
-    turned = total.get("told and closed", 0) + total.get("closed without a word", 0)
-    spent = max(0.0, used - calm * served) / max(1, turned)
+    served = len(rows["flood"]) + flood_counts.get("code 0", 0)
+    rejections = flood_counts.get("told and closed", 0) + flood_counts.get("closed without a word", 0)
+    rejection_cpu_s = max(0.0, used_cpu_s - query_cpu_s * served) / max(1, rejections)
     return {
-        "query_cpu_ms": round(1000 * calm, 3),
-        "refusal_cpu_ms": round(1000 * spent, 3),
+        "query_cpu_ms": round(1000 * query_cpu_s, 3),
+        "refusal_cpu_ms": round(1000 * rejection_cpu_s, 3),
         "depot_asked": len(rows["flood"]),
-        "depot_finished": len(done),
-        "depot_p99_ms": quantile(done, 99),
-        "depot_p50_ms": quantile(done, 50),
-        "calm_finished": sum(x["code"] == 0 for x in rows["calm"]),
-        "calm_p99_ms": quantile([x["took"] for x in rows["calm"] if x["code"] == 0], 99),
-        "calm_p50_ms": quantile([x["took"] for x in rows["calm"] if x["code"] == 0], 50),
-        "refusals": len(refused),
-        "refusal_p50_ms": quantile(refused, 50),
-        "refusal_p99_ms": quantile(refused, 99),
-        "flood": total,
-        "silent": sum(x["answers"] == 0 for x in depot.rows),
-        "front_cpu_s": round(used, 2),
-        "front_cpu_share": round(used / took, 3),
+        "depot_finished": len(latencies_ms),
+        "depot_p99_ms": quantile(latencies_ms, 99),
+        "depot_p50_ms": quantile(latencies_ms, 50),
+        "calm_finished": sum(record["code"] == 0 for record in rows["calm"]),
+        "calm_p99_ms": quantile([record["latency_ms"] for record in rows["calm"] if record["code"] == 0], 99),
+        "calm_p50_ms": quantile([record["latency_ms"] for record in rows["calm"] if record["code"] == 0], 50),
+        "refusals": len(rejection_ms),
+        "refusal_p50_ms": quantile(rejection_ms, 50),
+        "refusal_p99_ms": quantile(rejection_ms, 99),
+        "flood": flood_counts,
+        "silent": sum(record["answers"] == 0 for record in clients.records),
+        "front_cpu_s": round(used_cpu_s, 2),
+        "front_cpu_share": round(used_cpu_s / elapsed_s, 3),
         "front_memory_mb": round(peak, 1),
         "front_exit": code,
         "connections": connections,
         "addresses": addresses,
         "sockets": sockets,
         "gate": gate,
-        "broken_rules": [f"{c}: {n} ({'; '.join(map(str, s))})" for c, n, s in findings],
+        "broken_rules": [
+            f"{check}: {count} ({'; '.join(map(str, examples))})" for check, count, examples in findings
+        ],
     }
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -1,4 +1,4 @@
-"""A trial: a world, a load on it, and the audit. What `demo` and `lab run` do."""
+"""Runs a world under load and audits it, for the commands `demo` and `lab run`."""
 
 import json
 from pathlib import Path
@@ -6,55 +6,61 @@
 from lichenquay.load.page import write_page
 from lichenquay.load.report import report_of
 from lichenquay.load.run import Workers
-from lichenquay.testbed.audit import STRANGE, audit, read_ledger, value_of
+from lichenquay.testbed.audit import UNASKED_ANSWERS, audit, read_ledger, value_in_time
 from lichenquay.testbed.world import World
 
 
 def figures_of(kept, lab, ledger):
-    """A run's report with what the audit found and the value in time."""
-    report, c = report_of(kept, lab), kept.columns()
-    findings = audit(c, ledger, lab) if c else []
+    """Returns a run's report with the audit's findings and the value in time."""
+    report, columns = report_of(kept, lab), kept.columns()
+    findings = audit(columns, ledger, lab) if columns else []
     if report.get("strange_answers"):
-        findings.append((STRANGE, report["strange_answers"], []))
+        findings.append((UNASKED_ANSWERS, report["strange_answers"], []))
     return {
         **report,
-        "value_in_time": value_of(c, lab) if c else None,
-        "broken_rules": [f"{check}: {n} ({'; '.join(map(str, shown))})" for check, n, shown in findings],
-        "submissions": sum(x["kind"] == "post" for x in ledger),
+        "value_in_time": value_in_time(columns, lab) if columns else None,
+        "broken_rules": [
+            f"{check}: {count} ({'; '.join(map(str, examples))})" for check, count, examples in findings
+        ],
+        "submissions": sum(event["kind"] == "post" for event in ledger),
     }
 
 
 def keep(out, lab, kept, figures, ledger=()):
-    """What a run leaves: its figures, its page, and the targets that `compare` needs."""
-    (out / "targets.json").write_text(json.dumps({g.name: g.target_ms for g in lab.groups}))
+    """Writes a run's figures, its page, and the targets that `load compare` reads, into the folder `out`."""
+    (out / "targets.json").write_text(json.dumps({group.name: group.target_ms for group in lab.groups}))
     (out / "report.json").write_text(json.dumps(figures, indent=1))
-    c = kept.columns()
-    if c:
+    columns = kept.columns()
+    if columns:
         write_page(
-            out / "report.html", f"a run of {figures['seconds']:g} s", figures, c, kept.latency, ledger
+            out / "report.html", f"a run of {figures['seconds']:g} s", figures, columns, kept.latency, ledger
         )
 
 
-def trial(lab, out, front="lichenquay.gateway", arguments=(), progress=lambda done: None, during=None):
-    """Plays it. `during(world)`: (seconds, call) pairs for the run. Returns its figures."""
+def trial(
+    lab, out, gateway_module="lichenquay.gateway", arguments=(), progress=lambda done: None, during=None
+):
+    """Runs the world `lab` under load and returns its figures. `during(world)` returns (seconds, call) pairs
+    to run meanwhile.
+    """
     out = Path(out)
-    with World(lab, out, front, arguments) as world:
+    with World(lab, out, gateway_module, arguments) as world:
         workers = Workers(lab, world.addresses[0], out)
         workers.start()
         world.start_script()
-        before = world.cpu_s()
+        cpu_before_s = world.cpu_s()
         kept = workers.run(progress, during(world) if during else ())
-        used, peak = world.cpu_s() - before, world.peak_mb()
-        code = world.leave()
+        used_cpu_s, peak_mb = world.cpu_s() - cpu_before_s, world.peak_mb()
+        exit_code = world.leave()
     ledger = read_ledger(world.ledger)
     figures = figures_of(kept, lab, ledger)
     keep(out, lab, kept, figures, ledger)
-    n = max(1, figures["asked"])
+    asked = max(1, figures["asked"])
     return {
         **figures,
-        "front_cpu_s": round(used, 2),
-        "front_cpu_ms_a_query": round(1000 * used / n, 3),
-        "front_memory_mb": round(peak, 1),
-        "front_exit": code,
+        "front_cpu_s": round(used_cpu_s, 2),
+        "front_cpu_ms_a_query": round(1000 * used_cpu_s / asked, 3),
+        "front_memory_mb": round(peak_mb, 1),
+        "front_exit": exit_code,
         "out": str(out),
     }
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -1,4 +1,6 @@
-"""A whole world on loopback: emulated engines and their bulletin, fronts amid them, each in a process of its own."""
+"""A whole world on loopback: emulated engines with their endpoint list, and gateways, each in a process of
+its own.
+"""
 
 import json
 import os
@@ -15,60 +17,61 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.load.child import ROOT, environment, read_line, start_module
 
-READY_S = 15.0
-EFFECTS = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
+START_TIMEOUT_S = 15.0
+EFFECT_NAMES = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
 log = structlog.get_logger()
 
 
 class CannotStart(Exception):
-    """One line."""
+    """A process of the world did not start. The message is one line."""
 
 
 def settings_of(lab):
-    """What the world's fronts are told of it, in the platform's names."""
-    e = lab.engines
+    """Returns the settings that the world's gateways get, under the platform's names."""
+    engines = lab.engines
     return {
         "seed": lab.seed,
         "resolution_us": 5000,
         "replicas_of_me": lab.front.count,
-        "my_zone": (list(e.zones) or ["a"])[0],
+        "my_zone": (list(engines.zones) or ["a"])[0],
         "kinds": ["std"],
         "over_share_worth": 0.1,
         "classes": [
             {
-                "name": g.name,
-                "effect": EFFECTS[g.effect],
-                "aim_us": int(g.target_ms * 1000),
-                "aim_stretch": g.stretch,
-                "deadline_us": int(g.timeout_ms * 1000),
-                "worth": g.value,
-                "late_worth": g.late_value,
+                "name": group.name,
+                "effect": EFFECT_NAMES[group.effect],
+                "aim_us": int(group.target_ms * 1000),
+                "aim_stretch": group.stretch,
+                "deadline_us": int(group.timeout_ms * 1000),
+                "worth": group.value,
+                "late_worth": group.late_value,
             }
-            for g in lab.groups
+            for group in lab.groups
         ],
         "tenants": [
-            {"name": t.name, "share": t.share, "allowance_per_s": t.allowance_per_s} for t in lab.tenants
+            {"name": tenant.name, "share": tenant.share, "allowance_per_s": tenant.allowance_per_s}
+            for tenant in lab.tenants
         ],
         "limits": {
             "most_tries": 6,
             "cancel": True,
-            "keepalive_us": int(e.keepalive_ms * 1000),
+            "keepalive_us": int(engines.keepalive_ms * 1000),
             "connect_timeout_us": 250000,
         },
         "rules": {
             "answer_slack_us": 20000,
             "stop_sending_within_us": 250000,
-            "start_capacity": e.cold_share,
-            "ramp_time_us": int(e.cold_ms * 1000),
-            "overload_factor": e.cold_multiple,
-            "fall_us": int(e.fall_ms * 1000),
+            "start_capacity": engines.cold_share,
+            "ramp_time_us": int(engines.cold_ms * 1000),
+            "overload_factor": engines.cold_multiple,
+            "fall_us": int(engines.fall_ms * 1000),
         },
         "report": {"how": "answers", "columns": ["active", "waiting", "cpu"]},
         "family_info": {
-            "width_by_class": [g.threads for g in lab.groups],
-            "loads": [g.load for g in lab.groups],
-            "size_cores": [e.cores],
-            "memory_by_kind_mb": [e.memory_mb],
+            "width_by_class": [group.threads for group in lab.groups],
+            "loads": [group.load for group in lab.groups],
+            "size_cores": [engines.cores],
+            "memory_by_kind_mb": [engines.memory_mb],
             "most_grant": 0.4,
             "progress_pace_us": 500000,
             "says_cost": True,
@@ -80,125 +83,136 @@
 
 
 def start_emulator(lab, folder, ledger):
-    """Starts the emulator of engines and bulletin on settings that it writes into the folder; returns its process."""
+    """Starts the emulator of engines and endpoint list, with settings written into `folder`; returns its
+    process.
+    """
     conf = folder / "world.textproto"
     conf.write_text(text_format.MessageToString(lab))
     return start_module("lichenquay.testbed.emulator", "--conf", str(conf), "--ledger", str(ledger))
 
 
 class World:
-    """Starts it all and ends it all; a context. `front`: the module that plays the front."""
+    """A context that starts and ends all processes. `gateway_module` is run as the gateway."""
 
-    def __init__(self, lab, out, front="lichenquay.gateway", arguments=()):
-        self.lab, self.out, self.front, self.arguments = lab, Path(out), front, arguments
+    def __init__(self, lab, out, gateway_module="lichenquay.gateway", arguments=()):
+        """Writes all files into the folder `out`; `arguments` are the gateway's command line."""
+        self.lab, self.out, self.gateway_module, self.arguments = lab, Path(out), gateway_module, arguments
         self.processes, self.fronts, self.addresses = [], [], []
         self.ledger = self.out / "ledger.jsonl"
 
     def __enter__(self):
+        """Starts the emulator, then the gateways. Raises CannotStart."""
         self.out.mkdir(parents=True, exist_ok=True)
         try:
             self.emulator = start_emulator(self.lab, self.out, self.ledger)
             self.processes.append(self.emulator)
-            line = read_line(self.emulator, READY_S)
+            line = read_line(self.emulator, START_TIMEOUT_S)
             if not line:
                 raise CannotStart("the emulator did not start")
-            self.told = json.loads(line)
-            for i in range(self.lab.front.count):
-                self.start_front(i)
+            self.emulator_info = json.loads(line)
+            for index in range(self.lab.front.count):
+                self.start_gateway(index)
         except BaseException:
             self.__exit__(None, None, None)
             raise
         return self
 
-    def start_front(self, i):
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            address = "127.0.0.1:%d" % free.getsockname()[1]
+    def start_gateway(self, index):
+        """Starts a gateway on a free port and waits until it accepts connections. Raises CannotStart."""
+        with socket.socket() as probe:
+            probe.bind(("127.0.0.1", 0))
+            address = f"127.0.0.1:{probe.getsockname()[1]}"
         config = {
-            "name": f"n{i}",
+            "name": f"n{index}",
             "listen": address,
-            "seed": f"{self.lab.seed * 65537 + i:016x}",
+            "seed": f"{self.lab.seed * 65537 + index:016x}",
             "limits": {
                 "cores": 1.0,
                 "memory_mb": self.lab.front.memory_mb,
                 "sockets": self.lab.front.sockets,
             },
-            "bulletin": self.told["bulletin"],
-            "known": self.told["known"],
+            "bulletin": self.emulator_info["bulletin"],
+            "known": self.emulator_info["known"],
             "settings": settings_of(self.lab),
         }
-        path = self.out / f"front-{i}.json"
+        path = self.out / f"front-{index}.json"
         path.write_text(json.dumps(config))
-        more = {"BALANCER_CONFIG": str(path)}
-        own = self.settings_of_front(i)
-        if own is not None:
-            settings = self.out / f"settings-{i}.textproto"
-            settings.write_text(text_format.MessageToString(own))
-            more["LICHENQUAY_SETTINGS"] = str(settings)
-        with open(self.out / f"front-{i}.log", "w", encoding="utf-8") as out:
-            front = subprocess.Popen(
-                [sys.executable, "-m", self.front, *self.arguments],
+        extra_env = {"BALANCER_CONFIG": str(path)}
+        own_settings = self.settings_of_front(index)
+        if own_settings is not None:
+            settings = self.out / f"settings-{index}.textproto"
+            settings.write_text(text_format.MessageToString(own_settings))
+            extra_env["LICHENQUAY_SETTINGS"] = str(settings)
+        with open(self.out / f"front-{index}.log", "w", encoding="utf-8") as out:
+            gateway = subprocess.Popen(
+                [sys.executable, "-m", self.gateway_module, *self.arguments],
                 stderr=out,
                 stdout=out,
                 stdin=subprocess.DEVNULL,
-                env={**environment(), **more},
+                env={**environment(), **extra_env},
                 cwd=ROOT,
                 start_new_session=True,
             )
-        self.processes.append(front)
-        self.fronts.append(front)
+        self.processes.append(gateway)
+        self.fronts.append(gateway)
         self.addresses.append(address)
-        until = time.monotonic() + READY_S
-        while time.monotonic() < until and front.poll() is None:
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline_s and gateway.poll() is None:
             try:
                 with socket.create_connection(tuple(address.split(":")), 0.2):
                     return
             except OSError:
                 time.sleep(0.02)
-        text = (self.out / f"front-{i}.log").read_text().strip().splitlines()
-        raise CannotStart(f"front {i} did not start: {text[-1] if text else 'no word of it'}")
+        log_lines = (self.out / f"front-{index}.log").read_text().strip().splitlines()
+        raise CannotStart(
+            f"gateway {index} did not start: {log_lines[-1] if log_lines else 'its log is empty'}"
+        )
 
-    def settings_of_front(self, i):
-        """A front's settings of our own features, or None."""
+    def settings_of_front(self, index):
+        """Returns a gateway's settings of Lichenquay's own features, or None."""
         return pb.Settings(gate=self.lab.front.gate) if self.lab.front.HasField("gate") else None
 
     def start_script(self):
-        """The faults' times count from here."""
+        """Starts the fault script; its times count from now."""
         self.emulator.stdin.write("START\n")
         self.emulator.stdin.flush()
 
-    def stall(self, seconds, which=0):
-        """A front stands still: what a stall is."""
-        front = self.fronts[which]
-        front.send_signal(signal.SIGSTOP)
+    def stall(self, seconds, index=0):
+        """Suspends a gateway by SIGSTOP for some seconds."""
+        gateway = self.fronts[index]
+        gateway.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
-        front.send_signal(signal.SIGCONT)
+        gateway.send_signal(signal.SIGCONT)
 
-    def cpu_s(self, which=0):
-        """CPU seconds that a front has used."""
-        fields = Path(f"/proc/{self.fronts[which].pid}/stat").read_text().rpartition(")")[2].split()
+    def cpu_s(self, index=0):
+        """Returns the CPU seconds that a gateway has used."""
+        fields = Path(f"/proc/{self.fronts[index].pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def peak_mb(self, which=0):
-        for line in Path(f"/proc/{self.fronts[which].pid}/status").read_text().splitlines():
+    def peak_mb(self, index=0):
+        """Returns a gateway's peak resident memory in MB; 0 if the kernel doesn't report it."""
+        for line in Path(f"/proc/{self.fronts[index].pid}/status").read_text().splitlines():
             if line.startswith("VmHWM"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
-    def leave(self, which=0, seconds=6.0):
-        """SIGTERM, as at a planned restart; its exit code."""
-        front = self.fronts[which]
-        front.terminate()
+    def leave(self, index=0, seconds=6.0):
+        """Ends a gateway by SIGTERM, as at a planned restart, and kills it after `seconds`; returns its exit
+        code.
+        """
+        gateway = self.fronts[index]
+        gateway.terminate()
         try:
-            return front.wait(seconds)
+            return gateway.wait(seconds)
         except subprocess.TimeoutExpired:
-            front.kill()
-            return front.wait()
+            gateway.kill()
+            return gateway.wait()
 
     def __exit__(self, *_):
-        for front in self.fronts:
-            if front.poll() is None:
-                front.terminate()
+        """Ends all processes that still run, the emulator last."""
+        for gateway in self.fronts:
+            if gateway.poll() is None:
+                gateway.terminate()
         for process in self.processes[::-1]:
             try:
                 if process is self.processes[0]:
