--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -1,8 +1,10 @@
-"""Rules of the fleet's layers, each broken on purpose: {name: what makes a context in which it is}.
+"""Rules of the fleet's layers, each broken on purpose: RULES maps a name to a function that returns a context
+in which the rule is broken.
 
-FOUND: the mutant of the scenario (seed SEED) that finds each: (number of the message, its kind, mutation); 0: every run
-finds it, without any. Rules that are not in FOUND: no single mutation of those tried (some 200 each) found them in this
-scenario, as other rules bear them; they are kept here, planted in no test, and counted in no figure.
+FOUND has, for each rule, the mutant of the scenario (seed SEED) that finds it: (number of the message, its
+kind, mutation); 0 means that every run finds it, without a mutation. Rules that are not in FOUND were found
+by no single mutation of those tried (some 200 each), as other rules compensate for them; no test breaks them,
+and no figure counts them.
 """
 
 from contextlib import ExitStack
@@ -26,23 +28,26 @@
 
 
 def rule(name):
-    def keep(parts):
-        def broken():
+    """Registers the decorated function, which returns [(class, attribute, replacement)], as a broken rule."""
+
+    def register(make_patches):
+        def patched():
             stack = ExitStack()
-            for of, attribute, new in parts():
-                stack.enter_context(patch.object(of, attribute, new))
+            for target, attribute, new in make_patches():
+                stack.enter_context(patch.object(target, attribute, new))
             return stack
 
-        RULES[name] = broken
-        return parts
+        RULES[name] = patched
+        return make_patches
 
-    return keep
+    return register
 
 
 # the envelope
 
 
-def lenient(check):
+def without_check(check):
+    """Returns the patches that make the envelope accept datagrams which this check rejects."""
     real = MessageEnvelope.open
 
     def open_(self, data):
@@ -50,23 +55,23 @@
 
         try:
             return real(self, data)
-        except DroppedDatagramError as why:
-            if str(why) != check:
+        except DroppedDatagramError as error:
+            if str(error) != check:
                 raise
-            got = fleet_pb2.Datagram.FromString(bytes(data[CHECKSUM.size :]))
-            return OpenedDatagram(got.sender, got.incarnation, got.layer, got.body)
+            datagram = fleet_pb2.Datagram.FromString(bytes(data[CHECKSUM.size :]))
+            return OpenedDatagram(datagram.sender, datagram.incarnation, datagram.layer, datagram.body)
 
     return [(MessageEnvelope, "open", open_)]
 
 
 @rule("receiver not checked")
 def _():
-    return lenient("for another")
+    return without_check("for another")
 
 
 @rule("checksum not checked")
 def _():
-    return lenient("unreadable")
+    return without_check("unreadable")
 
 
 # members
@@ -77,9 +82,12 @@
     real = MessageHandler.handle
 
     def handle(self, name, incarnation, message):
-        m = self.table.get(name)
+        member = self.table.get(name)
         return real(
-            self, name, max(incarnation, m.incarnation) if m and name != self.name else incarnation, message
+            self,
+            name,
+            max(incarnation, member.incarnation) if member and name != self.name else incarnation,
+            message,
         )
 
     return [(MessageHandler, "handle", handle)]
@@ -139,12 +147,12 @@
     def write(self, pending):
         store = self.store
 
-        def without(changes):
+        def store_without_promise(changes):
             if pending.request is not None and self.promise.generation:
                 changes["promise"] = self.promise.SerializeToString()
             store(changes)
 
-        self.store = without
+        self.store = store_without_promise
         try:
             real(self, pending)
         finally:
@@ -153,33 +161,33 @@
     return [(Voter, "_write", write)]
 
 
-@rule("owner: answered before it is stored")
+@rule("owner: appends are acknowledged before they are stored")
 def _():
     real = Voter._write
 
     def write(self, pending):
         real(self, pending)
         if pending.request is None and self.last_append and not self.is_recovering:
-            old, self.log = self.log, pending.log
+            old_log, self.log = self.log, pending.log
             self._reply_to_append(0)
-            self.log = old
+            self.log = old_log
 
     reply = Voter._reply_to_append
 
-    def with_time(self, now_ms):
+    def reply_and_keep_later_limit(self, now_ms):
         no_grants_until_ms = self.no_grants_until_ms
         reply(self, now_ms)
         self.no_grants_until_ms = max(no_grants_until_ms, self.no_grants_until_ms)
 
-    return [(Voter, "_write", write), (Voter, "_reply_to_append", with_time)]
+    return [(Voter, "_write", write), (Voter, "_reply_to_append", reply_and_keep_later_limit)]
 
 
 @rule("owner: no wait after a start")
 def _():
     real = Voter.__init__
 
-    def init(self, rng, settings, now_ms, *more):
-        real(self, rng, settings, now_ms, *more)
+    def init(self, rng, settings, now_ms, *extra):
+        real(self, rng, settings, now_ms, *extra)
         self.no_grants_until_ms = now_ms
 
     return [(Voter, "__init__", init)]
@@ -196,7 +204,7 @@
     return [(Voter, "_reply_to_append", reply)]
 
 
-@rule("owner: the lease runs from the answer")
+@rule("owner: the lease counts from the reply")
 def _():
     real = Leadership.on_append_reply
 
@@ -216,10 +224,11 @@
 
 @rule("quota: a grant counts twice")
 def _():
-    """As if an answer told how much more there is, and not the total."""
+    """As if an answer contained the increase of a grant, not its total."""
     real, tick = TokenEscrow.apply_grant, TokenEscrow.tick
 
-    def ticks(self, now_ms):
+    def tick_and_record(self, now_ms):
+        """Keeps what was granted at each request."""
         before = self.request_number
         tick(self, now_ms)
         for number in range(before + 1, self.request_number + 1):
@@ -235,7 +244,7 @@
         if tenant in self.holdings and not granted.gone:
             self.holdings[tenant].granted_us = granted_us
 
-    return [(TokenEscrow, "apply_grant", apply_grant), (TokenEscrow, "tick", ticks)]
+    return [(TokenEscrow, "apply_grant", apply_grant), (TokenEscrow, "tick", tick_and_record)]
 
 
 @rule("quota: the last total counts, not the largest")
@@ -247,7 +256,7 @@
     return [(Ledger, "merged_totals", staticmethod(merged_totals))]
 
 
-@rule("quota: what was written off is given back twice")
+@rule("quota: expired tokens are returned twice")
 def _():
     real = Ledger.apply_usage
 
@@ -264,7 +273,7 @@
     return [(Ledger, "apply_usage", apply_usage)]
 
 
-@rule("quota: the term runs from the answer")
+@rule("quota: the term counts from the answer")
 def _():
     real = TokenEscrow.on_message
 
@@ -286,7 +295,7 @@
     return [(TokenEscrow, "expire_if_due", expire_if_due)]
 
 
-@rule("quota: told before it is made")
+@rule("quota: answered before the record is committed")
 def _():
     real = LedgerLeader.write_batch
 
@@ -305,21 +314,21 @@
     real = TokenEscrow.on_message
 
     def on_message(self, now_ms, sender, answer):
-        mine = pb.Answer()
-        mine.CopyFrom(answer)
-        mine.incarnation = self.incarnation
-        real(self, now_ms, sender, mine)
+        readdressed = pb.Answer()
+        readdressed.CopyFrom(answer)
+        readdressed.incarnation = self.incarnation
+        real(self, now_ms, sender, readdressed)
 
     return [(TokenEscrow, "on_message", on_message)]
 
 
-@rule("quota: a closed book is granted to")
+@rule("quota: a closed epoch gets grants")
 def _():
     real = LedgerLeader.on_message
 
-    def on_message(self, now_ms, sender, ask):
+    def on_message(self, now_ms, sender, request):
         self.pending.newest.pop(sender[0], None)
-        real(self, now_ms, sender, ask)
+        real(self, now_ms, sender, request)
 
     return [
         (Ledger, "may_grant", lambda self, gateway, incarnation, epoch: True),
@@ -327,7 +336,7 @@
     ]
 
 
-@rule("quota: a new keeper does not wait")
+@rule("quota: a new leader does not wait")
 def _():
     real = LedgerLeader.write_batch
 
@@ -338,15 +347,15 @@
     return [(LedgerLeader, "write_batch", write_batch)]
 
 
-@rule("quota: a limit for each front")
+@rule("quota: a debt limit for each gateway")
 def _():
     real = Ledger.apply_account_terms
 
     def apply_account_terms(self, terms):
-        more = pb.Open()
-        more.CopyFrom(terms)
-        more.limit_us *= 3
-        real(self, more)
+        tripled = pb.Open()
+        tripled.CopyFrom(terms)
+        tripled.limit_us *= 3
+        real(self, tripled)
 
     return [(Ledger, "apply_account_terms", apply_account_terms)]
 
@@ -369,18 +378,18 @@
     "checksum not checked": (111, "quota ask", "flipped"),
     "members: no incarnation check": (1242, "members leave", "late past its sender"),
     "members: an older claim is accepted": (156, "members ping", "late past its sender"),
-    "owner: answered before it is stored": (1109, "owner round", "lost"),
+    "owner: appends are acknowledged before they are stored": (1109, "owner round", "lost"),
     "owner: no wait after a start": (1264, "members ack", "late past the next"),
     "owner: no wait for another's lease": (0, "", "none"),
-    "owner: the lease runs from the answer": (492, "owner ack", "late past the next"),
+    "owner: the lease counts from the reply": (492, "owner ack", "late past the next"),
     "quota: a grant counts twice": (0, "", "none"),
     "quota: the last total counts, not the largest": (280, "quota ask", "doubled, late"),
-    "quota: what was written off is given back twice": (433, "quota ask", "late past its receiver"),
+    "quota: expired tokens are returned twice": (433, "quota ask", "late past its receiver"),
     "quota: spends after the term": (433, "quota ask", "late past its receiver"),
-    "quota: told before it is made": (0, "", "none"),
+    "quota: answered before the record is committed": (0, "", "none"),
     "quota: an answer to another incarnation counts": (203, "quota answer", "late past its receiver"),
-    "quota: a closed book is granted to": (831, "quota ask", "late past its sender"),
-    "quota: a new keeper does not wait": (0, "", "none"),
-    "quota: a limit for each front": (0, "", "none"),
+    "quota: a closed epoch gets grants": (831, "quota ask", "late past its sender"),
+    "quota: a new leader does not wait": (0, "", "none"),
+    "quota: a debt limit for each gateway": (0, "", "none"),
     "quota: a repayment counts twice": (0, "", "none"),
 }
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -1,4 +1,4 @@
-"""Several processes of the real program with the fleet on, and a relay between any two of them."""
+"""Several gateways of the real program with the fleet on, and a datagram relay between any two of them."""
 
 import json
 import os
@@ -12,11 +12,13 @@
 from running import Running, until
 
 ROOT = Path(__file__).resolve().parents[2]
-GOES, CUT = ("alive", "suspect"), ("faulty", "left", "removed")
+CUT_STATES = ("faulty", "left", "removed")  # of a member that gets no messages
 
 
 class Cluster(Running):
-    """A context: `count` fronts named a, b, c, ...; each with its own folder, configuration and settings under `path`."""
+    """A context with `count` gateways named a, b, c, ...; each has its folder, configuration and settings
+    under `path`.
+    """
 
     def __init__(
         self,
@@ -31,52 +33,63 @@
         env=None,
         fleet=True,
     ):
+        """`more` is appended to the fleet's settings; `env` to the environment. Without `folders`, nothing is
+        stored; without `fleet`, the gateways run alone.
+        """
         super().__init__(Path(path))
-        self.seed, self.more, self.bulletin, self.known = (
+        self.seed, self.extra_settings, self.bulletin, self.known = (
             seed,
             more,
             bulletin,
             known or {"no": 0, "items": []},
         )
-        self.settings, self.folders, self.env, self.fleet = settings, folders, env or {}, fleet
-        self.names = [chr(97 + i) for i in range(count)]
-        self.doors = dict(zip(self.names, listening_ports(count)))
-        self.ports = dict(zip(self.names, listening_ports(count)))
-        self.relay, self.starts = Relay(self.names, seed), dict.fromkeys(self.names, 0)
-        self.relay.targets = {n: ("127.0.0.1", p) for n, p in self.ports.items()}
+        self.settings, self.folders, self.env, self.with_fleet = settings, folders, env or {}, fleet
+        self.names = [chr(97 + index) for index in range(count)]
+        self.client_ports = dict(zip(self.names, listening_ports(count), strict=True))
+        self.fleet_ports = dict(zip(self.names, listening_ports(count), strict=True))
+        self.relay, self.start_counts = Relay(self.names, seed), dict.fromkeys(self.names, 0)
+        self.relay.targets = {name: ("127.0.0.1", port) for name, port in self.fleet_ports.items()}
 
     def __enter__(self):
+        """Starts all gateways and waits until their fleet runs."""
         self.relay.start()
         try:
             for name in self.names:
                 self.start(name)
             for name in self.names:
-                self.begun(name)
+                self.wait_until_started(name)
         except BaseException:
             self.__exit__()
             raise
         return self
 
     def __exit__(self, *_):
+        """Kills all gateways and stops the relay."""
         self.end_all()
         self.relay.close()
 
     def fleet_text(self, name):
+        """Returns a gateway's fleet settings as text; its peers' addresses are the relay's."""
         peers = " ".join(
-            f'peers {{ name: "{p}" address: "{self.relay.address(name, p)}" }}'
-            for p in self.names
-            if p != name
+            f'peers {{ name: "{peer}" address: "{self.relay.address(name, peer)}" }}'
+            for peer in self.names
+            if peer != name
         )
         folder = f'folder: "{self.path / ("folder-" + name)}"' if self.folders else ""
-        return f'fleet {{ fleet: "yard" name: "{name}" listen: "127.0.0.1:{self.ports[name]}" {folder} {peers} {self.more} }}'
+        listen = f"127.0.0.1:{self.fleet_ports[name]}"
+        return (
+            f'fleet {{ fleet: "yard" name: "{name}" listen: "{listen}" {folder} {peers} '
+            f"{self.extra_settings} }}"
+        )
 
     def start(self, name):
-        config, text = self.path / f"{name}.json", self.path / f"{name}.textproto"
+        """Starts a gateway with new files."""
+        config, settings = self.path / f"{name}.json", self.path / f"{name}.textproto"
         config.write_text(
             json.dumps(
                 {
                     "name": name,
-                    "listen": f"127.0.0.1:{self.doors[name]}",
+                    "listen": f"127.0.0.1:{self.client_ports[name]}",
                     "seed": f"{self.seed * 65537 + ord(name):016x}",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                     "bulletin": self.bulletin,
@@ -85,9 +98,9 @@
                 }
             )
         )
-        text.write_text(self.fleet_text(name))
-        self.starts[name] += 1
-        more = {"LICHENQUAY_SETTINGS": str(text)} if self.fleet else {}
+        settings.write_text(self.fleet_text(name))
+        self.start_counts[name] += 1
+        settings_env = {"LICHENQUAY_SETTINGS": str(settings)} if self.with_fleet else {}
         with open(self.path / f"{name}.log", "a", encoding="utf-8") as out:
             self.running[name] = subprocess.Popen(
                 [sys.executable, "-m", "lichenquay.gateway"],
@@ -95,16 +108,18 @@
                 stdout=out,
                 stderr=out,
                 cwd=ROOT,
-                env={**os.environ, **self.env, "BALANCER_CONFIG": str(config), **more},
+                env={**os.environ, **self.env, "BALANCER_CONFIG": str(config), **settings_env},
             )
 
-    def begun(self, name, seconds=15.0):
-        """Waits until the latest start has its fleet on. Risk: a signal before a front's first line ends it."""
+    def wait_until_started(self, name, seconds=15.0):
+        """Waits until a gateway's latest start has its fleet running. Before its first log line, a gateway
+        has no signal handlers, and a signal would end it.
+        """
         until(
             lambda: (
                 self.running[name].poll() is not None
-                or len(self.events(name, "fleet")) >= self.starts[name]
-                or not self.fleet
+                or len(self.events(name, "fleet")) >= self.start_counts[name]
+                or not self.with_fleet
                 and "serving on" in self.log(name)
             ),
             seconds,
@@ -112,21 +127,28 @@
         assert self.running[name].poll() is None, self.log(name)[-2000:]
 
     def back(self, name):
+        """Starts a gateway that has ended, and waits for it."""
         self.start(name)
-        self.begun(name)
+        self.wait_until_started(name)
 
     def members(self, name):
-        """{member: (incarnation, state)} as that front has it."""
-        return {w[1]: (int(w[2]), w[3]) for w in self.told(name) if w[:1] == ["member"]}
+        """Returns {member: (incarnation, state)} in a gateway's view."""
+        return {words[1]: (int(words[2]), words[3]) for words in self.told(name) if words[:1] == ["member"]}
 
     def digest(self, name):
-        return next((w[2] for w in self.told(name) if w[:1] == ["view"]), None)
+        """Returns the digest of a gateway's view, or None."""
+        return next((words[2] for words in self.told(name) if words[:1] == ["view"]), None)
 
     def agree(self, names=None, states=None):
-        """Whether all hold the same of everybody; and `states`, where given: {member: state}."""
-        views = [self.members(n) for n in names or self.names]
+        """Returns whether the gateways have the same view, and whether its members have these states if
+        given.
+        """
+        views = [self.members(name) for name in names or self.names]
         return (
             bool(views[0])
-            and all(v == views[0] for v in views)
-            and (states is None or {n: s for n, (_, s) in views[0].items() if n in states} == states)
+            and all(view == views[0] for view in views)
+            and (
+                states is None
+                or {name: state for name, (_, state) in views[0].items() if name in states} == states
+            )
         )
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""What runs on real processes measured, gathered over all tests of one call."""
+"""Fixtures of the fleet tests: the figures measured over all tests of one pytest call, and the seeds."""
 
 import json
 
@@ -9,17 +9,19 @@
 
 @pytest.fixture
 def figures():
-    """{section: {name: value}}; written to --figures at the end."""
+    """Returns a function section -> {name: value}; all sections are written to --figures at the end."""
     return lambda section: FIGURES.setdefault(section, {})
 
 
 @pytest.fixture
 def seeds(request):
+    """Returns the seeds of a test: --runs of them, from --seed on."""
     first, runs = request.config.getoption("--seed"), request.config.getoption("--runs")
     return range(first, first + runs)
 
 
 def pytest_sessionfinish(session):
+    """Writes the figures to --figures, if asked."""
     path = session.config.getoption("--figures", default=None)
     if path and FIGURES:
         with open(path, "w", encoding="utf-8") as file:
--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -1,5 +1,6 @@
-"""What must be true of fronts in virtual time after every step, and at rest; it knows more than any front. Amounts are
-microseconds."""
+"""Invariants of gateways in virtual time, checked after every step and at rest. The audit sees all processes,
+which no gateway does. Amounts are in microseconds of work.
+"""
 
 from hashlib import blake2b
 
@@ -9,255 +10,318 @@
 from lichenquay.quota.errors import LedgerError
 from lichenquay.quota.ledger import Ledger
 
-LIMITS = {a[0]: a[3] * 1000 for a in ACCOUNTS}
-FAST = 1.05  # no clock is faster
+LIMITS_US = {account[0]: account[3] * 1000 for account in ACCOUNTS}
+MAX_CLOCK_RATE = 1.05
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """An invariant does not hold."""
 
 
-class Kept(dict):
-    """Sealed rows of a front; what it forgets, the audit keeps."""
+class RetainingDict(dict):
+    """A dict that keeps its deleted items in `deleted`."""
 
-    def __init__(self, old):
-        super().__init__(old)
-        self.forgotten = []
+    def __init__(self, items):
+        """Starts with these items."""
+        super().__init__(items)
+        self.deleted = []
 
     def __delitem__(self, key):
-        self.forgotten.append((key, self[key]))
+        """Deletes an item and keeps it in `deleted`."""
+        self.deleted.append((key, self[key]))
         super().__delitem__(key)
 
 
 class Audit:
+    """The checks, and what they need of the past. `world` is set by the world itself."""
+
     def __init__(self):
-        self.ledger, self.digests, self.rows, self.closed = Ledger(), {}, {}, set()
-        self.lapsed, self.spent, self.found, self.generations = set(), {}, [], {}
-        self.within = self.beyond = 0
-        self.most_owed, self.lent, self.repaid = 0, 0, 0
+        """Starts before the first process."""
+        self.ledger, self.digests, self.rows = Ledger(), {}, {}
+        self.expired_epochs, self.violations, self.generations = set(), [], {}
+        self.within_count = self.beyond_count = 0
+        self.max_debt_us, self.max_lent_us, self.max_repaid_us = 0, 0, 0
 
-    def broken(self, what):
-        """Risk: a part that bears every error bears ours. So what was found is kept, and looked at by the run."""
-        self.found.append(what)
-        raise Broken(what)
+    def fail(self, text):
+        """Records a violation and raises it. The record is needed, as a part that catches all errors would
+        also catch the audit's.
+        """
+        self.violations.append(text)
+        raise InvariantViolationError(text)
 
-    def must(self, holds, what, *more):
-        if not holds:
-            self.broken(what.format(*more))
+    def require(self, condition, text, *arguments):
+        """Fails with the formatted text unless the condition holds."""
+        if not condition:
+            self.fail(text.format(*arguments))
 
     # after every step
 
-    def step(self, p):
+    def check(self, process):
+        """Checks all invariants after a step of a process."""
         holders = [
-            q
-            for q in self.world.all.values()
-            if q.fleet is not None
-            and q.fleet.quota_part is not None
-            and q.fleet.quota_part.group.holds(q.now_ms())
+            other
+            for other in self.world.processes.values()
+            if other.runtime is not None
+            and other.runtime.quota_part is not None
+            and other.runtime.quota_part.group.holds(other.now_ms())
         ]
         if holders:
-            self.must(len(holders) < 2, "two hold the ledger: {}", [q.name for q in holders])
-            q = holders[0]
-            g = q.fleet.quota_part.group.generation
-            first = self.generations.setdefault(g, (q.name, q.starts))
-            self.must(first == (q.name, q.starts), "generation {} is held by {} and {}", g, first, q.name)
-        if p.fleet is None:
+            names = [holder.name for holder in holders]
+            self.require(len(holders) < 2, "several processes hold the ledger's lease: {}", names)
+            holder = holders[0]
+            generation = holder.runtime.quota_part.group.generation
+            first = self.generations.setdefault(generation, (holder.name, holder.start_count))
+            self.require(
+                first == (holder.name, holder.start_count),
+                "generation {} is held by {} and {}",
+                generation,
+                first,
+                holder.name,
+            )
+        if process.runtime is None:
             return
-        self.members(p)
-        self.keeper(p)
-        self.rights(p)
+        self.check_members(process)
+        self.check_ledger(process)
+        self.check_escrow(process)
 
-    def members(self, p):
-        watch, seen = p.fleet.detector, getattr(p, "seen_of", None)
-        if seen is None or seen[0] is not watch:
-            seen = p.seen_of = [watch, 0, {}]
-            if watch.incarnation not in p.incarnations:
-                p.incarnations.append(watch.incarnation)
-        for name, m in watch.table.members.items():
-            is_over = m.state in (MemberState.LEFT, MemberState.REMOVED)
-            now = (m.incarnation, is_over, 0 if is_over else m.refutation, m.state.number)
-            old = seen[2].get(name)
-            if now == old:
+    def check_members(self, process):
+        """Checks that a process's view of the members only advances, and lists only what existed."""
+        detector, observed = process.runtime.detector, getattr(process, "observed_members", None)
+        if observed is None or observed[0] is not detector:
+            observed = process.observed_members = [detector, 0, {}]
+            if detector.incarnation not in process.incarnations:
+                process.incarnations.append(detector.incarnation)
+        for name, member in detector.table.members.items():
+            has_ended = member.state in (MemberState.LEFT, MemberState.REMOVED)
+            refutation = 0 if has_ended else member.refutation
+            claim = (member.incarnation, has_ended, refutation, member.state.number)
+            old = observed[2].get(name)
+            if claim == old:
                 continue
-            self.must(old is None or now > old, "{} goes back on {}: {} after {}", p.name, name, now, old)
-            of = self.world.all.get(name)
-            self.must(
-                of and m.incarnation in of.incarnations,
-                "{} holds {} {}, who never was",
-                p.name,
+            self.require(
+                old is None or claim > old,
+                "{}: the state of {} regressed: {} after {}",
+                process.name,
                 name,
-                m.incarnation,
+                claim,
+                old,
             )
-            self.must(
-                m.state is not MemberState.LEFT or m.incarnation in of.left,
-                "{} holds {} for left, which it has not",
-                p.name,
+            listed = self.world.processes.get(name)
+            self.require(
+                listed and member.incarnation in listed.incarnations,
+                "{} lists {} {}, an incarnation that never existed",
+                process.name,
                 name,
+                member.incarnation,
+            )
+            self.require(
+                member.state is not MemberState.LEFT or member.incarnation in listed.left_incarnations,
+                "{} lists {} as left, which it has not",
+                process.name,
+                name,
+            )
+            self.require(
+                old is None or detector.view.number >= observed[1],
+                "{}: the view's number decreased",
+                process.name,
             )
-            self.must(old is None or watch.view.number >= seen[1], "{}: a lower view", p.name)
-            seen[2][name] = now
-        seen[1] = watch.view.number
+            observed[2][name] = claim
+        observed[1] = detector.view.number
 
-    def keeper(self, p):
-        made, old = p.fleet.quota_part.leader.committed, getattr(p, "made_of", (None, 0))
-        if made is None or made is old[0] and made.record_number == old[1]:
+    def check_ledger(self, process):
+        """Checks a process's committed ledger against itself and against all committed before."""
+        ledger = process.runtime.quota_part.leader.committed
+        old = getattr(process, "observed_ledger", (None, 0))
+        if ledger is None or ledger is old[0] and ledger.record_number == old[1]:
             return
-        fresh = made is not old[0]
-        p.made_of = made, made.record_number
+        is_new_object = ledger is not old[0]
+        process.observed_ledger = ledger, ledger.record_number
         try:
-            made.check()
-        except LedgerError as bad:
-            self.broken(f"the ledger at {p.name}: {bad}")
-        state = made.state()
+            ledger.check()
+        except LedgerError as error:
+            self.fail(f"the ledger at {process.name}: {error}")
+        state = ledger.state()
         digest = blake2b(state, digest_size=8).digest()
-        self.must(
-            not fresh or made.record_number >= self.ledger.record_number,
-            "{} begins at record {}, {} was made",
-            p.name,
-            made.record_number,
+        self.require(
+            not is_new_object or ledger.record_number >= self.ledger.record_number,
+            "{} starts at record {}, but {} is committed",
+            process.name,
+            ledger.record_number,
             self.ledger.record_number,
         )
-        self.must(
-            self.digests.setdefault(made.record_number, digest) == digest,
-            "record {} is another one at {}",
-            made.record_number,
-            p.name,
+        self.require(
+            self.digests.setdefault(ledger.record_number, digest) == digest,
+            "record {} differs at {}",
+            ledger.record_number,
+            process.name,
         )
-        if made.record_number > self.ledger.record_number:
-            self.learn(Ledger.load(state))
+        if ledger.record_number > self.ledger.record_number:
+            self.apply_ledger(Ledger.load(state))
 
-    def learn(self, ledger):
-        """Another record was made."""
-        for key, rows in ledger.epochs.items():
+    def apply_ledger(self, ledger):
+        """Checks a newer committed ledger against the one before, and keeps it."""
+        for epoch_key, rows in ledger.epochs.items():
             for tenant, row in rows.items():
-                at = *key, tenant
-                before = self.rows.get(at)
+                key = *epoch_key, tenant
+                before = self.rows.get(key)
                 if before:
-                    risen = (
+                    increases_us = (
                         row.granted_us - before.granted_us,
                         row.spent_us - before.spent_us,
                         row.returned_us - before.returned_us,
                     )
-                    self.must(min(risen) >= 0, "totals of {} fall", at)
-                self.must(
-                    key not in self.lapsed or before and row.granted_us == before.granted_us,
-                    "{} is granted to after it was written off",
-                    at,
+                    self.require(min(increases_us) >= 0, "totals of {} decrease", key)
+                self.require(
+                    epoch_key not in self.expired_epochs or before and row.granted_us == before.granted_us,
+                    "{} got a grant after it had expired",
+                    key,
                 )
-                self.rows[at] = row
-        self.lapsed |= ledger.expired
-        for tenant, a in ledger.accounts.items():
+                self.rows[key] = row
+        self.expired_epochs |= ledger.expired
+        for tenant, account in ledger.accounts.items():
             old = self.ledger.accounts.get(tenant)
-            self.must(a.debt_us <= LIMITS[tenant], "{} owes more than its limit", tenant)
-            self.must(old is None or a.spent_us >= old.spent_us, "the work of {} falls", tenant)
-            self.must(a.issued_us <= self.most(a), "more of {} is issued than its rate and bucket", tenant)
-            self.most_owed, self.lent = max(self.most_owed, a.debt_us), max(self.lent, a.lent_us)
-            self.repaid = max(self.repaid, a.repaid_us)
+            self.require(account.debt_us <= LIMITS_US[tenant], "{}: the debt exceeds the limit", tenant)
+            self.require(
+                old is None or account.spent_us >= old.spent_us, "the spent work of {} decreases", tenant
+            )
+            self.require(
+                account.issued_us <= self.max_issued_us(account),
+                "{}: more is issued than rate and bucket allow",
+                tenant,
+            )
+            self.max_debt_us = max(self.max_debt_us, account.debt_us)
+            self.max_lent_us = max(self.max_lent_us, account.lent_us)
+            self.max_repaid_us = max(self.max_repaid_us, account.repaid_us)
         self.ledger = ledger
-        self.truths()
+        self.check_totals()
 
-    def most(self, account):
-        return account.terms.bucket_us + account.terms.rate_us * self.world.now * FAST / 1000
+    def max_issued_us(self, account):
+        """Returns what rate and bucket allow by now, by the fastest clock."""
+        return account.terms.bucket_us + account.terms.rate_us * self.world.now_ms * MAX_CLOCK_RATE / 1000
 
-    def rights(self, p):
-        rights = p.fleet.quota_part.escrow
-        if not p.lives or p.lives[-1][1] is not rights:
-            rights.sealed_holdings = Kept(rights.sealed_holdings)
-            p.lives.append((rights.incarnation, rights))
-        for (book, tenant), mine in [((rights.epoch, t), m) for t, m in rights.holdings.items()] + list(
-            rights.sealed_holdings.items()
-        ):
-            used = mine.spent_us + mine.reserved_us
-            least = min(mine.free_us, mine.spent_us, mine.reserved_us, mine.returned_us)
-            self.must(least >= 0, "{} spends what it has not", p.name)
-            if mine.granted_us or used:
-                row = self.rows.get((p.name, rights.incarnation, book, tenant))
-                self.must(
-                    row and mine.granted_us <= row.granted_us, "{} holds what no record granted", p.name
+    def check_escrow(self, process):
+        """Checks that a process's escrow spends only what committed records granted to it."""
+        escrow = process.runtime.quota_part.escrow
+        if not process.escrows or process.escrows[-1][1] is not escrow:
+            escrow.sealed_holdings = RetainingDict(escrow.sealed_holdings)
+            process.escrows.append((escrow.incarnation, escrow))
+        open_holdings = [((escrow.epoch, tenant), holding) for tenant, holding in escrow.holdings.items()]
+        for (epoch, tenant), holding in open_holdings + list(escrow.sealed_holdings.items()):
+            used_us = holding.spent_us + holding.reserved_us
+            least_us = min(holding.free_us, holding.spent_us, holding.reserved_us, holding.returned_us)
+            self.require(least_us >= 0, "{}: a negative amount in a holding", process.name)
+            if holding.granted_us or used_us:
+                row = self.rows.get((process.name, escrow.incarnation, epoch, tenant))
+                self.require(
+                    row and holding.granted_us <= row.granted_us,
+                    "{} holds what no record granted",
+                    process.name,
+                )
+                self.require(
+                    used_us <= row.granted_us - row.returned_us,
+                    "{} spends what it returned",
+                    process.name,
                 )
-                self.must(used <= row.granted_us - row.returned_us, "{} spends what went back", p.name)
 
-    def took(self, p, tenant, within):
-        self.within, self.beyond = self.within + within, self.beyond + (not within)
+    def record_decision(self, process, tenant, within):
+        """Counts a quota decision, and checks that a query within quota has a grant behind it."""
+        self.within_count += within
+        self.beyond_count += not within
         if within:
-            rights = p.fleet.quota_part.escrow
-            key = p.name, rights.incarnation, rights.epoch
-            self.must(key not in self.lapsed, "{} spends what was written off", key)
-            self.must((*key, tenant) in self.rows, "{} spends what no record granted", key)
-            self.truths()
+            escrow = process.runtime.quota_part.escrow
+            epoch_key = process.name, escrow.incarnation, escrow.epoch
+            self.require(epoch_key not in self.expired_epochs, "{} spends from an expired epoch", epoch_key)
+            self.require((*epoch_key, tenant) in self.rows, "{} spends what no record granted", epoch_key)
+            self.check_totals()
 
-    def truth(self, tenant, told=False):
-        """What fronts of all lives have spent, and reserved."""
-        total = 0
-        for p in self.world.all.values():
-            for _, rights in p.lives:
-                rows = [m for t, m in rights.holdings.items() if t == tenant]
-                rows += [
-                    m
-                    for (_, t), m in [*rights.sealed_holdings.items(), *rights.sealed_holdings.forgotten]
-                    if t == tenant
+    def used_us(self, tenant, spent_only=False):
+        """Returns what the escrows of all starts of all processes have spent, and reserved."""
+        total_us = 0
+        for process in self.world.processes.values():
+            for _, escrow in process.escrows:
+                holdings = [holding for name, holding in escrow.holdings.items() if name == tenant]
+                holdings += [
+                    holding
+                    for (_, name), holding in [
+                        *escrow.sealed_holdings.items(),
+                        *escrow.sealed_holdings.deleted,
+                    ]
+                    if name == tenant
                 ]
-                total += sum(
-                    m.spent_us + (0 if told else m.reserved_us) for m in {id(m): m for m in rows}.values()
+                total_us += sum(
+                    holding.spent_us + (0 if spent_only else holding.reserved_us)
+                    for holding in {id(holding): holding for holding in holdings}.values()
                 )
-        return total
+        return total_us
 
-    def truths(self):
-        for tenant, a in self.ledger.accounts.items():
-            truth = self.truth(tenant)
-            granted = a.spent_us + a.held_us + a.written_off_us + a.lost_us
-            self.must(truth <= granted, "{}: taken as within quota, and not granted", tenant)
-            self.must(truth <= self.most(a) + a.debt_us, "{}: taken beyond rate, bucket and credit", tenant)
-            self.must(a.spent_us <= self.truth(tenant, True), "{}: counted as spent, and nobody did", tenant)
+    def check_totals(self):
+        """Checks each tenant's account against what the gateways really used."""
+        for tenant, account in self.ledger.accounts.items():
+            used_us = self.used_us(tenant)
+            granted_us = account.spent_us + account.held_us + account.written_off_us + account.lost_us
+            self.require(used_us <= granted_us, "{}: more is used than was granted", tenant)
+            self.require(
+                used_us <= self.max_issued_us(account) + account.debt_us,
+                "{}: more is used than rate, bucket and credit allow",
+                tenant,
+            )
+            self.require(
+                account.spent_us <= self.used_us(tenant, True),
+                "{}: more is counted as spent than any gateway spent",
+                tenant,
+            )
 
     # at rest
 
-    def unrest(self):
-        """What has not come to rest, or None."""
-        up = [p for p in self.world.all.values() if p.fleet is not None]
-        holders = [p for p in up if p.fleet.quota_part.group.holds(p.now_ms())]
-        if len(holders) != 1 or holders[0].fleet.quota_part.leader.committed is None:
-            return "no keeper in office"
-        if len({p.fleet.detector.view.digest for p in up}) > 1:
-            return f"views differ: {[(p.name, p.fleet.detector.members()) for p in up]}"
-        group = holders[0].fleet.quota_part.group
-        for p in up:
-            states = {n: p.fleet.detector.state_of(n) for n in self.world.all}
-            for q in self.world.all.values():
-                if states[q.name] not in (
-                    ("alive",) if q.fleet is not None else ("left", "faulty", "removed")
+    def unsettled_reason(self):
+        """Returns why the fleet is not at rest, or None if it is."""
+        running = [process for process in self.world.processes.values() if process.runtime is not None]
+        holders = [process for process in running if process.runtime.quota_part.group.holds(process.now_ms())]
+        if len(holders) != 1 or holders[0].runtime.quota_part.leader.committed is None:
+            return "the ledger has no leader"
+        if len({process.runtime.detector.view.digest for process in running}) > 1:
+            views = [(process.name, process.runtime.detector.members()) for process in running]
+            return f"views differ: {views}"
+        group = holders[0].runtime.quota_part.group
+        for process in running:
+            states = {name: process.runtime.detector.state_of(name) for name in self.world.processes}
+            for other in self.world.processes.values():
+                if states[other.name] not in (
+                    ("alive",) if other.runtime is not None else ("left", "faulty", "removed")
                 ):
-                    return f"{p.name} holds {q.name} for {states[q.name]}"
-            rights = p.fleet.quota_part.escrow
+                    return f"{process.name} lists {other.name} as {states[other.name]}"
+            escrow = process.runtime.quota_part.escrow
             if (
-                p.fleet.has_left
-                or rights.sealed_holdings
-                or rights.reservations
-                or any(rights.overruns_us.values())
+                process.runtime.has_left
+                or escrow.sealed_holdings
+                or escrow.reservations
+                or any(escrow.overruns_us.values())
             ):
-                return f"{p.name}: {'leaves' if p.fleet.has_left else 'sealed books, open queries or debts'}"
-            if rights.leader != (holders[0].name, group.generation):
-                return f"{p.name} takes {rights.leader} for the keeper"
-            for tenant, mine in rights.holdings.items():
-                row = self.ledger.epochs.get((p.name, rights.incarnation, rights.epoch), {}).get(tenant)
-                noted = (row.granted_us, row.spent_us, row.returned_us) if row else (0, 0, 0)
-                if noted != (mine.granted_us, mine.spent_us, mine.returned_us):
-                    return f"{p.name} and the ledger differ on {tenant}"
+                reason = "leaving" if process.runtime.has_left else "sealed epochs, reservations or overruns"
+                return f"{process.name}: {reason}"
+            if escrow.leader != (holders[0].name, group.generation):
+                return f"{process.name} takes {escrow.leader} for the ledger's leader"
+            for tenant, holding in escrow.holdings.items():
+                rows = self.ledger.epochs.get((process.name, escrow.incarnation, escrow.epoch), {})
+                row = rows.get(tenant)
+                recorded = (row.granted_us, row.spent_us, row.returned_us) if row else (0, 0, 0)
+                if recorded != (holding.granted_us, holding.spent_us, holding.returned_us):
+                    return f"{process.name} and the ledger differ on {tenant}"
         if self.ledger.loans:
             return "loans are not repaid"
-        for key in self.ledger.epochs:
-            f = self.world.all[key[0]].fleet
-            if key not in self.ledger.expired and not (
-                f and key[1:] == (f.incarnation, f.quota_part.escrow.epoch)
+        for epoch_key in self.ledger.epochs:
+            runtime = self.world.processes[epoch_key[0]].runtime
+            if epoch_key not in self.ledger.expired and not (
+                runtime and epoch_key[1:] == (runtime.incarnation, runtime.quota_part.escrow.epoch)
             ):
-                return f"book {key} is not closed"
-        for p in self.world.all.values():
-            for incarnation, rights in p.lives:
-                for (book, tenant), mine in rights.sealed_holdings.forgotten:
-                    row = self.rows.get((p.name, incarnation, book, tenant))
-                    self.must(
-                        mine.spent_us <= (row.granted_us if row else 0),
-                        "{} spent other than was noted",
-                        p.name,
+                return f"epoch {epoch_key} is not closed"
+        for process in self.world.processes.values():
+            for incarnation, escrow in process.escrows:
+                for (epoch, tenant), holding in escrow.sealed_holdings.deleted:
+                    row = self.rows.get((process.name, incarnation, epoch, tenant))
+                    self.require(
+                        holding.spent_us <= (row.granted_us if row else 0),
+                        "{} spent more than its last record granted",
+                        process.name,
                     )
         return None
--- a/tests/fleet/fleet_marks.py
+++ b/tests/fleet/fleet_marks.py
@@ -1,6 +1,7 @@
-"""A digest of what a front in virtual time holds: two runs that agree on it (and on all that was sent) go on alike.
+"""A digest of a gateway's state in virtual time: two runs with equal digests, and equal datagrams so far,
+continue alike.
 
-Counters are left out: nothing is decided by them. So is what is set anew by whatever comes next (`now_ms`).
+Counters are left out, as no decision depends on them. So is what the next event sets anew (`now_ms`).
 """
 
 from hashlib import blake2b
@@ -8,7 +9,7 @@
 
 from google.protobuf.message import Message
 
-SKIP = {
+IGNORED_ATTRIBUTES = {
     "counts",
     "foreign_messages",
     "implausible_answers",
@@ -21,71 +22,74 @@
     "now_ms",
     "settings",
     "rng",
-    "random",
-}  # random: one source for all of a front, looked at by itself
-PLAIN = (bool, int, str, bytes, type(None))
+    "random",  # the random generator is shared by all parts of a gateway, and collected once
+}
+SCALAR_TYPES = (bool, int, str, bytes, type(None))
 
 
-def mark(process):
-    """Of one process; None where it does not run."""
-    f = process.fleet
-    if f is None:
+def state_digest(process):
+    """Returns (name, digest of the process's state), or (name, None) if it is down."""
+    runtime = process.runtime
+    if runtime is None:
         return (process.name, None)
-    out, seen = [], set()
-    timer = f.timer.due if f.timer is not None and f.timer.active() else None
-    a, disk = f.quota_part, process.disk
+    parts, seen = [], set()
+    timer_due_ms = runtime.timer.due_ms if runtime.timer is not None and runtime.timer.active() else None
+    quota, disk = runtime.quota_part, process.disk
     for part in (
-        process.deaf,
-        f.incarnation,
-        f.has_left,
-        timer,
+        process.is_socket_closed,
+        runtime.incarnation,
+        runtime.has_left,
+        timer_due_ms,
         disk.free_ms,
         disk.state,
-        f.detector,
-        a.group,
-        a.leader,
-        a.escrow,
-        a.answering_leader,
-        a.unanswered_since_ms,
-        a.next_leader_check_ms,
-        a.asked_voter,
-        f.rng,
+        runtime.detector,
+        quota.group,
+        quota.leader,
+        quota.escrow,
+        quota.answering_leader,
+        quota.unanswered_since_ms,
+        quota.next_leader_check_ms,
+        quota.asked_voter,
+        runtime.rng,
     ):
-        walk(part, out, seen)
-    return process.name, blake2b(repr(out).encode(), digest_size=12).hexdigest()
+        collect(part, parts, seen)
+    return process.name, blake2b(repr(parts).encode(), digest_size=12).hexdigest()
 
 
-def walk(x, out, seen):
-    if isinstance(x, PLAIN):
-        out.append(x)
-    elif isinstance(x, float):
-        out.append(round(x, 3))
-    elif isinstance(x, Message):
-        out.append(x.SerializeToString(deterministic=True))
-    elif isinstance(x, Random):
-        out.append(hash(x.getstate()))
-    elif id(x) in seen:
-        out.append("again")
-    elif isinstance(x, dict):
-        seen.add(id(x))
-        out.append(len(x))
-        for key, value in x.items():
-            walk(key, out, seen)
-            walk(value, out, seen)
-    elif isinstance(x, (set, frozenset)):
-        out.append(sorted(map(repr, x)))
-    elif isinstance(x, (list, tuple)) or hasattr(x, "popleft"):
-        out.append(len(x))
-        for value in x:
-            walk(value, out, seen)
-    elif callable(x):
-        out.append("call")
+def collect(value, parts, seen):
+    """Appends a canonical form of a value, and of all that it refers to, to `parts`. `seen` holds ids of
+    objects already collected.
+    """
+    if isinstance(value, SCALAR_TYPES):
+        parts.append(value)
+    elif isinstance(value, float):
+        parts.append(round(value, 3))
+    elif isinstance(value, Message):
+        parts.append(value.SerializeToString(deterministic=True))
+    elif isinstance(value, Random):
+        parts.append(hash(value.getstate()))
+    elif id(value) in seen:
+        parts.append("again")
+    elif isinstance(value, dict):
+        seen.add(id(value))
+        parts.append(len(value))
+        for key, item in value.items():
+            collect(key, parts, seen)
+            collect(item, parts, seen)
+    elif isinstance(value, (set, frozenset)):
+        parts.append(sorted(map(repr, value)))
+    elif isinstance(value, (list, tuple)) or hasattr(value, "popleft"):
+        parts.append(len(value))
+        for item in value:
+            collect(item, parts, seen)
+    elif callable(value):
+        parts.append("call")
     else:
-        seen.add(id(x))
-        out.append(type(x).__name__)
-        names = list(getattr(x, "__dict__", ())) + [
-            n for c in type(x).__mro__ for n in getattr(c, "__slots__", ())
+        seen.add(id(value))
+        parts.append(type(value).__name__)
+        names = list(getattr(value, "__dict__", ())) + [
+            slot for cls in type(value).__mro__ for slot in getattr(cls, "__slots__", ())
         ]
         for name in names:
-            if name not in SKIP:
-                walk(getattr(x, name, None), out, seen)
+            if name not in IGNORED_ATTRIBUTES:
+                collect(getattr(value, name, None), parts, seen)
--- a/tests/fleet/outside.py
+++ b/tests/fleet/outside.py
@@ -1,17 +1,24 @@
-"""Field changes that no honest process would have said: outside the assumption that nobody forges messages."""
+"""Changes of message fields that no honest process would send. They are excluded, as the design assumes that
+nobody forges messages.
+"""
 
 import re
 
-OUTSIDE = (  # (kind of message, field and change, why): patterns of whole texts
-    ("members .*", r"(rows\[\d\]|ack)\.incarnation (\+1|most)", "nobody started that front"),
-    ("members .*", r"(rows\[\d\]\.)?state LEFT", "it never left"),
-    ("quota answer", r"answer\.rows\[\d\]\.granted_us (\+1|most)", "nobody granted it"),
-    ("quota ask", r"ask\.rows\[\d\]\.spent_us (\+1|most)", "nobody spent it"),
-    ("quota ask", r"ask\.rows\[\d\]\.sealed other", "its front still spends from that book"),
-    ("owner round", r"round\.generation (\+1|most)", "no majority promised it"),
-    ("quota answer", r"answer\.generation (\+1|most)", "nobody held it"),
+# (pattern of the message's kind, pattern of the field and its change, why nobody sends it)
+EXCLUDED_CHANGES = (
+    ("members .*", r"(rows\[\d\]|ack)\.incarnation (\+1|most)", "no gateway ever had that incarnation"),
+    ("members .*", r"(rows\[\d\]\.)?state LEFT", "that gateway never left"),
+    ("quota answer", r"answer\.rows\[\d\]\.granted_us (\+1|most)", "no leader granted it"),
+    ("quota ask", r"ask\.rows\[\d\]\.spent_us (\+1|most)", "no gateway spent it"),
+    ("quota ask", r"ask\.rows\[\d\]\.sealed other", "its gateway still spends from that epoch"),
+    ("owner round", r"round\.generation (\+1|most)", "no majority of voters promised it"),
+    ("quota answer", r"answer\.generation (\+1|most)", "no leader held that generation"),
 )
 
 
-def outside(kind, name, entries=OUTSIDE):
-    return any(re.fullmatch(k, kind) and re.fullmatch(what, name) for k, what, _ in entries)
+def is_excluded(kind, change, entries=EXCLUDED_CHANGES):
+    """Returns whether a change of a message of this kind is excluded by one of the entries."""
+    return any(
+        re.fullmatch(kind_pattern, kind) and re.fullmatch(change_pattern, change)
+        for kind_pattern, change_pattern, _ in entries
+    )
--- a/tests/fleet/running.py
+++ b/tests/fleet/running.py
@@ -1,4 +1,4 @@
-"""Processes of the real program that a test runs, by name: what is done to them, and what they say."""
+"""Processes of the real program that a test runs, by name: signals to them, and their logs."""
 
 import json
 import signal
@@ -6,69 +6,69 @@
 
 
 class Running:
-    """`path`: where each has its log, NAME.log. `running`: {name: process}."""
+    """A set of named processes. `path` has the log of each, NAME.log; `running` maps names to processes."""
 
     def __init__(self, path):
-        """None runs yet."""
+        """Starts with no process."""
         self.path, self.running = path, {}
 
     def end_all(self):
-        """None is left behind, not even a stopped one."""
+        """Kills and reaps all processes, suspended ones too."""
         for process in self.running.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
             process.wait()
 
-    # what is done to them
+    # control
 
     def signal(self, name, number):
-        """One signal."""
+        """Sends a signal to a process."""
         self.running[name].send_signal(number)
 
     def kill(self, name):
-        """Without a word."""
+        """Kills a process by SIGKILL and waits for its end."""
         self.signal(name, signal.SIGKILL)
         self.running[name].wait()
 
     def pause(self, name, seconds):
-        """It stands still for so long."""
+        """Suspends a process by SIGSTOP for some seconds."""
         self.signal(name, signal.SIGSTOP)
         time.sleep(seconds)
         self.signal(name, signal.SIGCONT)
 
     def leave(self, name, seconds=8.0):
-        """In order; its exit code."""
+        """Ends a process by SIGTERM, which is a graceful shutdown; returns its exit code."""
         self.signal(name, signal.SIGTERM)
         return self.running[name].wait(seconds)
 
-    # what they say
+    # output
 
     def log(self, name):
-        """All of its log."""
+        """Returns the complete log of a process."""
         return (self.path / f"{name}.log").read_text()
 
     def events(self, name, event=None):
-        """The JSON lines of its log, in order."""
-        got = []
+        """Returns the JSON lines of a process's log in order, all or those of one event."""
+        events = []
         for line in self.log(name).splitlines():
             if line.startswith("{"):
-                said = json.loads(line)
-                if event in (None, said["event"]):
-                    got.append(said)
-        return got
+                line_event = json.loads(line)
+                if event in (None, line_event["event"]):
+                    events.append(line_event)
+        return events
 
     def told(self, name, seconds=3.0):
-        """SIGUSR1's lines, as a list of words each."""
+        """Sends SIGUSR1 and returns the lines of the status report, each as a list of words."""
         before = len(self.log(name))
         self.signal(name, signal.SIGUSR1)
         until(lambda: "\nstate: " in self.log(name)[before:], seconds)
         return [line.split() for line in self.log(name)[before:].splitlines()]
 
 
-def until(done, seconds=10.0, pause=0.05):
-    """Waits for something that has to come in time."""
-    end = time.monotonic() + seconds
-    while not done():
-        assert time.monotonic() < end, "did not come in time"
+def until(condition, seconds=10.0, pause=0.05):
+    """Polls until `condition()` holds; fails after `seconds`."""
+    deadline_s = time.monotonic() + seconds
+    while not condition():
+        assert time.monotonic() < deadline_s, f"the condition did not hold within {seconds:g} s"
         time.sleep(pause)
--- a/tests/fleet/test_fleet_cost.py
+++ b/tests/fleet/test_fleet_cost.py
@@ -1,4 +1,6 @@
-"""What the fleet costs a front: processor time of a query with it on and off, side by side. Only measured when figures are asked for."""
+"""Measures processor time per query of a gateway with the fleet on and off, side by side. Runs only with
+--figures.
+"""
 
 import os
 import time
@@ -6,41 +8,63 @@
 
 import pytest
 from cluster import Cluster, until
-from terminals import Engines, Terminal
+from terminals import Engines, QueryClient
 from test_fleet_quota import ACCOUNTS, WORLD
 
 RATE, SECONDS = 120, 6.0
 
 
 def cpu_ms(process):
-    said = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(said[11]) + int(said[12])) * 1000 / os.sysconf("SC_CLK_TCK")
+    """Returns the processor time that a process has used, in ms."""
+    fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) * 1000 / os.sysconf("SC_CLK_TCK")
 
 
-def test_the_cost_of_a_query_with_the_fleet_on_and_off(tmp_path, request, figures):
+def test_processor_time_of_a_query_with_and_without_fleet(tmp_path, request, figures):
+    """Measures each variant in alternating order, four times, and reports the ratio of the medians."""
     if not request.config.getoption("--figures"):
-        pytest.skip("a measurement: asked for by --figures")
-    with Engines(tmp_path, WORLD) as e:
-        fronts = []
-        for on in (True, False):
-            path = tmp_path / str(on)
+        pytest.skip("a measurement: runs with --figures only")
+    with Engines(tmp_path, WORLD) as engines:
+        clusters = []
+        for with_fleet in (True, False):
+            path = tmp_path / str(with_fleet)
             path.mkdir()
-            fronts.append(
-                (on, Cluster(path, 2, 1, ACCOUNTS, e.told["bulletin"], e.told["known"], e.settings, fleet=on))
+            clusters.append(
+                (
+                    with_fleet,
+                    Cluster(
+                        path,
+                        2,
+                        1,
+                        ACCOUNTS,
+                        engines.emulator_info["bulletin"],
+                        engines.emulator_info["known"],
+                        engines.settings,
+                        fleet=with_fleet,
+                    ),
+                )
             )
-        with fronts[0][1] as with_fleet, fronts[1][1] as without:
+        with clusters[0][1] as fleet_cluster, clusters[1][1] as plain_cluster:
             time.sleep(3.0)
             spent = {True: [], False: []}
-            for turn in range(4):
-                for on, c in ((True, with_fleet), (False, without))[:: 1 if turn % 2 else -1]:
-                    before = cpu_ms(c.running["a"])
-                    t = Terminal(c.doors["a"], ("north", "south")[turn % 2], RATE, work_ms=2.0, seed=turn)
-                    t.start()
+            for round_number in range(4):
+                for with_fleet, cluster in ((True, fleet_cluster), (False, plain_cluster))[
+                    :: 1 if round_number % 2 else -1
+                ]:
+                    before = cpu_ms(cluster.running["a"])
+                    client = QueryClient(
+                        cluster.client_ports["a"],
+                        ("north", "south")[round_number % 2],
+                        RATE,
+                        work_ms=2.0,
+                        seed=round_number,
+                    )
+                    client.start()
                     time.sleep(SECONDS)
-                    t.stopped.set()
-                    t.join()
-                    assert sum(t.codes().values()) == len(t.asked)
-                    spent[on].append((cpu_ms(c.running["a"]) - before) / len(t.asked))
+                    client.stopped.set()
+                    client.join()
+                    assert sum(client.codes().values()) == len(client.sent_s)
+                    spent[with_fleet].append((cpu_ms(cluster.running["a"]) - before) / len(client.sent_s))
             until(lambda: True)
-    middle = {on: sorted(values)[len(values) // 2] for on, values in spent.items()}
-    figures("cost").update(on_ms=spent[True], off_ms=spent[False], ratio=middle[True] / middle[False])
+    medians = {with_fleet: sorted(values)[len(values) // 2] for with_fleet, values in spent.items()}
+    figures("cost").update(on_ms=spent[True], off_ms=spent[False], ratio=medians[True] / medians[False])
--- a/tests/fleet/test_fleet_mutation.py
+++ b/tests/fleet/test_fleet_mutation.py
@@ -1,8 +1,8 @@
-"""One message at a time is changed: of a recorded scenario, every datagram by every mutation, all invariants after
-every step.
+"""Mutation test of the fleet's messages: of a recorded scenario, one datagram is changed at a time, and all
+invariants are checked after every step.
 
-The short form takes a seeded sample. `--runs N` with N from 2 to 17 takes every mutation of N - 1 sixteenths of the
-messages, spread over the whole scenario: 17 is all of it.
+By default, a seeded sample of the mutations is run. `--runs N` with N from 2 to 17 runs every mutation of N -
+1 sixteenths of the messages, spread over the whole scenario; 17 is all of it.
 """
 
 import json
@@ -15,67 +15,69 @@
 import broken_rules
 import fleet_scenario as scenario
 import pytest
-from fleet_mutants import end_of
-from fleet_mutations import WAYS, is_field, kind_of, mutations
-from outside import OUTSIDE, outside
+from fleet_mutants import end_ms_of
+from fleet_mutations import DELIVERY_MUTATIONS, is_field, kind_of, mutations
+from outside import EXCLUDED_CHANGES, is_excluded
 
-HERE = os.path.dirname(os.path.abspath(__file__))
-SEED, SAMPLE, PARTS, WORKERS = broken_rules.SEED, 70, 16, 2
-WITHIN_S, NEAR = 3600, 60
+TEST_FOLDER = os.path.dirname(os.path.abspath(__file__))
+SEED, SAMPLE_SIZE, MESSAGE_SHARES, WORKERS = broken_rules.SEED, 70, 16, 2
+WORKER_TIMEOUT_S, MAX_NEAREST = 3600, 60
 
 
 @pytest.fixture(scope="module")
 def record():
-    """The scenario as it is: nothing broken, and it comes to rest."""
+    """Returns the world after the unchanged scenario, which breaks no invariant and comes to rest."""
     broken, stuck, world = scenario.run(seed=SEED, record=True)
     assert (broken, stuck) == (None, None)
     return world
 
 
-def every(world, numbers=None):
-    """[(number, mutation)] of the messages; what is outside the assumptions is left out."""
+def all_mutants(world, numbers=None):
+    """Returns [(number, mutation)] of these messages, or of all, without the excluded changes."""
     return [
-        (mail.no, name)
-        for mail in world.mails
-        if numbers is None or mail.no in numbers
-        for name, _ in mutations(mail, world.starts)
-        if not outside(kind_of(mail.data), name)
+        (packet.number, name)
+        for packet in world.packets
+        if numbers is None or packet.number in numbers
+        for name, _ in mutations(packet, world.start_times_ms)
+        if not is_excluded(kind_of(packet.data), name)
     ]
 
 
-def mutants(picked, tmp_path):
-    """What became of each: [number, kind, mutation, same as, broken, stuck]."""
+def run_mutants(picked, tmp_path):
+    """Runs the picked mutants in two workers; returns [number, kind, mutation, same as, violation, reason] of
+    each.
+    """
     path = tmp_path / "picked.json"
     path.write_text(json.dumps(picked))
-    root = os.path.dirname(os.path.dirname(HERE))
-    env = {**os.environ, "PYTHONPATH": os.pathsep.join((root, HERE)), "PYTHONHASHSEED": "0"}
+    root = os.path.dirname(os.path.dirname(TEST_FOLDER))
+    env = {**os.environ, "PYTHONPATH": os.pathsep.join((root, TEST_FOLDER)), "PYTHONHASHSEED": "0"}
     workers, out = [], []
-    for i in range(WORKERS):
-        with open(tmp_path / f"out{i}", "w") as file:
-            call = [
+    for share in range(WORKERS):
+        with open(tmp_path / f"out{share}", "w") as file:
+            command = [
                 sys.executable,
-                os.path.join(HERE, "fleet_mutants.py"),
+                os.path.join(TEST_FOLDER, "fleet_mutants.py"),
                 str(SEED),
-                str(i),
+                str(share),
                 str(WORKERS),
                 str(path),
             ]
-            workers.append(subprocess.Popen(call, stdout=file, stderr=subprocess.PIPE, text=True, env=env))
-    for i, worker in enumerate(workers):
-        _, errors = worker.communicate(timeout=WITHIN_S)
+            workers.append(subprocess.Popen(command, stdout=file, stderr=subprocess.PIPE, text=True, env=env))
+    for share, worker in enumerate(workers):
+        _, errors = worker.communicate(timeout=WORKER_TIMEOUT_S)
         assert worker.returncode == 0, errors
-        out += [json.loads(line) for line in (tmp_path / f"out{i}").read_text().splitlines()]
+        out += [json.loads(line) for line in (tmp_path / f"out{share}").read_text().splitlines()]
     return out
 
 
-def test_scenario_has_all_of_it(record):
-    """Risk: a mutation of a scenario in which nothing happens finds nothing."""
-    audit, kinds = record.audit, Counter(kind_of(m.data) for m in record.mails)
-    assert audit.most_owed > 0 and audit.repaid == audit.lent > 0
+def test_scenario_exercises_all_features(record):
+    """Mutations of a scenario in which little happens would find little."""
+    audit, kinds = record.audit, Counter(kind_of(packet.data) for packet in record.packets)
+    assert audit.max_debt_us > 0 and audit.max_repaid_us == audit.max_lent_us > 0
     assert len(audit.generations) >= 4 and len({name for name, _ in audit.generations.values()}) >= 2
-    assert audit.within > 100 and audit.beyond > 10 and audit.lapsed
-    assert sum(len(p.incarnations) for p in record.all.values()) >= 6 and any(
-        p.left for p in record.all.values()
+    assert audit.within_count > 100 and audit.beyond_count > 10 and audit.expired_epochs
+    assert sum(len(process.incarnations) for process in record.processes.values()) >= 6 and any(
+        process.left_incarnations for process in record.processes.values()
     )
     assert {
         "owner claim",
@@ -90,110 +92,154 @@
     } <= set(kinds)
 
 
-def test_same_every_time(record):
-    _, _, again = scenario.run(seed=SEED, record=True)
-    assert [(m.at, m.to, m.data) for m in again.mails] == [(m.at, m.to, m.data) for m in record.mails]
+def test_scenario_is_deterministic(record):
+    """Two runs with one seed send the same datagrams at the same times."""
+    _, _, second = scenario.run(seed=SEED, record=True)
+    assert [(packet.sent_ms, packet.receiver, packet.data) for packet in second.packets] == [
+        (packet.sent_ms, packet.receiver, packet.data) for packet in record.packets
+    ]
 
 
-def test_each_mutant_holds_and_comes_to_rest(record, request, tmp_path, figures):
+def test_each_mutant_keeps_the_invariants_and_comes_to_rest(record, request, tmp_path, figures):
+    """Runs the mutants, and repeats some that were not run on because of an equal digest: all that they send
+    must be equal too.
+    """
     runs = request.config.getoption("--runs")
     if runs == 1:
-        picked = Random(f"mutants/{request.config.getoption('--seed')}").sample(every(record), SAMPLE)
+        picked = Random(f"mutants/{request.config.getoption('--seed')}").sample(
+            all_mutants(record), SAMPLE_SIZE
+        )
     else:
-        picked = every(record, {m.no for m in record.mails if m.no % PARTS < runs - 1})
-    out = mutants(picked, tmp_path)
-    ends, found = [o for o in out if o[0] == 0], [o for o in out if o[0]]
-    broken, stuck = [o for o in found if o[4]], [o for o in found if o[5]]
+        picked = all_mutants(
+            record, {packet.number for packet in record.packets if packet.number % MESSAGE_SHARES < runs - 1}
+        )
+    out = run_mutants(picked, tmp_path)
+    base_results, mutant_results = (
+        [result for result in out if result[0] == 0],
+        [result for result in out if result[0]],
+    )
+    broken, stuck = (
+        [result for result in mutant_results if result[4]],
+        [result for result in mutant_results if result[5]],
+    )
     figures("mutation").update(
         messages=len({no for no, _ in picked}),
-        messages_recorded=len(record.mails),
-        mutants=len(found),
-        run_on=sum(not o[3] for o in found),
+        messages_recorded=len(record.packets),
+        mutants=len(mutant_results),
+        run_on=sum(not result[3] for result in mutant_results),
         violations=len(broken),
         stuck=len(stuck),
-        outside=len(OUTSIDE),
+        outside=len(EXCLUDED_CHANGES),
     )
-    assert ends == [[0, "none", "none", "", None, None]] * WORKERS  # after all the forks, the scenario itself
-    assert sorted((o[0], o[2]) for o in found) == sorted(picked)
+    # The scenario itself, run on after all forks.
+    assert base_results == [[0, "none", "none", "", None, None]] * WORKERS
+    assert sorted((result[0], result[2]) for result in mutant_results) == sorted(picked)
     assert not broken, broken[:20]
     assert not stuck, stuck[:20]
-    spared = [o for o in found if o[3] and is_field(o[2])]
-    for number, kind, name, same, *_ in Random("spared").sample(
-        spared, min(len(spared), 3 if runs == 1 else 60)
+    skipped = [result for result in mutant_results if result[3] and is_field(result[2])]
+    for number, kind, name, same_as, *_ in Random("spared").sample(
+        skipped, min(len(skipped), 3 if runs == 1 else 60)
     ):
-        assert said(record, number, name) == said(record, number, same), (number, kind, name, same)
-
-
-def said(record, number, name):
-    """All that is sent in the run of one mutant, and when."""
-    mail = record.mails[number - 1]
-    change = dict(mutations(mail, record.starts)).get(name, as_it_was)
-    broken, stuck, world = scenario.run({number: change}, SEED, True, end_of(mail, name, record.starts))
+        assert sent_packets(record, number, name) == sent_packets(record, number, same_as), (
+            number,
+            kind,
+            name,
+            same_as,
+        )
+
+
+def sent_packets(record, number, name):
+    """Returns all that is sent in the run of one mutant, with times."""
+    packet = record.packets[number - 1]
+    change = dict(mutations(packet, record.start_times_ms)).get(name, deliver_unchanged)
+    broken, stuck, world = scenario.run(
+        {number: change}, SEED, True, end_ms_of(packet, name, record.start_times_ms)
+    )
     assert (broken, stuck) == (None, None)
-    return [(round(m.at, 6), m.sender, m.to, m.data) for m in world.mails]
+    return [
+        (round(packet.sent_ms, 6), packet.sender, packet.receiver, packet.data) for packet in world.packets
+    ]
 
 
-def test_outside_is_not_empty_talk(record):
-    """Each entry of the list is of a change that the scenario has, and none is of what happens on the way."""
-    kinds = [(kind_of(m.data), name) for m in record.mails for name, _ in mutations(m, record.starts)]
-    taken = {pair for pair in set(kinds) if outside(*pair)}
-    assert all(name not in WAYS for _, name in taken)
-    for entry in OUTSIDE:
-        assert any(outside(*pair, (entry,)) for pair in taken), entry
+def test_each_excluded_change_occurs_in_the_scenario(record):
+    """An entry that matches nothing would hide a mistake in its pattern; one that matches a delivery mutation
+    would exclude too much.
+    """
+    kinds = [
+        (kind_of(packet.data), name)
+        for packet in record.packets
+        for name, _ in mutations(packet, record.start_times_ms)
+    ]
+    excluded = {pair for pair in set(kinds) if is_excluded(*pair)}
+    assert all(name not in DELIVERY_MUTATIONS for _, name in excluded)
+    for entry in EXCLUDED_CHANGES:
+        assert any(is_excluded(*pair, (entry,)) for pair in excluded), entry
 
 
 @pytest.mark.parametrize("rule", broken_rules.FOUND)
 def test_broken_rule_is_found(rule, record, request, figures):
-    """By the mutant known to find it; without that mutation (long form) it goes unseen, unless the table says 0."""
+    """The mutant in the table finds the broken rule; in the long form, the scenario alone must not (unless
+    the table says 0).
+    """
     number, kind, name = broken_rules.FOUND[rule]
-    planted = figures("mutation")
-    planted["broken_rules_planted"] = planted.get("broken_rules_planted", 0) + 1
+    mutation_figures = figures("mutation")
+    mutation_figures["broken_rules_planted"] = mutation_figures.get("broken_rules_planted", 0) + 1
     with broken_rules.RULES[rule]():
         if not number:
             broken, stuck, _ = scenario.run(seed=SEED)
         else:
             if request.config.getoption("--runs") > 1:
                 assert scenario.run(seed=SEED)[:2] == (None, None)
-            broken, stuck, of = one(number, name, record)
-            if not (broken or stuck) or of != kind:
-                broken, stuck, number = nearest(number, kind, name)
+            broken, stuck, found_kind = run_mutant(number, name, record)
+            if not (broken or stuck) or found_kind != kind:
+                broken, stuck, number = nearest_finding(number, kind, name)
     print(f"{rule}: found by message {number} ({kind}), {name}: {broken or stuck}")
     assert broken or stuck
-    planted["broken_rules_found"] = planted.get("broken_rules_found", 0) + 1
+    mutation_figures["broken_rules_found"] = mutation_figures.get("broken_rules_found", 0) + 1
 
 
-@pytest.mark.parametrize("rule", [r for r, f in broken_rules.FOUND.items() if f[0]])
-def test_mutant_that_finds_it_is_borne_by_the_rule_itself(rule, record):
+@pytest.mark.parametrize("rule", [rule for rule, finding in broken_rules.FOUND.items() if finding[0]])
+def test_mutant_that_finds_a_broken_rule_passes_with_the_rule_intact(rule, record):
+    """Otherwise the mutant, not the broken rule, would be found."""
     number, kind, name = broken_rules.FOUND[rule]
-    assert one(number, name, record)[:2] == (None, None)
+    assert run_mutant(number, name, record)[:2] == (None, None)
 
 
-def nearest(number, kind, name):
-    """Numbers move with every change to what is said. Of that kind and mutation, the nearest that finds it."""
+def nearest_finding(number, kind, name):
+    """Returns (violation, reason, number) of the nearest message of this kind whose mutation finds the broken
+    rule. Numbers shift with every change to the messages.
+    """
     _, _, base = scenario.run(seed=SEED, record=True)
-    like = [m for m in base.mails if kind_of(m.data) == kind and name in dict(mutations(m, base.starts))]
-    for mail in sorted(like, key=lambda m: abs(m.no - number))[:NEAR]:
-        broken, stuck, _ = one(mail.no, name, base)
+    candidates = [
+        packet
+        for packet in base.packets
+        if kind_of(packet.data) == kind and name in dict(mutations(packet, base.start_times_ms))
+    ]
+    for packet in sorted(candidates, key=lambda packet: abs(packet.number - number))[:MAX_NEAREST]:
+        broken, stuck, _ = run_mutant(packet.number, name, base)
         if broken or stuck:
-            return broken, stuck, mail.no
+            return broken, stuck, packet.number
     return None, None, 0
 
 
-def one(number, name, record):
-    """(broken, stuck, kind of the message) of one mutant."""
+def run_mutant(number, name, record):
+    """Returns (violation, reason, kind of the message) of one mutant."""
     kinds = []
-    if number > len(record.mails) or name not in dict(mutations(record.mails[number - 1], record.starts)):
+    if number > len(record.packets) or name not in dict(
+        mutations(record.packets[number - 1], record.start_times_ms)
+    ):
         return None, None, ""
 
-    def change(world, mail):
-        kinds.append(kind_of(mail.data))
-        # Risk: an error of this call would pass for one that the mutant caused.
-        dict(mutations(mail, record.starts)).get(name, as_it_was)(world, mail)
+    def change(world, packet):
+        kinds.append(kind_of(packet.data))
+        # An error of this call, such as an unknown name, would pass for one that the mutant caused.
+        dict(mutations(packet, record.start_times_ms)).get(name, deliver_unchanged)(world, packet)
 
-    end_ms = end_of(record.mails[number - 1], name, record.starts)
+    end_ms = end_ms_of(record.packets[number - 1], name, record.start_times_ms)
     broken, stuck, _ = scenario.run({number: change}, SEED, end_ms=end_ms)
     return broken, stuck, "".join(kinds)
 
 
-def as_it_was(world, mail):
-    world.deliver(mail, mail.delay)
+def deliver_unchanged(world, packet):
+    """Delivers the datagram as it was."""
+    world.deliver(packet, packet.delay_ms)
--- a/tests/fleet/test_fleet_quota.py
+++ b/tests/fleet/test_fleet_quota.py
@@ -1,5 +1,7 @@
-"""One account of each tenant for all fronts, among processes of the real program under load: keepers that die, fronts that are paused,
-killed and back, cuts, a disk that fills. Audited: nothing spent that was not granted, loans neither lost nor doubled, debts paid."""
+"""Quota accounts of the whole fleet, among processes of the real program under load: ledger leaders that die,
+gateways that are suspended, killed and restarted, partitions, and a full disk. The audit checks that nothing
+is spent without a grant, no loan is lost or counted twice, and debts are repaid.
+"""
 
 import os
 import random
@@ -8,282 +10,322 @@
 
 import pytest
 from cluster import Cluster, until
-from terminals import Engines, Terminal
+from terminals import Engines, QueryClient
 
 ACCOUNTS = "lease_ms: 1200 term_ms: 3000 " + " ".join(
-    f'accounts {{ tenant: "{t}" rate_ms: {rate} bucket_ms: {bucket} credit_ms: {credit} due_ms: 8000 repay_share: 0.5 lend_share: 0.8 }}'
-    for t, rate, bucket, credit in (
+    f'accounts {{ tenant: "{tenant}" rate_ms: {rate} bucket_ms: {bucket} credit_ms: {credit} '
+    "due_ms: 8000 repay_share: 0.5 lend_share: 0.8 }"
+    for tenant, rate, bucket, credit in (
         ("north", 600, 600, 900),
         ("south", 600, 1200, 900),
         ("west", 600, 600, 0),
     )
 )
 WORLD = "engines { count: 3 } load { tables: 4 }"
-RATES = {"north": 600.0, "south": 600.0, "west": 600.0}
-BUCKETS, LIMITS = (
-    {"north": 600.0, "south": 1200.0, "west": 600.0},
-    {"north": 900.0, "south": 900.0, "west": 0.0},
-)
+RATES_MS_PER_S = {"north": 600.0, "south": 600.0, "west": 600.0}
+BUCKETS_MS = {"north": 600.0, "south": 1200.0, "west": 600.0}
+DEBT_LIMITS_MS = {"north": 900.0, "south": 900.0, "west": 0.0}
 
 
 class Fleet:
-    """A context: engines, fronts with accounts, terminals; and what the audit needs."""
+    """A context with engines, gateways with accounts, and query clients. `cluster` has the gateways."""
 
     def __init__(self, path, count=3, seed=1, more=ACCOUNTS, env=None):
+        """`more` is appended to the fleet's settings, `env` to the gateways' environment."""
         self.engines = Engines(path, WORLD)
-        self.path, self.count, self.seed, self.more, self.env, self.terminals = (
-            path,
-            count,
-            seed,
-            more,
-            env,
-            [],
-        )
+        self.path, self.count, self.seed = path, count, seed
+        self.more, self.env, self.clients = more, env, []
 
     def __enter__(self):
-        told = self.engines.__enter__().told
+        """Starts engines and gateways."""
+        emulator_info = self.engines.__enter__().emulator_info
         try:
-            self.c = Cluster(
+            self.cluster = Cluster(
                 self.path,
                 self.count,
                 self.seed,
                 self.more,
-                told["bulletin"],
-                told["known"],
+                emulator_info["bulletin"],
+                emulator_info["known"],
                 self.engines.settings,
                 env=self.env,
             )
-            self.c.__enter__()
-            self.began = time.monotonic()
+            self.cluster.__enter__()
+            self.started_s = time.monotonic()
         except BaseException:
             self.engines.__exit__()
             raise
         return self
 
     def __exit__(self, *_):
-        for t in self.terminals:
-            t.stopped.set()
-        self.c.__exit__()
+        """Stops clients, gateways and engines."""
+        for client in self.clients:
+            client.stopped.set()
+        self.cluster.__exit__()
         self.engines.__exit__()
 
-    def load(self, *wanted, **more):
-        for tenant, front, rate in wanted:
-            self.terminals.append(Terminal(self.c.doors[front], tenant, rate, seed=self.seed, **more))
-            self.terminals[-1].start()
+    def start_clients(self, *loads, **more):
+        """Starts a client for each (tenant, gateway, rate)."""
+        for tenant, gateway, rate in loads:
+            self.clients.append(
+                QueryClient(self.cluster.client_ports[gateway], tenant, rate, seed=self.seed, **more)
+            )
+            self.clients[-1].start()
 
-    def rest(self):
-        for t in self.terminals:
-            t.stopped.set()
-        for t in self.terminals:
-            t.join()
+    def stop_clients(self):
+        """Stops all clients and waits for them."""
+        for client in self.clients:
+            client.stopped.set()
+        for client in self.clients:
+            client.join()
 
     def lines(self, name, *words):
-        return [w for w in self.c.told(name) if w and w[0] in words]
+        """Returns the lines of a gateway's status report that start with one of the words."""
+        return [line for line in self.cluster.told(name) if line and line[0] in words]
 
-    def keeper(self, names=None):
-        """(name, {tenant: (pool, held, spent, owes, limit)}) of the one that holds the ledger; None where none does."""
-        found = []
-        for n in names or self.up():
-            rows = {w[1]: tuple(map(float, w[2:])) for w in self.lines(n, "ledger") if w[1] in RATES}
+    def leader(self, names=None):
+        """Returns (name, {tenant: (pool, held, spent, debt, limit)}) of the gateway that leads the ledger, or
+        None.
+        """
+        results = []
+        for name in names or self.running_names():
+            rows = {
+                words[1]: tuple(map(float, words[2:]))
+                for words in self.lines(name, "ledger")
+                if words[1] in RATES_MS_PER_S
+            }
             if rows:
-                found.append((n, rows))
-        assert len(found) < 2, "two keepers"
-        return found[0] if found else None
+                results.append((name, rows))
+        assert len(results) < 2, "two gateways lead the ledger"
+        return results[0] if results else None
 
     def ledger(self, names=None, seconds=15.0):
-        """The rows of whoever keeps it, once somebody does. Risk: on a busy machine a lease lapses now and then."""
-        found = []
-        until(lambda: found.append(self.keeper(names)) or found[-1] is not None, seconds, 0.2)
-        return found[-1][1]
+        """Returns the ledger's accounts, once a gateway leads it: on a busy machine a lease may expire now
+        and then.
+        """
+        results = []
+        until(lambda: results.append(self.leader(names)) or results[-1] is not None, seconds, 0.2)
+        return results[-1][1]
 
-    def up(self):
-        return [n for n, p in self.c.running.items() if p.poll() is None]
+    def running_names(self):
+        """Returns the names of the gateways that run."""
+        return [name for name, process in self.cluster.running.items() if process.poll() is None]
 
-    def within(self):
-        """{tenant: work in ms that was taken as within quota}, over the fronts that are up."""
-        out = dict.fromkeys(RATES, 0.0)
-        for n in self.up():
-            for w in self.lines(n, "taken"):
-                out[w[1]] += float(w[5])
-        return out
+    def accepted_ms(self):
+        """Returns {tenant: work in ms that was accepted within quota} over the running gateways."""
+        accepted_ms = dict.fromkeys(RATES_MS_PER_S, 0.0)
+        for name in self.running_names():
+            for words in self.lines(name, "taken"):
+                accepted_ms[words[1]] += float(words[5])
+        return accepted_ms
 
-    def audit(self, lost=None):
-        """Conserved; no more taken as within quota than was ever issued, credit included."""
-        rows, seconds = self.ledger(), time.monotonic() - self.began
-        said = []  # risk: between two looks a lease lapsed, and nobody is in office to say
+    def audit(self, lost_ms=None):
+        """Checks that the ledger is conserved; returns by how much more work was accepted within quota than
+        was ever issued, credit included. `lost_ms`: what ended gateways had accepted, by tenant.
+        """
+        rows, seconds = self.ledger(), time.monotonic() - self.started_s
+        # Reports are polled, as a lease may expire at any time, and then no gateway has the ledger to check.
+        reports = []
         until(
             lambda: (
-                said.append(" ".join(" ".join(w) for n in self.up() for w in self.c.told(n)))
-                or "ledger conserved: " in said[-1]
-                and "conserved: not in office" not in said[-1]
+                reports.append(
+                    " ".join(
+                        " ".join(words) for name in self.running_names() for words in self.cluster.told(name)
+                    )
+                )
+                or "ledger conserved: " in reports[-1]
+                and "conserved: not in office" not in reports[-1]
             ),
             15,
             0.2,
         )
-        assert "ledger conserved: yes" in said[-1] and "ledger last error: none" in said[-1]
-        over = {}
-        for tenant, ms in self.within().items():
-            owes = rows[tenant][3]
-            assert 0 <= owes <= LIMITS[tenant]
-            over[tenant] = max(
-                0.0, ms + (lost or {}).get(tenant, 0.0) - RATES[tenant] * seconds - BUCKETS[tenant] - owes
+        assert "ledger conserved: yes" in reports[-1] and "ledger last error: none" in reports[-1]
+        overspent_ms = {}
+        for tenant, ms in self.accepted_ms().items():
+            debt_ms = rows[tenant][3]
+            assert 0 <= debt_ms <= DEBT_LIMITS_MS[tenant]
+            overspent_ms[tenant] = max(
+                0.0,
+                ms
+                + (lost_ms or {}).get(tenant, 0.0)
+                - RATES_MS_PER_S[tenant] * seconds
+                - BUCKETS_MS[tenant]
+                - debt_ms,
             )
-        for n in self.up():
-            assert "Traceback" not in self.c.log(n) and "faults:" not in " ".join(
-                " ".join(w) for w in self.c.told(n)
+        for name in self.running_names():
+            assert "Traceback" not in self.cluster.log(name) and "faults:" not in " ".join(
+                " ".join(words) for words in self.cluster.told(name)
             )
-        return sum(over.values())
+        return sum(overspent_ms.values())
 
-    def answered(self):
-        for t in self.terminals:
-            t.codes()
-            silent = [r for r in t.asked if r not in t.answers and r not in t.lost]
-            assert not silent, f"{len(silent)} of {len(t.asked)} got no answer"
+    def check_all_answered(self):
+        """Checks that each query got one answer, unless its connection was lost."""
+        for client in self.clients:
+            client.codes()
+            silent = [
+                ref for ref in client.sent_s if ref not in client.answers and ref not in client.lost_refs
+            ]
+            assert not silent, f"{len(silent)} of {len(client.sent_s)} got no answer"
 
 
-def has_keeper(fleet, names=None, seconds=15.0):
-    found = []
-    until(lambda: found.append(fleet.keeper(names)) or found[-1] is not None, seconds, 0.2)
-    return found[-1][0]
+def wait_for_leader(fleet, names=None, seconds=15.0):
+    """Waits for a gateway that leads the ledger, and returns its name."""
+    results = []
+    until(lambda: results.append(fleet.leader(names)) or results[-1] is not None, seconds, 0.2)
+    return results[-1][0]
 
 
-def generation_of(fleet, keeper):
-    """The generation under which this front holds the ledger."""
-    words = next(w for w in fleet.lines(keeper, "group") if "holding" in w)
+def generation_of(fleet, leader):
+    """Returns the generation under which a gateway leads the ledger."""
+    words = next(words for words in fleet.lines(leader, "group") if "holding" in words)
     return int(words[words.index("generation") + 1])
 
 
-def test_a_tenant_borrows_what_others_leave_and_repays(tmp_path, figures):
-    with Fleet(tmp_path) as f:
-        has_keeper(f)
-        f.load(("north", "a", 60), ("north", "b", 60), ("south", "c", 8), ("west", "a", 30))
-        most = 0.0
+def test_tenant_borrows_unused_quota_and_repays(tmp_path, figures):
+    """A tenant over its quota borrows from those below theirs, and repays it from later quota."""
+    with Fleet(tmp_path) as fleet:
+        wait_for_leader(fleet)
+        fleet.start_clients(("north", "a", 60), ("north", "b", 60), ("south", "c", 8), ("west", "a", 30))
+        max_debt_ms = 0.0
         for _ in range(10):
             time.sleep(0.6)
-            most = max(most, f.ledger()["north"][3])
-        assert most > 100, "nothing was borrowed"
-        f.rest()
-        until(lambda: f.ledger()["north"][3] == 0, 8, 0.2)  # the debt is paid from later quota
-        assert f.audit() == 0
-        f.answered()
-        figures("quota")["borrowed_ms"] = figures("quota").get("borrowed_ms", 0) + most
+            max_debt_ms = max(max_debt_ms, fleet.ledger()["north"][3])
+        assert max_debt_ms > 100, "nothing was borrowed"
+        fleet.stop_clients()
+        until(lambda: fleet.ledger()["north"][3] == 0, 8, 0.2)  # the debt is repaid from later quota
+        assert fleet.audit() == 0
+        fleet.check_all_answered()
+        figures("quota")["borrowed_ms"] = figures("quota").get("borrowed_ms", 0) + max_debt_ms
 
 
-def test_the_keeper_dies_and_another_keeps_the_same_ledger(tmp_path, figures):
-    with Fleet(tmp_path) as f:
-        first = has_keeper(f)
-        f.load(("north", "a", 60), ("north", "b", 60), ("north", "c", 60))
-        until(lambda: f.ledger()["north"][3] > 200, 6, 0.1)
-        owed, spent = f.ledger()["north"][3], f.ledger()["north"][2]
-        lost = {w[1]: float(w[5]) for w in f.lines(first, "taken")}
-        f.c.kill(first)
-        others = [n for n in f.c.names if n != first]
-        second = has_keeper(f, others)
-        rows = f.ledger(others)["north"]
-        assert second != first and rows[2] >= spent and rows[3] > 0, (owed, rows)
-        f.c.back(first)
+def test_killed_ledger_leader_is_replaced_with_the_same_ledger(tmp_path, figures):
+    """The next leader knows all that was spent and owed under the one that was killed."""
+    with Fleet(tmp_path) as fleet:
+        first = wait_for_leader(fleet)
+        fleet.start_clients(("north", "a", 60), ("north", "b", 60), ("north", "c", 60))
+        until(lambda: fleet.ledger()["north"][3] > 200, 6, 0.1)
+        debt_ms, spent_ms = fleet.ledger()["north"][3], fleet.ledger()["north"][2]
+        lost_ms = {words[1]: float(words[5]) for words in fleet.lines(first, "taken")}
+        fleet.cluster.kill(first)
+        others = [name for name in fleet.cluster.names if name != first]
+        second = wait_for_leader(fleet, others)
+        rows = fleet.ledger(others)["north"]
+        assert second != first and rows[2] >= spent_ms and rows[3] > 0, (debt_ms, rows)
+        fleet.cluster.back(first)
         time.sleep(2.0)
-        f.rest()
-        assert f.audit(lost) == 0
-        until(lambda: f.ledger()["north"][3] == 0, 12, 0.2)
-        f.answered()
+        fleet.stop_clients()
+        assert fleet.audit(lost_ms) == 0
+        until(lambda: fleet.ledger()["north"][3] == 0, 12, 0.2)
+        fleet.check_all_answered()
 
 
-@pytest.mark.parametrize("way", ["pause", "cut"])
-def test_a_keeper_that_believes_it_still_is_one_grants_nothing(tmp_path, way):
-    """Stopped for longer than every lease, and back; or cut off from all others, under load."""
-    with Fleet(tmp_path) as f:
-        first = has_keeper(f)
-        generation = generation_of(f, first)
-        others = [n for n in f.c.names if n != first]
-        f.load(*(("north", n, 50) for n in f.c.names))
+@pytest.mark.parametrize("impairment", ["pause", "cut"])
+def test_paused_or_cut_off_ledger_leader_grants_nothing(tmp_path, impairment):
+    """The leader is suspended for longer than every lease, or cut off from all others, under load."""
+    with Fleet(tmp_path) as fleet:
+        first = wait_for_leader(fleet)
+        generation = generation_of(fleet, first)
+        others = [name for name in fleet.cluster.names if name != first]
+        fleet.start_clients(*(("north", name, 50) for name in fleet.cluster.names))
         time.sleep(1.0)
-        if way == "pause":
-            f.c.signal(first, signal.SIGSTOP)
+        if impairment == "pause":
+            fleet.cluster.signal(first, signal.SIGSTOP)
         else:
-            f.c.relay.cut([first], others)
-        until(lambda: f.keeper(others) is not None, 15, 0.2)
-        if way == "pause":
+            fleet.cluster.relay.cut([first], others)
+        until(lambda: fleet.leader(others) is not None, 15, 0.2)
+        if impairment == "pause":
             time.sleep(3.0)
-            f.c.signal(first, signal.SIGCONT)
+            fleet.cluster.signal(first, signal.SIGCONT)
         else:
-            time.sleep(4.0)  # longer than its rights last
-            before = f.lines(first, "taken")[0][3]
+            time.sleep(4.0)  # longer than its tokens are valid
+            before = fleet.lines(first, "taken")[0][3]
             time.sleep(1.0)
-            assert f.lines(first, "taken")[0][3] == before and f.keeper([first]) is None, (
-                "it spends what it cannot hold"
+            assert fleet.lines(first, "taken")[0][3] == before and fleet.leader([first]) is None, (
+                "it spends without valid tokens"
             )
-            f.c.relay.heal()
+            fleet.cluster.relay.heal()
         time.sleep(1.5)
-        f.rest()
-        # The first one may hold the ledger again by then, but only by a claim of its own, under a new generation.
-        assert generation_of(f, has_keeper(f)) > generation
-        assert f.audit() == 0
-        f.answered()
+        fleet.stop_clients()
+        # The first one may lead again by then, but only under a new generation, acquired anew.
+        assert generation_of(fleet, wait_for_leader(fleet)) > generation
+        assert fleet.audit() == 0
+        fleet.check_all_answered()
 
 
-def test_a_full_disk_makes_no_loans_and_holds_nothing_up(tmp_path, figures):
-    """Every front's folder refuses writes from some time on: queries go on, rights run out, and it heals by itself."""
-    full = tmp_path / "full"
+def test_full_disk_stops_the_ledger_but_no_queries(tmp_path, figures):
+    """From some time on, no folder takes writes: queries are answered, tokens expire, and the fleet recovers
+    by itself.
+    """
+    full_file = tmp_path / "full"
     with Fleet(
-        tmp_path, env={"PYTHONPATH": os.path.dirname(__file__), "LICHENQUAY_TEST_FULL": str(full)}
-    ) as f:
-        has_keeper(f)
-        f.load(("north", "a", 40), ("south", "b", 20))
+        tmp_path, env={"PYTHONPATH": os.path.dirname(__file__), "LICHENQUAY_TEST_FULL": str(full_file)}
+    ) as fleet:
+        wait_for_leader(fleet)
+        fleet.start_clients(("north", "a", 40), ("south", "b", 20))
         time.sleep(1.5)
-        full.touch()
+        full_file.touch()
         time.sleep(1.0)
         time.sleep(2.5)
-        assert f.keeper() is None, "a ledger is kept that nobody can write"
-        said = " ".join(f.c.log(n) for n in f.c.names)
-        assert said.count("folder: does not store") in (1, 2, 3), "one line each at most"
-        full.unlink()
-        has_keeper(f, seconds=40)
-        f.rest()
-        assert f.audit() == 0
-        f.answered()
+        assert fleet.leader() is None, "a gateway leads a ledger that none can write"
+        reports = " ".join(fleet.cluster.log(name) for name in fleet.cluster.names)
+        assert reports.count("folder: does not store") in (1, 2, 3), "one line each at most"
+        full_file.unlink()
+        wait_for_leader(fleet, seconds=40)
+        fleet.stop_clients()
+        assert fleet.audit() == 0
+        fleet.check_all_answered()
 
 
-def test_schedules_of_faults_from_seeds(tmp_path, seeds, figures):
-    """Kills, pauses, cuts, loss and restarts by chance, under load; then the audit, and rest."""
-    told = figures("quota")
+def test_random_fault_schedules_keep_accounts_exact(tmp_path, seeds, figures):
+    """Kills, pauses, cuts, loss and restarts at random under load; then the audit, and the repayment of all
+    debts.
+    """
+    quota_figures = figures("quota")
     for seed in seeds:
-        path, chance = tmp_path / str(seed), random.Random(f"quota {seed}")
+        path, rng = tmp_path / str(seed), random.Random(f"quota {seed}")
         path.mkdir()
-        with Fleet(path, 3, seed) as f:
-            has_keeper(f)
-            f.load(*((t, n, chance.choice((10, 30, 60))) for t in ("north", "south") for n in f.c.names))
-            f.c.relay.set(
-                loss=chance.choice((0.0, 0.05, 0.2)), double=0.1, most_ms=chance.choice((0.0, 30.0))
+        with Fleet(path, 3, seed) as fleet:
+            wait_for_leader(fleet)
+            fleet.start_clients(
+                *(
+                    (tenant, name, rng.choice((10, 30, 60)))
+                    for tenant in ("north", "south")
+                    for name in fleet.cluster.names
+                )
+            )
+            fleet.cluster.relay.set(
+                loss=rng.choice((0.0, 0.05, 0.2)), double=0.1, most_ms=rng.choice((0.0, 30.0))
             )
-            lost = dict.fromkeys(RATES, 0.0)
+            lost_ms = dict.fromkeys(RATES_MS_PER_S, 0.0)
             for _ in range(4):
-                name, what = (
-                    chance.choice(f.c.names),
-                    chance.choice(("kill", "pause", "cut", "one way", "restart")),
+                name, fault = (
+                    rng.choice(fleet.cluster.names),
+                    rng.choice(("kill", "pause", "cut", "one way", "restart")),
                 )
-                if what == "pause":
-                    f.c.pause(name, chance.choice((0.3, 1.2, 3.5)))
-                elif what in ("cut", "one way"):
-                    f.c.relay.cut([name], [n for n in f.c.names if n != name], both=what == "cut")
-                    time.sleep(chance.choice((0.5, 2.0, 3.5)))
-                    f.c.relay.cut([name], f.c.names, on=False)
+                if fault == "pause":
+                    fleet.cluster.pause(name, rng.choice((0.3, 1.2, 3.5)))
+                elif fault in ("cut", "one way"):
+                    fleet.cluster.relay.cut(
+                        [name], [other for other in fleet.cluster.names if other != name], both=fault == "cut"
+                    )
+                    time.sleep(rng.choice((0.5, 2.0, 3.5)))
+                    fleet.cluster.relay.cut([name], fleet.cluster.names, on=False)
                 else:
-                    for w in f.lines(name, "taken"):
-                        lost[w[1]] += float(w[5])
-                    if what == "kill":
-                        f.c.kill(name)
+                    for words in fleet.lines(name, "taken"):
+                        lost_ms[words[1]] += float(words[5])
+                    if fault == "kill":
+                        fleet.cluster.kill(name)
                     else:
-                        assert f.c.leave(name) == 0
-                    time.sleep(chance.random())
-                    f.c.back(name)
-                time.sleep(chance.random())
-            f.c.relay.heal()
-            until(lambda: f.c.agree(states=dict.fromkeys(f.c.names, "alive")), 25)
-            f.rest()
-            has_keeper(f)
-            told["overspent_ms"] = told.get("overspent_ms", 0) + f.audit(lost)
-            until(lambda: all(row[3] == 0 for row in f.ledger().values()), 15, 0.2)
-            told["runs"] = told.get("runs", 0) + 1
-            f.answered()
-    assert told["overspent_ms"] == 0
+                        assert fleet.cluster.leave(name) == 0
+                    time.sleep(rng.random())
+                    fleet.cluster.back(name)
+                time.sleep(rng.random())
+            fleet.cluster.relay.heal()
+            until(lambda: fleet.cluster.agree(states=dict.fromkeys(fleet.cluster.names, "alive")), 25)
+            fleet.stop_clients()
+            wait_for_leader(fleet)
+            quota_figures["overspent_ms"] = quota_figures.get("overspent_ms", 0) + fleet.audit(lost_ms)
+            until(lambda: all(row[3] == 0 for row in fleet.ledger().values()), 15, 0.2)
+            quota_figures["runs"] = quota_figures.get("runs", 0) + 1
+            fleet.check_all_answered()
+    assert quota_figures["overspent_ms"] == 0
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -1,9 +1,9 @@
-"""Whole fronts in virtual time: `lichenquay.fleet.gateway_runtime.GatewayRuntime` itself, over a reactor, a network, clocks and disks that
-a test has in hand.
+"""Whole gateways in virtual time: `lichenquay.fleet.gateway_runtime.GatewayRuntime` itself, with a simulated
+reactor, network, clocks and disks.
 
-Every datagram is sealed and opened as on a socket, and has a number, so that a run can be repeated with one of them
-changed (`mutate`). Times are milliseconds of true time; each process has a clock of its own. All chance comes from one
-seed.
+Every datagram is sealed and opened as on a socket. It has a number, so a run can be repeated with one
+datagram changed (`mutations`). Times are in ms of true time; each process has a clock of its own. A run is
+determined by its seed.
 """
 
 from heapq import heappop, heappush
@@ -16,7 +16,7 @@
 from lichenquay.membership.settings import Settings as MembershipSettings
 
 LEASE_MS, TERM_MS = 800.0, 1600.0
-QUICK = MembershipSettings(
+QUICK_MEMBERSHIP = MembershipSettings(
     probe_period_ms=200,
     suspicion_timeout_ms=480,
     sync_interval_ms=2000,
@@ -29,88 +29,108 @@
 UNIX_MS = 1.7e12
 
 
-class Log:
+class NullLog:
+    """A logger that drops all events."""
+
     def bind(self, **_):
+        """Returns the logger itself."""
         return self
 
     def info(self, *_, **__):
-        """Nobody reads it."""
+        """Drops the event."""
 
     warning = info
 
 
 class Timer:
-    """As Twisted's delayed call."""
+    """A stand-in for Twisted's delayed call."""
 
-    def __init__(self, reactor, wait_s, what, args):
-        self.reactor, self.what, self.args = reactor, what, args
-        self.on, self.queued = True, False
+    def __init__(self, reactor, wait_s, call, args):
+        """Schedules the call in `wait_s` of the process's clock."""
+        self.reactor, self.call, self.args = reactor, call, args
+        self.is_active, self.queued = True, False
         self.reset(wait_s)
 
     def active(self):
-        return self.on
+        """Returns whether the call is still to come."""
+        return self.is_active
 
     def cancel(self):
-        self.on = False
+        """Cancels the call."""
+        self.is_active = False
 
     def reset(self, wait_s):
+        """Sets the time of the call to `wait_s` from now."""
         world = self.reactor.world
-        self.due = world.now + wait_s * 1000 / self.reactor.process.rate + 1e-6
-        if not self.queued or self.due < self.queued_ms:
+        self.due_ms = world.now_ms + wait_s * 1000 / self.reactor.process.rate + 1e-6
+        if not self.queued or self.due_ms < self.queued_ms:
             self.queue()
 
     def queue(self):
-        self.queued, self.queued_ms = True, self.due
-        self.reactor.at(self.due, lambda at=self.due: self.fire(at))
+        """Schedules the timer's next event at its due time."""
+        self.queued, self.queued_ms = True, self.due_ms
+        self.reactor.at(self.due_ms, lambda at=self.due_ms: self.fire(at))
 
     def fire(self, at):
-        if not self.on or at != self.queued_ms:
+        """Makes the call, or waits further if the timer was reset meanwhile."""
+        if not self.is_active or at != self.queued_ms:
             return
         self.queued = False
-        if self.due > at:
+        if self.due_ms > at:
             self.queue()
         else:
-            self.on = False
-            self.what(*self.args)
+            self.is_active = False
+            self.call(*self.args)
 
 
 class Reactor:
-    """One life of a process: nothing of it comes back after its end."""
+    """The reactor of one start of a process; none of its calls are made after the process has ended."""
 
     def __init__(self, process):
-        self.process, self.world, self.life = process, process.world, process.starts
+        """Belongs to the process's present start."""
+        self.process, self.world, self.start_number = process, process.world, process.start_count
 
-    def at(self, true_ms, what):
-        self.world.at(true_ms, lambda: self.process.run(self.life, what))
+    def at(self, true_ms, call):
+        """Schedules a call at a true time."""
+        self.world.at(true_ms, lambda: self.process.run(self.start_number, call))
 
-    def callLater(self, wait_s, what, *args):
-        return Timer(self, wait_s, what, args)
+    def callLater(self, wait_s, call, *args):
+        """Schedules a call and returns its timer."""
+        return Timer(self, wait_s, call, args)
 
-    def callFromThread(self, what, *args):
-        self.at(self.world.now, lambda: what(*args))
+    def callFromThread(self, call, *args):
+        """Schedules a call for now."""
+        self.at(self.world.now_ms, lambda: call(*args))
 
-    def listenUDP(self, port, post, interface):
-        post.transport = self
+    def listenUDP(self, port, protocol, interface):
+        """Becomes the protocol's transport; returns the port, which is the reactor too."""
+        protocol.transport = self
         return self
 
     def stopListening(self):
-        self.process.deaf = True
+        """Closes the socket: datagrams are no longer received."""
+        self.process.is_socket_closed = True
 
     def write(self, data, address):
+        """Sends a datagram to the process with that port."""
         self.world.send(self.process, self.world.ports[address[1]], data)
 
 
 class Disk:
-    """What a folder has. `how`: well | full (not written, and said so) | unsure (there, and said not to be) | slow."""
+    """The stored state of a folder. `mode`: healthy, full (writes fail and say so), unsure (written but
+    reported as failed) or slow.
+    """
 
     def __init__(self):
-        self.state, self.how, self.free_ms = {}, "well", 0.0
+        """Starts empty."""
+        self.state, self.mode, self.free_ms = {}, "healthy", 0.0
 
 
 class MemoryFolder:
-    """As lichenquay.storage's, of a Disk."""
+    """A stand-in for the folder of lichenquay.storage, on a Disk."""
 
     def __init__(self, disk):
+        """Reads the disk's state."""
         self.disk, self.state, self.is_open, self.last_error, self.incarnation = (
             disk,
             dict(disk.state),
@@ -120,21 +140,25 @@
         )
 
     def append(self, changes):
+        """Applies changes {key: value, None to delete} to the state and the disk."""
         for key, value in changes.items():
             for state in (self.state, self.disk.state):
                 state.pop(key, None) if value is None else state.__setitem__(key, value)
 
     def flush(self, now_ms):
-        """All of it is there."""
+        """Does nothing: all is stored at once."""
 
     def close(self):
-        """Nothing is held open."""
+        """Does nothing: no file is open."""
 
 
 class MemoryWriter:
-    """As lichenquay.storage's: stores one after the other, each told its end in the host's turn."""
+    """A stand-in for the writer of lichenquay.storage: stores one write after the other, and reports each in
+    the reactor.
+    """
 
     def __init__(self, reactor, folder):
+        """Writes to the folder's disk."""
         self.reactor, self.disk, self.folder, self.counts, self.last_error = (
             reactor,
             folder.disk,
@@ -144,62 +168,75 @@
         )
 
     def store(self, changes, done):
-        world, how = self.reactor.world, self.disk.how
-        takes = world.rng.uniform(1.0, 4.0) if how != "slow" else world.rng.uniform(60, 120)
-        self.disk.free_ms = max(world.now, self.disk.free_ms) + takes
+        """Stores changes after the disk's delay; calls `done(succeeded)`."""
+        world, mode = self.reactor.world, self.disk.mode
+        duration_ms = world.rng.uniform(1.0, 4.0) if mode != "slow" else world.rng.uniform(60, 120)
+        self.disk.free_ms = max(world.now_ms, self.disk.free_ms) + duration_ms
 
         def written():
-            if how != "full":
+            if mode != "full":
                 self.folder.append(changes)
-            done(how in ("well", "slow"))
+            done(mode in ("healthy", "slow"))
 
         self.reactor.at(self.disk.free_ms, written)
 
     def close(self, within_ms):
+        """Returns that nothing is pending."""
         return True
 
 
-class Host(GatewayRuntime):
-    """With a quicker watch: a scenario is seconds long."""
+class QuickRuntime(GatewayRuntime):
+    """A gateway runtime with shorter membership periods, as a scenario lasts only seconds."""
 
     def new_detector(self):
-        peers = [n for n in self.names if n != self.settings.name]
-        return FailureDetector(self.settings.name, self.incarnation, peers, self.rng, QUICK, self.now_ms())
+        """Returns a failure detector with QUICK_MEMBERSHIP."""
+        peers = [name for name in self.names if name != self.settings.name]
+        return FailureDetector(
+            self.settings.name, self.incarnation, peers, self.rng, QUICK_MEMBERSHIP, self.now_ms()
+        )
 
 
 class Process:
+    """A gateway process with its clock and disk; `runtime` is None while it is down."""
+
     def __init__(self, world, name, rate, offset):
+        """Its clock runs at `rate`, ahead by `offset`."""
         self.world, self.name, self.rate, self.offset = world, name, rate, offset
-        self.disk, self.starts, self.fleet, self.deaf, self.unix_back = Disk(), 0, None, False, 0.0
-        self.incarnations, self.left, self.lives = [], set(), []
+        self.disk, self.start_count, self.runtime = Disk(), 0, None
+        self.is_socket_closed, self.unix_clock_back_ms = False, 0.0
+        self.incarnations, self.left_incarnations, self.escrows = [], set(), []
 
     def now_ms(self):
-        return self.world.now * self.rate + self.offset
+        """Returns the time of the process's clock."""
+        return self.world.now_ms * self.rate + self.offset
 
     def start(self):
-        if self.fleet is not None:
+        """Starts the process unless it runs."""
+        if self.runtime is not None:
             return
-        self.starts, self.deaf, self.disk.free_ms = self.starts + 1, False, self.world.now
+        self.start_count += 1
+        self.is_socket_closed, self.disk.free_ms = False, self.world.now_ms
         reactor = Reactor(self)
-        self.fleet = Host(
+        self.runtime = QuickRuntime(
             reactor,
             self.settings(),
-            f"{self.world.seed}/{self.starts}",
+            f"{self.world.seed}/{self.start_count}",
             lambda: False,
             self.now_ms,
-            lambda: UNIX_MS + self.world.now - self.unix_back,
-            Log(),
+            lambda: UNIX_MS + self.world.now_ms - self.unix_clock_back_ms,
+            NullLog(),
             lambda *a, **k: MemoryFolder(self.disk),
             lambda folder, *a, **k: MemoryWriter(reactor, folder),
         )
-        assert self.fleet.open() is None
-        self.fleet.begin()
-        self.unix_back = 3_600_000.0  # its wall clock is set back before the next start
-        self.world.started(self)
+        assert self.runtime.open() is None
+        self.runtime.begin()
+        self.unix_clock_back_ms = 3_600_000.0  # its wall clock is set back by an hour before the next start
+        self.world.record_start(self)
 
     def settings(self):
+        """Returns the fleet settings of the process."""
         ports = {name: port for port, name in self.world.ports.items()}
-        s = conf.Fleet(
+        settings = conf.Fleet(
             fleet="virtual",
             name=self.name,
             listen=f"127.0.0.1:{ports[self.name]}",
@@ -209,9 +246,9 @@
         )
         for name, port in ports.items():
             if name != self.name:
-                s.peers.add(name=name, address=f"127.0.0.1:{port}")
+                settings.peers.add(name=name, address=f"127.0.0.1:{port}")
         for tenant, rate, bucket, credit, due, repay, lend in ACCOUNTS:
-            s.accounts.add(
+            settings.accounts.add(
                 tenant=tenant,
                 rate_ms=rate,
                 bucket_ms=bucket,
@@ -220,149 +257,181 @@
                 repay_share=repay,
                 lend_share=lend,
             )
-        return s
+        return settings
 
-    def run(self, life, what):
-        if self.fleet is not None and life == self.starts:
-            what()
-            self.world.stepped(self)
+    def run(self, start_number, call):
+        """Makes a call if the process still runs in that start, then checks the invariants."""
+        if self.runtime is not None and start_number == self.start_count:
+            call()
+            self.world.check_step(self)
 
     def kill(self):
-        self.fleet = None
+        """Kills the process."""
+        self.runtime = None
 
     def leave(self):
-        """In order; its process ends once it is over, as the front's does."""
-        if self.fleet is None:
+        """Starts a graceful shutdown; the process ends once it is complete."""
+        if self.runtime is None:
             return
-        self.left.add(self.fleet.incarnation)
-        self.fleet.leave()
-        self.ending(self.starts)
-
-    def ending(self, life):
-        if self.fleet is not None and life == self.starts:
-            if self.fleet.is_over():
-                self.fleet.close()
-                self.fleet = None
+        self.left_incarnations.add(self.runtime.incarnation)
+        self.runtime.leave()
+        self.ending(self.start_count)
+
+    def ending(self, start_number):
+        """Ends the process if its shutdown is complete, else checks again 25 ms later."""
+        if self.runtime is not None and start_number == self.start_count:
+            if self.runtime.is_over():
+                self.runtime.close()
+                self.runtime = None
             else:
-                self.world.at(self.world.now + 25, lambda: self.ending(life))
+                self.world.at(self.world.now_ms + 25, lambda: self.ending(start_number))
 
 
 class World:
-    """`audit`: see fleet_audit. mutate: {number: change(world, mail)}, which does all of that
-    datagram's delivery."""
+    """The processes, the network between them and the event queue. `audit`: see fleet_audit. `mutations`:
+    {number: change(world, packet)}; a change replaces all of that datagram's delivery.
+    """
 
-    def __init__(self, audit, seed=1, names="abc", mutate=None):
-        self.seed, self.rng, self.now, self.audit, self.mutate = (
+    def __init__(self, audit, seed=1, names="abc", mutations=None):
+        """All processes are down."""
+        self.seed, self.rng, self.now_ms, self.audit, self.mutations = (
             seed,
             Random(f"fleet/{seed}"),
             0.0,
             audit,
-            mutate or {},
+            mutations or {},
         )
-        self.heap, self.count, self.sent, self.steps, self.mails = [], 0, 0, 0, None
-        self.said = 0  # a digest of all that was sent
-        self.cut, self.waiting, self.held, self.starts = set(), {}, [], {n: [] for n in names}
-        self.end_ms, self.child, self.resting = 0.0, None, False  # a fork sets the first two to its own
-        self.ports = {7001 + i: name for i, name in enumerate(names)}
-        self.all = {n: Process(self, n, RATES[i % 3], 1e5 * (i + 1)) for i, n in enumerate(names)}
+        self.heap, self.count, self.sent_count, self.steps, self.packets = [], 0, 0, 0, None
+        self.sent_hash = 0  # of all that was sent
+        self.cut_links, self.calls_by_event, self.deferred_calls = set(), {}, []
+        self.start_times_ms = {name: [] for name in names}
+        self.end_ms, self.fork_name, self.is_settling = 0.0, None, False  # a fork sets the first two
+        self.ports = {7001 + index: name for index, name in enumerate(names)}
+        self.processes = {
+            name: Process(self, name, RATES[index % 3], 1e5 * (index + 1)) for index, name in enumerate(names)
+        }
         audit.world = self
 
-    def at(self, true_ms, what):
+    def at(self, true_ms, call):
+        """Schedules a call at a true time, now at the earliest."""
         self.count += 1
-        heappush(self.heap, (max(true_ms, self.now), self.count, what))
+        heappush(self.heap, (max(true_ms, self.now_ms), self.count, call))
 
     def run(self, until_ms):
+        """Runs events up to `until_ms`; a call may change `end_ms` meanwhile."""
         self.end_ms = until_ms
         while self.heap and self.heap[0][0] <= self.end_ms:
-            self.now, _, what = heappop(self.heap)
-            what()
-        self.now = self.end_ms
+            self.now_ms, _, call = heappop(self.heap)
+            call()
+        self.now_ms = self.end_ms
 
-    def stepped(self, process):
+    def check_step(self, process):
+        """Checks the invariants after a step of a process."""
         self.steps += 1
-        self.audit.step(process)
-
-    def started(self, process):
-        if process.fleet.incarnation <= max(process.incarnations, default=0):
-            self.audit.broken(f"{process.name}: an incarnation again")
-        process.incarnations.append(process.fleet.incarnation)
-        self.starts[process.name].append(self.now)
-        self.stepped(process)
-        for event in [e for e in self.waiting if e[0] == "start" and e[1] == process.name]:
-            for what in self.waiting.pop(event):
-                self.at(self.now + 40, what)
+        self.audit.check(process)
+
+    def record_start(self, process):
+        """Checks that a start has a new incarnation; schedules the calls that wait for the start."""
+        if process.runtime.incarnation <= max(process.incarnations, default=0):
+            self.audit.fail(f"{process.name}: an incarnation was reused")
+        process.incarnations.append(process.runtime.incarnation)
+        self.start_times_ms[process.name].append(self.now_ms)
+        self.check_step(process)
+        for event in [
+            waiting for waiting in self.calls_by_event if waiting[0] == "start" and waiting[1] == process.name
+        ]:
+            for call in self.calls_by_event.pop(event):
+                self.at(self.now_ms + 40, call)
 
     # datagrams
 
-    def send(self, process, to, data):
-        self.sent += 1
-        self.said = hash((self.said, self.now, to, data))
-        mail = SimpleNamespace(
-            no=self.sent, sender=process.name, to=to, data=data, at=self.now, delay=self.rng.uniform(1, 6)
+    def send(self, process, receiver, data):
+        """Delivers a datagram, or makes the change that replaces its delivery."""
+        self.sent_count += 1
+        self.sent_hash = hash((self.sent_hash, self.now_ms, receiver, data))
+        packet = SimpleNamespace(
+            number=self.sent_count,
+            sender=process.name,
+            receiver=receiver,
+            data=data,
+            sent_ms=self.now_ms,
+            delay_ms=self.rng.uniform(1, 6),
         )
-        if self.mails is not None:
-            self.mails.append(mail)
-        change = self.mutate.get(self.sent)
+        if self.packets is not None:
+            self.packets.append(packet)
+        change = self.mutations.get(self.sent_count)
         if change is not None:
-            change(self, mail)
+            change(self, packet)
         else:
-            self.deliver(mail, mail.delay)
-        link = "next", process.name, to
-        if link in self.waiting and change is None:
-            for what in self.waiting.pop(link):
-                self.at(self.now + mail.delay + 1e-3, what)
-
-    def wait_for(self, event, what):
-        """('next', sender, to): after the next datagram of that link came; ('start', name): after its next start;
-        at the latest at the scenario's end."""
-        once = []
-
-        def do():
-            if not once:
-                once.append(1)
-                what()
-
-        self.waiting.setdefault(event, []).append(do)
-        self.held.append(do)
-
-    def deliver(self, mail, delay, to=None, data=None, whole=True):
-        """whole: False where the one it comes to must not take it."""
-        if (mail.sender, mail.to) in self.cut:
+            self.deliver(packet, packet.delay_ms)
+        link = "next", process.name, receiver
+        if link in self.calls_by_event and change is None:
+            for call in self.calls_by_event.pop(link):
+                self.at(self.now_ms + packet.delay_ms + 1e-3, call)
+
+    def call_after(self, event, call):
+        """Makes a call after an event: ('next', sender, receiver) is the arrival of that link's next
+        datagram, ('start', name) the next start. At the latest, the call is made at the scenario's end.
+        """
+        was_called = []
+
+        def call_once():
+            if not was_called:
+                was_called.append(1)
+                call()
+
+        self.calls_by_event.setdefault(event, []).append(call_once)
+        self.deferred_calls.append(call_once)
+
+    def deliver(self, packet, delay_ms, receiver=None, data=None, is_valid=True):
+        """Delivers a packet after a delay, to another receiver or with other data if given. `is_valid`: False
+        if the receiver must not accept it.
+        """
+        if (packet.sender, packet.receiver) in self.cut_links:
             return
-        what = mail.data if data is None else data
-        self.at(self.now + delay, lambda: self.arrive(self.all[to or mail.to], what, whole))
+        delivered = packet.data if data is None else data
+        self.at(
+            self.now_ms + delay_ms,
+            lambda: self.arrive(self.processes[receiver or packet.receiver], delivered, is_valid),
+        )
 
-    def arrive(self, process, data, whole=True):
-        if process.fleet is None or process.deaf:
+    def arrive(self, process, data, is_valid=True):
+        """Hands data to a process; an accepted invalid datagram is a violation."""
+        if process.runtime is None or process.is_socket_closed:
             return
-        post = process.fleet.datagrams
-        heard = post.counters["datagrams heard"]
-        post.datagramReceived(data, ("127.0.0.1", 1))
-        if not whole and post.counters["datagrams heard"] > heard:
-            self.audit.broken(f"{process.name} takes a datagram that is not for it, or not whole")
-        self.stepped(process)
+        protocol = process.runtime.datagrams
+        received_before = protocol.counters["datagrams heard"]
+        protocol.datagramReceived(data, ("127.0.0.1", 1))
+        if not is_valid and protocol.counters["datagrams heard"] > received_before:
+            self.audit.fail(f"{process.name} accepted a datagram that is misaddressed or damaged")
+        self.check_step(process)
 
     # queries
 
     def query(self, name, tenant, work_ms, runs_ms=60.0, over=0.0):
-        """work_ms: estimate; over: how much more is told at its end."""
-        process = self.all[name]
-        if process.fleet is None or process.fleet.has_left:
+        """Reserves quota for a query and settles it after `runs_ms`. `work_ms` is the estimate; `over` is how
+        much more is reported at the end.
+        """
+        process = self.processes[name]
+        if process.runtime is None or process.runtime.has_left:
             return
-        fleet, life = process.fleet, process.starts
-        q = Query(tenant, work_ms)
-        within = fleet.quota_part.reserve(fleet.now_ms(), q, work_ms)
-        fleet.tenant_usage.set_timer()
-        self.audit.took(process, tenant, within)
-        self.stepped(process)
+        runtime, start_number = process.runtime, process.start_count
+        query = VirtualQuery(tenant, work_ms)
+        within = runtime.quota_part.reserve(runtime.now_ms(), query, work_ms)
+        runtime.tenant_usage.set_timer()
+        self.audit.record_decision(process, tenant, within)
+        self.check_step(process)
         if within:
             end = (work_ms + over, 0.0)
             self.at(
-                self.now + runs_ms,
-                lambda: process.run(life, lambda: fleet.tenant_usage.settle_completed(q, end)),
+                self.now_ms + runs_ms,
+                lambda: process.run(start_number, lambda: runtime.tenant_usage.settle_completed(query, end)),
             )
 
 
-class Query:
+class VirtualQuery:
+    """A query as the quota code sees it."""
+
     def __init__(self, tenant, work_ms):
+        """`work_ms` is the estimate."""
         self.tenant, self.estimated_work_ms, self.attempts = SimpleNamespace(name=tenant), work_ms, []
