--- a/lichenquay/testbed/audit.py
+++ b/lichenquay/testbed/audit.py
@@ -72,7 +72,7 @@
     return submissions + [(*key, start_ms, last_ms) for key, start_ms in open_since_ms.items()]
 
 
-def audit(columns, ledger, lab):
+def audit(columns, ledger, testbed):
     """Returns findings [(check, count, examples)] for the columns of the clients' queries."""
     findings = defaultdict(list)
     clients = zip(
@@ -86,7 +86,10 @@
         columns["allowed"],
         strict=True,
     )
-    completed, mutating_groups = set(), {group.name for group in lab.groups if group.effect == pb.MUTATING}
+    completed, mutating_groups = (
+        set(),
+        {group.name for group in testbed.groups if group.effect == pb.MUTATING},
+    )
     for ref, answers, client_left, code, has_wrong_rows, sent_ms, answered_ms, allowed_ms in clients:
         if not answers and not client_left and sent_ms == sent_ms:
             findings[NO_ANSWER].append(ref)
@@ -141,13 +144,13 @@
     ]
 
 
-def value_in_time(columns, lab):
+def value_in_time(columns, testbed):
     """Returns earned over requested value, in all and by group and tenant, of queries whose clients stayed.
 
     A late answer earns its group's late value. The target is the group's `target_ms`; it isn't stretched with
     the query's work.
     """
-    groups = {group.name: group for group in lab.groups}
+    groups = {group.name: group for group in testbed.groups}
     value = np.array([groups[group].value for group in columns["group"]])
     target = np.array([groups[group].target_ms for group in columns["group"]])
     late_value = np.array([groups[group].late_value for group in columns["group"]])
@@ -164,6 +167,6 @@
         "groups": {name: earned_share(client_stayed & (columns["group"] == name)) for name in groups},
         "tenants": {
             tenant.name: earned_share(client_stayed & (columns["tenant"] == tenant.name))
-            for tenant in lab.tenants
+            for tenant in testbed.tenants
         },
     }
--- a/lichenquay/testbed/detectors.py
+++ b/lichenquay/testbed/detectors.py
@@ -171,7 +171,7 @@
 
 def bootstrap_interval(values, q, rng):
     """Returns a quantile with its 95 % interval by bootstrap, rounded."""
-    drawn = sorted(quantile(rng.choices(values, events=len(values)), q) for _ in range(400))
+    drawn = sorted(quantile(rng.choices(values, k=len(values)), q) for _ in range(400))
     return [round(quantile(values, q)), round(drawn[10]), round(drawn[389])]
 
 
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -131,12 +131,12 @@
         "address { connections: 32 queries: 12 } "
         "prefix { connections: 96 queries: 24 per_s: 20 burst: 40 } lag_ms: 50 }"
     )
-    lab = read_testbed(
+    testbed = read_testbed(
         f"front {{ sockets: {sockets} memory_mb: 192 {gate_settings if gate else ''} }} "
         "engines { cores: 8 most_open: 256 }"
     )
     out = Path(out)
-    with World(lab, out) as world:
+    with World(testbed, out) as world:
         world.start_script()
         clients = KnownClients(world.addresses[0], rate)
         cpu_before_calm_s = world.cpu_s()
@@ -175,7 +175,7 @@
         if flood_reports
         else np.array([])
     )
-    findings = audit(clients.columns(), read_ledger(world.ledger), lab)
+    findings = audit(clients.columns(), read_ledger(world.ledger), testbed)
     latencies_ms = [record["latency_ms"] for record in rows["flood"] if record["code"] == 0]
     flood_counts = {
         name: sum(report.get(name, 0) for report in flood_reports)
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -10,15 +10,15 @@
 from lichenquay.testbed.world import World
 
 
-def figures_of(kept, lab, ledger):
+def run_figures(results, testbed, ledger):
     """Returns a run's report with the audit's findings and the value in time."""
-    report, columns = report_of(kept, lab), kept.columns()
-    findings = audit(columns, ledger, lab) if columns else []
+    report, columns = report_of(results, testbed), results.columns()
+    findings = audit(columns, ledger, testbed) if columns else []
     if report.get("strange_answers"):
         findings.append((UNASKED_ANSWERS, report["strange_answers"], []))
     return {
         **report,
-        "value_in_time": value_in_time(columns, lab) if columns else None,
+        "value_in_time": value_in_time(columns, testbed) if columns else None,
         "broken_rules": [
             f"{check}: {count} ({'; '.join(map(str, examples))})" for check, count, examples in findings
         ],
@@ -26,35 +26,40 @@
     }
 
 
-def keep(out, lab, kept, figures, ledger=()):
+def keep(out, testbed, results, figures, ledger=()):
     """Writes a run's figures, its page, and the targets that `load compare` reads, into the folder `out`."""
-    (out / "targets.json").write_text(json.dumps({group.name: group.target_ms for group in lab.groups}))
+    (out / "targets.json").write_text(json.dumps({group.name: group.target_ms for group in testbed.groups}))
     (out / "report.json").write_text(json.dumps(figures, indent=1))
-    columns = kept.columns()
+    columns = results.columns()
     if columns:
         write_page(
-            out / "report.html", f"a run of {figures['seconds']:g} s", figures, columns, kept.latency, ledger
+            out / "report.html",
+            f"a run of {figures['seconds']:g} s",
+            figures,
+            columns,
+            results.latency,
+            ledger,
         )
 
 
 def trial(
-    lab, out, gateway_module="lichenquay.gateway", arguments=(), progress=lambda done: None, during=None
+    testbed, out, gateway_module="lichenquay.gateway", arguments=(), progress=lambda done: None, during=None
 ):
-    """Runs the world `lab` under load and returns its figures. `during(world)` returns (seconds, call) pairs
-    to run meanwhile.
+    """Runs the world of `testbed` under load and returns its figures. `during(world)` returns (seconds, call)
+    pairs to run meanwhile.
     """
     out = Path(out)
-    with World(lab, out, gateway_module, arguments) as world:
-        workers = Workers(lab, world.addresses[0], out)
+    with World(testbed, out, gateway_module, arguments) as world:
+        workers = Workers(testbed, world.addresses[0], out)
         workers.start()
         world.start_script()
         cpu_before_s = world.cpu_s()
-        kept = workers.run(progress, during(world) if during else ())
+        results = workers.run(progress, during(world) if during else ())
         used_cpu_s, peak_mb = world.cpu_s() - cpu_before_s, world.peak_mb()
         exit_code = world.leave()
     ledger = read_ledger(world.ledger)
-    figures = figures_of(kept, lab, ledger)
-    keep(out, lab, kept, figures, ledger)
+    figures = run_figures(results, testbed, ledger)
+    keep(out, testbed, results, figures, ledger)
     asked = max(1, figures["asked"])
     return {
         **figures,
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -26,13 +26,13 @@
     """A process of the world did not start. The message is one line."""
 
 
-def settings_of(lab):
+def settings_of(testbed):
     """Returns the settings that the world's gateways get, under the platform's names."""
-    engines = lab.engines
+    engines = testbed.engines
     return {
-        "seed": lab.seed,
+        "seed": testbed.seed,
         "resolution_us": 5000,
-        "replicas_of_me": lab.front.count,
+        "replicas_of_me": testbed.front.count,
         "my_zone": (list(engines.zones) or ["a"])[0],
         "kinds": ["std"],
         "over_share_worth": 0.1,
@@ -46,11 +46,11 @@
                 "worth": group.value,
                 "late_worth": group.late_value,
             }
-            for group in lab.groups
+            for group in testbed.groups
         ],
         "tenants": [
             {"name": tenant.name, "share": tenant.share, "allowance_per_s": tenant.allowance_per_s}
-            for tenant in lab.tenants
+            for tenant in testbed.tenants
         ],
         "limits": {
             "most_tries": 6,
@@ -68,8 +68,8 @@
         },
         "report": {"how": "answers", "columns": ["active", "waiting", "cpu"]},
         "family_info": {
-            "width_by_class": [group.threads for group in lab.groups],
-            "loads": [group.load for group in lab.groups],
+            "width_by_class": [group.threads for group in testbed.groups],
+            "loads": [group.load for group in testbed.groups],
             "size_cores": [engines.cores],
             "memory_by_kind_mb": [engines.memory_mb],
             "most_grant": 0.4,
@@ -82,21 +82,26 @@
     }
 
 
-def start_emulator(lab, folder, ledger):
+def start_emulator(testbed, folder, ledger):
     """Starts the emulator of engines and endpoint list, with settings written into `folder`; returns its
     process.
     """
     conf = folder / "world.textproto"
-    conf.write_text(text_format.MessageToString(lab))
+    conf.write_text(text_format.MessageToString(testbed))
     return start_module("lichenquay.testbed.emulator", "--conf", str(conf), "--ledger", str(ledger))
 
 
 class World:
     """A context that starts and ends all processes. `gateway_module` is run as the gateway."""
 
-    def __init__(self, lab, out, gateway_module="lichenquay.gateway", arguments=()):
+    def __init__(self, testbed, out, gateway_module="lichenquay.gateway", arguments=()):
         """Writes all files into the folder `out`; `arguments` are the gateway's command line."""
-        self.lab, self.out, self.gateway_module, self.arguments = lab, Path(out), gateway_module, arguments
+        self.testbed, self.out, self.gateway_module, self.arguments = (
+            testbed,
+            Path(out),
+            gateway_module,
+            arguments,
+        )
         self.processes, self.fronts, self.addresses = [], [], []
         self.ledger = self.out / "ledger.jsonl"
 
@@ -104,13 +109,13 @@
         """Starts the emulator, then the gateways. Raises CannotStart."""
         self.out.mkdir(parents=True, exist_ok=True)
         try:
-            self.emulator = start_emulator(self.lab, self.out, self.ledger)
+            self.emulator = start_emulator(self.testbed, self.out, self.ledger)
             self.processes.append(self.emulator)
             line = read_line(self.emulator, START_TIMEOUT_S)
             if not line:
                 raise CannotStart("the emulator did not start")
             self.emulator_info = json.loads(line)
-            for index in range(self.lab.front.count):
+            for index in range(self.testbed.front.count):
                 self.start_gateway(index)
         except BaseException:
             self.__exit__(None, None, None)
@@ -125,15 +130,15 @@
         config = {
             "name": f"n{index}",
             "listen": address,
-            "seed": f"{self.lab.seed * 65537 + index:016x}",
+            "seed": f"{self.testbed.seed * 65537 + index:016x}",
             "limits": {
                 "cores": 1.0,
-                "memory_mb": self.lab.front.memory_mb,
-                "sockets": self.lab.front.sockets,
+                "memory_mb": self.testbed.front.memory_mb,
+                "sockets": self.testbed.front.sockets,
             },
             "bulletin": self.emulator_info["bulletin"],
             "known": self.emulator_info["known"],
-            "settings": settings_of(self.lab),
+            "settings": settings_of(self.testbed),
         }
         path = self.out / f"front-{index}.json"
         path.write_text(json.dumps(config))
@@ -170,7 +175,7 @@
 
     def settings_of_front(self, index):
         """Returns a gateway's settings of Lichenquay's own features, or None."""
-        return pb.Settings(gate=self.lab.front.gate) if self.lab.front.HasField("gate") else None
+        return pb.Settings(gate=self.testbed.front.gate) if self.testbed.front.HasField("gate") else None
 
     def start_script(self):
         """Starts the fault script; its times count from now."""
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -26,7 +26,7 @@
         count,
         seed=1,
         more="",
-        bulletin="127.0.0.1:9",
+        discovery_address="127.0.0.1:9",
         known=None,
         settings=SETTINGS,
         folders=True,
@@ -37,10 +37,10 @@
         stored; without `fleet`, the gateways run alone.
         """
         super().__init__(Path(path))
-        self.seed, self.extra_settings, self.bulletin, self.known = (
+        self.seed, self.extra_settings, self.discovery_address, self.known = (
             seed,
             more,
-            bulletin,
+            discovery_address,
             known or {"no": 0, "items": []},
         )
         self.settings, self.folders, self.env, self.with_fleet = settings, folders, env or {}, fleet
@@ -92,7 +92,7 @@
                     "listen": f"127.0.0.1:{self.client_ports[name]}",
                     "seed": f"{self.seed * 65537 + ord(name):016x}",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                    "bulletin": self.bulletin,
+                    "bulletin": self.discovery_address,
                     "known": self.known,
                     "settings": {**self.settings, "replicas_of_me": len(self.names)},
                 }
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -21,13 +21,13 @@
 
     def __init__(self, path, world):
         """Reads the settings."""
-        self.path, self.lab = Path(path), read_testbed(world)
-        self.settings = settings_of(self.lab)
+        self.path, self.testbed = Path(path), read_testbed(world)
+        self.settings = settings_of(self.testbed)
 
     def __enter__(self):
         """Starts the emulator and reads its addresses."""
         self.ledger = self.path / "engines.jsonl"
-        self.process = start_emulator(self.lab, self.path, self.ledger)
+        self.process = start_emulator(self.testbed, self.path, self.ledger)
         self.emulator_info = json.loads(read_line(self.process, 15.0))
         return self
 
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -10,6 +10,8 @@
 from random import Random
 from types import SimpleNamespace
 
+from virtual_storage import Disk, MemoryFolder, MemoryWriter
+
 from lichenquay.config import lichenquay_pb2 as conf
 from lichenquay.fleet.gateway_runtime import GatewayRuntime
 from lichenquay.membership.failure_detector import FailureDetector
@@ -24,8 +26,9 @@
     rejoin_delay_ms=300,
     max_tick_delay_ms=300,
 )
+# (tenant, rate_ms, bucket_ms, credit_ms, due_ms, repay_share, lend_share)
 ACCOUNTS = (("lender", 100, 300, 60, 1500, 0.5, 0.75), ("borrower", 150, 120, 90, 1500, 0.5, 0.5))
-RATES = (0.955, 1.0, 1.045)
+CLOCK_RATES = (0.955, 1.0, 1.045)  # of the processes, in turn
 UNIX_MS = 1.7e12
 
 
@@ -116,75 +119,6 @@
         self.world.send(self.process, self.world.ports[address[1]], data)
 
 
-class Disk:
-    """The stored state of a folder. `mode`: healthy, full (writes fail and say so), unsure (written but
-    reported as failed) or slow.
-    """
-
-    def __init__(self):
-        """Starts empty."""
-        self.state, self.mode, self.free_ms = {}, "healthy", 0.0
-
-
-class MemoryFolder:
-    """A stand-in for the folder of lichenquay.storage, on a Disk."""
-
-    def __init__(self, disk):
-        """Reads the disk's state."""
-        self.disk, self.state, self.is_open, self.last_error, self.incarnation = (
-            disk,
-            dict(disk.state),
-            True,
-            None,
-            0,
-        )
-
-    def append(self, changes):
-        """Applies changes {key: value, None to delete} to the state and the disk."""
-        for key, value in changes.items():
-            for state in (self.state, self.disk.state):
-                state.pop(key, None) if value is None else state.__setitem__(key, value)
-
-    def flush(self, now_ms):
-        """Does nothing: all is stored at once."""
-
-    def close(self):
-        """Does nothing: no file is open."""
-
-
-class MemoryWriter:
-    """A stand-in for the writer of lichenquay.storage: stores one write after the other, and reports each in
-    the reactor.
-    """
-
-    def __init__(self, reactor, folder):
-        """Writes to the folder's disk."""
-        self.reactor, self.disk, self.folder, self.counts, self.last_error = (
-            reactor,
-            folder.disk,
-            folder,
-            {},
-            None,
-        )
-
-    def store(self, changes, done):
-        """Stores changes after the disk's delay; calls `done(succeeded)`."""
-        world, mode = self.reactor.world, self.disk.mode
-        duration_ms = world.rng.uniform(1.0, 4.0) if mode != "slow" else world.rng.uniform(60, 120)
-        self.disk.free_ms = max(world.now_ms, self.disk.free_ms) + duration_ms
-
-        def written():
-            if mode != "full":
-                self.folder.append(changes)
-            done(mode in ("healthy", "slow"))
-
-        self.reactor.at(self.disk.free_ms, written)
-
-    def close(self, within_ms):
-        """Returns that nothing is pending."""
-        return True
-
-
 class QuickRuntime(GatewayRuntime):
     """A gateway runtime with shorter membership periods, as a scenario lasts only seconds."""
 
@@ -308,7 +242,8 @@
         self.end_ms, self.fork_name, self.is_settling = 0.0, None, False  # a fork sets the first two
         self.ports = {7001 + index: name for index, name in enumerate(names)}
         self.processes = {
-            name: Process(self, name, RATES[index % 3], 1e5 * (index + 1)) for index, name in enumerate(names)
+            name: Process(self, name, CLOCK_RATES[index % 3], 1e5 * (index + 1))
+            for index, name in enumerate(names)
         }
         audit.world = self
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -212,7 +212,7 @@
 def test_audit_finds_a_gateway_that_breaks_the_checked_rule(tmp_path, fault, check):
     """Guards against an audit that cannot fail."""
     is_overload = fault == "one engine"
-    lab = read_testbed(
+    testbed = read_testbed(
         f"load {{ seconds: 2 rate: {400 if is_overload else 80} workers: 1 connections: 4 }} "
         f"engines {{ cold_multiple: {0.3 if is_overload else 3} }}"
         'groups { name: "status" target_ms: 500 timeout_ms: 900 threads: 1 share: 3 work_ms: 8 rows: 3 '
@@ -224,7 +224,7 @@
             "ignores drains": "faults { kind: DRAIN engine: 1 at_ms: 300 for_ms: 5000 }",
         }.get(fault, "")
     )
-    figures = trial(lab, tmp_path, "lichenquay.testbed.faulty_gateway", (fault,))
+    figures = trial(testbed, tmp_path, "lichenquay.testbed.faulty_gateway", (fault,))
     names = {finding.partition(":")[0] for finding in figures["broken_rules"]}
     assert check in names if check else not names, figures["broken_rules"]
 
@@ -286,8 +286,8 @@
 
 def test_stalled_gateway_shows_in_latencies_and_breaks_no_rule(tmp_path):
     """An open loop must show a stall of the gateway: arrivals go on during it."""
-    lab = read_testbed("load { seconds: 3 rate: 60 }")
-    figures = trial(lab, tmp_path, during=lambda world: [(1.0, lambda: world.stall(0.5))])
+    testbed = read_testbed("load { seconds: 3 rate: 60 }")
+    figures = trial(testbed, tmp_path, during=lambda world: [(1.0, lambda: world.stall(0.5))])
     assert figures["max_ms"] > 400 and not figures["broken_rules"] and not figures["silent"]
 
 
