--- a/lichenquay/admission/attempt_results.py
+++ b/lichenquay/admission/attempt_results.py
@@ -45,7 +45,7 @@
         self,
         attempt: Attempt,
         state: EngineState | None,
-        took_ms: float,
+        elapsed_ms: float,
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
         now_ms: float,
@@ -61,24 +61,24 @@
             self.silence.mark_unresponsive(state, now_ms)
         if reservation is None:
             return
-        self._record_result(reservation, took_ms, cost, now_ms)
+        self._record_result(reservation, elapsed_ms, cost, now_ms)
         if attempt.outcome in CHARGED_AFTER_END and not self.permissions.may_cancel:
-            self._release_later(reservation, took_ms, now_ms)
+            self._release_later(reservation, elapsed_ms, now_ms)
         else:
             self.attempts_in_flight.release(reservation)
 
-    def _release_later(self, reservation: Reservation, took_ms: float, now_ms: float) -> None:
+    def _release_later(self, reservation: Reservation, elapsed_ms: float, now_ms: float) -> None:
         """The engine works on for an unknown time: to the expected end, or for as long again if that is past.
 
         Without this, the engine would look free, and get more and more work that nobody waits for.
         """
         slowdown_ratio = reservation.engine_state.slowdown_ratio or 1.0
-        left_ms = max(slowdown_ratio * expected_runtime_ms(reservation.query) - took_ms, took_ms)
+        left_ms = max(slowdown_ratio * expected_runtime_ms(reservation.query) - elapsed_ms, elapsed_ms)
         self.attempts_in_flight.leave_total(reservation)
         self.port.call_at(now_ms + left_ms, lambda: self.attempts_in_flight.release(reservation))
 
     def _record_result(
-        self, reservation: Reservation, took_ms: float, cost: ExecutionCost | None, now_ms: float
+        self, reservation: Reservation, elapsed_ms: float, cost: ExecutionCost | None, now_ms: float
     ) -> None:
         """Feedback: only completed attempts can meet the objective; errors and time-outs miss it.
 
@@ -95,7 +95,7 @@
         state.errors.add(now_ms, outcome == Outcome.FAILED)
         has_estimate = bool(query.estimated_work_ms)
         if has_estimate and outcome in (Outcome.COMPLETED, Outcome.TIMED_OUT):
-            slowdown = took_ms / (expected_runtime_ms(query) or 1.0)
+            slowdown = elapsed_ms / (expected_runtime_ms(query) or 1.0)
             state.slowdowns.add(now_ms, slowdown)
             self.pressure.record_slowdown(slowdown, now_ms)
         objective_ms = query.latency_objective_ms
@@ -103,7 +103,7 @@
         if outcome != Outcome.COMPLETED:
             lateness_ms = max(lateness_ms, objective_ms)
         elif has_estimate:
-            self.feedback.record_runtime(reservation.slot, took_ms)
+            self.feedback.record_runtime(reservation.slot, elapsed_ms)
             if cost and query.estimated_memory_mb:
                 _, used_mb = cost
                 self.grants.learn(reservation.group, used_mb > reservation.granted_mb, used_mb)
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -160,7 +160,7 @@
             self.fleet, self.capacity, self.pressure, memory_share, self.availability, totals
         )
         self.feedback = SlotFeedback(self.fleet, self.engine_load, self.waiting, gateway_share)
-        self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_turn_ms)
+        self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_loop_interval_ms)
         self.checks = DispatchChecks(limits, self.retry_policy, self.slow_start)
         self.engine_choice = EngineChoice(
             self.checks,
@@ -260,7 +260,7 @@
     def admit(self, query: Query) -> None:
         """A query arrived; its final answer comes by its deadline."""
         now_ms = self.port.now_ms
-        query.counts_over_quota = self.tenant_quota.is_over_quota(query, now_ms)
+        query.counts_over_quota = self.tenant_quota.record_and_check(query, now_ms)
         self.retry_policy.record_query(now_ms)
         self.slow_start.record_query(query)
         self.subset.record_query(now_ms)
@@ -281,9 +281,9 @@
 
     # Attempts and engines
 
-    def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
+    def authorize_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
         """Whether an attempt is still allowed; asked in the instant before its first byte."""
-        return self.checks.may_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
+        return self.checks.authorize_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
 
     def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """An engine reported on an attempt in flight."""
@@ -294,7 +294,7 @@
     def on_attempt_ended(
         self,
         attempt: Attempt,
-        took_ms: float,
+        elapsed_ms: float,
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
@@ -302,7 +302,7 @@
         now_ms = self.ticker.excuse_pause()
         query = attempt.query
         state = self.fleet.states.get(attempt.engine)
-        self.attempt_results.on_attempt_ended(attempt, state, took_ms, cost, report, now_ms)
+        self.attempt_results.on_attempt_ended(attempt, state, elapsed_ms, cost, report, now_ms)
         self.key_ordering.on_attempt_ended(attempt)
         if not query.is_done:
             if self.retry_policy.may_retry_in_time(query, now_ms):
@@ -312,7 +312,7 @@
         self.dispatcher.dispatch_waiting(now_ms, state)
 
     def on_health_check(
-        self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
+        self, engine: Engine, healthy: bool, elapsed_ms: float, report: dict[str, float] | None
     ) -> None:
         """A health check ended; a failed one changes nothing: silence alone makes an engine unresponsive."""
         state = self.fleet.states.get(engine)
--- a/lichenquay/admission/dispatch_checks.py
+++ b/lichenquay/admission/dispatch_checks.py
@@ -12,7 +12,7 @@
     """Draining, placement, idempotency and slow start, in this order."""
 
     def __init__(self, limits: SafetyLimits, retry_policy: RetryPolicy, slow_start: SlowStart):
-        """`retry_policy` and `slow_start` have the budgets that `may_dispatch` charges."""
+        """`retry_policy` and `slow_start` have the budgets that `authorize_dispatch` charges."""
         self.answer_slack_ms = limits.answer_slack_ms
         self.retry_policy = retry_policy
         self.slow_start = slow_start
@@ -33,7 +33,7 @@
         charged_ms = None if decided is None else decided.sent_ms
         return self.slow_start.has_budget(state, query, now_ms, charged_ms)
 
-    def may_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
+    def authorize_dispatch(self, attempt: Attempt, state: EngineState | None, now_ms: float) -> bool:
         """Whether a started attempt is still allowed, asked before its first byte; if so, it is sent now.
 
         The connection may have come up late, or the attempt waited for a file descriptor: by then the
--- a/lichenquay/admission/domain.py
+++ b/lichenquay/admission/domain.py
@@ -203,7 +203,7 @@
     zone: str
     gateway_count: int  # gateways that share the traffic
     seed: int
-    min_turn_ms: float  # least time between two turns of the event loop
+    min_loop_interval_ms: float  # least time between two turns of the event loop
     polls_endpoint_list: bool = False  # discovery pushes nothing unless asked
     index: int | None = None  # its own among the gateways, from 0; None: unknown
 
--- a/lichenquay/admission/ports.py
+++ b/lichenquay/admission/ports.py
@@ -79,17 +79,17 @@
     def on_attempt_ended(
         self,
         attempt: Attempt,
-        took_ms: float,
+        elapsed_ms: float,
         cost: ExecutionCost | None,
         report: dict[str, float] | None,
     ) -> None:
         """An attempt ended, as its `outcome` says.
 
-        `took_ms`: since it was sent. `cost`: what the engine says that it used. `report`: the engine's load
+        `elapsed_ms`: since it was sent. `cost`: what the engine says that it used. `report`: the engine's load
         report as numbers by column; empty if it came without a known column, None if there was none.
         """
 
-    def may_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
+    def authorize_dispatch(self, attempt: Attempt, now_ms: float) -> bool:
         """Whether an attempt is still allowed; asked in the instant before its first byte."""
 
     def on_client_gone(self, query: Query) -> None:
@@ -102,6 +102,6 @@
         """Whether the engines have no room for queries over quota."""
 
     def on_health_check(
-        self, engine: Engine, healthy: bool, took_ms: float, report: dict[str, float] | None
+        self, engine: Engine, healthy: bool, elapsed_ms: float, report: dict[str, float] | None
     ) -> None:
         """A health check ended."""
--- a/lichenquay/admission/retry_policy.py
+++ b/lichenquay/admission/retry_policy.py
@@ -15,10 +15,10 @@
     is kept at every instant although both are counted in buckets.
     """
 
-    def __init__(self, max_attempts: int, limits: SafetyLimits, min_turn_ms: float):
-        """No query and no retry so far. `min_turn_ms`: least time between two turns of the event loop."""
+    def __init__(self, max_attempts: int, limits: SafetyLimits, min_loop_interval_ms: float):
+        """No query and no retry so far. `min_loop_interval_ms`: least time between two turns of the event loop."""
         self.max_attempts = max_attempts
-        self.min_turn_ms = min_turn_ms
+        self.min_loop_interval_ms = min_loop_interval_ms
         self.free_retries = limits.retry_budget_free
         self.retries_per_query = limits.retry_budget_ratio
         self.bucket_ms = (limits.retry_budget_window_ms or NO_WINDOW_MS) / BUCKETS_PER_WINDOW
@@ -48,7 +48,7 @@
 
     def may_retry_in_time(self, query: Query, now_ms: float) -> bool:
         """As `may_attempt`, for a query that has a turn of the event loop left before its deadline."""
-        return now_ms < query.deadline_ms - self.min_turn_ms and self.may_attempt(query, now_ms)
+        return now_ms < query.deadline_ms - self.min_loop_interval_ms and self.may_attempt(query, now_ms)
 
     def has_budget(self, now_ms: float) -> bool:
         """Whether one more retry is within the budget of the settings' window."""
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -30,12 +30,12 @@
         self.waiting = waiting
         self.gateway_share = gateway_share
 
-    def record_runtime(self, slot: AdmissionSlot, took_ms: float) -> None:
+    def record_runtime(self, slot: AdmissionSlot, elapsed_ms: float) -> None:
         """An attempt with an estimate completed."""
         if slot.mean_runtime_ms:
-            slot.mean_runtime_ms += (took_ms - slot.mean_runtime_ms) / RUNTIME_AVERAGE_RESULTS
+            slot.mean_runtime_ms += (elapsed_ms - slot.mean_runtime_ms) / RUNTIME_AVERAGE_RESULTS
         else:
-            slot.mean_runtime_ms += took_ms
+            slot.mean_runtime_ms += elapsed_ms
 
     def record_result(
         self,
--- a/lichenquay/admission/tenant_quota.py
+++ b/lichenquay/admission/tenant_quota.py
@@ -17,7 +17,7 @@
         self.traffic = {tenant: SlidingWindow(bucket_ms, WINDOW_BUCKETS) for tenant in tenants}
         self.draw = draw
 
-    def is_over_quota(self, query: Query, now_ms: float) -> bool:
+    def record_and_check(self, query: Query, now_ms: float) -> bool:
         """Whether the query counts as over quota; such queries wait behind all others of their group.
 
         Without a ledger, as many of a tenant's queries count as exceed its share of our traffic, by chance.
--- a/lichenquay/admission/timing.py
+++ b/lichenquay/admission/timing.py
@@ -28,7 +28,7 @@
         evaluation_interval_ms = shortest_ms / EVALUATIONS_PER_OBJECTIVE
         return cls(
             shortest_objective_ms=shortest_ms,
-            tick_interval_ms=max(gateway.min_turn_ms, shortest_ms / TICKS_PER_OBJECTIVE),
+            tick_interval_ms=max(gateway.min_loop_interval_ms, shortest_ms / TICKS_PER_OBJECTIVE),
             evaluation_interval_ms=evaluation_interval_ms,
             report_lifetime_ms=REPORT_LIFETIME_EVALUATIONS * evaluation_interval_ms,
         )
--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -9,7 +9,7 @@
 from lichenquay.config.reader import read_file
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.errors import ComparisonError
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 
 OUT = click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
@@ -47,7 +47,7 @@
     workers.start()
     with console.progress("load") as done:
         kept = workers.run(done)
-    figures = {**report_of(kept, testbed), "out": str(out)}
+    figures = {**build_report(kept, testbed), "out": str(out)}
     keep(out, testbed, kept, figures)
     console.write_json(json_path, figures)
     console.print_table(
--- a/lichenquay/config/connection_admission_settings.py
+++ b/lichenquay/config/connection_admission_settings.py
@@ -36,7 +36,7 @@
         effective.prefix4,
         parse_networks(effective.known),
         effective.reserve,
-        max_remembered=effective.most_seen,
+        max_idle_accounts=effective.most_seen,
         retry_after_ms=effective.again_ms,
         max_lag_ms=effective.lag_ms,
     )
--- a/lichenquay/connection_admission/account_registry.py
+++ b/lichenquay/connection_admission/account_registry.py
@@ -89,7 +89,7 @@
     def _remember(self, account):
         self.idle[account.name] = account
         self.idle.move_to_end(account.name)
-        while len(self.idle) > max(MIN_REMEMBERED, self.rules.max_remembered):
+        while len(self.idle) > max(MIN_REMEMBERED, self.rules.max_idle_accounts):
             name, _ = self.idle.popitem(last=False)
             del self.accounts[name]
             self.forgotten_count += 1
--- a/lichenquay/connection_admission/limits.py
+++ b/lichenquay/connection_admission/limits.py
@@ -29,7 +29,9 @@
     known: tuple[IPv4Network | IPv6Network, ...] = ()  # networks of known clients
     reserve: int = 0  # connections reserved for known clients
     max_ending: int = 8  # connections that are ending, beyond `max_connections`
-    max_remembered: int = 4096  # addresses and prefixes that hold nothing and are remembered for their rates
+    max_idle_accounts: int = (
+        4096  # addresses and prefixes that hold nothing and are remembered for their rates
+    )
     quiet_ms: float = 20.0  # a client that has something to send has begun by then
     retry_after_ms: float = 1000.0  # sent with a rejection whose limit gives no better value
     rise_at: tuple[float, ...] = (0.75, 0.9, 0.98)  # used share (0 to 1) from which each load state holds ...
--- a/lichenquay/control_plane/relay_runtime.py
+++ b/lichenquay/control_plane/relay_runtime.py
@@ -5,7 +5,7 @@
 from lichenquay.control_plane.runtime import ControlRuntime
 from lichenquay.distribution.relay import Relay
 from lichenquay.fleet.message_envelope import Layer
-from lichenquay.fleet.source_ranking import ranked
+from lichenquay.fleet.source_ranking import rank_sources
 
 
 class RelayRuntime(ControlRuntime):
@@ -17,7 +17,7 @@
     def make_parts(self, now_ms: float) -> None:
         """Make a relay that follows the voters, those of its own region first."""
         settings = self.settings
-        voters = ranked(settings.voters, settings.name, region=region_of(settings))
+        voters = rank_sources(settings.voters, settings.name, region=region_of(settings))
         self.relay = Relay(settings.name, voters, self.rng, self.figures, now_ms, self.log_subscriber_error)
         self.parts = {Layer.DISTRIBUTION: self.relay}
 
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -4,7 +4,7 @@
 import socket
 from abc import ABC, abstractmethod
 
-from lichenquay.config.control_settings import group_fingerprint, region_of, warnings_of
+from lichenquay.config.control_settings import find_warnings, group_fingerprint, region_of
 from lichenquay.config.distribution_settings import distribution_fingerprint, distribution_settings
 from lichenquay.config.process_entries import parse_address
 from lichenquay.distribution import distribution_pb2
@@ -36,7 +36,7 @@
         """
         self.settings = process_settings.control
         self.figures = distribution_settings(self.settings.figures)
-        self.warnings = warnings_of(process_settings)
+        self.warnings = find_warnings(process_settings)
         self.rng = random.Random(random.SystemRandom().getrandbits(RNG_SEED_BITS))
         self.addresses = self._make_addresses()
         self.leave_deadline_ms: float | None = None
@@ -105,14 +105,14 @@
         self.run_due_parts()
 
     def leave(self) -> None:
-        """Start to leave in order; `is_over` says when the process may end. Later calls change nothing."""
+        """Start to leave in order; `is_leave_complete` says when the process may end. Later calls change nothing."""
         if self.leave_deadline_ms is not None:
             return
         self.leave_deadline_ms = self.now_ms() + MAX_LEAVE_MS
         self.start_leaving(self.now_ms())
         self.run_due_parts()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """Whether, after `leave`, everything is released, or the time for it is up."""
         return self.has_left() or self.now_ms() >= self.leave_deadline_ms
 
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -75,7 +75,7 @@
 
     def end_when_over(self) -> None:
         """End the process once the runtime has left; check again a little later until then."""
-        if not self.runtime.is_over():
+        if not self.runtime.is_leave_complete():
             self.reactor.callLater(LEAVE_CHECK_INTERVAL_S, self.end_when_over)
             return
         self.phase = ServicePhase.ENDED
--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -35,8 +35,8 @@
     """Runs a voter, which publishes while it holds the lease."""
 
     role = "voter"
-    section_prefix = f"owner/{publisher.GROUP}/"
-    kinds = {**ControlRuntime.kinds, Layer.OWNER: lease_pb2.Message}
+    section_prefix = f"owner/{publisher.LEASE_GROUP_NAME}/"
+    kinds = {**ControlRuntime.kinds, Layer.LEASE: lease_pb2.Message}
     importer: EndpointImporter | None = None
     discovery: DiscoveryFactory | None = None
     logged_generation = 0
@@ -46,7 +46,7 @@
         """Make the group from its stored state, the publisher, and the importer if there is discovery."""
         self.group, self.publisher = self._make_group(now_ms)
         self.candidate = LeaseCandidate(self.group, now_ms)
-        self.parts = {Layer.OWNER: self.group, Layer.DISTRIBUTION: self.publisher, CANDIDATE: self.candidate}
+        self.parts = {Layer.LEASE: self.group, Layer.DISTRIBUTION: self.publisher, CANDIDATE: self.candidate}
         if self.settings.discovery:
             self._follow_discovery(now_ms)
 
--- a/lichenquay/deployment_settings.py
+++ b/lichenquay/deployment_settings.py
@@ -76,7 +76,9 @@
         self.groups = {group.name: group for group in _read_groups(section, engine_family)}
         self.tenants = {tenant.name: tenant for tenant in _read_tenants(section)}
         self.sizes_by_kind = _read_sizes(section, engine_family)
-        self.idle_ms = limits.milliseconds("keepalive_us", 0)  # engines close idle connections after this
+        self.engine_keepalive_ms = limits.milliseconds(
+            "keepalive_us", 0
+        )  # engines close idle connections after this
         self.gateway = _read_gateway(section, seed)
         self.permissions = _read_permissions(limits)
         self.safety_limits = _read_safety_limits(section.subsection("rules"))
@@ -94,7 +96,7 @@
             self.capabilities,
         )
 
-    def describe(
+    def update_engine(
         self,
         engine: Engine,
         zone: str,
@@ -185,7 +187,7 @@
         zone=section.text("my_zone", ""),
         gateway_count=section.integer("replicas_of_me", 1),
         seed=seed,
-        min_turn_ms=section.milliseconds("resolution_us", 0),
+        min_loop_interval_ms=section.milliseconds("resolution_us", 0),
         polls_endpoint_list=section.text("registry_mode", "pushed") == "on_request",
         index=section.integer("slot_no") if section.has("slot_no") else None,
     )
--- a/lichenquay/distribution/publisher.py
+++ b/lichenquay/distribution/publisher.py
@@ -26,7 +26,7 @@
 from lichenquay.lease.phases import LeaseEvent
 from lichenquay.lease.settings import LeaseSettings
 
-GROUP = "distribution"
+LEASE_GROUP_NAME = "distribution"
 PUBLISHING_KINDS = {"delta", "offer", "page"}  # Messages that say what is accepted.
 HANDLED_KINDS = ("propose", "status_request", "follow", "fetch", "leave")
 MAX_PENDING_PROPOSALS = 256
@@ -314,7 +314,7 @@
     """
     publisher = Publisher(name, None, rng, settings, now_ms, check)
     publisher.group = LeaseGroup(
-        GROUP,
+        LEASE_GROUP_NAME,
         name,
         incarnation,
         voters,
--- a/lichenquay/fleet/follower_runtime.py
+++ b/lichenquay/fleet/follower_runtime.py
@@ -21,7 +21,7 @@
 
     tenant_usage = None
 
-    def __init__(self, reactor, settings, seed, apply_to: ConfigurationTarget):
+    def __init__(self, reactor, settings, seed, configuration_target: ConfigurationTarget):
         """settings: the `distribution` section, which has fleet, name and address itself."""
         envelope = MessageEnvelope(
             settings.fleet, NO_FINGERPRINT, settings.name, (), open_layers(settings.fleet)
@@ -33,7 +33,7 @@
             json_logger().bind(front=settings.name),
         )
         self.settings = settings
-        self.apply_to = apply_to
+        self.configuration_target = configuration_target
         self.applied_configuration: AppliedConfiguration | None = None
         self.rng = random.Random(f"{seed}:{settings.name}")
 
@@ -41,7 +41,7 @@
         """Starts to follow; called once the gateway serves."""
         settings = self.settings
         self.applied_configuration = AppliedConfiguration(
-            settings, settings.name, self.rng, self.now_ms(), self.apply_to, self.log
+            settings, settings.name, self.rng, self.now_ms(), self.configuration_target, self.log
         )
         self.parts[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
         self.log.info("following", incarnation=self.incarnation, fleet=settings.fleet, zone=settings.zone)
@@ -57,7 +57,7 @@
         if self.applied_configuration is not None:
             self.applied_configuration.subscriber.stop()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """After `leave`: always, as no other process has to be told."""
         return True
 
--- a/lichenquay/fleet/gateway_runtime.py
+++ b/lichenquay/fleet/gateway_runtime.py
@@ -11,7 +11,7 @@
 from lichenquay.config.process_entries import parse_address
 from lichenquay.fleet.datagram_transport import DatagramTransport
 from lichenquay.fleet.message_envelope import Layer, MessageEnvelope
-from lichenquay.fleet.quota_part import SECTION_PREFIX, QuotaPart
+from lichenquay.fleet.quota_participant import SECTION_PREFIX, QuotaPart
 from lichenquay.fleet.runtime import (
     Environment,
     Identity,
@@ -34,7 +34,7 @@
 STORE_MAX_BYTES = 16 << 20
 MESSAGE_TYPES = {
     Layer.MEMBERS: members_pb2.Message,
-    Layer.OWNER: lease_pb2.Message,
+    Layer.LEASE: lease_pb2.Message,
     Layer.QUOTA: quota_pb2.Message,
 }
 
@@ -56,23 +56,23 @@
         new_store: Callable = DurableStore,
         new_writer: Callable = StoreWriter,
         distribution=None,
-        apply_to=None,
+        configuration_target=None,
     ):
         """Parameters.
 
         settings: the `fleet` section. is_under_pressure: whether the controller has no room beyond quota.
-        distribution: the `distribution` section, or None. apply_to: puts distributed configuration in force
+        distribution: the `distribution` section, or None. configuration_target: puts distributed configuration in force
         (`ConfigurationTarget`). Clocks and store classes are as in `Environment`.
         """
         self.settings = settings
         self.is_under_pressure = is_under_pressure
         self.distribution = distribution
-        self.apply_to = apply_to
+        self.configuration_target = configuration_target
         self.rng = random.Random(f"{seed}:{settings.name}")
         self.names = gateway_names(settings)
-        self.has_left = False
+        self.is_leaving = False
         self.detector: FailureDetector | None = None
-        self.quota_part: QuotaPart | None = None
+        self.quota_participant: QuotaPart | None = None
         self.tenant_usage: TenantUsage | None = None
         self.applied_configuration = None
         self.next_incarnation: int | None = None  # while it is being stored
@@ -126,7 +126,7 @@
         )
 
     def _start_quota(self):
-        self.quota_part = QuotaPart(
+        self.quota_participant = QuotaPart(
             self.settings,
             self.incarnation,
             self.rng,
@@ -136,35 +136,40 @@
             self.is_under_pressure,
             self.log,
         )
-        self.parts[Layer.QUOTA] = self.quota_part
-        if self.quota_part.group is not None:
-            self.parts[Layer.OWNER] = self.quota_part.group
-        self.tenant_usage = TenantUsage(self.quota_part, self.now_ms, self.set_timer)
+        self.parts[Layer.QUOTA] = self.quota_participant
+        if self.quota_participant.group is not None:
+            self.parts[Layer.LEASE] = self.quota_participant.group
+        self.tenant_usage = TenantUsage(self.quota_participant, self.now_ms, self.set_timer)
 
     def _start_following(self):
         # Imported here, as above.
         from lichenquay.fleet.applied_configuration import AppliedConfiguration
 
         self.applied_configuration = AppliedConfiguration(
-            self.distribution, self.settings.name, self.rng, self.now_ms(), self.apply_to, self.log
+            self.distribution,
+            self.settings.name,
+            self.rng,
+            self.now_ms(),
+            self.configuration_target,
+            self.log,
         )
         self.parts[Layer.DISTRIBUTION] = self.applied_configuration.subscriber
 
     def leave(self) -> None:
-        """Tells the other members; `close` follows once `is_over`."""
-        if not self.parts or self.has_left:
+        """Tells the other members; `close` follows once `is_leave_complete`."""
+        if not self.parts or self.is_leaving:
             return
-        self.has_left = True
+        self.is_leaving = True
         self.detector.leave(self.now_ms())
-        if self.quota_part is not None:
-            self.quota_part.leave(self.now_ms())
+        if self.quota_participant is not None:
+            self.quota_participant.leave(self.now_ms())
         if self.applied_configuration is not None:
             self.applied_configuration.subscriber.stop()
         self.run_due_parts()
 
-    def is_over(self) -> bool:
+    def is_leave_complete(self) -> bool:
         """After `leave`: whether all has been sent that others have to know."""
-        has_quota_left = self.quota_part is None or self.quota_part.has_left
+        has_quota_left = self.quota_participant is None or self.quota_participant.is_leaving
         return self.detector.end_reason is not None and has_quota_left
 
     # events
@@ -173,7 +178,7 @@
         """Logs membership changes, rejoins after a removal and applies a first endpoint list."""
         self._log_member_changes()
         was_removed = self.detector.end_reason is MemberState.REMOVED
-        if was_removed and not self.has_left and self.next_incarnation is None:
+        if was_removed and not self.is_leaving and self.next_incarnation is None:
             self._start_rejoin()
         if self.applied_configuration is not None:
             self.applied_configuration.apply_first_list()
@@ -205,14 +210,14 @@
         self.reactor.callLater(0, self._rejoin, is_stored)
 
     def _rejoin(self, is_stored):
-        if self.is_closed or self.has_left:
+        if self.is_closed or self.is_leaving:
             return
         self.incarnation = self.next_incarnation
         self.next_incarnation = None
         self.log.warning("rejoined after removal", incarnation=self.incarnation, stored=is_stored)
         self._start_detector()
-        if self.quota_part is not None:
-            self.quota_part.restart_as(self.incarnation)
+        if self.quota_participant is not None:
+            self.quota_participant.restart_as(self.incarnation)
         self.run_due_parts()
 
     # status
@@ -225,8 +230,8 @@
             *self._member_lines(),
             *self.datagram_lines(),
         ]
-        if self.quota_part is not None:
-            lines += self.quota_part.lines(self.now_ms())
+        if self.quota_participant is not None:
+            lines += self.quota_participant.lines(self.now_ms())
             lines += self.tenant_usage.lines()
         if self.applied_configuration is not None:
             lines += self.applied_configuration.lines(self.now_ms())
--- a/lichenquay/fleet/message_envelope.py
+++ b/lichenquay/fleet/message_envelope.py
@@ -30,7 +30,7 @@
     """The protocol that a datagram belongs to. The numbers are part of the wire format."""
 
     MEMBERS = 1
-    OWNER = 2
+    LEASE = 2
     QUOTA = 3
     DISTRIBUTION = 4
 
--- a/lichenquay/fleet/quota_status.py
+++ b/lichenquay/fleet/quota_status.py
@@ -6,13 +6,13 @@
 from lichenquay.quota.ledger_leader import LedgerLeader
 
 
-def quota_lines(quota_part, now_ms: float) -> list[str]:
+def quota_lines(quota_participant, now_ms: float) -> list[str]:
     """Status lines of a `QuotaPart`. Amounts are milliseconds of engine work."""
-    lines = _escrow_lines(quota_part.escrow, now_ms)
-    if quota_part.group is not None:
-        lines.append(_group_line(quota_part.group, now_ms))
-    if quota_part.is_leading:
-        lines += _ledger_lines(quota_part.leader)
+    lines = _escrow_lines(quota_participant.escrow, now_ms)
+    if quota_participant.group is not None:
+        lines.append(_group_line(quota_participant.group, now_ms))
+    if quota_participant.is_leading:
+        lines += _ledger_lines(quota_participant.leader)
     return lines
 
 
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -207,7 +207,7 @@
             part.outbox.clear()  # In place: the members of a composite part may share one list.
             for receiver, message in messages:
                 self.datagrams.send(self.incarnation, receiver, layer, message)
-        if Layer.OWNER in self.parts:
+        if Layer.LEASE in self.parts:
             self._submit_writes()
         self.after_flush()
         self.set_timer()
@@ -216,7 +216,7 @@
         """Called after each `flush`. Subclasses override it."""
 
     def _submit_writes(self):
-        group = self.parts[Layer.OWNER]
+        group = self.parts[Layer.LEASE]
         requests = group.store_requests
         group.store_requests = []
         for number, changes in requests:
@@ -225,7 +225,7 @@
 
     def _on_stored(self, number, is_stored):
         if not self.is_closed:
-            self.parts[Layer.OWNER].on_stored(self.now_ms(), number, is_stored)
+            self.parts[Layer.LEASE].on_stored(self.now_ms(), number, is_stored)
             self.flush()
 
     def set_timer(self) -> None:
--- a/lichenquay/fleet/source_ranking.py
+++ b/lichenquay/fleet/source_ranking.py
@@ -9,7 +9,7 @@
 ELSEWHERE = 2
 
 
-def ranked(sources: Iterable, name: str, zone: str = "", region: str = "") -> list[str]:
+def rank_sources(sources: Iterable, name: str, zone: str = "", region: str = "") -> list[str]:
     """Names of the sources: first those of the same zone, then of the same region, then all others.
 
     Within each of these the order is by rendezvous hash of both names. So it is the same at each start, the
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -14,7 +14,9 @@
 from lichenquay.gateway.frames import AnswerCode, FrameError, FrameReader, FrameType
 from lichenquay.gateway.stream_numbers import StreamNumbers
 
-CLOSE_S = 0.3  # for the other side to close as well; then again, while it still reads its last answers
+CLOSE_TIMEOUT_S = (
+    0.3  # for the other side to close as well; then again, while it still reads its last answers
+)
 PAUSE_S = 0.05  # in which nothing is read, after an invalid request
 MAX_INVALID_REQUESTS = 16  # more of them end a connection
 # Bytes of answers that a client has not read, before no more requests of its are accepted; and bytes of
@@ -335,7 +337,7 @@
             return
         self.is_open = False
         self.intake.connection_admission.on_connection_ending(self.record, self.intake.admission_ms())
-        self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
+        self.close_timer = self.intake.reactor.callLater(CLOSE_TIMEOUT_S, self._finish_closing)
         if not self.unsent_bytes:
             self._close_output()
 
@@ -352,7 +354,7 @@
         """What a slow client has not received is waited for as long as its queries might have taken."""
         unreceived_bytes = self.unsent_bytes or unacknowledged_bytes(self.transport)
         if unreceived_bytes and self.intake.now_ms() < self.linger_until_ms:
-            self.close_timer = self.intake.reactor.callLater(CLOSE_S, self._finish_closing)
+            self.close_timer = self.intake.reactor.callLater(CLOSE_TIMEOUT_S, self._finish_closing)
         elif unreceived_bytes:
             self.transport.abortConnection()
         else:
--- a/lichenquay/gateway/configuration.py
+++ b/lichenquay/gateway/configuration.py
@@ -136,10 +136,10 @@
     )
 
 
-def make_fleet(feature_settings, reactor, seed, is_under_pressure, apply_to):
+def make_fleet(feature_settings, reactor, seed, is_under_pressure, configuration_target):
     """This gateway's part in a fleet, or as a follower of distributed configuration, if settings say so.
 
-    apply_to: puts distributed configuration in force.
+    configuration_target: puts distributed configuration in force.
     """
     if feature_settings is None:
         return None
@@ -154,10 +154,10 @@
             seed,
             is_under_pressure,
             distribution=distribution,
-            apply_to=apply_to,
+            configuration_target=configuration_target,
         )
     if distribution is not None:
         from lichenquay.fleet.follower_runtime import FollowerRuntime
 
-        return FollowerRuntime(reactor, distribution, seed, apply_to)
+        return FollowerRuntime(reactor, distribution, seed, configuration_target)
     return None
--- a/lichenquay/gateway/controller_adapter.py
+++ b/lichenquay/gateway/controller_adapter.py
@@ -50,7 +50,7 @@
 
 
 class ControllerAdapter:
-    """The controller's `GatewayPort`, and the queue of its events; turns are `min_turn_ms` apart at least."""
+    """The controller's `GatewayPort`, and the queue of its events; turns are `min_loop_interval_ms` apart at least."""
 
     def __init__(self, settings, reactor, engines, now_ms: Callable[[], float], metrics, log):
         """`engines`: the connections to them; `now_ms`: the clock. `router` is set by the owner."""
@@ -59,7 +59,7 @@
         self.clock_ms = now_ms
         self.metrics = metrics
         self.log_line = log
-        self.min_turn_ms = settings.gateway.min_turn_ms
+        self.min_loop_interval_ms = settings.gateway.min_loop_interval_ms
         self.max_attempts = settings.permissions.max_attempts
         self.reports_cost = settings.capabilities.reports_cost
         self.router = None
@@ -104,9 +104,11 @@
         query = in_flight.query
         if outcome == domain.Outcome.COMPLETED:
             self.answer(query, AnswerCode.COMPLETED, result)
-        took_ms = self.clock_ms() - in_flight.attempt.sent_ms
+        elapsed_ms = self.clock_ms() - in_flight.attempt.sent_ms
         reported_cost = cost if self.reports_cost else None
-        self._enqueue(self._on_attempt_ended, in_flight.attempt, outcome, took_ms, reported_cost, load_report)
+        self._enqueue(
+            self._on_attempt_ended, in_flight.attempt, outcome, elapsed_ms, reported_cost, load_report
+        )
 
     def endpoints_updated(self, engines: list, whole: bool) -> None:
         """The endpoint list changed: these are all engines (`whole`), or those that changed."""
@@ -129,9 +131,9 @@
         for query in list(self.open_queries):
             self.evict(query)
 
-    def may_dispatch(self, in_flight) -> bool:
+    def authorize_dispatch(self, in_flight) -> bool:
         """Whether an attempt is still allowed at the time that it is by now."""
-        return self.controller.may_dispatch(in_flight.attempt, max(self.now_ms, self.clock_ms()))
+        return self.controller.authorize_dispatch(in_flight.attempt, max(self.now_ms, self.clock_ms()))
 
     # Delivery of the events.
 
@@ -141,7 +143,7 @@
             return
         query.is_known_to_controller = True
         if self.quota is not None:
-            query.over_quota = self.quota.is_over_quota(query)
+            query.over_quota = self.quota.reserve_unless_over_quota(query)
         self.controller.admit(query)
 
     def _cancel(self, query):
@@ -152,11 +154,11 @@
         if attempt.outcome is None:
             self.controller.on_progress(attempt, kind, amount)
 
-    def _on_attempt_ended(self, attempt, outcome, took_ms, cost, load_report):
+    def _on_attempt_ended(self, attempt, outcome, elapsed_ms, cost, load_report):
         attempt.outcome = outcome
         if self.quota is not None and outcome == domain.Outcome.COMPLETED:
             self.quota.settle_completed(attempt.query, cost)
-        self.controller.on_attempt_ended(attempt, took_ms, cost, load_report)
+        self.controller.on_attempt_ended(attempt, elapsed_ms, cost, load_report)
 
     # Turns.
 
@@ -176,9 +178,9 @@
         for call in due_calls:
             self._call_guarded(call, ())
         if self.events:
-            self.schedule_turn(now_ms + self.min_turn_ms)
+            self.schedule_turn(now_ms + self.min_loop_interval_ms)
         elif self.timers:
-            self.schedule_turn(max(self.timers[0].due_ms, now_ms + self.min_turn_ms))
+            self.schedule_turn(max(self.timers[0].due_ms, now_ms + self.min_loop_interval_ms))
 
     def schedule_turn(self, at_ms: float) -> None:
         """The next turn is at `at_ms` at the latest."""
@@ -194,7 +196,7 @@
 
     def _enqueue(self, call, *arguments):
         self.events.append(QueuedEvent(call, arguments))
-        self.schedule_turn(self.last_turn_ms + self.min_turn_ms)
+        self.schedule_turn(self.last_turn_ms + self.min_loop_interval_ms)
 
     def _call_guarded(self, call, arguments):
         """A fault met for one query must not end the gateway, and all that it holds."""
@@ -269,7 +271,7 @@
         """See GatewayPort."""
         self.last_timer_number += 1
         heapq.heappush(self.timers, Timer(at_ms, self.last_timer_number, call))
-        self.schedule_turn(max(at_ms, self.now_ms + self.min_turn_ms))
+        self.schedule_turn(max(at_ms, self.now_ms + self.min_loop_interval_ms))
 
     def send_health_check(self, engine):
         """See GatewayPort; PROTOCOL has no health check."""
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -27,16 +27,16 @@
         tracker,
         metrics,
         call_at: Callable[[float, Callable], None],
-        may_dispatch: Callable[[AttemptInFlight], bool],
+        authorize_dispatch: Callable[[AttemptInFlight], bool],
         now_ms: Callable[[], float],
     ):
-        """`call_at`: the controller's timers; `may_dispatch`: asked just before an attempt's first byte."""
+        """`call_at`: the controller's timers; `authorize_dispatch`: asked just before an attempt's first byte."""
         self.engines = engines
         self.relay = relay
         self.tracker = tracker
         self.metrics = metrics
         self.call_at = call_at
-        self.may_dispatch = may_dispatch
+        self.authorize_dispatch = authorize_dispatch
         self.now_ms = now_ms
 
     def dispatch(self, in_flight: AttemptInFlight, data: bytes) -> None:
@@ -63,7 +63,7 @@
             starts_attempt=True,
             address=in_flight.address,
             attempt=in_flight,
-            may_dispatch=lambda: self.may_dispatch(in_flight),
+            authorize_dispatch=lambda: self.authorize_dispatch(in_flight),
             on_written=lambda: in_flight.lifecycle.post_written(self.now_ms()),
             on_timeout=lambda: first_outcome.callback(ReplyTimeoutError()),
         )
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -66,7 +66,7 @@
     needs_new_connection: an idle connection will not do.
     starts_attempt: it starts work at the engine, which has to be serving.
     preferred_connection: the one that the attempt's last reply came on.
-    may_dispatch: asked in the instant before the first byte.
+    authorize_dispatch: asked in the instant before the first byte.
     on_written: called as the first byte is written.
     on_timeout: called when there is no reply in time, in place of the call's end; the call stays out, as its
     reply still settles something.
@@ -81,7 +81,7 @@
     preferred_connection: object = None
     on_written: Callable[[], None] | None = None
     on_timeout: Callable[[], None] | None = None
-    may_dispatch: Callable[[], bool] | None = None
+    authorize_dispatch: Callable[[], bool] | None = None
     address: str | None = None
     attempt: object = None
     reply: Deferred = field(default_factory=Deferred)  # of a Reply
@@ -124,7 +124,11 @@
 
         What was decided when the connection was asked for may not be right any more once it is up.
         """
-        if not self.withdraw_if_engine_left() and self.may_dispatch is not None and not self.may_dispatch():
+        if (
+            not self.withdraw_if_engine_left()
+            and self.authorize_dispatch is not None
+            and not self.authorize_dispatch()
+        ):
             self.withdraw()
         return not self.is_over
 
--- a/lichenquay/gateway/service.py
+++ b/lichenquay/gateway/service.py
@@ -35,7 +35,7 @@
 DEFAULT_KEEP_ALIVE_POLLS = 4
 DEFAULT_KEEP_ALIVE_MS = DEFAULT_KEEP_ALIVE_POLLS * POLL_REPLY_MS  # likewise
 # PROTOCOL: an event of the discovery service counts as announced this much later at the latest.
-EVENTS_ANNOUNCED_WITHIN_MS = 7000.0
+MAX_ANNOUNCEMENT_DELAY_MS = 7000.0
 # PROTOCOL: new connections go on coming 0.4 s after SIGTERM; the last of them is accepted.
 ACCEPT_AFTER_SIGTERM_MS = 450.0
 REQUESTS_AFTER_ACCEPTING_MS = 200.0  # PROTOCOL: and requests on open ones for this long more
@@ -104,7 +104,7 @@
             urgent_reserve=URGENT_DESCRIPTORS,
             connect_timeout_ms=self.settings.capabilities.connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS,
             reply_timeout_ms=REPLY_TIMEOUT_MS,
-            keep_alive_ms=self.settings.idle_ms or DEFAULT_KEEP_ALIVE_MS,
+            keep_alive_ms=self.settings.engine_keepalive_ms or DEFAULT_KEEP_ALIVE_MS,
         )
         self.adapter = ControllerAdapter(
             self.settings, self.reactor, self.engines, now_ms, self.metrics, self.log
@@ -119,7 +119,7 @@
             self.attempts,
             self.metrics,
             self.adapter.call_at,
-            self.adapter.may_dispatch,
+            self.adapter.authorize_dispatch,
             now_ms,
         )
         self.router = Router(self.dispatcher, self.relay)
@@ -179,7 +179,7 @@
             engine.address = record.address
         # The wall clock by which it started may have stepped since this gateway took its own from it.
         started_ms = record.started_ms + wall_clock_step_ms() if record.started_ms else record.started_ms
-        self.settings.describe(
+        self.settings.update_engine(
             engine, record.zone, record.kind, record.cell, record.state, record.advertised_weight, started_ms
         )
         return engine
@@ -197,7 +197,7 @@
         except CannotListenError as error:
             reason = error.socketError.strerror
             raise StartError(f"cannot listen on {self.config.listen_address}: {reason}") from None
-        self.adapter.endpoints_stale(EVENTS_ANNOUNCED_WITHIN_MS)
+        self.adapter.endpoints_stale(MAX_ANNOUNCEMENT_DELAY_MS)
         self._follow_discovery()
         self.reactor.callWhenRunning(self.run)
 
@@ -349,7 +349,7 @@
         nothing_in_flight = self.attempts.in_flight_count == 0
         if (all_answered or left_ms < 0) and (nothing_in_flight or is_late):
             self.clients.close_idle()
-            fleet_is_over = self.fleet is None or self.fleet.is_over()
+            fleet_is_over = self.fleet is None or self.fleet.is_leave_complete()
             if is_late or (not self.clients.connections and fleet_is_over):
                 self._end()
                 return
--- a/lichenquay/lease/leadership_term.py
+++ b/lichenquay/lease/leadership_term.py
@@ -67,7 +67,7 @@
         self.generation = None
         self.forget_term(now_ms)
 
-    def is_leading(self, now_ms: float) -> bool:
+    def refresh_leadership(self, now_ms: float) -> bool:
         """Whether this process may act now; a new term begins with what the group has committed."""
         if not self.group.holds(now_ms) or self.group.generation == self.uncertain_generation:
             if self.committed:
--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -61,7 +61,7 @@
 
     def tick(self, now_ms: float) -> None:
         """Continues handovers, and sends again what was not answered."""
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             self.handover_source.due_ms = now_ms + self.settings.tick_period_ms * IDLE_TICKS
             return
         self.handover_source.tick(now_ms)
@@ -80,7 +80,7 @@
         if kind is None or not is_for_here or not is_intact(message):
             self.rejected_messages += 1
             return
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             self.misdirected_messages += 1
             return
         if kind == "offer":
--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -294,7 +294,7 @@
             self.counters.handed_over += 1
 
     def _handed_over(self, now_ms: float, committed: bool) -> None:
-        if committed and self.coordinator.is_leading(now_ms):
+        if committed and self.coordinator.refresh_leadership(now_ms):
             self.send_handovers(now_ms)
 
     def send_handovers(self, now_ms: float) -> None:
--- a/lichenquay/migration/handover_target.py
+++ b/lichenquay/migration/handover_target.py
@@ -117,7 +117,7 @@
         coordinator.propose(change, partial(self._accepted, handover, now_ms))
 
     def _accepted(self, handover: HandoverKey, received_ms: float, now_ms: float, committed: bool) -> None:
-        if not committed or not self.coordinator.is_leading(now_ms):
+        if not committed or not self.coordinator.refresh_leadership(now_ms):
             return
         self.counters.accepted += 1
         session = self.coordinator.committed.sessions.get(handover.session_id)
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -99,6 +99,6 @@
             self.speculative.record_number = record.no
         for done in write.callbacks:
             done(now_ms, bool(committed))
-        if self.is_leading(now_ms):
+        if self.refresh_leadership(now_ms):
             self.on_write_ended(now_ms)
             self.flush(now_ms)
--- a/lichenquay/migration/session_service.py
+++ b/lichenquay/migration/session_service.py
@@ -72,7 +72,7 @@
         A session that was opened here by that name, and is still owned, is answered again: the client may not
         have received its id.
         """
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             done(now_ms, NOT_LEADER)
             return
         if not are_valid_names(tenant, name):
@@ -122,7 +122,7 @@
 
         A query that is known is attached to, and not submitted again; see `resubmit_query`.
         """
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             done(now_ms, NOT_LEADER)
             return
         found = self.find_session(tenant, session_id)
@@ -167,7 +167,7 @@
 
     def _answer_committed(self, answer: Answer, done: AnswerCallback, now_ms: float, committed: bool) -> None:
         # If the term has ended meanwhile, the next leader may be answering 'failed' already.
-        done(now_ms, answer if committed and self.is_leading(now_ms) else NOT_LEADER)
+        done(now_ms, answer if committed and self.refresh_leadership(now_ms) else NOT_LEADER)
 
     def resubmit_query(
         self,
@@ -204,7 +204,7 @@
 
     def attach_query(self, now_ms: float, tenant: str, session_id: str, query_id: str) -> Answer:
         """A client asks again for an earlier query of its session."""
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             return NOT_LEADER
         found = self.find_session(tenant, session_id)
         if isinstance(found, Answer):
@@ -238,7 +238,7 @@
         self, now_ms: float, tenant: str, session_id: str, decide: Callable[[], pb.Change | None]
     ) -> bool:
         recorded = (
-            self.is_leading(now_ms)
+            self.refresh_leadership(now_ms)
             and not isinstance(self.find_session(tenant, session_id), Answer)
             and self.propose(decide())
         )
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -88,7 +88,7 @@
 
     def on_message(self, now_ms: float, sender, request: pb.Ask) -> None:
         """A token request of `sender`: (gateway, incarnation)."""
-        if not self.is_leading(now_ms):
+        if not self.refresh_leadership(now_ms):
             self.misdirected_requests += 1
             return
         if self.pending.is_full:
@@ -106,7 +106,7 @@
     def tick(self, now_ms: float) -> None:
         """Commits what was gathered, or the passing of time."""
         self.due_ms = now_ms + self.period_ms
-        if not self.is_leading(now_ms) or self.pending_write:
+        if not self.refresh_leadership(now_ms) or self.pending_write:
             return
         if self.pending or now_ms >= self.last_record_ms + IDLE_PERIODS * self.period_ms:
             self.write_batch(now_ms)
@@ -194,7 +194,7 @@
             return
         self.committed.apply(record)
         self.records_committed += 1
-        if self.is_leading(now_ms):
+        if self.refresh_leadership(now_ms):
             self.answer_requests(now_ms)
 
     def answer_requests(self, now_ms: float) -> None:
--- a/lichenquay/simulator_adapter/simulated_gateway.py
+++ b/lichenquay/simulator_adapter/simulated_gateway.py
@@ -72,7 +72,7 @@
         """An attempt ended."""
         outcome = line.outcome("ending")
         attempt = self._attempt_of(line, must_exist=True)
-        took_ms = line.milliseconds("wait_time_us")
+        elapsed_ms = line.milliseconds("wait_time_us")
         cost = line.execution_cost("note")
         report = line.load_report("telemetry")
         if attempt is None or attempt.outcome is not None:
@@ -80,7 +80,7 @@
         query = attempt.query
         attempt.outcome = outcome
         query.is_done = query.is_done or line.flag("terminal", "0")
-        self.controller.on_attempt_ended(attempt, took_ms, cost, report)
+        self.controller.on_attempt_ended(attempt, elapsed_ms, cost, report)
         self._forget_if_over(query)
 
     def on_change(self, line: WireLine) -> None:
@@ -108,9 +108,9 @@
     def on_probe_done(self, line: WireLine) -> None:
         """A health check ended."""
         is_healthy = line.text("ending") == "S"
-        took_ms = line.milliseconds("wait_time_us")
+        elapsed_ms = line.milliseconds("wait_time_us")
         report = line.load_report("telemetry")
-        self.controller.on_health_check(self._engine_of(line), is_healthy, took_ms, report)
+        self.controller.on_health_check(self._engine_of(line), is_healthy, elapsed_ms, report)
 
     def on_wakeup(self, line: WireLine) -> None:
         """A timer is due."""
@@ -142,7 +142,7 @@
             engine = Engine(name)
             self.engines[name] = engine
         state = row.endpoint_state("status")
-        return self.settings.describe(
+        return self.settings.update_engine(
             engine,
             zone=row.text("zone", ""),
             kind=row.text("class_of_host", ""),
--- a/lichenquay/testbed/engine_host.py
+++ b/lichenquay/testbed/engine_host.py
@@ -5,7 +5,7 @@
 from twisted.internet import reactor
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.task import RUNNING, task_of
+from lichenquay.load.task import RUNNING, decode_statement
 from lichenquay.testbed import engine as model
 from lichenquay.testbed.host import HttpServer, now_ms
 
@@ -77,7 +77,7 @@
         try:
             if method == "POST":
                 ref = headers["x-hop-id"]
-                task = task_of(
+                task = decode_statement(
                     ref,
                     headers["x-sort"],
                     body,
--- a/lichenquay/testbed/flood.py
+++ b/lichenquay/testbed/flood.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from lichenquay.gateway import frames
-from lichenquay.load.task import Task, statement_of
+from lichenquay.load.task import Task, encode_statement
 
 RECONNECT_S = 0.1  # until a closed connection is opened again, whatever Retry-After says
 
@@ -50,7 +50,7 @@
             ]
         )
         self.transport.write(
-            frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, statement_of(task))
+            frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, encode_statement(task))
         )
 
     def dataReceived(self, data):
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -12,8 +12,8 @@
 
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
-from lichenquay.load.child import environment
-from lichenquay.load.task import Task, statement_of
+from lichenquay.load.child import child_environment
+from lichenquay.load.task import Task, encode_statement
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.world import World
 
@@ -69,7 +69,9 @@
                 connection.settimeout(ALLOWED_MS / 1000 + 1)
                 connection.bind((self.source % (2 + number % 200), 0))
                 connection.connect(self.address)
-                connection.sendall(frames.encode_frame(frames.FrameType.QUERY, 1, fields, statement_of(task)))
+                connection.sendall(
+                    frames.encode_frame(frames.FrameType.QUERY, 1, fields, encode_statement(task))
+                )
                 sent_s, reader = time.monotonic(), frames.FrameReader()
                 while not answers:
                     data = connection.recv(65536)
@@ -155,7 +157,7 @@
                     str(addresses),
                     str(number),
                 ],
-                env=environment(),
+                env=child_environment(),
                 text=True,
                 stdout=subprocess.PIPE,
                 start_new_session=True,
--- a/lichenquay/testbed/quotas.py
+++ b/lichenquay/testbed/quotas.py
@@ -98,7 +98,7 @@
     def decide(self, now_ms, tenant, gateway, estimate, work):
         """Decides whether a query is within quota."""
         query = SimpleNamespace(over_quota=None, tenant=self.tenants[tenant])
-        return not self.quotas[gateway].is_over_quota(query, now_ms)
+        return not self.quotas[gateway].record_and_check(query, now_ms)
 
     def account_figures(self, tenant, seconds):
         """Returns no figures: there are no accounts."""
--- a/lichenquay/testbed/scale/order_reader.py
+++ b/lichenquay/testbed/scale/command_reader.py
@@ -3,7 +3,7 @@
 import sys
 import threading
 
-from lichenquay.testbed.scale.orders import UnknownOrderError, order_of
+from lichenquay.testbed.scale.commands import UnknownOrderError, order_of
 
 
 def read_orders(reactor, take, ended):
--- a/lichenquay/testbed/scale/control.py
+++ b/lichenquay/testbed/scale/control.py
@@ -21,11 +21,11 @@
 from lichenquay.control_plane.voter_runtime import VoterRuntime
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.storage.store import DurableStore
-from lichenquay.testbed.scale import orders
+from lichenquay.testbed.scale import commands
+from lichenquay.testbed.scale.command_reader import answer, read_orders, stop
 from lichenquay.testbed.scale.faulty_disk import FaultyOs
+from lichenquay.testbed.scale.impaired_transport import LabPost, Network
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import LabPost, Network
-from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
 from lichenquay.testbed.scale.settings_files import control_settings
 from lichenquay.testbed.scale.world_spec import WorldSpec, read
 
@@ -56,18 +56,18 @@
     def take(self, order):
         """Does one order."""
         match order:
-            case orders.Impair(rules):
+            case commands.Impair(rules):
                 self.network.impairment.rules = list(rules)
-            case orders.FailDisk(full, delay_ms):
+            case commands.FailDisk(full, delay_ms):
                 self.disk.full, self.disk.delay_ms = full, delay_ms
-            case orders.Count():
-                answer(orders.line_of_counts(self.counts()))
-            case orders.End():
+            case commands.Count():
+                answer(commands.line_of_counts(self.counts()))
+            case commands.End():
                 stop(self.reactor)
 
     def counts(self):
         """Of this process."""
-        counts = self.host.datagrams.add_to(orders.Counts())
+        counts = self.host.datagrams.add_to(commands.Counts())
         if isinstance(self.host, VoterRuntime):
             return replace(counts, leads=self.host.group.holds(boot_ms()))
         return replace(counts, oldest=self.host.relay.subscriber.applied_version)
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -12,8 +12,8 @@
 from lichenquay.testbed.scale.fit import Fit, FitError, Model, fit
 from lichenquay.testbed.scale.latency import start_s
 from lichenquay.testbed.scale.roles import Role, costs_between
-from lichenquay.testbed.scale.session import Session
 from lichenquay.testbed.scale.slopes import Outcome
+from lichenquay.testbed.scale.world_driver import Session
 
 SIZES = (100, 1_000, 3_000, 10_000)
 HELD_OUT = 25_000
--- a/lichenquay/testbed/scale/talker.py
+++ b/lichenquay/testbed/scale/fleet_only_gateway.py
@@ -1,6 +1,6 @@
 """A process that is a front's part in the fleet and nothing else: what its talk costs on real sockets.
 
-    python -m lichenquay.testbed.scale.talker SETTINGS WARM_S MEASURED_S
+    python -m lichenquay.testbed.scale.fleet_only_gateway SETTINGS WARM_S MEASURED_S
 
 Prints one line of JSON when the time is over: processor time, datagrams and bytes sent, each a second.
 """
--- a/lichenquay/testbed/scale/lab_post.py
+++ b/lichenquay/testbed/scale/impaired_transport.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from lichenquay.fleet.datagram_transport import DatagramTransport
+from lichenquay.testbed.scale.commands import Counts
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.orders import Counts
 from lichenquay.testbed.scale.scenario import zone_of_name
 
 
--- a/lichenquay/testbed/scale/hollow_controller.py
+++ b/lichenquay/testbed/scale/lightweight_controller.py
@@ -127,7 +127,9 @@
 
     def _engine(self, row):
         engine = self.engines.setdefault(row.uid, domain.Engine(row.uid))
-        self.opening.describe(engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None)
+        self.opening.update_engine(
+            engine, row.zone, row.kind, row.cell, row.state, row.advertised_weight, None
+        )
         if row.state == domain.EndpointState.REMOVED:
             del self.engines[row.uid]
         return engine
--- a/lichenquay/testbed/scale/hollow.py
+++ b/lichenquay/testbed/scale/lightweight_gateway_host.py
@@ -1,7 +1,7 @@
 """A process of many hollow fronts: each follows the configuration and the engines' list on a socket of its
 own.
 
-    python -m lichenquay.testbed.scale.hollow WORLD NUMBER
+    python -m lichenquay.testbed.scale.lightweight_gateway_host WORLD NUMBER
 
 WORLD is the file of a `WorldSpec`; NUMBER tells this process from its likes. Orders come on standard input.
 A hollow front is production's `FollowerRuntime`, as a front that follows distributed configuration has it.
@@ -17,11 +17,11 @@
 
 from lichenquay.fleet.follower_runtime import FollowerRuntime
 from lichenquay.fleet.runtime import boot_ms
-from lichenquay.testbed.scale import orders, record
+from lichenquay.testbed.scale import commands, record
+from lichenquay.testbed.scale.command_reader import answer, read_orders, stop
 from lichenquay.testbed.scale.digest import values_digest
+from lichenquay.testbed.scale.impaired_transport import LabPost, Network
 from lichenquay.testbed.scale.impairment import Impairment
-from lichenquay.testbed.scale.lab_post import LabPost, Network
-from lichenquay.testbed.scale.order_reader import answer, read_orders, stop
 from lichenquay.testbed.scale.scenario import zone_of_name
 from lichenquay.testbed.scale.settings_files import front_listen, front_settings
 from lichenquay.testbed.scale.world_spec import PREFIXES, WorldSpec, read
@@ -102,24 +102,24 @@
         self.fronts: dict[str, HollowFront] = {}
         self.lives: list[record.Life] = []
         self.opening = None  # Of all controllers, made with the first.
-        self.gone = orders.Counts()  # What fronts that have ended sent and heard.
+        self.gone = commands.Counts()  # What fronts that have ended sent and heard.
 
     def take(self, order):
         """Does one order."""
         match order:
-            case orders.StartFronts(names):
+            case commands.StartFronts(names):
                 self.start(names)
-            case orders.StopFronts(names):
+            case commands.StopFronts(names):
                 self.stop(names)
-            case orders.ReadSlowly(names, on):
+            case commands.ReadSlowly(names, on):
                 for name in names:
                     if name in self.fronts:
                         self.fronts[name].datagrams.read_slowly(on)
-            case orders.Impair(rules):
+            case commands.Impair(rules):
                 self.network.impairment.rules = list(rules)
-            case orders.Count():
-                answer(orders.line_of_counts(self.counts()))
-            case orders.End():
+            case commands.Count():
+                answer(commands.line_of_counts(self.counts()))
+            case commands.End():
                 self.end()
 
     def start(self, names):
@@ -160,12 +160,12 @@
         per_s = self.spec.shape.queries_per_s
         if not per_s:
             return None
-        from lichenquay.testbed.scale import hollow_controller
+        from lichenquay.testbed.scale import lightweight_controller
 
         if self.opening is None:
-            self.opening = hollow_controller.opening_of(self.spec.shape.seed)
+            self.opening = lightweight_controller.opening_of(self.spec.shape.seed)
         rng = random.Random(f"{name}/{seed}")
-        return hollow_controller.HollowController(self.reactor, self.opening, rng, per_s)
+        return lightweight_controller.HollowController(self.reactor, self.opening, rng, per_s)
 
     def stop(self, names):
         """Ends the fronts that run."""
--- a/lichenquay/testbed/scale/probes/controller.py
+++ b/lichenquay/testbed/scale/probes/controller.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from lichenquay.admission import domain
-from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
+from lichenquay.testbed.scale.probes.virtual_gateway import VirtualDoor, make_engines
 from lichenquay.testbed.scale.sample import Progress, Sample, processor_ms, state_bytes
 
 RATE_PER_S = 40.0
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -9,7 +9,7 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from lichenquay.load.child import environment
+from lichenquay.load.child import child_environment
 from lichenquay.testbed.scale.sample import Progress, Sample
 
 WARM_S, MEASURED_S, PATIENCE_S = 3.0, 3.0, 60.0
@@ -48,11 +48,18 @@
             for number in range(size):
                 path = folder / f"{number}.settings"
                 path.write_text(settings_of(folder, ports, number, KINDS[kind]), encoding="utf-8")
-                command = [sys.executable, "-m", "lichenquay.testbed.scale.talker", path, WARM_S, MEASURED_S]
+                command = [
+                    sys.executable,
+                    "-m",
+                    "lichenquay.testbed.scale.fleet_only_gateway",
+                    path,
+                    WARM_S,
+                    MEASURED_S,
+                ]
                 running.append(
                     subprocess.Popen(
                         [str(word) for word in command],
-                        env=environment(),
+                        env=child_environment(),
                         stdout=subprocess.PIPE,
                         stderr=subprocess.DEVNULL,
                         text=True,
--- a/lichenquay/testbed/scale/probes/query_rate.py
+++ b/lichenquay/testbed/scale/probes/query_rate.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
+from lichenquay.testbed.scale.probes.virtual_gateway import VirtualDoor, make_engines
 from lichenquay.testbed.scale.sample import Progress, Sample
 
 ENGINES = 10_000
--- a/lichenquay/testbed/scale/real_stage.py
+++ b/lichenquay/testbed/scale/process_environment.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from lichenquay.fleet.runtime import boot_ms
-from lichenquay.testbed.scale.orders import FailDisk
+from lichenquay.testbed.scale.commands import FailDisk
 from lichenquay.testbed.scale.proposer import Proposer
 from lichenquay.testbed.scale.world import World
 
--- a/lichenquay/testbed/scale/real_fronts.py
+++ b/lichenquay/testbed/scale/real_gateways.py
@@ -9,7 +9,7 @@
 
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.scale import measure
@@ -144,7 +144,7 @@
         """By the laboratory's own audit, where one front alone uses the engines whose ledger it is."""
         for i, front in enumerate(self.fronts):
             if i in self.kept:
-                front.report = reported(report_of(self.kept[i], self.lab))
+                front.report = reported(build_report(self.kept[i], self.lab))
                 front.broken_rules += breaks_of(front)
             else:
                 front.broken_rules.append(f"{front.name}: its load did not end in time")
--- a/lichenquay/testbed/scale/report.py
+++ b/lichenquay/testbed/scale/report.py
@@ -6,7 +6,7 @@
 import html
 from pathlib import Path
 
-from lichenquay.load.page import picture, plt
+from lichenquay.load.page import figure_as_html, plt
 from lichenquay.testbed.scale.roles import Role
 
 # Half of each budget of a front: the aims of what control may take of it.
@@ -51,7 +51,7 @@
     plot.set_xlabel("fronts")
     plot.set_ylabel(LABELS[cost])
     plot.legend(fontsize="small")
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def in_force(figures: dict) -> str:
@@ -65,7 +65,7 @@
     plot.set_ylabel("ms")
     plot.tick_params(axis="x", rotation=30)
     plot.legend()
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def predictions_table(figures: dict) -> str:
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from lichenquay.config.fleet_settings import MAX_GATEWAYS
-from lichenquay.fleet.quota_part import MAX_LEDGER_BYTES
+from lichenquay.fleet.quota_participant import MAX_LEDGER_BYTES
 from lichenquay.gateway.http import MAX_BODY_BYTES
 from lichenquay.testbed.scale import plan
 
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -9,11 +9,11 @@
 
 from lichenquay.testbed.scale.audit import Findings, audit
 from lichenquay.testbed.scale.plans import Plan
-from lichenquay.testbed.scale.player import Played
-from lichenquay.testbed.scale.real_fronts import RealFront, RealFronts
+from lichenquay.testbed.scale.real_gateways import RealFront, RealFronts
 from lichenquay.testbed.scale.roles import costs_between
-from lichenquay.testbed.scale.session import Session
+from lichenquay.testbed.scale.scenario_runner import Played
 from lichenquay.testbed.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
+from lichenquay.testbed.scale.world_driver import Session
 
 MIN_LOAD_S = 2.0  # Of the load on real fronts.
 START_S = 6.0  # About how long the processes take to start, for the progress bar.
--- a/lichenquay/testbed/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -7,8 +7,8 @@
 from lichenquay.testbed.scale import engines
 from lichenquay.testbed.scale import scenario as s
 from lichenquay.testbed.scale.audit import Findings, audit
-from lichenquay.testbed.scale.player import Played, Player
-from lichenquay.testbed.scale.virtual import VirtualWorld
+from lichenquay.testbed.scale.scenario_runner import Played, Player
+from lichenquay.testbed.scale.virtual_world import VirtualWorld
 from lichenquay.testbed.world import CannotStart
 
 WINDOW_S = 5.0  # Virtual, of the calm in which messages are counted.
--- a/lichenquay/testbed/scale/virtual.py
+++ b/lichenquay/testbed/scale/virtual_world.py
@@ -14,7 +14,7 @@
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.subscriber import Subscriber
 from lichenquay.fleet.message_envelope import Layer
-from lichenquay.fleet.source_ranking import ranked
+from lichenquay.fleet.source_ranking import rank_sources
 from lichenquay.lease import lease_pb2
 from lichenquay.testbed.fleetnet import FleetNet
 from lichenquay.testbed.scale import engines, record
@@ -237,7 +237,7 @@
 
     def _make_front(self, host):
         zone = zone_of_name(host.name)
-        sources = ranked(self.relays, host.name, zone, self.shape.region_of(zone))
+        sources = rank_sources(self.relays, host.name, zone, self.shape.region_of(zone))
         subscriber = Subscriber(
             host.name, sources, list(PREFIXES), host.rng, self.settings, host.now_ms(), take_all
         )
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.load.child import ROOT, environment, read_line
-from lichenquay.testbed.scale import measure, orders
+from lichenquay.load.child import ROOT, child_environment, read_line
+from lichenquay.testbed.scale import commands, measure
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import WorldSpec
 from lichenquay.testbed.world import CannotStart
@@ -41,7 +41,7 @@
                 stdout=subprocess.PIPE,
                 stderr=log,
                 text=True,
-                env=environment(),
+                env=child_environment(),
                 cwd=ROOT,
                 start_new_session=True,
             )
@@ -86,18 +86,18 @@
     def tell(self, order) -> bool:
         """Gives an order; False: it has ended."""
         try:
-            self.process.stdin.write(orders.line_of(order) + "\n")
+            self.process.stdin.write(commands.line_of(order) + "\n")
             self.process.stdin.flush()
         except (OSError, ValueError):
             return False
         return True
 
-    def count(self) -> orders.Counts | None:
+    def count(self) -> commands.Counts | None:
         """Its counts; None where it does not answer."""
-        if not self.answers or not self.tell(orders.Count()):
+        if not self.answers or not self.tell(commands.Count()):
             return None
         line = read_line(self.process, ANSWER_S)
-        return orders.counts_of(line) if line else None
+        return commands.counts_of(line) if line else None
 
     def kill(self):
         """SIGKILL, and waits for its end."""
@@ -115,7 +115,7 @@
 
     name: str
     usage: measure.Usage
-    counts: orders.Counts
+    counts: commands.Counts
 
 
 @dataclass
@@ -170,30 +170,30 @@
 
     def start_fronts(self, names):
         """Starts hollow fronts, all at once."""
-        self._tell_hosts(orders.StartFronts, names)
+        self._tell_hosts(commands.StartFronts, names)
         self.running.update(names)
 
     def stop_fronts(self, names):
         """Ends hollow fronts without a word."""
-        self._tell_hosts(orders.StopFronts, names)
+        self._tell_hosts(commands.StopFronts, names)
         self.running.difference_update(names)
 
     def read_slowly(self, names, on):
         """Fronts stop reading their sockets, or read on."""
-        self._tell_hosts(orders.ReadSlowly, names, on)
+        self._tell_hosts(commands.ReadSlowly, names, on)
 
     def impair(self, rules):
         """The network's rules, for all processes."""
         self.rules = list(rules)
         for child in self.children():
             if child.runs:
-                child.tell(orders.Impair(self.rules))
+                child.tell(commands.Impair(self.rules))
 
     def look_ready(self):
         """Processes that were started anew and are ready get the network's rules."""
         for child in self.children():
             if child.look_ready():
-                child.tell(orders.Impair(self.rules))
+                child.tell(commands.Impair(self.rules))
 
     def usage(self) -> list[RoleUsage]:
         """Of every process that answers."""
@@ -220,7 +220,7 @@
     def end_hosts(self):
         """The hosts write their records and exit."""
         for host in self.hosts:
-            host.tell(orders.End())
+            host.tell(commands.End())
         until = time.monotonic() + END_S
         for host in self.hosts:
             try:
--- a/lichenquay/testbed/scale/session.py
+++ b/lichenquay/testbed/scale/world_driver.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 
 from lichenquay.testbed.scale import engines, measure, record
-from lichenquay.testbed.scale.player import Played, Player, ignore
+from lichenquay.testbed.scale.process_environment import RealStage
 from lichenquay.testbed.scale.proposer import Proposer
-from lichenquay.testbed.scale.real_stage import RealStage
 from lichenquay.testbed.scale.roles import Reading
 from lichenquay.testbed.scale.scenario import Scenario, Shape
+from lichenquay.testbed.scale.scenario_runner import Played, Player, ignore
 from lichenquay.testbed.scale.world import World
 from lichenquay.testbed.world import CannotStart
 
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from lichenquay.load.page import write_page
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import UNASKED_ANSWERS, audit, read_ledger, value_in_time
 from lichenquay.testbed.world import World
@@ -12,7 +12,7 @@
 
 def run_figures(results, testbed, ledger):
     """Returns a run's report with the audit's findings and the value in time."""
-    report, columns = report_of(results, testbed), results.columns()
+    report, columns = build_report(results, testbed), results.columns()
     findings = audit(columns, ledger, testbed) if columns else []
     if report.get("strange_answers"):
         findings.append((UNASKED_ANSWERS, report["strange_answers"], []))
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -15,7 +15,7 @@
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import ROOT, environment, read_line, start_module
+from lichenquay.load.child import ROOT, child_environment, read_line, start_module
 
 START_TIMEOUT_S = 15.0
 EFFECT_NAMES = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
@@ -154,7 +154,7 @@
                 stderr=out,
                 stdout=out,
                 stdin=subprocess.DEVNULL,
-                env={**environment(), **extra_env},
+                env={**child_environment(), **extra_env},
                 cwd=ROOT,
                 start_new_session=True,
             )
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_world import RESULT, answered
-from hooks import PlainClient, assert_no_more_posts, counter, query_frame, wait_until_over
+from interleavings import PlainClient, assert_no_more_posts, counter, query_frame, wait_until_over
 from loopback import until, wait
 
 from lichenquay.gateway import client_connection, frames, request_intake
@@ -98,7 +98,7 @@
         except OSError:
             break  # the gateway has closed it, as is expected
         wait(0.01)
-    until(lambda: not world.service.clients.connections, 2 * client_connection.CLOSE_S + 0.3)
+    until(lambda: not world.service.clients.connections, 2 * client_connection.CLOSE_TIMEOUT_S + 0.3)
     client.socket.close()
 
 
@@ -107,7 +107,7 @@
     world = make_world(engines=1)
     client, connection = slow_reader(world)
     connection.close()
-    wait(2 * client_connection.CLOSE_S)
+    wait(2 * client_connection.CLOSE_TIMEOUT_S)
     until(lambda: client.read() and client.ended)
     assert client.ended == "end" and answers(client)[1] == (frames.AnswerCode.COMPLETED, BIG)
     until(lambda: not world.service.clients.connections)
@@ -119,7 +119,7 @@
     world = make_world(engines=1)
     client, connection = slow_reader(world, allow=900)
     connection.close()
-    until(lambda: not world.service.clients.connections, 0.9 + 2 * client_connection.CLOSE_S)
+    until(lambda: not world.service.clients.connections, 0.9 + 2 * client_connection.CLOSE_TIMEOUT_S)
     client.socket.close()
     assert world.service.clients.held_bytes == 0
 
@@ -130,7 +130,7 @@
     client, connection = slow_reader(world)
     client.socket.sendall(b"\0\0\0\0" + b"y" * 500)
     until(lambda: connection.is_rejecting_input)
-    wait(2 * client_connection.CLOSE_S)
+    wait(2 * client_connection.CLOSE_TIMEOUT_S)
     until(lambda: client.read() and client.ended)
     got = answers(client)
     assert (
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_dispatch_races.py
@@ -5,7 +5,7 @@
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, start_with_settings
-from hooks import DelayedConnections, assert_no_more_posts, counter, wait_until_over
+from interleavings import DelayedConnections, assert_no_more_posts, counter, wait_until_over
 from loopback import until, wait
 
 from lichenquay.gateway import frames
@@ -64,7 +64,7 @@
     """The cancellation is queued; the connection comes up before the turn that delivers it."""
     world = make_world(engines=1)
     delayed_connections, client, stream = ask_delayed(world)
-    world.service.adapter.min_turn_ms = 200.0  # the next turn is long in coming
+    world.service.adapter.min_loop_interval_ms = 200.0  # the next turn is long in coming
     world.service.adapter.last_turn_ms = world.service.adapter.clock_ms()
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     until(lambda: counter(world, "queries cancelled by their clients") == 1)
@@ -121,9 +121,9 @@
     client = world.client()
     assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     wait(0.1)  # its connection has rested for long enough to be used again
-    refusals, may_dispatch = [], world.service.dispatcher.may_dispatch
-    world.service.dispatcher.may_dispatch = lambda in_flight: (
-        bool(refusals) and may_dispatch(in_flight) or bool(refusals.append(in_flight))
+    refusals, authorize_dispatch = [], world.service.dispatcher.authorize_dispatch
+    world.service.dispatcher.authorize_dispatch = lambda in_flight: (
+        bool(refusals) and authorize_dispatch(in_flight) or bool(refusals.append(in_flight))
     )
     assert answered(client, client.ask("report")) == (frames.AnswerCode.COMPLETED, RESULT)
     assert len(refusals) == 1 and world.posts() == 2
@@ -251,7 +251,7 @@
     budget_ms = slow_start.budget_ms(engine_state.engine, slow_start.warm_share(engine_state.engine, later))
     engine_state.slow_start_work.add(later, budget_ms)
     query.deadline_ms = later + 1000
-    assert not world.service.adapter.controller.may_dispatch(attempt, later)
+    assert not world.service.adapter.controller.authorize_dispatch(attempt, later)
     delayed_connections.resume()
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     wait_until_over(world)
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_world import STATEMENT, answered
-from hooks import DelayedConnections, assert_all_released, counter, query_frame
+from interleavings import DelayedConnections, assert_all_released, counter, query_frame
 from loopback import until, wait
 
 from lichenquay.gateway import frames
@@ -53,13 +53,13 @@
 
     def read(self):
         """The request was read; the controller's turn has not come."""
-        self.adapter.min_turn_ms = 400.0
+        self.adapter.min_loop_interval_ms = 400.0
         self.adapter.last_turn_ms = self.adapter.clock_ms()
         self.ask()
         until(lambda: counter(self.world, "queries received") == 1)
 
         def resume():
-            self.adapter.min_turn_ms = 5.0
+            self.adapter.min_loop_interval_ms = 5.0
             self.adapter.schedule_turn(0.0)
 
         self.resume = resume
--- a/tests/distribution/installation.py
+++ b/tests/distribution/installation.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from ports import listening_ports
+from ports import allocate_free_ports
 from recording_subscriber import ReaderThread, RecordingSubscriber
 from relay import Relay
 from running import Running, until
@@ -51,7 +51,7 @@
         names = (*VOTERS, *RELAYS, *self.fronts, *CLIENTS, FRONT)
         self.links = Links(names, seed)
         listeners = VOTERS + RELAYS
-        self.ports = dict(zip(listeners, listening_ports(len(listeners)), strict=True))
+        self.ports = dict(zip(listeners, allocate_free_ports(len(listeners)), strict=True))
         self.links.targets = {name: ("127.0.0.1", port) for name, port in self.ports.items()}
         self.starts = dict.fromkeys(listeners, 0)
         self.recording = {}
--- a/tests/distribution/test_distributed_engines.py
+++ b/tests/distribution/test_distributed_engines.py
@@ -3,9 +3,9 @@
 import pytest
 from discovery_server import DiscoveryServer, engine
 from installation import VOTERS, Installation
-from ports import listening_ports
+from ports import allocate_free_ports
 from running import until
-from test_distribution_front import Front
+from test_distribution_gateway import Front
 
 pytestmark = pytest.mark.together
 IN_FORCE_S = 7.0  # the operators' bound for a change
@@ -14,7 +14,7 @@
 @pytest.fixture
 def discovery():
     """Discovery of three engines."""
-    with DiscoveryServer(*listening_ports(1)) as discovery:
+    with DiscoveryServer(*allocate_free_ports(1)) as discovery:
         discovery.announce(*(engine(f"e{n}") for n in range(3)), whole=True)
         yield discovery
 
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -13,7 +13,7 @@
 from cluster import Cluster
 from gateway_world import SETTINGS
 from installation import FLEET, FRONT, RELAYS, ROOT, START_S, VOTERS, Installation
-from ports import listening_ports
+from ports import allocate_free_ports
 from running import until
 
 from lichenquay.cli.config import config
@@ -33,7 +33,7 @@
         self.name = name
         self.more = more
         self.known = list(known)
-        self.port, self.listen = listening_ports(2)
+        self.port, self.listen = allocate_free_ports(2)
         installation.links.targets[name] = ("127.0.0.1", self.listen)
 
     def settings_text(self):
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from gateway_world import SETTINGS
-from ports import listening_ports
+from ports import allocate_free_ports
 from relay import Relay
 from running import Running, until
 
@@ -45,8 +45,8 @@
         )
         self.settings, self.folders, self.env, self.with_fleet = settings, folders, env or {}, fleet
         self.names = [chr(97 + index) for index in range(count)]
-        self.client_ports = dict(zip(self.names, listening_ports(count), strict=True))
-        self.fleet_ports = dict(zip(self.names, listening_ports(count), strict=True))
+        self.client_ports = dict(zip(self.names, allocate_free_ports(count), strict=True))
+        self.fleet_ports = dict(zip(self.names, allocate_free_ports(count), strict=True))
         self.relay, self.start_counts = Relay(self.names, seed), dict.fromkeys(self.names, 0)
         self.relay.targets = {name: ("127.0.0.1", port) for name, port in self.fleet_ports.items()}
 
--- a/tests/fleet/fleet_audit.py
+++ b/tests/fleet/fleet_audit.py
@@ -62,14 +62,14 @@
             other
             for other in self.world.processes.values()
             if other.runtime is not None
-            and other.runtime.quota_part is not None
-            and other.runtime.quota_part.group.holds(other.now_ms())
+            and other.runtime.quota_participant is not None
+            and other.runtime.quota_participant.group.holds(other.now_ms())
         ]
         if holders:
             names = [holder.name for holder in holders]
             self.require(len(holders) < 2, "several processes hold the ledger's lease: {}", names)
             holder = holders[0]
-            generation = holder.runtime.quota_part.group.generation
+            generation = holder.runtime.quota_participant.group.generation
             first = self.generations.setdefault(generation, (holder.name, holder.start_count))
             self.require(
                 first == (holder.name, holder.start_count),
@@ -130,7 +130,7 @@
 
     def check_ledger(self, process):
         """Checks a process's committed ledger against itself and against all committed before."""
-        ledger = process.runtime.quota_part.leader.committed
+        ledger = process.runtime.quota_participant.leader.committed
         old = getattr(process, "observed_ledger", (None, 0))
         if ledger is None or ledger is old[0] and ledger.record_number == old[1]:
             return
@@ -201,7 +201,7 @@
 
     def check_escrow(self, process):
         """Checks that a process's escrow spends only what committed records granted to it."""
-        escrow = process.runtime.quota_part.escrow
+        escrow = process.runtime.quota_participant.escrow
         if not process.escrows or process.escrows[-1][1] is not escrow:
             escrow.sealed_holdings = RetainingDict(escrow.sealed_holdings)
             process.escrows.append((escrow.incarnation, escrow))
@@ -228,7 +228,7 @@
         self.within_count += within
         self.beyond_count += not within
         if within:
-            escrow = process.runtime.quota_part.escrow
+            escrow = process.runtime.quota_participant.escrow
             epoch_key = process.name, escrow.incarnation, escrow.epoch
             self.require(epoch_key not in self.expired_epochs, "{} spends from an expired epoch", epoch_key)
             self.require((*epoch_key, tenant) in self.rows, "{} spends what no record granted", epoch_key)
@@ -276,13 +276,15 @@
     def unsettled_reason(self):
         """Returns why the fleet is not at rest, or None if it is."""
         running = [process for process in self.world.processes.values() if process.runtime is not None]
-        holders = [process for process in running if process.runtime.quota_part.group.holds(process.now_ms())]
-        if len(holders) != 1 or holders[0].runtime.quota_part.leader.committed is None:
+        holders = [
+            process for process in running if process.runtime.quota_participant.group.holds(process.now_ms())
+        ]
+        if len(holders) != 1 or holders[0].runtime.quota_participant.leader.committed is None:
             return "the ledger has no leader"
         if len({process.runtime.detector.view.digest for process in running}) > 1:
             views = [(process.name, process.runtime.detector.members()) for process in running]
             return f"views differ: {views}"
-        group = holders[0].runtime.quota_part.group
+        group = holders[0].runtime.quota_participant.group
         for process in running:
             states = {name: process.runtime.detector.state_of(name) for name in self.world.processes}
             for other in self.world.processes.values():
@@ -290,14 +292,16 @@
                     ("alive",) if other.runtime is not None else ("left", "faulty", "removed")
                 ):
                     return f"{process.name} lists {other.name} as {states[other.name]}"
-            escrow = process.runtime.quota_part.escrow
+            escrow = process.runtime.quota_participant.escrow
             if (
-                process.runtime.has_left
+                process.runtime.is_leaving
                 or escrow.sealed_holdings
                 or escrow.reservations
                 or any(escrow.overruns_us.values())
             ):
-                reason = "leaving" if process.runtime.has_left else "sealed epochs, reservations or overruns"
+                reason = (
+                    "leaving" if process.runtime.is_leaving else "sealed epochs, reservations or overruns"
+                )
                 return f"{process.name}: {reason}"
             if escrow.leader != (holders[0].name, group.generation):
                 return f"{process.name} takes {escrow.leader} for the ledger's leader"
@@ -312,7 +316,7 @@
         for epoch_key in self.ledger.epochs:
             runtime = self.world.processes[epoch_key[0]].runtime
             if epoch_key not in self.ledger.expired and not (
-                runtime and epoch_key[1:] == (runtime.incarnation, runtime.quota_part.escrow.epoch)
+                runtime and epoch_key[1:] == (runtime.incarnation, runtime.quota_participant.escrow.epoch)
             ):
                 return f"epoch {epoch_key} is not closed"
         for process in self.world.processes.values():
--- a/tests/fleet/fleet_marks.py
+++ b/tests/fleet/fleet_marks.py
@@ -34,11 +34,11 @@
         return (process.name, None)
     parts, seen = [], set()
     timer_due_ms = runtime.timer.due_ms if runtime.timer is not None and runtime.timer.active() else None
-    quota, disk = runtime.quota_part, process.disk
+    quota, disk = runtime.quota_participant, process.disk
     for part in (
         process.is_socket_closed,
         runtime.incarnation,
-        runtime.has_left,
+        runtime.is_leaving,
         timer_due_ms,
         disk.free_ms,
         disk.state,
--- a/tests/fleet/fleet_mutations.py
+++ b/tests/fleet/fleet_mutations.py
@@ -19,10 +19,10 @@
 
 MESSAGE_TYPES = {
     Layer.MEMBERS: (members_pb2.Message, "kind"),
-    Layer.OWNER: (lease_pb2.Message, "body"),
+    Layer.LEASE: (lease_pb2.Message, "body"),
     Layer.QUOTA: (quota_pb2.Message, "what"),
 }
-LAYER_NAMES = {Layer.MEMBERS: "members", Layer.OWNER: "owner", Layer.QUOTA: "quota"}
+LAYER_NAMES = {Layer.MEMBERS: "members", Layer.LEASE: "owner", Layer.QUOTA: "quota"}
 DELAY_PAST_NEXT_MS, LONG_DELAY_MS, MIN_DELAY_MS = 400.0, 1500.0, 0.1
 MAX_VALUES = {Field.CPPTYPE_UINT32: 2**32 - 1, Field.CPPTYPE_UINT64: 2**64 - 1}
 
--- a/tests/fleet/fleet_scenario.py
+++ b/tests/fleet/fleet_scenario.py
@@ -15,7 +15,7 @@
     """Returns the process that holds the ledger's lease; if none, the first that runs, or None."""
     running = [process for process in world.processes.values() if process.runtime is not None]
     return next(
-        (process for process in running if process.runtime.quota_part.group.holds(process.now_ms())),
+        (process for process in running if process.runtime.quota_participant.group.holds(process.now_ms())),
         running[0] if running else None,
     )
 
@@ -41,7 +41,7 @@
     process = ledger_leader(world)
     if process is None:
         return
-    ledger = process.runtime.quota_part.leader.committed
+    ledger = process.runtime.quota_participant.leader.committed
     start_number, voter = process.start_count, others(world, process)[0]
     voter.disk.mode = "full"
     record_number = ledger.record_number if ledger else 0
@@ -50,7 +50,7 @@
         """Kills the leader if a record was committed, else checks again in 1 ms, up to 300 times."""
         if process.runtime is None or process.start_count != start_number:
             return
-        current = process.runtime.quota_part.leader.committed
+        current = process.runtime.quota_participant.leader.committed
         if current is not None and current.record_number > record_number or checks > 300:
             process.kill()
             world.at(world.now_ms + 30, lambda: setattr(voter.disk, "mode", "healthy"))
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/terminals.py
@@ -12,7 +12,7 @@
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
 from lichenquay.load.child import read_line
-from lichenquay.load.task import Task, statement_of
+from lichenquay.load.task import Task, encode_statement
 from lichenquay.testbed.world import settings_of, start_emulator
 
 
@@ -94,7 +94,7 @@
             "effort": f"{self.work_ms:.1f}",
             "memory": "16",
         }
-        statement = statement_of(Task(ref, self.group, self.work_ms, 16.0, tables="3"))
+        statement = encode_statement(Task(ref, self.group, self.work_ms, 16.0, tables="3"))
         with self.lock:
             self.sent_s[ref], self.refs_by_stream[self.stream] = time.monotonic(), ref
         try:
--- a/tests/fleet/virtual_fleet.py
+++ b/tests/fleet/virtual_fleet.py
@@ -214,7 +214,7 @@
     def ending(self, start_number):
         """Ends the process if its shutdown is complete, else checks again 25 ms later."""
         if self.runtime is not None and start_number == self.start_count:
-            if self.runtime.is_over():
+            if self.runtime.is_leave_complete():
                 self.runtime.close()
                 self.runtime = None
             else:
@@ -348,11 +348,11 @@
         much more is reported at the end.
         """
         process = self.processes[name]
-        if process.runtime is None or process.runtime.has_left:
+        if process.runtime is None or process.runtime.is_leaving:
             return
         runtime, start_number = process.runtime, process.start_count
         query = VirtualQuery(tenant, work_ms)
-        within = runtime.quota_part.reserve(runtime.now_ms(), query, work_ms)
+        within = runtime.quota_participant.reserve(runtime.now_ms(), query, work_ms)
         runtime.tenant_usage.set_timer()
         self.audit.record_decision(process, tenant, within)
         self.check_step(process)
--- a/tests/migration_broken.py
+++ b/tests/migration_broken.py
@@ -23,10 +23,10 @@
 class NoFence(Coordinator):
     """A process that once held the replica group goes on acting."""
 
-    def is_leading(self, now_ms):
+    def refresh_leadership(self, now_ms):
         """For ever."""
         if self.committed is None or self.pending_write:
-            return super().is_leading(now_ms)
+            return super().refresh_leadership(now_ms)
         return True
 
 
--- a/tests/quota_broken.py
+++ b/tests/quota_broken.py
@@ -37,9 +37,9 @@
 class NewLeaderExpiresAtOnce(LedgerLeader):
     """Takes gateways that it has not heard for silent when its term begins."""
 
-    def is_leading(self, now_ms):
+    def refresh_leadership(self, now_ms):
         """As if its term had begun long ago."""
-        leading = super().is_leading(now_ms)
+        leading = super().refresh_leadership(now_ms)
         self.term_started_ms = float("-inf")
         return leading
 
--- a/tests/test_admission_ports.py
+++ b/tests/test_admission_ports.py
@@ -3,7 +3,7 @@
 import inspect
 
 import pytest
-from standins import FakeGateway
+from admission_fakes import FakeGateway
 
 from lichenquay.admission.controller import Controller
 from lichenquay.admission.ports import AdmissionPort, GatewayPort
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from standins import capabilities, engine, group, interactive_group
+from admission_fakes import capabilities, engine, group, interactive_group
 
 from lichenquay.admission.domain import (
     NEVER_EXECUTED,
@@ -132,7 +132,7 @@
 
 def test_no_query_gets_more_attempts_than_allowed_or_two_at_once():
     """Nor one after its final answer."""
-    policy = RetryPolicy(2, limits(), min_turn_ms=5.0)
+    policy = RetryPolicy(2, limits(), min_loop_interval_ms=5.0)
     assert policy.may_attempt(query_of(group()), 0.0)
     assert policy.may_attempt(query_of(group(), Outcome.FAILED), 0.0)
     assert not policy.may_attempt(query_of(group(), Outcome.FAILED, Outcome.FAILED), 0.0)
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_a_non_idempotent_query_is_retried_only_if_it_never_ran(outcome):
     """Its effect could be applied twice."""
-    policy = RetryPolicy(3, limits(), min_turn_ms=5.0)
+    policy = RetryPolicy(3, limits(), min_loop_interval_ms=5.0)
     query = query_of(group("load", Effect.NON_IDEMPOTENT), outcome)
     assert policy.may_attempt(query, 0.0) == (outcome in NEVER_EXECUTED)
 
@@ -153,7 +153,7 @@
     policy = RetryPolicy(
         3,
         limits(retry_budget_free=2.0, retry_budget_ratio=0.1, retry_budget_window_ms=800.0),
-        min_turn_ms=5.0,
+        min_loop_interval_ms=5.0,
     )
     for _ in range(10):
         policy.record_query(0.0)
@@ -167,7 +167,7 @@
 
 def test_no_retry_begins_in_the_last_turn_before_the_deadline():
     """It could not end in time."""
-    policy = RetryPolicy(3, limits(), min_turn_ms=5.0)
+    policy = RetryPolicy(3, limits(), min_loop_interval_ms=5.0)
     query = query_of(group(), Outcome.FAILED)
     assert policy.may_retry_in_time(query, query.deadline_ms - 6.0)
     assert not policy.may_retry_in_time(query, query.deadline_ms - 5.0)
@@ -273,11 +273,11 @@
     """Few queries say nothing about its share."""
     busy, idle = Tenant("t", 0.5, 10.0, 0.1), Tenant("u", 0.5, 10.0, 0.1)
     quota = TenantQuota([busy, idle], 100.0, lambda: 0.6)
-    verdicts = [quota.is_over_quota(query_of(group(), tenant=busy), 0.0) for _ in range(11)]
+    verdicts = [quota.record_and_check(query_of(group(), tenant=busy), 0.0) for _ in range(11)]
     assert verdicts == [False] * 10 + [True]
-    assert not quota.is_over_quota(query_of(group(), tenant=busy, over_quota=False), 0.0)
-    assert quota.is_over_quota(query_of(group(), tenant=idle, over_quota=True), 0.0)
-    assert not quota.is_over_quota(query_of(group()), 0.0)
+    assert not quota.record_and_check(query_of(group(), tenant=busy, over_quota=False), 0.0)
+    assert quota.record_and_check(query_of(group(), tenant=idle, over_quota=True), 0.0)
+    assert not quota.record_and_check(query_of(group()), 0.0)
 
 
 def test_a_pause_of_this_process_is_excused_for_every_engine():
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -1,7 +1,7 @@
 """Admission slots, their feedback (M&M's Figure 3), memory shares, and pooled slots."""
 
 import pytest
-from standins import FakeGateway, engine, group, interactive_group, swapping
+from admission_fakes import FakeGateway, engine, group, interactive_group, swapping
 
 from lichenquay.admission.admission_slot import SlotKind
 from lichenquay.admission.domain import Effect, EndpointState, Outcome, ProgressKind, WaitReason
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from lichenquay.cli.main import cli
-from lichenquay.load.child import environment
+from lichenquay.load.child import child_environment
 from lichenquay.testbed.scale import capacity, plan
 from lichenquay.testbed.scale.catalogue import PROBES, Probe
 from lichenquay.testbed.scale.fit import Model
@@ -24,7 +24,7 @@
     quota,
     starved,
 )
-from lichenquay.testbed.scale.probes.door import VirtualDoor, make_engines
+from lichenquay.testbed.scale.probes.virtual_gateway import VirtualDoor, make_engines
 from lichenquay.testbed.scale.rows import MEASURED, MISSING, NONE_TODAY, Row
 from lichenquay.testbed.scale.sample import Sample, Stopwatch, state_bytes
 
@@ -205,7 +205,7 @@
 def test_other_commands_start_without_the_probes():
     """They reach over the whole tree."""
     code = "import sys, lichenquay.cli.main; sys.exit(any('testbed.scale' in name for name in sys.modules))"
-    assert subprocess.run([sys.executable, "-c", code], env=environment(), check=False).returncode == 0
+    assert subprocess.run([sys.executable, "-c", code], env=child_environment(), check=False).returncode == 0
 
 
 def test_a_stopwatch_counts_nested_use_once():
--- a/tests/test_connection_admission_machine.py
+++ b/tests/test_connection_admission_machine.py
@@ -33,9 +33,11 @@
         prefix_limit=st.integers(0, 6),
         rate=st.sampled_from([0, 2]),
         reserve=st.integers(0, 4),
-        max_remembered=st.integers(2, 6),
+        max_idle_accounts=st.integers(2, 6),
     )
-    def begin(self, max_connections, max_queries, address_limit, prefix_limit, rate, reserve, max_remembered):
+    def begin(
+        self, max_connections, max_queries, address_limit, prefix_limit, rate, reserve, max_idle_accounts
+    ):
         """Rules by chance."""
         self.rules = ConnectionRules(
             max_connections,
@@ -44,7 +46,7 @@
             ClientLimits(prefix_limit, 0, 0, 5, 200),
             known=parse_networks([KNOWN_NETWORK]),
             reserve=reserve,
-            max_remembered=max_remembered,
+            max_idle_accounts=max_idle_accounts,
             max_ending=2,
         )
         self.admission = ConnectionAdmission(self.rules, 0.0)
@@ -149,7 +151,7 @@
             self.rules.prefix,
             known=self.rules.known,
             reserve=self.rules.reserve,
-            max_remembered=self.rules.max_remembered,
+            max_idle_accounts=self.rules.max_idle_accounts,
             max_ending=2,
         )
         self.admission.set_rules(self.rules)
@@ -166,7 +168,7 @@
         assert len(admission.connections[KNOWN]) + len(admission.connections[UNKNOWN]) == len(self.open)
         assert not self.rules.max_queries or sum(admission.query_count.values()) <= self.rules.max_queries
         idle = admission.registry.idle
-        assert len(idle) <= self.rules.max_remembered
+        assert len(idle) <= self.rules.max_idle_accounts
         assert len(admission.registry.accounts) <= len(idle) + 2 * len(self.open)
 
     @invariant()
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,7 +1,7 @@
 """Queries' final answers, retries elsewhere, unresponsive engines, pauses, and a stale endpoint list."""
 
 import pytest
-from standins import FakeGateway, capabilities, engine, group, interactive_group
+from admission_fakes import FakeGateway, capabilities, engine, group, interactive_group
 
 from lichenquay.admission.domain import (
     DeduplicationScope,
--- a/tests/test_engine_selection.py
+++ b/tests/test_engine_selection.py
@@ -3,7 +3,7 @@
 from zlib import crc32
 
 import pytest
-from standins import FakeGateway, capabilities, engine, group, interactive_group
+from admission_fakes import FakeGateway, capabilities, engine, group, interactive_group
 
 from lichenquay.admission.domain import MemoryShortageBehaviour, Outcome, Query
 
--- a/tests/test_fleet_applied_configuration.py
+++ b/tests/test_fleet_applied_configuration.py
@@ -7,14 +7,14 @@
 
 from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, value_of
+from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, encode_endpoint, endpoint_key
 from lichenquay.config.reader import read_settings
 from lichenquay.distribution import distribution_pb2 as wire
 from lichenquay.distribution.settings import Settings
 from lichenquay.distribution.source import Source
 from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.fleet.applied_configuration import AppliedConfiguration
-from lichenquay.fleet.source_ranking import ranked
+from lichenquay.fleet.source_ranking import rank_sources
 
 ROOT = Path(__file__).resolve().parents[1]
 RELAYS = "".join(
@@ -144,7 +144,9 @@
 def entries_of(*records):
     """As they are published; a removed engine is a deleted key."""
     return {
-        key_of(record): None if record.state == domain.EndpointState.REMOVED else value_of(record)
+        endpoint_key(record): None
+        if record.state == domain.EndpointState.REMOVED
+        else encode_endpoint(record)
         for record in records
     }
 
@@ -222,18 +224,18 @@
 def test_relays_of_the_same_zone_come_first_then_of_the_region():
     """Then all others."""
     relays = read_settings(SETTINGS).distribution.relays
-    assert ranked(relays, "a", "z1", "g1") == ["r1", "r2", "r3"]
-    assert ranked(relays, "a", "z3", "g2")[0] == "r3"
+    assert rank_sources(relays, "a", "z1", "g1") == ["r1", "r2", "r3"]
+    assert rank_sources(relays, "a", "z3", "g2")[0] == "r3"
 
 
 def test_gateways_of_a_zone_spread_over_its_relays_and_those_of_a_failed_one_over_the_rest():
     """The same at each start; no other gateway moves."""
     relays = [pb.ZoneRelay(name=f"r{i}", region="g", zone="z") for i in range(4)]
-    first = {f"s{i}": ranked(relays, f"s{i}", "z", "g") for i in range(400)}
-    assert first == {name: ranked(relays[::-1], name, "z", "g") for name in first}
+    first = {f"s{i}": rank_sources(relays, f"s{i}", "z", "g") for i in range(400)}
+    assert first == {name: rank_sources(relays[::-1], name, "z", "g") for name in first}
     counts = [sum(order[0] == relay.name for order in first.values()) for relay in relays]
     assert min(counts) > 60 and max(counts) < 140
-    without = {name: ranked(relays[1:], name, "z", "g") for name in first}
+    without = {name: rank_sources(relays[1:], name, "z", "g") for name in first}
     assert all(without[n][0] == order[0] for n, order in first.items() if order[0] != "r0")
     moved = [without[name][0] for name, order in first.items() if order[0] == "r0"]
     assert len(set(moved)) == 3
--- a/tests/test_fleet_envelope.py
+++ b/tests/test_fleet_envelope.py
@@ -28,7 +28,7 @@
     assert opened(follower) == ("front-4399", 5, Layer.DISTRIBUTION, b"body")
 
 
-@pytest.mark.parametrize("layer", [Layer.MEMBERS, Layer.OWNER])
+@pytest.mark.parametrize("layer", [Layer.MEMBERS, Layer.LEASE])
 def test_other_layers_accept_only_named_processes(layer):
     """Name, fingerprint and receiver are checked."""
     assert opened(envelope("stranger"), layer=layer) == "a stranger"
--- a/tests/test_fleet_increments.py
+++ b/tests/test_fleet_increments.py
@@ -4,7 +4,7 @@
 from zlib import crc32
 
 import pytest
-from standins import FakeGateway, engine, group, interactive_group
+from admission_fakes import FakeGateway, engine, group, interactive_group
 
 from lichenquay.admission.domain import EndpointState, Outcome
 from lichenquay.admission.table_affinity import PreferredEngines
--- a/tests/test_fleet_tenant_usage.py
+++ b/tests/test_fleet_tenant_usage.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from standins import group
+from admission_fakes import group
 
 from lichenquay.admission import domain
 from lichenquay.fleet.tenant_usage import TenantUsage
@@ -35,9 +35,9 @@
         self.calls.append(("settle at estimate",))
 
 
-def usage_of(quota_part):
+def usage_of(quota_participant):
     """At a clock that stands at 0."""
-    return TenantUsage(quota_part, lambda: 0.0, lambda: None)
+    return TenantUsage(quota_participant, lambda: 0.0, lambda: None)
 
 
 def query_of(tenant_name):
@@ -47,14 +47,16 @@
 
 
 @pytest.mark.parametrize(
-    "is_within, tenant, is_over_quota",
+    "is_within, tenant, reserve_unless_over_quota",
     [(True, "north", False), (False, "north", True), (True, "south", None), (False, None, None)],
 )
-def test_only_queries_of_a_tenant_with_an_account_are_reserved(is_within, tenant, is_over_quota):
+def test_only_queries_of_a_tenant_with_an_account_are_reserved(is_within, tenant, reserve_unless_over_quota):
     """A tenant without an account has no quota to be over."""
-    quota_part = RecordingQuotaPart(is_within)
-    assert usage_of(quota_part).is_over_quota(query_of(tenant)) is is_over_quota
-    assert quota_part.calls == ([("reserve", WORK_MS)] if tenant == "north" else [])
+    quota_participant = RecordingQuotaPart(is_within)
+    assert (
+        usage_of(quota_participant).reserve_unless_over_quota(query_of(tenant)) is reserve_unless_over_quota
+    )
+    assert quota_participant.calls == ([("reserve", WORK_MS)] if tenant == "north" else [])
 
 
 @pytest.mark.parametrize(
@@ -68,29 +70,29 @@
 )
 def test_a_query_that_never_ran_costs_nothing_and_one_that_may_have_run_its_estimate(outcomes, call):
     """An attempt without an outcome may still run."""
-    quota_part = RecordingQuotaPart(True)
+    quota_participant = RecordingQuotaPart(True)
     query = query_of("north")
     query.attempts = [
         domain.Attempt(query, number, None, 0.0, outcome) for number, outcome in enumerate(outcomes)
     ]
-    usage_of(quota_part).settle_not_completed(query)
-    assert quota_part.calls == [call]
+    usage_of(quota_participant).settle_not_completed(query)
+    assert quota_participant.calls == [call]
 
 
 def test_a_completed_query_is_settled_at_its_reported_work_or_else_at_its_estimate():
     """Engines may report no cost."""
-    quota_part = RecordingQuotaPart(True)
+    quota_participant = RecordingQuotaPart(True)
     query = query_of("north")
-    usage = usage_of(quota_part)
+    usage = usage_of(quota_participant)
     usage.settle_completed(query, (33.0, 1.0))
     usage.settle_completed(query, None)
-    assert quota_part.calls == [("settle", 33.0), ("settle at estimate",)]
+    assert quota_participant.calls == [("settle", 33.0), ("settle at estimate",)]
 
 
 def test_status_lines_are_in_the_order_of_the_names_of_the_tenants():
     """Whatever the order of the accounts in the settings."""
     usage = usage_of(RecordingQuotaPart(True, ("south", "north")))
-    usage.is_over_quota(query_of("south"))
+    usage.reserve_unless_over_quota(query_of("south"))
     assert usage.lines() == [
         "taken north within 0 of 0.0 ms, beyond 0",
         "taken south within 1 of 40.0 ms, beyond 0",
--- a/tests/test_leadership_term.py
+++ b/tests/test_leadership_term.py
@@ -50,49 +50,49 @@
 def test_a_term_begins_with_what_the_group_has_and_ends_with_its_lease():
     """And a further generation is a further term."""
     leader = StubLeader(StubGroup())
-    assert leader.is_leading(10.0)
+    assert leader.refresh_leadership(10.0)
     assert (leader.committed, leader.speculative, leader.generation) == (b"state", b"state", 1)
-    assert leader.is_leading(20.0)
+    assert leader.refresh_leadership(20.0)
     assert (leader.started, leader.term_started_ms) == (1, 10.0)
     leader.group.generation = 2
-    assert leader.is_leading(30.0)
+    assert leader.refresh_leadership(30.0)
     assert (leader.started, leader.term_started_ms) == (2, 30.0)
     leader.group.is_held = False
-    assert not leader.is_leading(40.0)
+    assert not leader.refresh_leadership(40.0)
     assert leader.committed is None
 
 
 def test_after_an_uncertain_write_it_leads_again_only_in_the_next_generation():
     """After one that surely failed, at once."""
     leader = StubLeader(StubGroup())
-    assert leader.is_leading(0.0)
+    assert leader.refresh_leadership(0.0)
     leader.step_down_after_write(1.0, False, 1)
-    assert leader.is_leading(2.0)
+    assert leader.refresh_leadership(2.0)
     leader.step_down_after_write(3.0, None, 1)
-    assert not leader.is_leading(4.0)
+    assert not leader.refresh_leadership(4.0)
     leader.group.generation = 2
-    assert leader.is_leading(5.0)
+    assert leader.refresh_leadership(5.0)
     assert leader.uncertain_writes == 2
 
 
 def test_no_term_begins_while_a_write_of_an_earlier_one_is_pending():
     """It could be committed after the state was read."""
     leader = StubLeader(StubGroup())
-    assert leader.is_leading(0.0)
+    assert leader.refresh_leadership(0.0)
     leader.pending_write = "a write"
     leader.group.generation = 2
-    assert not leader.is_leading(1.0)
+    assert not leader.refresh_leadership(1.0)
     leader.pending_write = None
-    assert leader.is_leading(2.0)
+    assert leader.refresh_leadership(2.0)
 
 
 def test_a_log_that_cannot_be_read_is_left_alone():
     """Until the next generation; the error says why."""
     leader = StubLeader(StubGroup())
     leader.group.state = b""
-    assert not leader.is_leading(0.0)
+    assert not leader.refresh_leadership(0.0)
     assert leader.last_error == "the log cannot be read: empty"
     leader.group.state = b"state"
-    assert not leader.is_leading(1.0)
+    assert not leader.refresh_leadership(1.0)
     leader.group.generation = 2
-    assert leader.is_leading(2.0)
+    assert leader.refresh_leadership(2.0)
--- a/tests/test_migration_coordinator.py
+++ b/tests/test_migration_coordinator.py
@@ -88,7 +88,7 @@
     life.call(coordinator.submit_query, "t", session_id, "last", True, "e", 500)
     later = RealGroupLife(stored, 2, life.now_ms)
     restarted = later.coordinator
-    later.run_until(lambda: later.group.holds(later.now_ms) and restarted.is_leading(later.now_ms))
+    later.run_until(lambda: later.group.holds(later.now_ms) and restarted.refresh_leadership(later.now_ms))
     attached = restarted.attach_query(later.now_ms, "t", session_id, "last")
     assert attached.kind is AnswerKind.ATTACH
     assert restarted.attach_query(later.now_ms, "t", session_id, "m148").outcome == "done"
--- a/tests/test_scale_findings.py
+++ b/tests/test_scale_findings.py
@@ -8,8 +8,8 @@
 from lichenquay.testbed.scale import engines
 from lichenquay.testbed.scale import scenario as s
 from lichenquay.testbed.scale.figures import virtual_figures_of
-from lichenquay.testbed.scale.virtual import VirtualWorld
 from lichenquay.testbed.scale.virtual_run import VirtualPlan, VirtualRunner
+from lichenquay.testbed.scale.virtual_world import VirtualWorld
 
 pytestmark = pytest.mark.together
 
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from lichenquay.load.child import ROOT, environment, read_line
-from lichenquay.testbed.scale import orders
+from lichenquay.load.child import ROOT, child_environment, read_line
+from lichenquay.testbed.scale import commands
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world import free_addresses, loopback_addresses
 from lichenquay.testbed.scale.world_spec import WorldSpec
@@ -25,18 +25,18 @@
     spec = WorldSpec(shape, addresses, loopback_addresses(1), str(tmp_path))
     spec.write()
     process = subprocess.Popen(
-        [sys.executable, "-m", "lichenquay.testbed.scale.hollow", str(spec.path), "0"],
+        [sys.executable, "-m", "lichenquay.testbed.scale.lightweight_gateway_host", str(spec.path), "0"],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
-        env=environment(),
+        env=child_environment(),
         cwd=ROOT,
     )
     try:
         assert read_line(process, WAIT_S) == "READY"
         names = shape.front_names()
-        said = [orders.StartFronts(names), orders.StopFronts(names), orders.StartFronts(names)]
-        process.stdin.write("".join(orders.line_of(order) + "\n" for order in said))
+        said = [commands.StartFronts(names), commands.StopFronts(names), commands.StartFronts(names)]
+        process.stdin.write("".join(commands.line_of(order) + "\n" for order in said))
         until = time.monotonic() + WAIT_S
         while count(process)["fronts"] < len(names):
             assert time.monotonic() < until
@@ -50,6 +50,6 @@
 def count(process):
     """The process's counts, a moment later."""
     time.sleep(0.1)
-    process.stdin.write(orders.line_of(orders.Count()) + "\n")
+    process.stdin.write(commands.line_of(commands.Count()) + "\n")
     process.stdin.flush()
     return json.loads(read_line(process, WAIT_S))
--- a/tests/test_scale_scenario.py
+++ b/tests/test_scale_scenario.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichenquay.testbed.scale import orders, plans, scenario
+from lichenquay.testbed.scale import commands, plans, scenario
 from lichenquay.testbed.scale.engines import TrickleEntries, engine_changes
 from lichenquay.testbed.scale.impairment import Impairment, Rule, cut_off
 from lichenquay.testbed.scale.roles import Role, RoleCost
@@ -89,25 +89,25 @@
 @pytest.mark.parametrize(
     "order",
     [
-        orders.StartFronts(["z0-f0"]),
-        orders.StopFronts([]),
-        orders.ReadSlowly(["z0-f0"], True),
-        orders.Impair([Rule(loss=0.5), Rule("z0", "z1", cut=True)]),
-        orders.FailDisk(full=True),
-        orders.Count(),
-        orders.End(),
+        commands.StartFronts(["z0-f0"]),
+        commands.StopFronts([]),
+        commands.ReadSlowly(["z0-f0"], True),
+        commands.Impair([Rule(loss=0.5), Rule("z0", "z1", cut=True)]),
+        commands.FailDisk(full=True),
+        commands.Count(),
+        commands.End(),
     ],
 )
 def test_orders_arrive_as_they_were_given(order):
     """Over a line of JSON."""
-    assert orders.order_of(orders.line_of(order)) == order
+    assert commands.order_of(commands.line_of(order)) == order
 
 
 @pytest.mark.parametrize("line", ["", "{}", "[]", '{"order": "Dance"}', '{"order": "Count", "x": 1}', "7"])
 def test_what_is_no_order_is_refused(line):
     """One error for all of it."""
-    with pytest.raises(orders.UnknownOrderError):
-        orders.order_of(line)
+    with pytest.raises(commands.UnknownOrderError):
+        commands.order_of(line)
 
 
 def test_engines_are_listed_by_seed_and_within_a_change():
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from standins import SUSTAINED_CORE_SHARE, capabilities
+from admission_fakes import SUSTAINED_CORE_SHARE, capabilities
 
 from lichenquay.admission.controller import Controller
 from lichenquay.admission.domain import (
@@ -96,7 +96,7 @@
     def _send(self, attempt):
         if self.is_gone or attempt.outcome:
             return
-        if not self.controller.may_dispatch(attempt, self.now_ms):
+        if not self.controller.authorize_dispatch(attempt, self.now_ms):
             self._end(attempt, Outcome.NEVER_SENT)
             return
         work_ms = attempt.query.estimated_work_ms
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.task import RUNNING, Task, statement_of, task_of
+from lichenquay.load.task import RUNNING, Task, decode_statement, encode_statement
 from lichenquay.testbed import audit
 from lichenquay.testbed.engine import FULL, Engine, result_rows
 from lichenquay.testbed.trial import trial
@@ -184,7 +184,7 @@
 def test_statement_round_trips_the_real_need(work, memory, threads, rows, tables, load):
     """The emulated engine reads from the statement what the client wrote into it."""
     task = Task("00" * 8, "g", work, memory, threads, rows, str(tables), load)
-    parsed = task_of(task.ref, "g", statement_of(task), 0.0, 1)
+    parsed = decode_statement(task.ref, "g", encode_statement(task), 0.0, 1)
     assert abs(parsed.work_ms - work) < 0.001 and abs(parsed.memory_mb - memory) < 0.06
     assert (parsed.threads, parsed.rows, parsed.tables, parsed.load) == (threads, rows, str(tables), load)
     assert len(result_rows(parsed, "e")) == rows
