--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -40,7 +40,7 @@
     testbed.load.trace = trace or testbed.load.trace
     testbed.load.rate = rate or testbed.load.rate
     testbed.load.seconds = seconds or testbed.load.seconds
-    from lichenquay.testbed.trial import keep
+    from lichenquay.testbed.trial import write_run_files
 
     out = output_folder(out)
     workers = Workers(testbed, target, out)
@@ -48,7 +48,7 @@
     with console.progress("load") as report_progress:
         result = workers.run(report_progress)
     report = {**build_report(result, testbed), "out": str(out)}
-    keep(out, testbed, result, report)
+    write_run_files(out, testbed, result, report)
     console.write_json(json_path, report)
     console.print_table(f"load on {target}", [(name, report[name]) for name in RUN_METRICS if name in report])
     if report["void"]:
--- a/lichenquay/testbed/detectors.py
+++ b/lichenquay/testbed/detectors.py
@@ -18,14 +18,14 @@
 from lichenquay.membership.member_state import MemberRecord, MemberState
 from lichenquay.membership.settings import Settings
 from lichenquay.testbed.baseline_policies import PhiAccrual, Rapid
-from lichenquay.testbed.fleetnet import FleetNet, Weather
-from lichenquay.testbed.observed_members import Watched
+from lichenquay.testbed.observed_fleet import ObservedFleet
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualNetwork
 
 PAUSE_MS, PAUSE_INTERVAL_MS, ASYMMETRIC_CUT_MS = 2_000, 10_000, 20_000
 WARM_UP_MS = 5_000
 
 
-def watch(name, incarnation, names, rng, now_ms):
+def make_informed_detector(name, incarnation, names, rng, now_ms):
     """Returns a failure detector that already knows the fleet: joining is not measured."""
     detector = FailureDetector(name, incarnation, names, rng, Settings(), now_ms)
     for member in names:
@@ -36,7 +36,7 @@
 
 
 DETECTORS = {
-    "members": watch,
+    "members": make_informed_detector,
     "phi": lambda *arguments: PhiAccrual(*arguments, watchers=10),
     "phi, 2 s borne": lambda *arguments: PhiAccrual(*arguments, watchers=10, pause_ms=2_000.0),
     "rapid": Rapid,
@@ -50,7 +50,7 @@
     def __init__(self, kind, gateway_count, seed, loss):
         """Starts the fleet, and counts episodes only after a warm-up."""
         self.names = [f"f{i}" for i in range(gateway_count)]
-        self.net = FleetNet(f"{kind}/{gateway_count}/{seed}/{loss}", Weather(loss=loss))
+        self.net = VirtualNetwork(f"{kind}/{gateway_count}/{seed}/{loss}", LinkConditions(loss=loss))
         self.accusers_of = {name: set() for name in self.names}
         self.episodes, self.split_ms, self.split_since_ms = 0, 0.0, {}
         self.watchers = {}
@@ -131,7 +131,7 @@
     started_ms = trial.net.now_ms
     trial.net.between(["f0"], trial.names[1 : 1 + gateway_count // 2], cut=True)
     trial.net.run(started_ms + ASYMMETRIC_CUT_MS)
-    trial.net.mend()
+    trial.net.reset_links()
     trial.net.run(trial.net.now_ms + 15_000)
     return {
         "episodes": trial.episodes,
@@ -145,13 +145,13 @@
     """Returns the time from the end of a 20 s partition until all have one view with all gateways alive. Only
     for the project's own detector.
     """
-    fleet = Watched([f"f{i}" for i in range(gateway_count)], seed, Weather(loss=loss))
-    fleet.until(fleet.agree, 60_000)
+    fleet = ObservedFleet([f"f{i}" for i in range(gateway_count)], seed, LinkConditions(loss=loss))
+    fleet.until(fleet.views_agree, 60_000)
     fleet.run(WARM_UP_MS)
     fleet.net.split(fleet.names[:2], fleet.names[2:])
     fleet.run(20_000)
-    fleet.net.mend()
-    return fleet.until(fleet.agree, 60_000, 10)
+    fleet.net.reset_links()
+    return fleet.until(fleet.views_agree, 60_000, 10)
 
 
 def rate_with_interval(events, hours):
--- a/lichenquay/testbed/emulator.py
+++ b/lichenquay/testbed/emulator.py
@@ -19,7 +19,7 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.reader import read_file
 from lichenquay.testbed.engine_host import EngineHost
-from lichenquay.testbed.host import HttpServer, now_ms
+from lichenquay.testbed.http_server import HttpServer, now_ms
 
 
 class EndpointListServer(HttpServer):
--- a/lichenquay/testbed/engine_host.py
+++ b/lichenquay/testbed/engine_host.py
@@ -7,7 +7,7 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.load.task import RUNNING, decode_statement
 from lichenquay.testbed import engine as model
-from lichenquay.testbed.host import HttpServer, now_ms
+from lichenquay.testbed.http_server import HttpServer, now_ms
 
 POLL_MS = 250.0  # set by the platform's protocol: how long a poll waits for an event
 RETENTION_MS = 2000.0  # set by the protocol: how long a query is kept after its last poll
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -124,7 +124,9 @@
     return round(float(np.percentile(values, percent)), 2) if len(values) else None
 
 
-def siege(out, seconds=10.0, connections=1500, addresses=1, sockets=400, rate=20.0, gate=True, processes=4):
+def measure_flood(
+    out, seconds=10.0, connections=1500, addresses=1, sockets=400, rate=20.0, gate=True, processes=4
+):
     """Returns the figures of a phase without and one with the flood, of `seconds` each. `gate`: whether known
     clients, their reserve and the caps are set.
     """
--- a/lichenquay/testbed/observed_members.py
+++ b/lichenquay/testbed/observed_fleet.py
@@ -4,13 +4,13 @@
 
 from lichenquay.membership.failure_detector import FailureDetector
 from lichenquay.membership.settings import Settings
-from lichenquay.testbed.fleetnet import FleetNet, Weather
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualNetwork
 
 REJOIN_DELAY_MS = 10
-DEFAULT_CONDITIONS, DEFAULT_SETTINGS = Weather(), Settings()
+DEFAULT_CONDITIONS, DEFAULT_SETTINGS = LinkConditions(), Settings()
 
 
-class Watched:
+class ObservedFleet:
     """A fleet of detectors. `log` holds (time in ms, host, StateChange) of all hosts, in order."""
 
     def __init__(
@@ -27,9 +27,9 @@
         `make` builds a detector.
         """
         self.names, self.settings, self.log, self.rejoin_count = list(names), settings, [], 0
-        self.net = FleetNet(seed, conditions)
+        self.net = VirtualNetwork(seed, conditions)
         self.net.after = self._after
-        self.looks = []  # Called as observer(host, detector, changes) after each call of a detector.
+        self.observers = []  # Called as observer(host, detector, changes) after each call of a detector.
         for name in self.names:
             self.net.host(
                 name,
@@ -49,7 +49,7 @@
         changes = list(detector.changes)
         detector.changes.clear()
         self.log.extend((self.net.now_ms, host.name, change) for change in changes)
-        for observer in self.looks:
+        for observer in self.observers:
             observer(host, detector, changes)
         if detector.ended_incarnation is not None:
             self.net.at(self.net.now_ms + REJOIN_DELAY_MS, self._rejoin, host, detector)
@@ -75,7 +75,7 @@
         """Runs for `ms` of virtual time."""
         self.net.run(self.net.now_ms + ms)
 
-    def all_hold(self, name, state, except_names=()):
+    def all_consider(self, name, state, except_names=()):
         """Returns whether all running detectors but those of `name` and `except_names` have it in `state`."""
         return all(
             detector.state_of(name) == state
@@ -83,7 +83,7 @@
             if detector.name != name and detector.name not in except_names
         )
 
-    def agree(self):
+    def views_agree(self):
         """Returns whether all running detectors have one view in which exactly the running hosts are alive,
         in their present incarnations.
         """
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -26,7 +26,7 @@
     }
 
 
-def keep(out, testbed, results, figures, ledger=()):
+def write_run_files(out, testbed, results, figures, ledger=()):
     """Writes a run's figures, its page, and the targets that `load compare` reads, into the folder `out`."""
     (out / "targets.json").write_text(json.dumps({group.name: group.target_ms for group in testbed.groups}))
     (out / "report.json").write_text(json.dumps(figures, indent=1))
@@ -59,7 +59,7 @@
         exit_code = world.leave()
     ledger = read_ledger(world.ledger)
     figures = run_figures(results, testbed, ledger)
-    keep(out, testbed, results, figures, ledger)
+    write_run_files(out, testbed, results, figures, ledger)
     asked = max(1, figures["asked"])
     return {
         **figures,
--- a/lichenquay/testbed/fleetnet.py
+++ b/lichenquay/testbed/virtual_network.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class LinkConditions:
     """The impairments of one direction of a link. Shares are from 0 to 1."""
 
     loss: float = 0.0
@@ -29,7 +29,7 @@
     cut: bool = False
 
 
-class Host:
+class VirtualHost:
     """A simulated process. `make(host)` returns its parts {layer: part} at each start; they may use
     `incarnation`, `rng` and `now_ms()` of the host.
     """
@@ -39,33 +39,33 @@
         self.net, self.name, self.make, self.rate, self.offset_ms = net, name, make, rate, offset_ms
         self.incarnation, self.life, self.up, self.paused = 0, 0, False, False
         self.parts, self.held, self.wake_ms = {}, [], INF
-        self.sent, self.sent_bytes, self.longest = 0, 0, 0
+        self.sent, self.sent_bytes, self.max_message_bytes = 0, 0, 0
 
     def now_ms(self):
         """Returns the time of the host's own clock."""
         return self.offset_ms + self.rate * self.net.now_ms
 
 
-class FleetNet:
+class VirtualNetwork:
     """The network, its hosts, and the queue of events in virtual time."""
 
-    def __init__(self, seed, conditions=Weather(), lag_ms=1.0):
+    def __init__(self, seed, conditions=LinkConditions(), lag_ms=1.0):
         """A tick runs up to `lag_ms` after it is due."""
-        self.rng, self.seed, self.weather, self.lag_ms = random.Random(seed), seed, conditions, lag_ms
+        self.rng, self.seed, self.link_conditions, self.lag_ms = random.Random(seed), seed, conditions, lag_ms
         self.hosts, self.links, self.now_ms = {}, {}, 0.0
         self.lost, self.messages = Counter(), 0
         self._heap, self._order = [], count()
         # after(host, layer, part), or None: called after each call of a part, before its outbox is sent.
         self.after = None
-        # meddle(number, source, target, layer, message), or None: returns None, or a list of
+        # intercept(number, source, target, layer, message), or None: returns None, or a list of
         # (target, delay_ms, message) to deliver in place of the message, whatever the link's conditions.
-        self.meddle = None
+        self.intercept = None
 
     # --- hosts
 
     def host(self, name, make, rate=1.0, offset_ms=0.0, start=True, incarnation=0):
         """Adds a host, started unless `start` is false, and returns it."""
-        host = self.hosts[name] = Host(self, name, make, rate, offset_ms)
+        host = self.hosts[name] = VirtualHost(self, name, make, rate, offset_ms)
         host.incarnation = incarnation
         if start:
             self.start(name)
@@ -119,7 +119,7 @@
         for a in sources:
             for b in targets:
                 if a != b:
-                    self.links[a, b] = replace(self.links.get((a, b), self.weather), **conditions)
+                    self.links[a, b] = replace(self.links.get((a, b), self.link_conditions), **conditions)
 
     def split(self, *sides, cut=True):
         """Partitions the network: cuts, or restores, all links between the sides, both ways."""
@@ -128,10 +128,10 @@
                 self.between(a, b, cut=cut)
                 self.between(b, a, cut=cut)
 
-    def mend(self, conditions=None):
+    def reset_links(self, conditions=None):
         """Resets every link to the default conditions, or to those given."""
         self.links.clear()
-        self.weather = conditions or self.weather
+        self.link_conditions = conditions or self.link_conditions
 
     # --- time
 
@@ -194,10 +194,10 @@
         host.sent += 1
         data, message_type = message.SerializeToString(), type(message)
         host.sent_bytes += len(data)
-        host.longest = max(host.longest, len(data))
+        host.max_message_bytes = max(host.max_message_bytes, len(data))
         sender = (host.name, host.incarnation)
-        if self.meddle is not None:
-            replacements = self.meddle(self.messages, host.name, target, layer, message)
+        if self.intercept is not None:
+            replacements = self.intercept(self.messages, host.name, target, layer, message)
             if replacements is not None:
                 for receiver, delay, replacement in replacements:
                     self.at(
@@ -210,7 +210,7 @@
                         message_type,
                     )
                 return
-        conditions = self.links.get((host.name, target), self.weather)
+        conditions = self.links.get((host.name, target), self.link_conditions)
         if conditions.cut or (conditions.loss and self.rng.random() < conditions.loss):
             self.lost["cut" if conditions.cut else "loss"] += 1
             return
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -22,11 +22,11 @@
 log = structlog.get_logger()
 
 
-class CannotStart(Exception):
+class WorldStartError(Exception):
     """A process of the world did not start. The message is one line."""
 
 
-def settings_of(testbed):
+def platform_settings(testbed):
     """Returns the settings that the world's gateways get, under the platform's names."""
     engines = testbed.engines
     return {
@@ -102,18 +102,18 @@
             gateway_module,
             arguments,
         )
-        self.processes, self.fronts, self.addresses = [], [], []
+        self.processes, self.gateways, self.addresses = [], [], []
         self.ledger = self.out / "ledger.jsonl"
 
     def __enter__(self):
-        """Starts the emulator, then the gateways. Raises CannotStart."""
+        """Starts the emulator, then the gateways. Raises WorldStartError."""
         self.out.mkdir(parents=True, exist_ok=True)
         try:
             self.emulator = start_emulator(self.testbed, self.out, self.ledger)
             self.processes.append(self.emulator)
             line = read_line(self.emulator, START_TIMEOUT_S)
             if not line:
-                raise CannotStart("the emulator did not start")
+                raise WorldStartError("the emulator did not start")
             self.emulator_info = json.loads(line)
             for index in range(self.testbed.front.count):
                 self.start_gateway(index)
@@ -123,7 +123,7 @@
         return self
 
     def start_gateway(self, index):
-        """Starts a gateway on a free port and waits until it accepts connections. Raises CannotStart."""
+        """Starts a gateway on a free port and waits until it accepts connections. Raises WorldStartError."""
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{probe.getsockname()[1]}"
@@ -138,12 +138,12 @@
             },
             "bulletin": self.emulator_info["bulletin"],
             "known": self.emulator_info["known"],
-            "settings": settings_of(self.testbed),
+            "settings": platform_settings(self.testbed),
         }
         path = self.out / f"front-{index}.json"
         path.write_text(json.dumps(config))
         extra_env = {"BALANCER_CONFIG": str(path)}
-        own_settings = self.settings_of_front(index)
+        own_settings = self.gateway_settings(index)
         if own_settings is not None:
             settings = self.out / f"settings-{index}.textproto"
             settings.write_text(text_format.MessageToString(own_settings))
@@ -159,7 +159,7 @@
                 start_new_session=True,
             )
         self.processes.append(gateway)
-        self.fronts.append(gateway)
+        self.gateways.append(gateway)
         self.addresses.append(address)
         deadline_s = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline_s and gateway.poll() is None:
@@ -169,11 +169,11 @@
             except OSError:
                 time.sleep(0.02)
         log_lines = (self.out / f"front-{index}.log").read_text().strip().splitlines()
-        raise CannotStart(
+        raise WorldStartError(
             f"gateway {index} did not start: {log_lines[-1] if log_lines else 'its log is empty'}"
         )
 
-    def settings_of_front(self, index):
+    def gateway_settings(self, index):
         """Returns a gateway's settings of Lichenquay's own features, or None."""
         return pb.Settings(gate=self.testbed.front.gate) if self.testbed.front.HasField("gate") else None
 
@@ -184,19 +184,19 @@
 
     def stall(self, seconds, index=0):
         """Suspends a gateway by SIGSTOP for some seconds."""
-        gateway = self.fronts[index]
+        gateway = self.gateways[index]
         gateway.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
         gateway.send_signal(signal.SIGCONT)
 
     def cpu_s(self, index=0):
         """Returns the CPU seconds that a gateway has used."""
-        fields = Path(f"/proc/{self.fronts[index].pid}/stat").read_text().rpartition(")")[2].split()
+        fields = Path(f"/proc/{self.gateways[index].pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def peak_mb(self, index=0):
         """Returns a gateway's peak resident memory in MB; 0 if the kernel doesn't report it."""
-        for line in Path(f"/proc/{self.fronts[index].pid}/status").read_text().splitlines():
+        for line in Path(f"/proc/{self.gateways[index].pid}/status").read_text().splitlines():
             if line.startswith("VmHWM"):
                 return int(line.split()[1]) / 1024
         return 0.0
@@ -205,7 +205,7 @@
         """Ends a gateway by SIGTERM, as at a planned restart, and kills it after `seconds`; returns its exit
         code.
         """
-        gateway = self.fronts[index]
+        gateway = self.gateways[index]
         gateway.terminate()
         try:
             return gateway.wait(seconds)
@@ -215,7 +215,7 @@
 
     def __exit__(self, *_):
         """Ends all processes that still run, the emulator last."""
-        for gateway in self.fronts:
+        for gateway in self.gateways:
             if gateway.poll() is None:
                 gateway.terminate()
         for process in self.processes[::-1]:
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -9,13 +9,13 @@
 from gateway_world import SETTINGS
 from ports import allocate_free_ports
 from relay import Relay
-from running import Running, until
+from running import ProcessGroup, until
 
 ROOT = Path(__file__).resolve().parents[2]
 CUT_STATES = ("faulty", "left", "removed")  # of a member that gets no messages
 
 
-class Cluster(Running):
+class Cluster(ProcessGroup):
     """A context with `count` gateways named a, b, c, ...; each has its folder, configuration and settings
     under `path`.
     """
@@ -68,7 +68,7 @@
         self.end_all()
         self.relay.close()
 
-    def fleet_text(self, name):
+    def fleet_settings_text(self, name):
         """Returns a gateway's fleet settings as text; its peers' addresses are the relay's."""
         peers = " ".join(
             f'peers {{ name: "{peer}" address: "{self.relay.address(name, peer)}" }}'
@@ -98,7 +98,7 @@
                 }
             )
         )
-        settings.write_text(self.fleet_text(name))
+        settings.write_text(self.fleet_settings_text(name))
         self.start_counts[name] += 1
         settings_env = {"LICHENQUAY_SETTINGS": str(settings)} if self.with_fleet else {}
         with open(self.path / f"{name}.log", "a", encoding="utf-8") as out:
@@ -126,20 +126,24 @@
         )
         assert self.running[name].poll() is None, self.log(name)[-2000:]
 
-    def back(self, name):
+    def restart(self, name):
         """Starts a gateway that has ended, and waits for it."""
         self.start(name)
         self.wait_until_started(name)
 
     def members(self, name):
         """Returns {member: (incarnation, state)} in a gateway's view."""
-        return {words[1]: (int(words[2]), words[3]) for words in self.told(name) if words[:1] == ["member"]}
+        return {
+            words[1]: (int(words[2]), words[3])
+            for words in self.status_report(name)
+            if words[:1] == ["member"]
+        }
 
     def digest(self, name):
         """Returns the digest of a gateway's view, or None."""
-        return next((words[2] for words in self.told(name) if words[:1] == ["view"]), None)
+        return next((words[2] for words in self.status_report(name) if words[:1] == ["view"]), None)
 
-    def agree(self, names=None, states=None):
+    def views_agree(self, names=None, states=None):
         """Returns whether the gateways have the same view, and whether its members have these states if
         given.
         """
--- a/tests/fleet/fleet_mutants.py
+++ b/tests/fleet/fleet_mutants.py
@@ -19,10 +19,10 @@
 
 import broken_rules
 import fleet_scenario as scenario
+from excluded_changes import is_excluded
 from fleet_audit import Audit
-from fleet_marks import state_digest
 from fleet_mutations import RESTART_OF, is_dropped, is_field, kind_of, mutations
-from outside import is_excluded
+from fleet_state_digest import state_digest
 from virtual_fleet import World
 
 CHECK_MS = 1e-3  # from a changed datagram's arrival to the digest
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/query_clients.py
@@ -13,7 +13,7 @@
 from lichenquay.gateway import frames
 from lichenquay.load.child import read_line
 from lichenquay.load.task import Task, encode_statement
-from lichenquay.testbed.world import settings_of, start_emulator
+from lichenquay.testbed.world import platform_settings, start_emulator
 
 
 class Engines:
@@ -22,7 +22,7 @@
     def __init__(self, path, world):
         """Reads the settings."""
         self.path, self.testbed = Path(path), read_testbed(world)
-        self.settings = settings_of(self.testbed)
+        self.settings = platform_settings(self.testbed)
 
     def __enter__(self):
         """Starts the emulator and reads its addresses."""
--- a/tests/fleet/relay.py
+++ b/tests/fleet/relay.py
@@ -25,7 +25,7 @@
     most_ms: float = 0.0  # the delay is drawn between the two, so datagrams are reordered
     cut: bool = False
     change: object = None  # called with each datagram; returns the list of datagrams to send in its place
-    passed: int = 0
+    forwarded: int = 0
     dropped: int = 0
 
 
@@ -107,7 +107,7 @@
 
     def send(self, pair, data):
         """Forwards a datagram to its receiver."""
-        self.links[pair].passed += 1
+        self.links[pair].forwarded += 1
         with suppress(OSError):  # the receiver may not be listening now
             self.sockets[pair].sendto(data, self.targets[pair[1]])
 
--- a/tests/fleet/running.py
+++ b/tests/fleet/running.py
@@ -5,7 +5,7 @@
 import time
 
 
-class Running:
+class ProcessGroup:
     """A set of named processes. `path` has the log of each, NAME.log; `running` maps names to processes."""
 
     def __init__(self, path):
@@ -58,7 +58,7 @@
                     events.append(line_event)
         return events
 
-    def told(self, name, seconds=3.0):
+    def status_report(self, name, seconds=3.0):
         """Sends SIGUSR1 and returns the lines of the status report, each as a list of words."""
         before = len(self.log(name))
         self.signal(name, signal.SIGUSR1)
--- a/tests/fleet/test_fleet_cost.py
+++ b/tests/fleet/test_fleet_cost.py
@@ -8,7 +8,7 @@
 
 import pytest
 from cluster import Cluster, until
-from terminals import Engines, QueryClient
+from query_clients import Engines, QueryClient
 from test_fleet_quota import ACCOUNTS, WORLD
 
 RATE, SECONDS = 120, 6.0
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -30,7 +30,7 @@
 def wait_until_all_alive(cluster, names=None):
     """Waits until these gateways (all, if None) consider each other alive."""
     names = names or cluster.names
-    until(lambda: cluster.agree(names, dict.fromkeys(names, "alive")), CONVERGENCE_TIMEOUT_S)
+    until(lambda: cluster.views_agree(names, dict.fromkeys(names, "alive")), CONVERGENCE_TIMEOUT_S)
 
 
 def member_events(cluster, names=None, members=None, states=("faulty", "removed")):
@@ -64,7 +64,7 @@
                 killed_ms = time.time() * 1000
                 cluster.kill(name)
                 others = [other for other in cluster.names if other != name]
-                until(lambda name=name, others=others: cluster.agree(others, {name: "faulty"}), 12)
+                until(lambda name=name, others=others: cluster.views_agree(others, {name: "faulty"}), 12)
                 verdicts_ms = [
                     unix_ms(event)
                     for observer, event in member_events(cluster, others, [name], ["faulty"])
@@ -72,7 +72,7 @@
                 ]
                 assert len(verdicts_ms) == len(others)
                 detected += [verdict_ms - killed_ms for verdict_ms in verdicts_ms]
-                cluster.back(name)
+                cluster.restart(name)
                 wait_until_all_alive(cluster)
                 assert cluster.members("a")[name][0] > first_incarnation
             assert not member_events(cluster, members=[name for name in cluster.names if name not in "be"])
@@ -124,10 +124,10 @@
         cluster.relay.cut(["d"], cluster.names if to_all else ["a"], both=False)
         cut_s = time.monotonic()
         if to_all:
-            until(lambda: cluster.agree(states={"d": "faulty"}), 12)
+            until(lambda: cluster.views_agree(states={"d": "faulty"}), 12)
         time.sleep(max(0.0, seconds - (time.monotonic() - cut_s)))
         wanted = "faulty" if to_all else "alive"
-        until(lambda: cluster.agree(states={**dict.fromkeys("abc", "alive"), "d": wanted}), 5)
+        until(lambda: cluster.views_agree(states={**dict.fromkeys("abc", "alive"), "d": wanted}), 5)
         flaps = sum(
             max(0, len(member_events(cluster, [observer], [member], ["faulty"])) - (to_all and member == "d"))
             for observer in cluster.names
@@ -150,8 +150,8 @@
         cluster.relay.cut("ab", "cde")
         until(
             lambda: (
-                cluster.agree("ab", dict.fromkeys("cde", "faulty"))
-                and cluster.agree("cde", dict.fromkeys("ab", "faulty"))
+                cluster.views_agree("ab", dict.fromkeys("cde", "faulty"))
+                and cluster.views_agree("cde", dict.fromkeys("ab", "faulty"))
             ),
             15,
         )
@@ -159,8 +159,8 @@
         wait_until_all_alive(cluster)
         started_s = time.monotonic()
         assert cluster.leave("c") == 0 and time.monotonic() - started_s < 3.7
-        until(lambda: cluster.agree("abde", {"c": "left"}), 5)
-        cluster.back("c")
+        until(lambda: cluster.views_agree("abde", {"c": "left"}), 5)
+        cluster.restart("c")
         wait_until_all_alive(cluster)
 
 
@@ -172,7 +172,7 @@
         wait_until_all_alive(cluster)
         assert not member_events(cluster, ["a"], "bcd", ["suspect", *CUT_STATES]), "before the pause"
         cluster.pause("a", 7.0)
-        until(lambda: cluster.agree(states=dict.fromkeys("abcd", "alive")), 15)
+        until(lambda: cluster.views_agree(states=dict.fromkeys("abcd", "alive")), 15)
         assert not member_events(cluster, ["a"], "bcd", ["suspect", *CUT_STATES]), cluster.log("a")[-4000:]
         assert member_events(cluster, "bcd", ["a"], ["faulty"])
 
@@ -204,14 +204,19 @@
                     incarnation, to, Layer.MEMBERS, members_pb2.Message().SerializeToString()
                 )
                 sender.sendto(data, cluster.relay.targets["b"])
-        until(lambda: "datagrams dropped: another fleet" in cluster.log("b") or not cluster.told("b"), 5)
-        report = " ".join(" ".join(words) for words in cluster.told("b"))
+        until(
+            lambda: "datagrams dropped: another fleet" in cluster.log("b") or not cluster.status_report("b"),
+            5,
+        )
+        report = " ".join(" ".join(words) for words in cluster.status_report("b"))
         assert (
             "dropped: unreadable" in report
             and "dropped: another fleet" in report
             and "dropped: other settings" in report
         )
-        assert cluster.agree(states=dict.fromkeys("ab", "alive")) and "Traceback" not in cluster.log("b")
+        assert cluster.views_agree(states=dict.fromkeys("ab", "alive")) and "Traceback" not in cluster.log(
+            "b"
+        )
 
 
 def test_startup_error_is_one_log_line(tmp_path):
@@ -236,13 +241,16 @@
             restore()
             if error_text.startswith("cannot"):
                 cluster.start_counts["b"] -= 1
-                cluster.back("b")
+                cluster.restart("b")
                 wait_until_all_alive(cluster)
             else:
                 cluster.running["b"] = running
         cluster.signal("a", signal.SIGHUP)
         until(
-            lambda: "configurations reloaded: 1" in " ".join(" ".join(words) for words in cluster.told("a"))
+            lambda: (
+                "configurations reloaded: 1"
+                in " ".join(" ".join(words) for words in cluster.status_report("a"))
+            )
         )
 
 
@@ -263,7 +271,7 @@
         (tmp_path / "kept").rename(tmp_path / "folder-b")
         cluster.start_counts["b"] -= 1
         cluster.env = {"PYTHONPATH": os.path.dirname(__file__), "LICHENQUAY_TEST_CLOCK_BACK_S": "86400"}
-        cluster.back("b")
+        cluster.restart("b")
         wait_until_all_alive(cluster)
         assert cluster.members("a")["b"][0] == first_incarnation + 1 > time.time() * 1000 - 86_400_000
 
@@ -289,13 +297,13 @@
         )
         until(
             lambda: (
-                cluster.agree(states=dict.fromkeys("abc", "alive"))
+                cluster.views_agree(states=dict.fromkeys("abc", "alive"))
                 and cluster.members("a")["b"][0] > first_incarnation
             ),
             15,
         )
         second_incarnation = cluster.members("a")["b"][0]
         cluster.kill("b")
-        cluster.back("b")
+        cluster.restart("b")
         wait_until_all_alive(cluster)
         assert cluster.members("a")["b"][0] > second_incarnation and "Traceback" not in cluster.log("b")
--- a/tests/fleet/test_fleet_mutation.py
+++ b/tests/fleet/test_fleet_mutation.py
@@ -15,9 +15,9 @@
 import broken_rules
 import fleet_scenario as scenario
 import pytest
+from excluded_changes import EXCLUDED_CHANGES, is_excluded
 from fleet_mutants import end_ms_of
 from fleet_mutations import DELIVERY_MUTATIONS, is_field, kind_of, mutations
-from outside import EXCLUDED_CHANGES, is_excluded
 
 TEST_FOLDER = os.path.dirname(os.path.abspath(__file__))
 SEED, SAMPLE_SIZE, MESSAGE_SHARES, WORKERS = broken_rules.SEED, 70, 16, 2
--- a/tests/fleet/test_fleet_quota.py
+++ b/tests/fleet/test_fleet_quota.py
@@ -10,7 +10,7 @@
 
 import pytest
 from cluster import Cluster, until
-from terminals import Engines, QueryClient
+from query_clients import Engines, QueryClient
 
 ACCOUNTS = "lease_ms: 1200 term_ms: 3000 " + " ".join(
     f'accounts {{ tenant: "{tenant}" rate_ms: {rate} bucket_ms: {bucket} credit_ms: {credit} '
@@ -81,7 +81,7 @@
 
     def lines(self, name, *words):
         """Returns the lines of a gateway's status report that start with one of the words."""
-        return [line for line in self.cluster.told(name) if line and line[0] in words]
+        return [line for line in self.cluster.status_report(name) if line and line[0] in words]
 
     def leader(self, names=None):
         """Returns (name, {tenant: (pool, held, spent, debt, limit)}) of the gateway that leads the ledger, or
@@ -130,7 +130,9 @@
             lambda: (
                 reports.append(
                     " ".join(
-                        " ".join(words) for name in self.running_names() for words in self.cluster.told(name)
+                        " ".join(words)
+                        for name in self.running_names()
+                        for words in self.cluster.status_report(name)
                     )
                 )
                 or "ledger conserved: " in reports[-1]
@@ -154,7 +156,7 @@
             )
         for name in self.running_names():
             assert "Traceback" not in self.cluster.log(name) and "faults:" not in " ".join(
-                " ".join(words) for words in self.cluster.told(name)
+                " ".join(words) for words in self.cluster.status_report(name)
             )
         return sum(overspent_ms.values())
 
@@ -211,7 +213,7 @@
         second = wait_for_leader(fleet, others)
         rows = fleet.ledger(others)["north"]
         assert second != first and rows[2] >= spent_ms and rows[3] > 0, (debt_ms, rows)
-        fleet.cluster.back(first)
+        fleet.cluster.restart(first)
         time.sleep(2.0)
         fleet.stop_clients()
         assert fleet.audit(lost_ms) == 0
@@ -318,10 +320,10 @@
                     else:
                         assert fleet.cluster.leave(name) == 0
                     time.sleep(rng.random())
-                    fleet.cluster.back(name)
+                    fleet.cluster.restart(name)
                 time.sleep(rng.random())
             fleet.cluster.relay.heal()
-            until(lambda: fleet.cluster.agree(states=dict.fromkeys(fleet.cluster.names, "alive")), 25)
+            until(lambda: fleet.cluster.views_agree(states=dict.fromkeys(fleet.cluster.names, "alive")), 25)
             fleet.stop_clients()
             wait_for_leader(fleet)
             quota_figures["overspent_ms"] = quota_figures.get("overspent_ms", 0) + fleet.audit(lost_ms)
