--- a/lichenquay/admission/attempts_in_flight.py
+++ b/lichenquay/admission/attempts_in_flight.py
@@ -2,7 +2,7 @@
 
 from lichenquay.admission.domain import EngineCapabilities, Query
 from lichenquay.admission.engine_choice import Candidate
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.memory_grants import MemoryGrants
 from lichenquay.admission.pooled_slots import PooledAdmission, PooledSlots
@@ -23,7 +23,7 @@
         self,
         port: GatewayPort,
         capabilities: EngineCapabilities,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         totals: InFlightTotals,
         slot_table: SlotTable,
         pooled_slots: PooledSlots,
@@ -35,7 +35,7 @@
         """Starts with nothing in flight. `totals`: this gateway's totals, updated by this object."""
         self.port = port
         self.sets_grants = capabilities.honours_memory_grants or capabilities.honours_priorities
-        self.fleet = fleet
+        self.registry = registry
         self.totals = totals
         self.slot_table = slot_table
         self.pooled_slots = pooled_slots
@@ -66,7 +66,7 @@
             self._record_pooled_admission(reservation, now_ms)
         state.expire_weight()
         self.busy[state] = True
-        self.fleet.active[state] = True
+        self.registry.active[state] = True
         if group.is_bulk_load:
             state.table_locks[query.table_group] = query.deadline_ms
         if len(query.attempts) > 1:
--- a/lichenquay/admission/constrained_groups.py
+++ b/lichenquay/admission/constrained_groups.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from lichenquay.admission.domain import Engine, Query, ResourceGroup
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import EngineLoad
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.placement import has_placement_constraint, satisfies_placement
@@ -52,7 +52,7 @@
         return self.random() >= self.spare_share
 
     def update_spare_share(
-        self, fleet: EngineFleet, engine_load: EngineLoad, active: Sequence[EngineState]
+        self, registry: EngineRegistry, engine_load: EngineLoad, active: Sequence[EngineState]
     ) -> None:
         """Recomputes the spare share: what the constrained groups do not need of their engines.
 
@@ -60,8 +60,8 @@
         other engines that are full if that is larger: the fuller the other engines are, the more of the spare
         part is used.
         """
-        work_ms = self.mean_work_ms * fleet.constrained_cores or 1.0
-        needed_share = self.mean_constrained_work_ms * fleet.cores / work_ms
+        work_ms = self.mean_work_ms * registry.constrained_cores or 1.0
+        needed_share = self.mean_constrained_work_ms * registry.cores / work_ms
         other_engines = [state for state in active if not state.serves_constrained_group]
         full_share = engine_load.full_share(other_engines)
         self.spare_share = max(0.0, 1 - needed_share) * max(1 - needed_share, full_share)
--- a/lichenquay/admission/controller.py
+++ b/lichenquay/admission/controller.py
@@ -29,7 +29,7 @@
 from lichenquay.admission.endpoint_list import EndpointListUpdater, EndpointStaleness
 from lichenquay.admission.engine_choice import EngineChoice
 from lichenquay.admission.engine_evaluation import EngineEvaluation
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import EngineLoad
 from lichenquay.admission.engine_selection import EngineSelection
 from lichenquay.admission.engine_subset import EngineSubset
@@ -77,7 +77,7 @@
         """Creates a controller that knows no engine. Its settings do not change afterwards."""
         self.port = port
         self.time_scales = TimeScales.of(gateway, groups)
-        self._make_fleet(gateway, groups, limits, capabilities)
+        self._make_registry(gateway, groups, limits, capabilities)
         self._make_slots(gateway, groups, permissions, limits, capabilities)
         self._make_monitoring(permissions, capabilities)
         self.key_ordering = KeyOrdering(port, limits.ordering_pause_ms, self.dispatcher.submit)
@@ -86,7 +86,7 @@
         if gateway.polls_endpoint_list:
             port.watch_endpoints()
 
-    def _make_fleet(
+    def _make_registry(
         self,
         gateway: GatewayIdentity,
         groups: Sequence[ResourceGroup],
@@ -97,19 +97,19 @@
         scales = self.time_scales
         engines_swap = capabilities.memory_shortage == MemoryShortageBehaviour.SWAP
         self.random = HashRandom(gateway.seed)
-        self.fleet = EngineFleet(gateway.seed)
+        self.registry = EngineRegistry(gateway.seed)
         self.slow_start = SlowStart(limits, gateway.gateway_count, gateway.index, groups)
-        self.engine_load = EngineLoad(self.fleet, scales.report_lifetime_ms)
+        self.engine_load = EngineLoad(self.registry, scales.report_lifetime_ms)
         self.outliers = OutlierDetection(engines_swap)
-        self.capacity = UsableCapacity(self.fleet, self.slow_start)
-        self.subset = EngineSubset(self.fleet, self.slow_start, scales.report_lifetime_ms)
+        self.capacity = UsableCapacity(self.registry, self.slow_start)
+        self.subset = EngineSubset(self.registry, self.slow_start, scales.report_lifetime_ms)
         self.constrained_groups = ConstrainedGroups(groups, gateway.seed)
-        self.table_affinity = TableAffinity(self.fleet)
+        self.table_affinity = TableAffinity(self.registry)
         self.staleness = EndpointStaleness()
         self.endpoint_list = EndpointListUpdater(
             self.port,
             limits,
-            self.fleet,
+            self.registry,
             self.staleness,
             self.slow_start,
             self.constrained_groups,
@@ -120,7 +120,7 @@
             gateway.zone,
             self.random,
             scales.evaluation_interval_ms,
-            self.fleet,
+            self.registry,
             self.slow_start,
             self.engine_load,
             self.outliers,
@@ -145,7 +145,7 @@
         self.pressure = Pressure(groups, self.engine_load)
         self.memory_grants = MemoryGrants(capabilities, groups, interactive)
         memory_share = MemoryShare(self.memory_grants, gateway_share)
-        self.slot_table = SlotTable(self.fleet, gateway_share, interactive)
+        self.slot_table = SlotTable(self.registry, gateway_share, interactive)
         self.availability = SlotAvailability(
             capabilities,
             groups,
@@ -158,9 +158,9 @@
             self.waiting,
         )
         self.pooled_slots = PooledSlots(
-            self.fleet, self.capacity, self.pressure, memory_share, self.availability, totals
+            self.registry, self.capacity, self.pressure, memory_share, self.availability, totals
         )
-        self.feedback = SlotFeedback(self.fleet, self.engine_load, self.waiting, gateway_share)
+        self.feedback = SlotFeedback(self.registry, self.engine_load, self.waiting, gateway_share)
         self.retry_policy = RetryPolicy(permissions.max_attempts, limits, gateway.min_loop_interval_ms)
         self.checks = DispatchChecks(limits, self.retry_policy, self.slow_start)
         self.engine_choice = EngineChoice(
@@ -175,7 +175,7 @@
         self.attempts_in_flight = AttemptsInFlight(
             self.port,
             capabilities,
-            self.fleet,
+            self.registry,
             totals,
             self.slot_table,
             self.pooled_slots,
@@ -186,7 +186,7 @@
         )
         self.dispatcher = QueryDispatcher(
             self.port,
-            self.fleet,
+            self.registry,
             self.staleness,
             self.retry_policy,
             self.engine_choice,
@@ -201,10 +201,10 @@
         relocation = Relocation(self.port, permissions)
         self.silence = SilenceDetection(self.port, capabilities, scales.shortest_objective_ms, relocation)
         self.health_checks = HealthChecks(
-            self.port, self.fleet, permissions, capabilities, scales.evaluation_interval_ms
+            self.port, self.registry, permissions, capabilities, scales.evaluation_interval_ms
         )
         self.evaluation = EngineEvaluation(
-            self.fleet,
+            self.registry,
             self.engine_load,
             self.outliers,
             self.capacity,
@@ -228,7 +228,7 @@
             self.feedback,
             self.attempts_in_flight,
         )
-        self.ticker = Ticker(self.port, self.fleet, scales.tick_interval_ms, self.tick)
+        self.ticker = Ticker(self.port, self.registry, scales.tick_interval_ms, self.tick)
 
     # The endpoint list
 
@@ -290,12 +290,12 @@
 
         An allowed attempt is recorded as sent at that time.
         """
-        return self.checks.authorize_dispatch(attempt, self.fleet.states.get(attempt.engine), now_ms)
+        return self.checks.authorize_dispatch(attempt, self.registry.states.get(attempt.engine), now_ms)
 
     def on_progress(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Handles a progress event of an attempt in flight."""
         now_ms = self.ticker.compensate_for_pause()
-        state = self.fleet.states.get(attempt.engine)
+        state = self.registry.states.get(attempt.engine)
         self.progress_events.on_progress(attempt, state, kind, amount, now_ms)
 
     def on_attempt_ended(
@@ -308,7 +308,7 @@
         """Records the end of an attempt, then retries its query or gives its final answer if it is open."""
         now_ms = self.ticker.compensate_for_pause()
         query = attempt.query
-        state = self.fleet.states.get(attempt.engine)
+        state = self.registry.states.get(attempt.engine)
         self.attempt_results.on_attempt_ended(attempt, state, elapsed_ms, cost, report, now_ms)
         self.key_ordering.on_attempt_ended(attempt)
         if not query.is_done:
@@ -325,7 +325,7 @@
 
         A failed one changes nothing: only silence makes an engine unresponsive.
         """
-        state = self.fleet.states.get(engine)
+        state = self.registry.states.get(engine)
         if healthy and state is not None:
             self.engine_load.record_report(state, report, self.port.now_ms)
             state.record_response(self.port.now_ms)
--- a/lichenquay/admission/endpoint_list.py
+++ b/lichenquay/admission/endpoint_list.py
@@ -4,7 +4,7 @@
 
 from lichenquay.admission.constrained_groups import ConstrainedGroups
 from lichenquay.admission.domain import EndpointState, Engine, SafetyLimits
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.ports import GatewayPort
 from lichenquay.admission.sliding_window import SlidingWindow
@@ -43,7 +43,7 @@
 
 
 class EndpointListUpdater:
-    """Applies changes of the endpoint list to the fleet.
+    """Applies changes of the endpoint list to the engine registry.
 
     An engine that leaves the list is kept until this gateway's attempts there have ended; otherwise their
     reservations would be lost, and the engine would look free if it rejoins.
@@ -53,7 +53,7 @@
         self,
         port: GatewayPort,
         limits: SafetyLimits,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         staleness: EndpointStaleness,
         slow_start: SlowStart,
         constrained_groups: ConstrainedGroups,
@@ -63,7 +63,7 @@
         """Starts with no engine. `evaluation_interval_ms`: the time scale of each engine's windows."""
         self.port = port
         self.poll_retry_ms = limits.discovery_poll_within_ms / POLL_RETRY_DIVISOR
-        self.fleet = fleet
+        self.registry = registry
         self.staleness = staleness
         self.slow_start = slow_start
         self.constrained_groups = constrained_groups
@@ -79,9 +79,9 @@
         the list is stale, may hold engines to which the previous process of this gateway has already sent
         work.
         """
-        may_have_been_used = not self.fleet.states or self.staleness.is_stale(now_ms)
+        may_have_been_used = not self.registry.states or self.staleness.is_stale(now_ms)
         for engine in engines:
-            state = self.fleet.states.get(engine)
+            state = self.registry.states.get(engine)
             if state is None:
                 state = self._add(engine, now_ms)
                 if may_have_been_used and engine.started_ms:
@@ -89,7 +89,7 @@
             elif engine.started_ms and engine.started_ms > state.last_response_ms:
                 state.reset_after_restart(now_ms)
             if self.slow_start.usable_share(engine, now_ms) < 1:
-                self.fleet.not_fully_usable[state] = True
+                self.registry.not_fully_usable[state] = True
         self._remove_unlisted(engines, is_full_list)
 
     def _add(self, engine: Engine, now_ms: float) -> EngineState:
@@ -102,7 +102,7 @@
             errors=SlidingWindow(ERROR_BUCKET_EVALUATIONS * interval_ms, ERROR_BUCKETS),
         )
         state.serves_constrained_group = self.constrained_groups.may_use(engine)
-        self.fleet.add(state)
+        self.registry.add(state)
         self.table_affinity.add_engine(state)
         return state
 
@@ -112,19 +112,19 @@
         A partial update does not iterate over all engines.
         """
         listed = set(engines)
-        for engine in list(self.fleet.states) if is_full_list else [*engines, *self.removed_in_use]:
+        for engine in list(self.registry.states) if is_full_list else [*engines, *self.removed_in_use]:
             if is_full_list and engine not in listed:
                 engine.state = EndpointState.REMOVED
             self.removed_in_use.pop(engine, None)
             if engine.state != EndpointState.REMOVED:
                 continue
-            state = self.fleet.states.get(engine)
+            state = self.registry.states.get(engine)
             if state is None:
                 continue
             if state.reservations:
                 self.removed_in_use[engine] = True
             else:
-                self.fleet.remove(state)
+                self.registry.remove(state)
                 self.table_affinity.remove_engine(state)
 
     def schedule_poll(self) -> None:
--- a/lichenquay/admission/engine_choice.py
+++ b/lichenquay/admission/engine_choice.py
@@ -66,7 +66,7 @@
         """Returns the engine that gets the query now, or None if the query must wait.
 
         It is the first drawn engine that has capacity and no penalty, else the one with the lowest penalties.
-        With `only`, no other engine is considered. The fleet must not be empty.
+        With `only`, no other engine is considered. There must be an engine.
         """
         pooled_kind = None
         if self.slot_table.is_pooled(query.group):
@@ -115,6 +115,6 @@
     """Returns whether the query may probe an unresponsive engine: read-only, one at a time, rate-limited.
 
     An unresponsive engine is chosen only if no engine that may get the query is responsive. Without such
-    probes, the recovery of a whole fleet would go unnoticed.
+    probes, the recovery of all engines would go unnoticed.
     """
     return query.group.effect == Effect.READ_ONLY and now_ms >= state.next_try_ms and not state.reservations
--- a/lichenquay/admission/engine_evaluation.py
+++ b/lichenquay/admission/engine_evaluation.py
@@ -1,7 +1,7 @@
 """Periodic comparison of engines with their peers: medians, means, usable capacity, and the subset."""
 
 from lichenquay.admission.constrained_groups import ConstrainedGroups
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import EngineLoad
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.engine_subset import EngineSubset
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         engine_load: EngineLoad,
         outliers: OutlierDetection,
         capacity: UsableCapacity,
@@ -29,7 +29,7 @@
         interval_ms: float,
     ):
         """Schedules the first evaluation for the first tick."""
-        self.fleet = fleet
+        self.registry = registry
         self.engine_load = engine_load
         self.outliers = outliers
         self.capacity = capacity
@@ -47,8 +47,8 @@
             return
         self.next_ms = now_ms + self.interval_ms
         states = self.compare_with_peers(now_ms)
-        representative = self.fleet.representative()  # stands for all engines where slots are pooled
-        if representative is not None and representative not in self.fleet.active:
+        representative = self.registry.representative()  # stands for all engines where slots are pooled
+        if representative is not None and representative not in self.registry.active:
             states = [representative, *states]
         for state in states:
             self.feedback.end_stale_intervals(state, state.slots, now_ms)
@@ -58,12 +58,12 @@
 
     def compare_with_peers(self, now_ms: float) -> list[EngineState]:
         """Updates all statistics across engines; returns the active engines in the order of joining."""
-        active = self.fleet.active_in_join_order()
-        self.outliers.update_medians(active, len(self.fleet.states), now_ms)
+        active = self.registry.active_in_join_order()
+        self.outliers.update_medians(active, len(self.registry.states), now_ms)
         self.engine_load.expire_reports(now_ms)
         self.update_subset(now_ms)
         self.engine_load.update_means(active)
-        self.constrained_groups.update_spare_share(self.fleet, self.engine_load, active)
+        self.constrained_groups.update_spare_share(self.registry, self.engine_load, active)
         return active
 
     def update_subset(self, now_ms: float) -> None:
--- a/lichenquay/admission/engine_fleet.py
+++ b/lichenquay/admission/engine_fleet.py
@@ -15,7 +15,7 @@
 BY_RANK = attrgetter("rank")
 
 
-class EngineFleet:
+class EngineRegistry:
     """Engine states by engine and in this gateway's own order, and the sums of their cores and memory."""
 
     def __init__(self, seed: int):
--- a/lichenquay/admission/engine_load.py
+++ b/lichenquay/admission/engine_load.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from lichenquay.admission.domain import Query
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.load_report import LoadReport
 
@@ -25,9 +25,9 @@
 class EngineLoad:
     """Reported utilisation and load of engines; an engine without a fresh report counts as average."""
 
-    def __init__(self, fleet: EngineFleet, report_lifetime_ms: float):
+    def __init__(self, registry: EngineRegistry, report_lifetime_ms: float):
         """Starts with no report. `report_lifetime_ms`: how long a report is valid."""
-        self.fleet = fleet
+        self.registry = registry
         self.report_lifetime_ms = report_lifetime_ms
         self.oldest_fresh_ms = 0.0  # reports older than this are ignored
         self.mean_threads = 1.0  # of a query
@@ -48,8 +48,8 @@
         state.report = LoadReport.from_fields(fields)
         state.reported_ms = now_ms
         state.expire_weight()
-        if state.engine in self.fleet.states:
-            self.fleet.active[state] = True
+        if state.engine in self.registry.states:
+            self.registry.active[state] = True
 
     def _fresh_report(self, state: EngineState) -> LoadReport | None:
         return state.report if state.reported_ms >= self.oldest_fresh_ms else None
--- a/lichenquay/admission/engine_selection.py
+++ b/lichenquay/admission/engine_selection.py
@@ -7,7 +7,7 @@
 
 from lichenquay.admission.constrained_groups import ConstrainedGroups
 from lichenquay.admission.domain import Query
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import EngineLoad, own_load
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.engine_subset import EngineSubset
@@ -41,7 +41,7 @@
         zone: str,
         random: HashRandom,
         weight_lifetime_ms: float,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         slow_start: SlowStart,
         engine_load: EngineLoad,
         outliers: OutlierDetection,
@@ -53,7 +53,7 @@
         self.zone = zone
         self.random = random
         self.weight_lifetime_ms = weight_lifetime_ms
-        self.fleet = fleet
+        self.registry = registry
         self.slow_start = slow_start
         self.engine_load = engine_load
         self.outliers = outliers
@@ -88,14 +88,14 @@
         if self.constrained_groups.draw_avoidance(query):
             yield from self._draw_from([s for s in first if not s.serves_constrained_group], query, now_ms)
             tried = set(first)
-            states = self.fleet.states.values()
+            states = self.registry.states.values()
             others = [s for s in states if not s.serves_constrained_group and s not in tried]
             yield from self._draw_from(others, query, now_ms)
             yield from self._draw_from([s for s in states if s.serves_constrained_group], query, now_ms)
         else:
             yield from self._draw_from(list(first), query, now_ms)
             tried = set(first)
-            others = [s for s in self.fleet.states.values() if s not in tried]
+            others = [s for s in self.registry.states.values() if s not in tried]
             yield from self._draw_from(others, query, now_ms)
 
     def _draw_from(self, states: list[EngineState], query: Query, now_ms: float) -> Iterator[EngineState]:
--- a/lichenquay/admission/health_checks.py
+++ b/lichenquay/admission/health_checks.py
@@ -6,7 +6,7 @@
     GatewayPermissions,
     LoadReportSource,
 )
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.ports import GatewayPort
 
@@ -20,14 +20,14 @@
     def __init__(
         self,
         port: GatewayPort,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         permissions: GatewayPermissions,
         capabilities: EngineCapabilities,
         interval_ms: float,
     ):
         """Takes `interval_ms`, the shortest time between two checks of one engine."""
         self.port = port
-        self.fleet = fleet
+        self.registry = registry
         self.may_check = permissions.may_health_check
         self.are_reports_requested = (
             capabilities.load_report_source == LoadReportSource.HEALTH_CHECKS and self.may_check
@@ -41,9 +41,9 @@
         Otherwise engines that report only in health checks would all count as average.
         """
         self.credit = min(1.0, self.credit + CHECKS_PER_QUERY)
-        if not self.are_reports_requested or self.credit < 1 or not self.fleet.states:
+        if not self.are_reports_requested or self.credit < 1 or not self.registry.states:
             return
-        state = min(self.fleet.states.values(), key=_asked_longest_ago)
+        state = min(self.registry.states.values(), key=_asked_longest_ago)
         if now_ms - state.report_requested_ms > self.interval_ms and _is_serving(state):
             self.credit = 0.0
             state.report_requested_ms = now_ms
--- a/lichenquay/admission/memory_grants.py
+++ b/lichenquay/admission/memory_grants.py
@@ -70,10 +70,10 @@
 
 
 class MemoryShare:
-    """This gateway's share of the memory of one engine or of the fleet."""
+    """This gateway's share of the memory of one engine or of all engines."""
 
     def __init__(self, grants: MemoryGrants, gateway_share: float):
-        """Takes `gateway_share`: this gateway's share of the fleet, 0 to 1."""
+        """Takes `gateway_share`: this gateway's share of all engines, 0 to 1."""
         self.grants = grants
         self.gateway_share = gateway_share
 
--- a/lichenquay/admission/outlier_detection.py
+++ b/lichenquay/admission/outlier_detection.py
@@ -15,7 +15,7 @@
 
 
 class OutlierDetection:
-    """Medians of error shares and slowdown ratios over the fleet, and the comparison with them."""
+    """Medians of error shares and slowdown ratios over all engines, and the comparison with them."""
 
     def __init__(self, engines_swap: bool):
         """Takes `engines_swap`: an engine short of memory swaps while it reports idle cores."""
@@ -43,7 +43,7 @@
         relative_speed = self.median_slowdown / state.slowdown_ratio
         return min(1.0, max(MIN_SLOWDOWN_WEIGHT, relative_speed**self.slowdown_exponent))
 
-    def update_medians(self, active: Sequence[EngineState], fleet_size: int, now_ms: float) -> None:
+    def update_medians(self, active: Sequence[EngineState], engine_count: int, now_ms: float) -> None:
         """Recomputes the slowdown ratios of the active engines, and the medians.
 
         Engines that are not `active` count as without errors.
@@ -56,6 +56,6 @@
         slowdowns = sorted(state.slowdown_ratio for state in active if state.slowdown_ratio)
         self.median_slowdown = slowdowns[len(slowdowns) // 2] if slowdowns else None
         error_shares = sorted(state.errors.mean(now_ms, 0.0) for state in active)
-        # Index of the lower median over the fleet; inactive engines would be zeros before the first element.
-        median_index = len(active) - 1 - fleet_size + (fleet_size + 1) // 2
+        # Index of the lower median over all engines; inactive engines would be zeros before the first element.
+        median_index = len(active) - 1 - engine_count + (engine_count + 1) // 2
         self.median_error_share = error_shares[median_index] if median_index >= 0 else 0.0
--- a/lichenquay/admission/pooled_slots.py
+++ b/lichenquay/admission/pooled_slots.py
@@ -1,10 +1,10 @@
-"""Pooled slots: limits over the whole fleet, for groups whose queries exceed the share of one engine."""
+"""Pooled slots: limits over all engines together, for groups whose queries exceed the share of one engine."""
 
 from dataclasses import dataclass
 
 from lichenquay.admission.admission_slot import SlotKind
 from lichenquay.admission.domain import Query
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import THREADS_PER_CORE
 from lichenquay.admission.memory_grants import MemoryShare
 from lichenquay.admission.pressure import Pressure
@@ -24,11 +24,11 @@
 
 
 class PooledSlots:
-    """Limits all pooled groups together to this gateway's share of the fleet's threads and memory."""
+    """Limits all pooled groups together to this gateway's share of all threads and memory."""
 
     def __init__(
         self,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         capacity: UsableCapacity,
         pressure: Pressure,
         memory_share: MemoryShare,
@@ -36,7 +36,7 @@
         in_flight: InFlightTotals,
     ):
         """Takes `in_flight`: the totals of this gateway, which are only read here."""
-        self.fleet = fleet
+        self.registry = registry
         self.capacity = capacity
         self.pressure = pressure
         self.memory_share = memory_share
@@ -51,12 +51,12 @@
     def free_slot_kind(self, query: Query, now_ms: float) -> SlotKind | None:
         """Returns the kind of pooled slot that is free for the query; None: it must wait.
 
-        Threads and slots limit admission while the fleet is under pressure; memory always does where engines
-        swap. The fleet must not be empty.
+        Threads and slots limit admission while the engines are under pressure; memory always does where engines
+        swap. There must be an engine.
         """
         is_under_pressure = self.pressure.are_engines_under_pressure(now_ms)
         usable_threads = THREADS_PER_CORE * self.capacity.cores * self.memory_share.gateway_share
-        representative = self.fleet.representative()
+        representative = self.registry.representative()
         in_flight = self.in_flight
         fits_memory = not in_flight.threads or self.memory_share.has_room(
             query, representative, in_flight.granted_mb, self.capacity.memory_mb
@@ -74,9 +74,9 @@
     def _must_space_admissions(self, is_under_pressure: bool, usable_threads: float, now_ms: float) -> bool:
         """Returns whether it is too early for another admission after a query larger than the share.
 
-        A query that needs k times this gateway's share of the fleet is followed by the next one after k times
-        its runtime. If all gateways sent such queries one after the other, the fleet would be overloaded k
-        times.
+        A query that needs k times this gateway's share of all engines is followed by the next one after k
+        times its runtime. If all gateways sent such queries one after the other, the engines would be
+        overloaded k times.
         """
         latest = self.latest
         thread_excess = latest.threads / usable_threads if is_under_pressure else 0.0
--- a/lichenquay/admission/pressure.py
+++ b/lichenquay/admission/pressure.py
@@ -1,4 +1,4 @@
-"""Pressure: whether one engine, or the fleet, is loaded so much that slot limits apply.
+"""Pressure: whether one engine, or all together, are loaded so much that slot limits apply.
 
 Without pressure, slots would hold queries back while engines have free cores.
 """
@@ -19,7 +19,7 @@
 
 
 class Pressure:
-    """Pressure on engines and on the fleet, from load reports and this gateway's own results."""
+    """Pressure on single engines and on all together, from load reports and this gateway's own results."""
 
     def __init__(self, groups: Sequence[ResourceGroup], engine_load: EngineLoad):
         """Starts with no result."""
@@ -58,9 +58,9 @@
         return state.slowdown_ratio > SLOW_FACTOR * self.best_slowdown
 
     def are_engines_under_pressure(self, now_ms: float) -> bool:
-        """Returns whether the fleet is at capacity: pooled limits apply, and queries over quota have no room.
+        """Returns whether the engines are at capacity: pooled limits apply, and queries over quota have no room.
 
-        It is if this gateway's attempts are much slower than the best mean, if many attempts had to wait for
+        They are if this gateway's attempts are much slower than the best mean, if many attempts had to wait for
         memory, or if the mean reported utilisation is full. The first two conditions cover engines that
         report little: their reports hardly differ between a full engine and others.
         """
--- a/lichenquay/admission/process_pause.py
+++ b/lichenquay/admission/process_pause.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.ports import GatewayPort
 
 
@@ -15,11 +15,11 @@
     """Schedules the tick while work is in flight or waiting, and detects a late tick."""
 
     def __init__(
-        self, port: GatewayPort, fleet: EngineFleet, interval_ms: float, on_tick: Callable[[], None]
+        self, port: GatewayPort, registry: EngineRegistry, interval_ms: float, on_tick: Callable[[], None]
     ):
         """Starts with no tick scheduled."""
         self.port = port
-        self.fleet = fleet
+        self.registry = registry
         self.interval_ms = interval_ms
         self.on_tick = on_tick
         self.next_tick_ms: float | None = None  # None: no tick is scheduled
@@ -45,6 +45,6 @@
         pause_ms = now_ms - self.next_tick_ms - self.interval_ms
         if pause_ms > 0:
             self.next_tick_ms = now_ms
-            for state in self.fleet.states.values():
+            for state in self.registry.states.values():
                 state.compensate_for_pause(pause_ms)
         return now_ms
--- a/lichenquay/admission/query_dispatcher.py
+++ b/lichenquay/admission/query_dispatcher.py
@@ -6,7 +6,7 @@
 from lichenquay.admission.domain import Query
 from lichenquay.admission.endpoint_list import EndpointStaleness
 from lichenquay.admission.engine_choice import EngineChoice
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.ports import GatewayPort
 from lichenquay.admission.retry_policy import RetryPolicy
@@ -21,7 +21,7 @@
     def __init__(
         self,
         port: GatewayPort,
-        fleet: EngineFleet,
+        registry: EngineRegistry,
         staleness: EndpointStaleness,
         retry_policy: RetryPolicy,
         engine_choice: EngineChoice,
@@ -31,7 +31,7 @@
     ):
         """Takes `give_final_answer`, which is called with a query that has waited too long."""
         self.port = port
-        self.fleet = fleet
+        self.registry = registry
         self.staleness = staleness
         self.retry_policy = retry_policy
         self.engine_choice = engine_choice
@@ -64,7 +64,7 @@
 
     def _try_start(self, query: Query, now_ms: float, only: EngineState | None = None) -> bool:
         """Starts an attempt if an engine (or the engine `only`) has capacity; returns whether it did."""
-        if not self.fleet.states or self.staleness.is_stale(now_ms):
+        if not self.registry.states or self.staleness.is_stale(now_ms):
             return False
         if not self.retry_policy.may_attempt(query, now_ms):
             return False
--- a/lichenquay/admission/slot_feedback.py
+++ b/lichenquay/admission/slot_feedback.py
@@ -4,7 +4,7 @@
 
 from lichenquay.admission.admission_slot import AdmissionSlot
 from lichenquay.admission.domain import ResourceGroup
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import EngineLoad
 from lichenquay.admission.engine_state import EngineState
 from lichenquay.admission.memory_grants import USABLE_MEMORY_SHARE
@@ -22,10 +22,10 @@
     """Collects results, and adjusts a slot at the end of each interval."""
 
     def __init__(
-        self, fleet: EngineFleet, engine_load: EngineLoad, waiting: WaitingQueries, gateway_share: float
+        self, registry: EngineRegistry, engine_load: EngineLoad, waiting: WaitingQueries, gateway_share: float
     ):
-        """Takes `gateway_share`: this gateway's share of the fleet, 0 to 1."""
-        self.fleet = fleet
+        """Takes `gateway_share`: this gateway's share of all engines, 0 to 1."""
+        self.registry = registry
         self.engine_load = engine_load
         self.waiting = waiting
         self.gateway_share = gateway_share
@@ -57,7 +57,7 @@
         interval.lateness_squared += lateness_ms * lateness_ms
         interval.granted_mb += granted_mb
         slot.delay_ms = max(0.0, -lateness_ms) if slot.meets_objective else 0.0
-        engines_sharing_queue = 1 if slot.is_pooled else max(1, len(self.fleet.states))
+        engines_sharing_queue = 1 if slot.is_pooled else max(1, len(self.registry.states))
         interval.waiting += self.waiting.count(group) / engines_sharing_queue
         interval.running += slot.running_maximum + slot.running_minimum
         if interval.results >= RESULTS_PER_INTERVAL:
@@ -100,7 +100,7 @@
 
         With few waiting queries, or on a full engine, no slot is added.
         """
-        engines_of_slot = len(self.fleet.states) if slot.is_pooled else 1
+        engines_of_slot = len(self.registry.states) if slot.is_pooled else 1
         memory_mb = self.gateway_share * state.memory_mb * engines_of_slot
         pools_mb = sum(sibling.pool_mb or 0.0 for sibling in slot.siblings.values())
         unreserved_mb = USABLE_MEMORY_SHARE * memory_mb - pools_mb
--- a/lichenquay/admission/slot_table.py
+++ b/lichenquay/admission/slot_table.py
@@ -2,7 +2,7 @@
 
 from lichenquay.admission.admission_slot import AdmissionSlot
 from lichenquay.admission.domain import ResourceGroup
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_load import THREADS_PER_CORE
 from lichenquay.admission.engine_state import EngineState
 
@@ -10,9 +10,9 @@
 class SlotTable:
     """The admission slots by engine and group; a slot is created at its first use."""
 
-    def __init__(self, fleet: EngineFleet, gateway_share: float, interactive: frozenset[ResourceGroup]):
+    def __init__(self, registry: EngineRegistry, gateway_share: float, interactive: frozenset[ResourceGroup]):
         """Takes `gateway_share`: this gateway's share of each engine, 0 to 1."""
-        self.fleet = fleet
+        self.registry = registry
         self.gateway_share = gateway_share
         self.interactive = interactive
         self.pooled: dict[ResourceGroup, AdmissionSlot] = {}
@@ -25,7 +25,7 @@
         """
         if group in self.interactive:
             return False
-        mean_cores = self.fleet.cores / max(1, len(self.fleet.states))
+        mean_cores = self.registry.cores / max(1, len(self.registry.states))
         return THREADS_PER_CORE * mean_cores * self.gateway_share < group.threads
 
     def slot_for(self, state: EngineState, group: ResourceGroup, now_ms: float) -> AdmissionSlot:
@@ -37,7 +37,7 @@
         slots = self.pooled if is_pooled else state.slots
         slot = slots.get(group)
         if slot is None:
-            cores = self.fleet.cores if is_pooled else state.cores
+            cores = self.registry.cores if is_pooled else state.cores
             limit = cores * THREADS_PER_CORE * self.gateway_share / group.threads
             slot = AdmissionSlot(max(1, round(limit)), slots, is_pooled, now_ms)
             slots[group] = slot
--- a/lichenquay/admission/table_affinity.py
+++ b/lichenquay/admission/table_affinity.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from lichenquay.admission.engine_fleet import EngineFleet
+from lichenquay.admission.engine_fleet import EngineRegistry
 from lichenquay.admission.engine_state import EngineState
 
 ENGINES_PER_ROLE = 2  # number of preferred engines for readers, and for bulk loads
 MAX_TABLE_GROUPS = 4096  # limit on table groups whose preferred engines are cached
-# Weights are multiplied by the number of engines over this divisor. In a fleet of any size, the preferred
+# Weights are multiplied by the number of engines over this divisor. Whatever their number, the preferred
 # engines then get about a third of the draws.
 PREFERRED_SHARE_DIVISOR = 5
 
@@ -38,9 +38,9 @@
 class TableAffinity:
     """The preferred engines of each table group, updated as engines join and leave."""
 
-    def __init__(self, fleet: EngineFleet):
+    def __init__(self, registry: EngineRegistry):
         """Starts with no table group."""
-        self.fleet = fleet
+        self.registry = registry
         self.preferred: dict[str, PreferredEngines] = {}
 
     def preferred_engines(self, table_group: str) -> PreferredEngines:
@@ -48,7 +48,7 @@
         if table_group not in self.preferred:
             if len(self.preferred) >= MAX_TABLE_GROUPS:
                 self.preferred.clear()
-            ranked = sorted(self.fleet.states.values(), key=affinity_key(table_group))
+            ranked = sorted(self.registry.states.values(), key=affinity_key(table_group))
             self.preferred[table_group] = PreferredEngines(
                 ranked[:ENGINES_PER_ROLE], ranked[-ENGINES_PER_ROLE:]
             )
--- a/tests/admission_fakes.py
+++ b/tests/admission_fakes.py
@@ -338,11 +338,11 @@
 
     def state_of(self, engine_):
         """Returns the controller's state of an engine."""
-        return self.controller.fleet.states[engine_]
+        return self.controller.registry.states[engine_]
 
     def states(self):
         """Returns the controller's states of all engines, in the order of joining."""
-        return list(self.controller.fleet.states.values())
+        return list(self.controller.registry.states.values())
 
     def report(self, state, fields):
         """Passes an engine's load report to the controller."""
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -144,7 +144,7 @@
     )
 
 
-def test_pooled_groups_keep_to_the_gateways_share_of_the_memory_of_a_swapping_fleet():
+def test_pooled_groups_keep_to_the_gateways_share_of_the_memory_of_swapping_engines():
     """The limit is not the share of one engine's memory, into which no query fits."""
     report = group(threads=3)  # a twentieth of an engine's memory is less than one query
     gateway = ten_swapping_engines(report, gateway_count=20)
@@ -153,8 +153,8 @@
     assert len(gateway.in_flight()) == 4  # 1/20 of 160000 MB less the reserve holds 4.5 queries
 
 
-def test_one_query_of_a_pooled_group_runs_even_if_it_exceeds_the_share_of_the_fleets_memory():
-    """Otherwise, with shares below one query, all gateways would wait and the fleet would be unused."""
+def test_one_query_of_a_pooled_group_runs_even_if_it_exceeds_the_share_of_the_engines_memory():
+    """Otherwise, with shares below one query, all gateways would wait and the engines would be unused."""
     report = group(threads=3)
     gateway = ten_swapping_engines(report, gateway_count=200)
     for _ in range(3):
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize(("draining", "ends_after_ms", "sent"), [(0, 60.0, 1), (6, 60.0, 0), (6, 300.0, 1)])
-def test_pooled_admissions_are_spaced_by_what_the_fleet_can_do_now(draining, ends_after_ms, sent):
+def test_pooled_admissions_are_spaced_by_what_the_engines_can_do_now(draining, ends_after_ms, sent):
     """A share computed at the start would overload the engines that are left.
 
     It would include engines that have since left or are warming up.
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -124,7 +124,7 @@
                 query.is_done = True
                 gateway.answers[query.id] = "client gone"
                 gateway.controller.on_client_gone(query)
-        for known in list(gateway.controller.fleet.states):
+        for known in list(gateway.controller.registry.states):
             if gateway.permissions.may_health_check and rng.random() < 0.05:
                 gateway.controller.on_health_check(known, rng.random() < 0.5, 3.0, report)
         self.change_endpoints()
--- a/tests/test_engine_selection.py
+++ b/tests/test_engine_selection.py
@@ -63,7 +63,7 @@
     assert gateway.cancelled == [query.attempts[0]]
 
 
-def test_preferred_engines_of_tables_get_about_a_third_of_the_draws_in_any_fleet():
+def test_preferred_engines_of_tables_get_about_a_third_of_the_draws_with_any_number_of_engines():
     """This is enough to keep them warm for these tables."""
     for size in (6, 40):
         engines = [engine(f"e{number}") for number in range(size)]
--- a/tests/test_fleet_increments.py
+++ b/tests/test_fleet_increments.py
@@ -1,4 +1,4 @@
-"""The fleet state that the controller updates incrementally equals that of a full scan, without the scan."""
+"""The engine registry that the controller updates incrementally equals that of a full scan, without the scan."""
 
 from random import Random
 from zlib import crc32
@@ -35,8 +35,8 @@
 
 def count_visits(gateway):
     """Makes the controller of this gateway use states that count visits, and returns them."""
-    states = VisitCountingStates(gateway.controller.fleet.states)
-    gateway.controller.fleet.states = states
+    states = VisitCountingStates(gateway.controller.registry.states)
+    gateway.controller.registry.states = states
     return states
 
 
@@ -65,23 +65,23 @@
     assert states.visited < ENGINE_COUNT / 4
 
 
-def rank_of(fleet, state):
+def rank_of(registry, state):
     """Returns an engine's rank in this gateway's own order, by the gateway's seed."""
-    return crc32(f"{fleet.seed}:{state.engine.id}".encode())
+    return crc32(f"{registry.seed}:{state.engine.id}".encode())
 
 
-def preferred_by_full_scan(fleet, table_group):
+def preferred_by_full_scan(registry, table_group):
     """Returns the first two and the last two of all engines, ranked for a table group."""
     ranked = sorted(
-        fleet.states.values(), key=lambda state: crc32(f"{table_group}:{state.engine.id}".encode())
+        registry.states.values(), key=lambda state: crc32(f"{table_group}:{state.engine.id}".encode())
     )
     return PreferredEngines(ranked[:2], ranked[-2:])
 
 
 def warming_by_full_scan(controller, now_ms):
     """Returns engines that warm up and that this gateway may send to, in its own order."""
-    fleet, slow_start, found = controller.fleet, controller.slow_start, []
-    for state in sorted(fleet.states.values(), key=lambda state: rank_of(fleet, state)):
+    registry, slow_start, found = controller.registry, controller.slow_start, []
+    for state in sorted(registry.states.values(), key=lambda state: rank_of(registry, state)):
         warm_share = slow_start.warm_share(state.engine, now_ms)
         is_usable = state.engine.state == EndpointState.SERVING and not state.is_unresponsive
         if is_usable and warm_share < 1 and slow_start.budget_ms(state.engine, warm_share):
@@ -96,20 +96,20 @@
 
 def check_incremental_state(gateway):
     """Checks that all incrementally updated state equals the result of a full scan."""
-    controller, fleet, now_ms = gateway.controller, gateway.controller.fleet, gateway.now_ms
-    states = list(fleet.states.values())
-    assert fleet.by_rank == sorted(states, key=lambda state: rank_of(fleet, state))
-    assert fleet.cores == pytest.approx(sum(state.cores for state in states))
-    assert fleet.memory_mb == pytest.approx(sum(state.memory_mb for state in states))
+    controller, registry, now_ms = gateway.controller, gateway.controller.registry, gateway.now_ms
+    states = list(registry.states.values())
+    assert registry.by_rank == sorted(states, key=lambda state: rank_of(registry, state))
+    assert registry.cores == pytest.approx(sum(state.cores for state in states))
+    assert registry.memory_mb == pytest.approx(sum(state.memory_mb for state in states))
     for table_group in TABLE_GROUPS:
         preferred = controller.table_affinity.preferred_engines(table_group)
-        assert preferred == preferred_by_full_scan(fleet, table_group)
+        assert preferred == preferred_by_full_scan(registry, table_group)
     controller.evaluation.compare_with_peers(now_ms)
-    warming = [state for state in controller.subset.engines if state in fleet.not_fully_usable]
+    warming = [state for state in controller.subset.engines if state in registry.not_fully_usable]
     assert warming == warming_by_full_scan(controller, now_ms)
     error_shares = [0.0, *(state.errors.mean(now_ms, 0.0) for state in states)]
     assert controller.outliers.median_error_share == upper_median(error_shares)
-    assert set(fleet.active) <= set(states) and set(fleet.not_fully_usable) <= set(states)
+    assert set(registry.active) <= set(states) and set(registry.not_fully_usable) <= set(states)
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -35,7 +35,7 @@
         and headers["X-Nice"] in "0123"
     )
     assert client.notices == [(frames.FrameType.READINESS, 9, b"\0\0")]
-    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    (engine_state,) = world.service.adapter.controller.registry.states.values()
     until(lambda: engine_state.report == LoadReport.from_fields({"active": 7.0}))
     assert (
         world.service.adapter.controller.memory_grants.mean_memory_mb[world.service.settings.groups["report"]]
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -65,7 +65,7 @@
             self.controller.slow_start.charged_work_ms = lambda query: query.estimated_work_ms * 0.4
         self.controller.endpoints_updated(engines, True)
         if injected_fault == "forgets":
-            for state in self.controller.fleet.states.values():
+            for state in self.controller.registry.states.values():
                 state.slow_start_work = SlidingWindow(fleet.limits.slow_start_window_ms / 8, 9)
 
     @property
