--- a/lichenquay/admission/outlier_detection.py
+++ b/lichenquay/admission/outlier_detection.py
@@ -56,6 +56,6 @@
         slowdowns = sorted(state.slowdown_ratio for state in active if state.slowdown_ratio)
         self.median_slowdown = slowdowns[len(slowdowns) // 2] if slowdowns else None
         error_shares = sorted(state.errors.mean(now_ms, 0.0) for state in active)
-        # Index of the lower median over all engines; inactive engines would be zeros before the first element.
+        # Index of the lower median over all engines; inactive ones would be zeros before the first element.
         median_index = len(active) - 1 - engine_count + (engine_count + 1) // 2
         self.median_error_share = error_shares[median_index] if median_index >= 0 else 0.0
--- a/lichenquay/admission/pooled_slots.py
+++ b/lichenquay/admission/pooled_slots.py
@@ -51,8 +51,8 @@
     def free_slot_kind(self, query: Query, now_ms: float) -> SlotKind | None:
         """Returns the kind of pooled slot that is free for the query; None: it must wait.
 
-        Threads and slots limit admission while the engines are under pressure; memory always does where engines
-        swap. There must be an engine.
+        Threads and slots limit admission while the engines are under pressure; memory always does where
+        engines swap. There must be an engine.
         """
         is_under_pressure = self.pressure.are_engines_under_pressure(now_ms)
         usable_threads = THREADS_PER_CORE * self.capacity.cores * self.memory_share.gateway_share
--- a/lichenquay/admission/pressure.py
+++ b/lichenquay/admission/pressure.py
@@ -58,10 +58,10 @@
         return state.slowdown_ratio > SLOW_FACTOR * self.best_slowdown
 
     def are_engines_under_pressure(self, now_ms: float) -> bool:
-        """Returns whether the engines are at capacity: pooled limits apply, and queries over quota have no room.
+        """Returns whether the engines are at capacity: pooled limits apply; queries over quota have no room.
 
-        They are if this gateway's attempts are much slower than the best mean, if many attempts had to wait for
-        memory, or if the mean reported utilisation is full. The first two conditions cover engines that
+        They are if this gateway's attempts are much slower than the best mean, if many attempts had to wait
+        for memory, or if the mean reported utilisation is full. The first two conditions cover engines that
         report little: their reports hardly differ between a full engine and others.
         """
         if self.best_slowdown and self.slowdowns.mean(now_ms, 0.0) > SLOW_FACTOR * self.best_slowdown:
--- a/lichenquay/control_plane/__main__.py
+++ b/lichenquay/control_plane/__main__.py
@@ -9,10 +9,15 @@
 
 from twisted.internet import reactor  # noqa: E402
 
-from lichenquay.control_plane.service import CannotStartError, Service  # noqa: E402
+from lichenquay.control_plane.service import CannotStartError, ControlPlaneService  # noqa: E402
 
 # The reactor uses the wall clock by default; setting it back by an hour would delay all timers by an hour.
 reactor.seconds = time.monotonic
 sys.exit(
-    run_service("lichenquay.control_plane", reactor, lambda: Service(reactor, sys.argv[1:]), CannotStartError)
+    run_service(
+        "lichenquay.control_plane",
+        reactor,
+        lambda: ControlPlaneService(reactor, sys.argv[1:]),
+        CannotStartError,
+    )
 )
--- a/lichenquay/control_plane/service.py
+++ b/lichenquay/control_plane/service.py
@@ -17,7 +17,7 @@
 LEAVE_CHECK_INTERVAL_S = 0.02
 
 
-class ServicePhase(StrEnum):
+class ControlPlanePhase(StrEnum):
     """The phase of a control process between its start and its exit."""
 
     STARTING = "starting"
@@ -32,7 +32,7 @@
     return runtime_type(reactor, process_settings)
 
 
-class Service:
+class ControlPlaneService:
     """Reads the settings, and runs the process that they describe."""
 
     def __init__(self, reactor, arguments: Sequence[str]):
@@ -44,7 +44,7 @@
         except ConfigurationError as error:
             raise CannotStartError(str(error)) from None
         self.reactor = reactor
-        self.phase = ServicePhase.STARTING
+        self.phase = ControlPlanePhase.STARTING
         self.runtime = make_runtime(reactor, process_settings)
 
     def start(self) -> None:
@@ -64,12 +64,12 @@
         }
         install_signal_handlers(self.reactor, handlers)
         self.runtime.begin()
-        self.phase = ServicePhase.SERVING
+        self.phase = ControlPlanePhase.SERVING
 
     def leave(self) -> None:
         """Starts a graceful shutdown (SIGTERM, SIGINT); a second signal changes nothing."""
-        if self.phase == ServicePhase.SERVING:
-            self.phase = ServicePhase.LEAVING
+        if self.phase == ControlPlanePhase.SERVING:
+            self.phase = ControlPlanePhase.LEAVING
             self.runtime.leave()
             self.stop_when_over()
 
@@ -78,7 +78,7 @@
         if not self.runtime.is_leave_complete():
             self.reactor.callLater(LEAVE_CHECK_INTERVAL_S, self.stop_when_over)
             return
-        self.phase = ServicePhase.ENDED
+        self.phase = ControlPlanePhase.ENDED
         self.runtime.close()
         self.reactor.stop()
 
--- a/lichenquay/lease/acquisition.py
+++ b/lichenquay/lease/acquisition.py
@@ -7,7 +7,7 @@
 from lichenquay.lease.messages import AcquireRequest, SnapshotChunk, SnapshotOffer
 from lichenquay.lease.quorum import Quorum
 from lichenquay.lease.settings import LeaseSettings
-from lichenquay.lease.snapshot_transfer import SnapshotFetch
+from lichenquay.lease.snapshot_transfer import LogSnapshotFetch
 
 
 class Acquisition:
@@ -77,7 +77,7 @@
     def start_fetch(self, now_ms: float, name: str) -> None:
         """Starts to fetch the log of a voter."""
         offer = self.quorum.voters[name].snapshot_offer
-        self.fetch = SnapshotFetch(now_ms, name, self.generation, offer, self.settings)
+        self.fetch = LogSnapshotFetch(now_ms, name, self.generation, offer, self.settings)
         self.continue_fetch(now_ms)
 
     def continue_fetch(self, now_ms: float) -> None:
--- a/lichenquay/lease/group.py
+++ b/lichenquay/lease/group.py
@@ -9,7 +9,7 @@
 
 and drains after each call
 
-    outbox           [OutgoingMessage]
+    outbox           [OutgoingLeaseMessage]
     store_requests   [StoreRequest]
 
 Times are milliseconds of the process's own monotonic clock, which must count time spent suspended.
@@ -42,7 +42,7 @@
     LEADER_METHODS,
     VOTER_METHODS,
     MessageKind,
-    OutgoingMessage,
+    OutgoingLeaseMessage,
     ProcessId,
     StoreRequest,
     unwrap,
@@ -279,7 +279,7 @@
         if name == self.name:
             self._local_messages.append(message)
         else:
-            self.outbox.append(OutgoingMessage(name, message))
+            self.outbox.append(OutgoingLeaseMessage(name, message))
 
     def _own_log(self):
         return self.voter.log if self.voter else None
--- a/lichenquay/lease/messages.py
+++ b/lichenquay/lease/messages.py
@@ -20,7 +20,7 @@
     incarnation: int
 
 
-class OutgoingMessage(NamedTuple):
+class OutgoingLeaseMessage(NamedTuple):
     """A message to another process."""
 
     recipient: str
--- a/lichenquay/lease/snapshot_transfer.py
+++ b/lichenquay/lease/snapshot_transfer.py
@@ -45,7 +45,7 @@
             )
 
 
-class SnapshotFetch:
+class LogSnapshotFetch:
     """The fetch of one log in chunks, one window at a time, with retries for lost chunks."""
 
     def __init__(
@@ -70,7 +70,7 @@
         self.requested_ms = now_ms
         self.last_progress_ms = now_ms
 
-    def is_same_transfer(self, other: "SnapshotFetch") -> bool:
+    def is_same_transfer(self, other: "LogSnapshotFetch") -> bool:
         """Returns whether both fetch the same log from the same process, regardless of progress."""
         return self._identity() == other._identity()
 
--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -39,7 +39,7 @@
     SnapshotRequest,
 )
 from lichenquay.lease.settings import MAX_GENERATION_STEP, LeaseSettings
-from lichenquay.lease.snapshot_transfer import LogSnapshot, SnapshotFetch, is_valid_offer
+from lichenquay.lease.snapshot_transfer import LogSnapshot, LogSnapshotFetch, is_valid_offer
 
 
 class AttemptedPromise(NamedTuple):
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class PendingWrite:
+class PendingVoterWrite:
     """A write in flight to the disk; `requester` and `request`: the acquire request to grant afterwards."""
 
     promise: Promise
@@ -162,7 +162,7 @@
         else:
             self.attempted_promise = AttemptedPromise(request.generation, sender)
             promise = Promise(generation=request.generation, name=sender.name, incarnation=sender.incarnation)
-            self._write(PendingWrite(promise, self.log, sender, request))
+            self._write(PendingVoterWrite(promise, self.log, sender, request))
 
     def _is_acceptable(self, sender, generation):
         """Returns whether a generation is above all promises, and by at most MAX_GENERATION_STEP.
@@ -240,7 +240,7 @@
         self.last_append = AppendReference(sender.name, request.generation, request.number, request.token)
         if appended is not None:
             self.fetch = None
-            self._write(PendingWrite(self.promise, appended))
+            self._write(PendingVoterWrite(self.promise, appended))
             return
         if request.offer is not None and not self.is_writing and self._needs_snapshot(request):
             self._fetch_snapshot(now_ms, sender, request)
@@ -275,7 +275,7 @@
         return position.order > self.log.position.order
 
     def _fetch_snapshot(self, now_ms, sender, request):
-        fetch = SnapshotFetch(
+        fetch = LogSnapshotFetch(
             now_ms, sender.name, request.generation, request.offer, self.settings, request.recovery_nonce
         )
         if self.fetch and self.fetch.is_same_transfer(fetch):
@@ -300,9 +300,9 @@
                 promise = Promise(
                     generation=fetch.generation, name=leader.name, incarnation=leader.incarnation
                 )
-                self._write(PendingWrite(promise, log))
+                self._write(PendingVoterWrite(promise, log))
         elif self._may_install(fetch, log):
-            self._write(PendingWrite(self.promise, log))
+            self._write(PendingVoterWrite(self.promise, log))
 
     def _may_install(self, fetch, log):
         promised = self.promise.generation, self._promised_process
--- a/lichenquay/membership/errors.py
+++ b/lichenquay/membership/errors.py
@@ -9,5 +9,5 @@
     """The name or the incarnation of a new member is out of range."""
 
 
-class MessageTooLargeError(MembershipError):
+class MembershipMessageTooLargeError(MembershipError):
     """An outgoing message exceeds the size limit, which is a programming error."""
--- a/lichenquay/membership/gossip.py
+++ b/lichenquay/membership/gossip.py
@@ -42,7 +42,7 @@
     def piggyback(self, message: pb.Message, required: Sequence[Member], with_updates: bool) -> None:
         """Adds the sender's own state, the rows of `required` and as many updates as fit.
 
-        Raises MessageTooLargeError.
+        Raises MembershipMessageTooLargeError.
         """
         messenger, own = self.detector.messenger, self.detector.own
         message.word = own.refutation
--- a/lichenquay/membership/message_format.py
+++ b/lichenquay/membership/message_format.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from lichenquay.membership import members_pb2 as pb
-from lichenquay.membership.errors import MessageTooLargeError
+from lichenquay.membership.errors import MembershipMessageTooLargeError
 from lichenquay.membership.member_state import (
     MAX_STATE_NUMBER,
     STATE_BY_NUMBER,
@@ -80,9 +80,9 @@
 
 
 def check_size(message: pb.Message) -> pb.Message:
-    """Returns the message; raises MessageTooLargeError if it exceeds MAX_BODY_BYTES."""
+    """Returns the message; raises MembershipMessageTooLargeError if it exceeds MAX_BODY_BYTES."""
     if message.ByteSize() > MAX_BODY_BYTES:
-        raise MessageTooLargeError(
+        raise MembershipMessageTooLargeError(
             f"membership message: {message.ByteSize()} bytes, expected at most {MAX_BODY_BYTES}"
         )
     return message
--- a/lichenquay/migration/coordinator.py
+++ b/lichenquay/migration/coordinator.py
@@ -10,7 +10,7 @@
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.handover_source import HandoverSource
 from lichenquay.migration.handover_target import HandoverTarget
-from lichenquay.migration.messages import OutgoingMessage, is_intact, with_checksum
+from lichenquay.migration.messages import OutgoingMigrationMessage, is_intact, with_checksum
 from lichenquay.migration.session import SessionState
 from lichenquay.migration.session_service import SessionService
 from lichenquay.migration.settings import MigrationSettings
@@ -38,7 +38,7 @@
         """Creates a coordinator that does not lead yet. `group`: a `quota.ledger_records.PiecewiseGroup`."""
         super().__init__(replica_group, group)
         self.settings = settings
-        self.outbox: list[OutgoingMessage] = []
+        self.outbox: list[OutgoingMigrationMessage] = []
         self.misdirected_messages = 0
         self.rejected_messages = 0
         self.handover_source = self.handover_source_type(self)
@@ -101,7 +101,7 @@
             term=self.generation if term is None else term,
             **body,
         )
-        self.outbox.append(OutgoingMessage(to, with_checksum(message)))
+        self.outbox.append(OutgoingMigrationMessage(to, with_checksum(message)))
 
     # For operators.
 
--- a/lichenquay/migration/handover_source.py
+++ b/lichenquay/migration/handover_source.py
@@ -23,8 +23,8 @@
 from lichenquay.migration.handover_pacing import Backoffs, ByteBudget
 from lichenquay.migration.session import Session, SessionState
 from lichenquay.migration.target_selection import (
+    GatewayStatus,
     LeavingPhase,
-    Member,
     handover_order,
     may_start_leaving,
     select_target,
@@ -75,7 +75,7 @@
         self.phase = LeavingPhase.STAYING
         self.at_once = False
         self.announced_ms = NEVER_MS
-        self.members: tuple[Member, ...] = ()
+        self.members: tuple[GatewayStatus, ...] = ()
         self.engine_zones: dict[str, str] = {}
         self.counters = SourceCounters()
         self.forget_term()
@@ -91,7 +91,7 @@
     # Called by the host.
 
     def update_members(
-        self, members: Collection[Member], engine_zones: Mapping[str, str] | None = None
+        self, members: Collection[GatewayStatus], engine_zones: Mapping[str, str] | None = None
     ) -> None:
         """Updates the known gateways, this one included, and, unless None, the zone of each engine uid."""
         self.members = tuple(members)
--- a/lichenquay/migration/handover_target.py
+++ b/lichenquay/migration/handover_target.py
@@ -35,7 +35,7 @@
     generation: int
 
 
-class Reservation(NamedTuple):
+class SessionReservation(NamedTuple):
     """Bytes reserved for an offered session until `until_ms`."""
 
     until_ms: float
@@ -62,7 +62,7 @@
 
     def forget_term(self) -> None:
         """Discards reservations, which are not in the log."""
-        self.reservations: dict[ReservationKey, Reservation] = {}
+        self.reservations: dict[ReservationKey, SessionReservation] = {}
 
     def expire_reservations(self, now_ms: float) -> None:
         """Removes reservations whose time has ended."""
@@ -87,7 +87,7 @@
         max_size_bytes = min(self.free_bytes, MAX_SESSION_BYTES + HANDOVER_FIELDS_BYTES)
         accepts = is_staying and size_bytes <= max_size_bytes and len(self.reservations) < MAX_RESERVATIONS
         if accepts:
-            self.reservations[key] = Reservation(now_ms + self.settings.reservation_ms, size_bytes)
+            self.reservations[key] = SessionReservation(now_ms + self.settings.reservation_ms, size_bytes)
         else:
             self.counters.rejected += 1
         answer = pb.Room(id=offer.id, generation=offer.generation, yes=accepts, free=self.free_bytes)
--- a/lichenquay/migration/messages.py
+++ b/lichenquay/migration/messages.py
@@ -35,7 +35,7 @@
 NOT_LEADER = Answer(AnswerKind.NOT_LEADER)
 
 
-class OutgoingMessage(NamedTuple):
+class OutgoingMigrationMessage(NamedTuple):
     """A message and the replica group that it is addressed to."""
 
     to: str
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -15,14 +15,14 @@
 ChangeCallback = Callable[[float, bool], None]  # (now_ms, whether the change is certainly committed)
 
 
-class PendingChange(NamedTuple):
+class ProposedChange(NamedTuple):
     """A change that was proposed and is not written yet."""
 
     change: pb.Change
     done: ChangeCallback | None
 
 
-class PendingWrite(NamedTuple):
+class PendingLogWrite(NamedTuple):
     """A write whose result is not known yet."""
 
     number: int
@@ -42,7 +42,7 @@
         super().__init__(group, f"the replicated log of {replica_group}")
         self.replica_group = replica_group
         self.writes = 0
-        self.pending_changes: list[PendingChange] = []
+        self.pending_changes: list[ProposedChange] = []
 
     def load(self, state: bytes, records: list[bytes]) -> StateMachine:
         """Returns the state machine of a snapshot and the records after it."""
@@ -71,7 +71,7 @@
         if change is None:
             return False
         self.speculative.apply_change(change)
-        self.pending_changes.append(PendingChange(change, done))
+        self.pending_changes.append(ProposedChange(change, done))
         return True
 
     def flush(self, now_ms: float) -> None:
@@ -84,7 +84,7 @@
         self.writes += 1
         callbacks = [pending.done for pending in batch if pending.done]
         raw_record = record.SerializeToString()
-        self.pending_write = PendingWrite(self.writes, self.generation, raw_record, callbacks)
+        self.pending_write = PendingLogWrite(self.writes, self.generation, raw_record, callbacks)
         self.group.append(now_ms, raw_record, partial(self._end_write, self.writes))
 
     def _end_write(self, number: int, now_ms: float, committed: bool | None) -> None:
--- a/lichenquay/migration/session.py
+++ b/lichenquay/migration/session.py
@@ -39,7 +39,7 @@
     return session_id.rpartition("@")[2].rpartition(".")[0]
 
 
-class Query:
+class SessionQuery:
     """A query of a session.
 
     `term`: the leadership term that submitted it, 0 for an earlier owner; if it is not the current term, the
@@ -102,7 +102,7 @@
         self.generation = wire.generation
         self.engine = wire.pin
         self.load_number = wire.order
-        self.queries = {query.ref: Query(query) for query in wire.refs}
+        self.queries = {query.ref: SessionQuery(query) for query in wire.refs}
         self.state = wire.state
         self.target = wire.to
         self.handover_number = wire.no
@@ -132,7 +132,7 @@
         self.max_size_bytes = self.size_bytes + outcomes_bytes + engine_growth_bytes
 
     @property
-    def open_queries(self) -> list[Query]:
+    def open_queries(self) -> list[SessionQuery]:
         """Queries that are not known to have ended."""
         return [query for query in self.queries.values() if not query.outcome]
 
--- a/lichenquay/migration/session_log.py
+++ b/lichenquay/migration/session_log.py
@@ -14,7 +14,7 @@
 
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.errors import StateMachineError
-from lichenquay.migration.session import Query, Session, SessionState, opening_group_of
+from lichenquay.migration.session import Session, SessionQuery, SessionState, opening_group_of
 
 # All processes of a fleet must have the same limits, because each applies the same records.
 MAX_SESSIONS = 256  # of a replica group, without tombstones
@@ -164,7 +164,7 @@
         known = session.queries.pop(query_id, None)
         repeatable = known is None or not (known.mutating or submitted.ref.mutating)
         require(repeatable, f"session {submitted.id}: query {query_id} is submitted twice")
-        session.queries[query_id] = Query(submitted.ref)
+        session.queries[query_id] = SessionQuery(submitted.ref)
         session.update_size()
         self._forget_ended_queries(session)
         self._mark_used(session)
--- a/lichenquay/migration/session_service.py
+++ b/lichenquay/migration/session_service.py
@@ -15,7 +15,7 @@
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.messages import NOT_LEADER, Answer, AnswerKind
 from lichenquay.migration.replicated_log import SessionLogLeader
-from lichenquay.migration.session import Query, Session, SessionState, are_valid_names, session_name_of
+from lichenquay.migration.session import Session, SessionQuery, SessionState, are_valid_names, session_name_of
 from lichenquay.migration.session_log import MAX_SESSIONS
 
 MAX_REMAINING_MS = 1 << 31
@@ -249,7 +249,7 @@
         self.flush(now_ms)
         return proposed
 
-    def remaining_ms(self, now_ms: float, session_id: str, query: Query) -> int:
+    def remaining_ms(self, now_ms: float, session_id: str, query: SessionQuery) -> int:
         """Returns the time until a query's deadline, by this process's clock.
 
         For a query that an earlier term submitted or received, it is counted from the start of this term.
--- a/lichenquay/migration/target_selection.py
+++ b/lichenquay/migration/target_selection.py
@@ -30,7 +30,7 @@
     LEAVING = "leaves"
 
 
-class Member(NamedTuple):
+class GatewayStatus(NamedTuple):
     """A gateway as it is known here. `is_new`: it was started by the current rolling replacement."""
 
     name: str
@@ -53,7 +53,7 @@
     return -weight / log((draw + 1) / (2 ** (8 * HASH_BYTES) + 2))
 
 
-def is_eligible(member: Member, size_bytes: int) -> bool:
+def is_eligible(member: GatewayStatus, size_bytes: int) -> bool:
     """Returns whether a session of this size may be offered to a gateway."""
     return (
         member.is_alive
@@ -65,7 +65,11 @@
 
 
 def select_target(
-    session_id: str, size_bytes: int, zone: str, members: Iterable[Member], excluded: Collection[str] = ()
+    session_id: str,
+    size_bytes: int,
+    zone: str,
+    members: Iterable[GatewayStatus],
+    excluded: Collection[str] = (),
 ) -> str | None:
     """Returns the name of the replica group to offer a session to; None if none is eligible now."""
     best = max(
@@ -89,7 +93,7 @@
     return sorted(sessions, key=lambda session: (session.has_open_mutation, bool(session.open_queries)))
 
 
-def may_start_leaving(name: str, members: Collection[Member], max_leaving_share: float) -> bool:
+def may_start_leaving(name: str, members: Collection[GatewayStatus], max_leaving_share: float) -> bool:
     """Returns whether a gateway that has announced to leave may start to. `members`: including this one.
 
     Gateways that already leave continue; of those that announced it, the first by name go first. Gateways may
--- a/lichenquay/quota/escrow.py
+++ b/lichenquay/quota/escrow.py
@@ -16,7 +16,7 @@
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.escrow_demand import TenantDemand
 from lichenquay.quota.escrow_holding import EscrowHolding, HoldingKey, QueryReservation, ReportedTotals
-from lichenquay.quota.messages import LeaderAddress, OutgoingMessage
+from lichenquay.quota.messages import LeaderAddress, OutgoingQuotaMessage
 from lichenquay.quota.token_requests import (
     MAX_ROWS_AT_ONCE,
     build_sealed_row,
@@ -76,7 +76,7 @@
         self.demands = {tenant: TenantDemand(stock_us) for tenant, stock_us in idle_stocks_us.items()}
         self.under_pressure = False  # no room for work over quota; reported to the leader
         self.leaving = False
-        self.outbox: list[OutgoingMessage] = []
+        self.outbox: list[OutgoingQuotaMessage] = []
         self.due_ms = NEVER_MS
         self.expiries = 0
         self.implausible_answers = 0
@@ -282,7 +282,7 @@
             if row.book == self.epoch and row.upto_us > row.known_us:
                 self.holdings[row.tenant].requested_at = self.request_number
         request = pb.Ask(book=self.epoch, no=self.request_number, pressed=self.under_pressure, rows=rows)
-        self.outbox.append(OutgoingMessage(self._leader.name, request))
+        self.outbox.append(OutgoingQuotaMessage(self._leader.name, request))
         self.request_sent_ms[self.request_number] = now_ms
         self.request_sent_ms.pop(self.request_number - MAX_REQUESTS_REMEMBERED, None)
 
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -15,7 +15,7 @@
 from lichenquay.quota import quota_pb2 as pb
 from lichenquay.quota.errors import ImplausibleReportError, LedgerError
 from lichenquay.quota.ledger import Ledger
-from lichenquay.quota.messages import OutgoingMessage
+from lichenquay.quota.messages import OutgoingQuotaMessage
 from lichenquay.quota.pending_requests import GatewayRequest, PendingRequests, UsageReport, is_plausible
 from lichenquay.quota.tenant_account import EpochKey
 from lichenquay.quota.token_allocation import ChangeBatch, TokenAllocation, demands_of
@@ -25,7 +25,7 @@
 SCARCE_PERIODS = 10  # periods for which a tenant is scarce after it was last short of tokens
 
 
-class PendingWrite(NamedTuple):
+class PendingLedgerWrite(NamedTuple):
     """A write whose result is not known yet, and the generation that started it."""
 
     record: pb.Record
@@ -59,7 +59,7 @@
         self.period_ms = period_ms
         # After this time without a message, a gateway's tokens have expired, also by a slow clock.
         self.expiry_ms = term_ms * (1 + CLOCK_DRIFT_BOUND)
-        self.outbox: list[OutgoingMessage] = []
+        self.outbox: list[OutgoingQuotaMessage] = []
         self.due_ms = 0.0
         self.accrued_until_ms = 0.0
         self.last_record_ms = 0.0
@@ -180,7 +180,7 @@
     def _write(self, now_ms: float, changes: list[pb.Change]) -> None:
         record = pb.Record(no=self.committed.record_number + 1, changes=changes)
         self.speculative.record_number = record.no
-        self.pending_write = PendingWrite(record, self.generation)
+        self.pending_write = PendingLedgerWrite(record, self.generation)
         self.group.append(
             now_ms,
             record.SerializeToString(),
@@ -217,7 +217,7 @@
             for row in request.rows:
                 granted = answer.rows.add(tenant=row.tenant, book=row.book)
                 self._fill_granted(granted, EpochKey(gateway, incarnation, row.book))
-            self.outbox.append(OutgoingMessage(gateway, answer))
+            self.outbox.append(OutgoingQuotaMessage(gateway, answer))
 
     def _fill_granted(self, granted: pb.Granted, key: EpochKey) -> None:
         """Fills in the committed totals of the epoch `key` for the tenant in `granted`."""
--- a/lichenquay/quota/messages.py
+++ b/lichenquay/quota/messages.py
@@ -5,7 +5,7 @@
 from google.protobuf.message import Message
 
 
-class OutgoingMessage(NamedTuple):
+class OutgoingQuotaMessage(NamedTuple):
     """A message and the name of the gateway that it is addressed to."""
 
     to: str
--- a/lichenquay/testbed/scale/audit.py
+++ b/lichenquay/testbed/scale/audit.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from lichenquay.testbed.scale.client import Proposal
+from lichenquay.testbed.scale.client import TimedProposal
 from lichenquay.testbed.scale.digest import values_digest
 from lichenquay.testbed.scale.latency import config_figures
 from lichenquay.testbed.scale.record import NEVER, GatewayLifetime
@@ -27,7 +27,7 @@
     broken_rules: list[str] = field(default_factory=list)
 
 
-def audit(proposals: list[Proposal], lifetimes: list[GatewayLifetime], gateways_up: int) -> Findings:
+def audit(proposals: list[TimedProposal], lifetimes: list[GatewayLifetime], gateways_up: int) -> Findings:
     """Returns the findings of a run. `lifetimes`: every start of every gateway; `gateways_up`: how many
     should be running at the end, after the settling time.
     """
@@ -46,7 +46,7 @@
     return findings
 
 
-def check_proposals(proposals: list[Proposal], accepted: list[Proposal]) -> list[str]:
+def check_proposals(proposals: list[TimedProposal], accepted: list[TimedProposal]) -> list[str]:
     """Checks that every proposal has an outcome and that no two accepted changes share a version."""
     violations = []
     unknown = sum(not proposal.is_decided for proposal in proposals)
@@ -95,7 +95,7 @@
 
 
 def check_final_state(
-    accepted: list[Proposal], lifetimes: list[GatewayLifetime], gateways_up: int, findings: Findings
+    accepted: list[TimedProposal], lifetimes: list[GatewayLifetime], gateways_up: int, findings: Findings
 ) -> list[str]:
     """Checks that every running gateway holds the newest version, and exactly the values of the accepted
     changes.
@@ -120,7 +120,7 @@
     return truncated_list(violations)
 
 
-def expected_digest(accepted: list[Proposal]) -> str:
+def expected_digest(accepted: list[TimedProposal]) -> str:
     """Returns the test bed's digest of the values that result from the accepted changes in order of
     version.
     """
--- a/lichenquay/testbed/scale/client.py
+++ b/lichenquay/testbed/scale/client.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Proposal:
+class TimedProposal:
     """Holds one change from its first sending to its outcome."""
 
     request_id: int
@@ -37,7 +37,7 @@
         return self.accepted_ms is not None or bool(self.rejection_reason)
 
 
-class Client:
+class ProposerClient:
     """Proposes changes. `on_message`, `tick`, `due_ms` and `outbox` are those of every decision module;
     `propose` and `set_rate` are called by the run.
     """
@@ -46,15 +46,15 @@
         """`make_entries(number, rng)` returns the entries of a change of the steady rate."""
         self.publishers, self.rng, self.make_entries = publishers, rng, make_entries
         self.leader = publishers[0]
-        self.proposals: list[Proposal] = []
+        self.proposals: list[TimedProposal] = []
         self.outbox = []
-        self._waiting: deque[Proposal] = deque()
-        self._in_flight: dict[int, Proposal] = {}
+        self._waiting: deque[TimedProposal] = deque()
+        self._in_flight: dict[int, TimedProposal] = {}
         self._changes_per_s, self._next_ms = 0.0, INF
 
-    def propose(self, entries) -> Proposal:
+    def propose(self, entries) -> TimedProposal:
         """Queues a change, which is sent at the next tick."""
-        proposal = Proposal(self.rng.getrandbits(63) | 1, entries)
+        proposal = TimedProposal(self.rng.getrandbits(63) | 1, entries)
         self.proposals.append(proposal)
         self._waiting.append(proposal)
         return proposal
@@ -69,7 +69,7 @@
         """Whether the outcome of every change is known."""
         return not self._waiting and not self._in_flight
 
-    def accepted(self) -> list[Proposal]:
+    def accepted(self) -> list[TimedProposal]:
         """Returns all accepted changes in order of version."""
         accepted_proposals = [proposal for proposal in self.proposals if proposal.accepted_ms is not None]
         return sorted(accepted_proposals, key=lambda proposal: proposal.version)
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -12,7 +12,7 @@
 from lichenquay.testbed.scale.fit import Fit, FitError, Model, fit
 from lichenquay.testbed.scale.latency import startup_seconds
 from lichenquay.testbed.scale.roles import Role, costs_between
-from lichenquay.testbed.scale.slopes import Outcome
+from lichenquay.testbed.scale.slopes import PredictionOutcome
 from lichenquay.testbed.scale.world_driver import WorldDriver
 
 SIZES = (100, 1_000, 3_000, 10_000)
@@ -42,7 +42,7 @@
 
     samples: list[EngineSample] = field(default_factory=list)
     fits: dict[str, Fit] = field(default_factory=dict)
-    outcomes: dict[str, Outcome] = field(default_factory=dict)
+    outcomes: dict[str, PredictionOutcome] = field(default_factory=dict)
     findings: Findings = field(default_factory=Findings)
     processes: int = 0
     memory_share: float = 0.0
@@ -122,6 +122,6 @@
                 continue
             predicted = metric_fit.predict(held_out.engines)
             self.result.fits[name] = metric_fit
-            self.result.outcomes[name] = Outcome(
+            self.result.outcomes[name] = PredictionOutcome(
                 predicted.value, predicted.low, predicted.high, held_out.metrics.get(name)
             )
--- a/lichenquay/testbed/scale/figures.py
+++ b/lichenquay/testbed/scale/figures.py
@@ -11,7 +11,7 @@
 from lichenquay.testbed.scale.record import GatewayLifetime
 from lichenquay.testbed.scale.roles import COST_DIGITS, Role
 from lichenquay.testbed.scale.runner import ScaleRunResult
-from lichenquay.testbed.scale.slopes import Outcome
+from lichenquay.testbed.scale.slopes import PredictionOutcome
 from lichenquay.testbed.scale.virtual_run import VirtualRunResult
 
 NOT_SIMULATED = ("membership (at most 1,024 names)", "account client", "clients' connections")
@@ -141,7 +141,7 @@
     }
 
 
-def predictions_of(outcomes: dict[str, Outcome]) -> dict:
+def predictions_of(outcomes: dict[str, PredictionOutcome]) -> dict:
     """Returns predictions and outcomes at the held-out size."""
     return {
         "predicted": {
--- a/lichenquay/testbed/scale/latency.py
+++ b/lichenquay/testbed/scale/latency.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from lichenquay.testbed.scale.client import Proposal
+from lichenquay.testbed.scale.client import TimedProposal
 from lichenquay.testbed.scale.record import NEVER, GatewayLifetime
 
 P50, P99 = 50, 99
@@ -38,7 +38,7 @@
 
 
 def config_figures(
-    changes: list[Proposal],
+    changes: list[TimedProposal],
     lifetimes: list[GatewayLifetime],
     unreachable_periods: list[UnreachablePeriod] = (),
 ) -> ConfigFigures:
--- a/lichenquay/testbed/scale/lightweight_controller.py
+++ b/lichenquay/testbed/scale/lightweight_controller.py
@@ -25,7 +25,7 @@
 }
 
 
-class Metrics:
+class CounterMetrics:
     """Counts what `ControllerAdapter` counts in a gateway's metrics."""
 
     def __init__(self):
@@ -77,7 +77,7 @@
 
     def __init__(self, deployment, reactor, log):
         """Starts without queries."""
-        super().__init__(deployment, reactor, None, boot_ms, Metrics(), log)
+        super().__init__(deployment, reactor, None, boot_ms, CounterMetrics(), log)
         self.router = InstantRouter(reactor)
         self.router.adapter = self
 
--- a/lichenquay/testbed/scale/process_environment.py
+++ b/lichenquay/testbed/scale/process_environment.py
@@ -7,7 +7,7 @@
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.testbed.scale.commands import FailDisk
 from lichenquay.testbed.scale.proposer import Proposer
-from lichenquay.testbed.scale.world import World
+from lichenquay.testbed.scale.world import ScaleWorld
 
 STEP_S = 0.02
 
@@ -15,7 +15,7 @@
 class ProcessEnvironment:
     """A `ScenarioEnvironment` on the processes of a world."""
 
-    def __init__(self, world: World, proposer: Proposer):
+    def __init__(self, world: ScaleWorld, proposer: Proposer):
         """`world` runs already."""
         self.world, self.proposer, self.shape = world, proposer, world.shape
         self.sequence = count()
--- a/lichenquay/testbed/scale/proposer.py
+++ b/lichenquay/testbed/scale/proposer.py
@@ -10,7 +10,7 @@
 from lichenquay.fleet.errors import DroppedDatagramError
 from lichenquay.fleet.message_envelope import MAX_DATAGRAM_BYTES, Layer, MessageEnvelope
 from lichenquay.fleet.runtime import boot_ms
-from lichenquay.testbed.scale.client import Client, Proposal
+from lichenquay.testbed.scale.client import ProposerClient, TimedProposal
 from lichenquay.testbed.scale.world_spec import CLIENT, FLEET, OPEN_LAYERS, WorldSpec
 
 RECEIVE_TIMEOUT_S = 0.01  # Receive timeout, and so the interval between ticks.
@@ -18,7 +18,7 @@
 
 
 class Proposer:
-    """Runs a Client in a thread; `make_entries` is as in Client. Every method may be called from
+    """Runs a ProposerClient in a thread; `make_entries` is as there. Every method may be called from
     any thread.
     """
 
@@ -26,7 +26,7 @@
         """Opens the socket; `start` starts the thread."""
         self.spec = spec
         rng = random.Random(f"{spec.shape.seed}/proposer")
-        self.client = Client(spec.shape.publisher_names(), rng, make_entries)
+        self.client = ProposerClient(spec.shape.publisher_names(), rng, make_entries)
         self.envelope = MessageEnvelope(FLEET, 0, CLIENT, (), OPEN_LAYERS)
         self.lock = threading.Lock()
         self.ending = threading.Event()
@@ -46,13 +46,13 @@
             self.thread.join(2.0)
         self.socket.close()
 
-    def propose(self, entries) -> Proposal:
-        """Queues a change, as Client does."""
+    def propose(self, entries) -> TimedProposal:
+        """Queues a change, as ProposerClient does."""
         with self.lock:
             return self.client.propose(entries)
 
     def set_rate(self, per_s: float):
-        """Sets the rate of changes a second from now on, as Client does."""
+        """Sets the rate of changes a second from now on, as ProposerClient does."""
         with self.lock:
             self.client.set_rate(boot_ms(), per_s)
 
@@ -72,7 +72,7 @@
         return self.client.leader
 
     @property
-    def proposals(self) -> list[Proposal]:
+    def proposals(self) -> list[TimedProposal]:
         """Returns all proposals; to be read only when no more are made."""
         return self.client.proposals
 
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -10,7 +10,13 @@
 from lichenquay.testbed.scale.real_gateways import RealGateway, RealGateways
 from lichenquay.testbed.scale.roles import costs_between
 from lichenquay.testbed.scale.scenario_runner import ScenarioResult
-from lichenquay.testbed.scale.slopes import Outcome, SizeSample, fits_of, outcomes_of, predictions_of
+from lichenquay.testbed.scale.slopes import (
+    PredictionOutcome,
+    SizeSample,
+    fits_of,
+    outcomes_of,
+    predictions_of,
+)
 from lichenquay.testbed.scale.world_driver import WorldDriver
 
 MIN_LOAD_S = 2.0  # Minimum duration of the load on real gateways.
@@ -25,7 +31,7 @@
     samples: list[SizeSample] = field(default_factory=list)
     held_out: list[SizeSample] = field(default_factory=list)
     fits: dict = field(default_factory=dict)
-    outcomes: dict[str, Outcome] = field(default_factory=dict)
+    outcomes: dict[str, PredictionOutcome] = field(default_factory=dict)
     scenario_results: list[ScenarioResult] = field(default_factory=list)
     proposals: list = field(default_factory=list)
     lifetimes: list = field(default_factory=list)
--- a/lichenquay/testbed/scale/slopes.py
+++ b/lichenquay/testbed/scale/slopes.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class PredictionOutcome:
     """Holds a prediction and the later measurement of one metric at the held-out size."""
 
     value: float
@@ -59,21 +59,23 @@
     return fits
 
 
-def predictions_of(fits: dict[str, Fit], gateways: int) -> dict[str, Outcome]:
+def predictions_of(fits: dict[str, Fit], gateways: int) -> dict[str, PredictionOutcome]:
     """Returns the prediction of each metric at a size."""
     outcomes = {}
     for name, fitted in fits.items():
         prediction = fitted.predict(gateways)
-        outcomes[name] = Outcome(prediction.value, prediction.low, prediction.high)
+        outcomes[name] = PredictionOutcome(prediction.value, prediction.low, prediction.high)
     return outcomes
 
 
-def outcomes_of(predictions: dict[str, Outcome], samples: list[SizeSample]) -> dict[str, Outcome]:
+def outcomes_of(
+    predictions: dict[str, PredictionOutcome], samples: list[SizeSample]
+) -> dict[str, PredictionOutcome]:
     """Returns the predictions with the mean of the measurements."""
     measured = [values_of(sample) for sample in samples]
     outcomes = {}
     for name, prediction in predictions.items():
         values = [metrics[name] for metrics in measured if name in metrics]
         mean = sum(values) / len(values) if values else None
-        outcomes[name] = Outcome(prediction.value, prediction.low, prediction.high, mean)
+        outcomes[name] = PredictionOutcome(prediction.value, prediction.low, prediction.high, mean)
     return outcomes
--- a/lichenquay/testbed/scale/virtual_world.py
+++ b/lichenquay/testbed/scale/virtual_world.py
@@ -18,7 +18,7 @@
 from lichenquay.lease import lease_pb2
 from lichenquay.testbed.fleetnet import FleetNet
 from lichenquay.testbed.scale import engines, record
-from lichenquay.testbed.scale.client import Client
+from lichenquay.testbed.scale.client import ProposerClient
 from lichenquay.testbed.scale.digest import values_digest
 from lichenquay.testbed.scale.impairment import Impairment
 from lichenquay.testbed.scale.scenario import Shape, zone_of_name
@@ -108,7 +108,7 @@
         self.running: dict[str, record.GatewayLifetime] = {}
         self.last_ms = 0.0  # When the last scheduled call is due.
         rng = random.Random(f"{shape.seed}/proposer")
-        self.client = Client(shape.publisher_names(), rng, engines.BackgroundChanges(shape))
+        self.client = ProposerClient(shape.publisher_names(), rng, engines.BackgroundChanges(shape))
         for name in shape.publisher_names():
             self.net.host(name, self._make_voter)
         for zone in shape.zones:
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -119,7 +119,7 @@
 
 
 @dataclass
-class World:
+class ScaleWorld:
     """Holds all processes; as a context it ends them in every case."""
 
     shape: Shape
--- a/lichenquay/testbed/scale/world_driver.py
+++ b/lichenquay/testbed/scale/world_driver.py
@@ -10,7 +10,7 @@
 from lichenquay.testbed.scale.roles import Reading
 from lichenquay.testbed.scale.scenario import Scenario, Shape
 from lichenquay.testbed.scale.scenario_runner import ScenarioResult, ScenarioRunner, no_progress
-from lichenquay.testbed.scale.world import World
+from lichenquay.testbed.scale.world import ScaleWorld
 from lichenquay.testbed.world import CannotStart
 
 LEADER_TIMEOUT_S = 30.0  # Until a publisher must lead.
@@ -28,7 +28,7 @@
         have one version in force.
         """
         self.shape, self.settle_timeout_s = shape, settle_timeout_s
-        self.world = World(shape, Path(folder))
+        self.world = ScaleWorld(shape, Path(folder))
         self.memory_share = 0.0  # The highest reading, as a share of the machine's memory.
 
     def __enter__(self):
--- a/tests/golden_migration_exchange.py
+++ b/tests/golden_migration_exchange.py
@@ -10,7 +10,7 @@
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.session import SessionState
 from lichenquay.migration.settings import MigrationSettings
-from lichenquay.migration.target_selection import Member
+from lichenquay.migration.target_selection import GatewayStatus
 from lichenquay.quota import ledger_records
 
 STEP_MS = 50
@@ -59,7 +59,7 @@
 
     def _update_members(self):
         members = [
-            Member(
+            GatewayStatus(
                 name,
                 coordinator.handover_target.free_bytes if coordinator.committed else 0,
                 phase=coordinator.handover_source.phase,
--- a/tests/migration_small_world.py
+++ b/tests/migration_small_world.py
@@ -16,7 +16,7 @@
 from lichenquay.migration.session import SessionState
 from lichenquay.migration.settings import MigrationSettings
 from lichenquay.migration.state_machine import StateMachine
-from lichenquay.migration.target_selection import Member
+from lichenquay.migration.target_selection import GatewayStatus
 
 NAMES = "abc"
 MUTATING = {"q": True, "r": True, "s": False}  # by query id; q is submitted before the replica group leaves
@@ -130,7 +130,7 @@
         """Starts the coordinator of a process that may lead that replica group."""
         handle = GroupHandle(self, replica_group, (process, self.incarnations[process]))
         coordinator = self.make_coordinator(replica_group, handle, SETTINGS)
-        coordinator.handover_source.update_members([Member(name, FREE_BYTES) for name in NAMES])
+        coordinator.handover_source.update_members([GatewayStatus(name, FREE_BYTES) for name in NAMES])
         self.checked[process, replica_group] = -1
         self.coordinators[process, replica_group] = coordinator
         return coordinator
--- a/tests/migration_world.py
+++ b/tests/migration_world.py
@@ -14,7 +14,7 @@
 from lichenquay.migration import migration_pb2 as pb
 from lichenquay.migration.coordinator import Coordinator
 from lichenquay.migration.settings import MigrationSettings
-from lichenquay.migration.target_selection import LeavingPhase, Member
+from lichenquay.migration.target_selection import GatewayStatus, LeavingPhase
 
 STEP_MS = 25.0
 LEASE_MS = 3500.0
@@ -244,7 +244,7 @@
             coordinator = process.coordinators.get(name)
             is_leading = coordinator is not None and coordinator.committed
             members.append(
-                Member(
+                GatewayStatus(
                     name,
                     coordinator.handover_target.free_bytes if is_leading else 0,
                     process.up and not process.paused,
--- a/tests/test_fleet_increments.py
+++ b/tests/test_fleet_increments.py
@@ -1,4 +1,4 @@
-"""The engine registry that the controller updates incrementally equals that of a full scan, without the scan."""
+"""The incrementally updated engine registry equals that of a full scan, without the scan."""
 
 from random import Random
 from zlib import crc32
--- a/tests/test_migration_coordinator.py
+++ b/tests/test_migration_coordinator.py
@@ -14,7 +14,7 @@
 from lichenquay.migration.session import MAX_NAME_BYTES
 from lichenquay.migration.session_log import MAX_SESSION_BYTES, MAX_SESSIONS, MAX_SESSIONS_BYTES
 from lichenquay.migration.state_machine import StateMachine
-from lichenquay.migration.target_selection import Member, handover_order
+from lichenquay.migration.target_selection import GatewayStatus, handover_order
 from lichenquay.quota.ledger_records import PiecewiseGroup
 
 MAX_DATAGRAM_BYTES = 1100
@@ -248,7 +248,7 @@
     further_bytes = (GROUP_RECORDS - len(records)) * GROUP_RECORD_BYTES
     assert len(base) + sum(map(len, records)) + further_bytes < MAX_STATE_BYTES
     target = "g" * 32
-    coordinator.handover_source.update_members([Member(target, 9999)])
+    coordinator.handover_source.update_members([GatewayStatus(target, 9999)])
     coordinator.handover_source.leave(0.0, at_once=True)
     coordinator.tick(0.0)
     offers, coordinator.outbox[:] = [message.offer for _, message in coordinator.outbox], []
--- a/tests/test_migration_target_selection.py
+++ b/tests/test_migration_target_selection.py
@@ -1,15 +1,20 @@
 """Selection of the replica group that receives a session, and of the gateways that may leave."""
 
-from lichenquay.migration.target_selection import LeavingPhase, Member, may_start_leaving, select_target
+from lichenquay.migration.target_selection import (
+    GatewayStatus,
+    LeavingPhase,
+    may_start_leaving,
+    select_target,
+)
 
 MEMBERS = [
-    Member("a", 9000, zone="x"),
-    Member("b", 9000, zone="y"),
-    Member("c", 9000, is_new=True, zone="y"),
-    Member("d", 9000, is_new=True, is_ready=False, zone="x"),
-    Member("e", 10),
-    Member("g", 9000, phase=LeavingPhase.LEAVING),
-    Member("h", 9000, is_alive=False),
+    GatewayStatus("a", 9000, zone="x"),
+    GatewayStatus("b", 9000, zone="y"),
+    GatewayStatus("c", 9000, is_new=True, zone="y"),
+    GatewayStatus("d", 9000, is_new=True, is_ready=False, zone="x"),
+    GatewayStatus("e", 10),
+    GatewayStatus("g", 9000, phase=LeavingPhase.LEAVING),
+    GatewayStatus("h", 9000, is_alive=False),
 ]
 
 
@@ -24,7 +29,7 @@
 
 def test_sessions_are_spread_by_weight_and_free_bytes():
     """A member that is removed changes the targets of its own sessions only."""
-    members = [Member("a", 1000), Member("b", 1000, weight=3.0), Member("c", 2000)]
+    members = [GatewayStatus("a", 1000), GatewayStatus("b", 1000, weight=3.0), GatewayStatus("c", 2000)]
     targets = [select_target(f"s{i}", 10, "", members) for i in range(3000)]
     shares = {name: targets.count(name) / 3000 for name in "abc"}
     assert abs(shares["a"] - 1 / 6) < 0.03
@@ -36,7 +41,7 @@
 
 def test_only_a_share_of_the_fleet_leaves_at_a_time():
     """The first by name may leave, gateways that already leave count, and a ready one must stay."""
-    fleet = [Member(f"f{i}", 1000) for i in range(8)]
+    fleet = [GatewayStatus(f"f{i}", 1000) for i in range(8)]
     announced = [
         member._replace(phase=LeavingPhase.ANNOUNCED) if member.name in ("f1", "f4", "f6") else member
         for member in fleet
@@ -52,5 +57,5 @@
         member._replace(phase=LeavingPhase.STAYING, is_alive=member.name != "f1") for member in leaving
     ]
     assert may_start_leaving("f6", one_left, 0.25)
-    nobody_stays = [Member("f0", 9, phase=LeavingPhase.ANNOUNCED)]
+    nobody_stays = [GatewayStatus("f0", 9, phase=LeavingPhase.ANNOUNCED)]
     assert not may_start_leaving("f0", nobody_stays, 1.0)
