--- a/lichenquay/testbed/scale/capacity.py
+++ b/lichenquay/testbed/scale/capacity.py
@@ -36,7 +36,7 @@
     size.
     """
 
-    what: str
+    quantity: str
     unit: str
     size_of: str
     samples: tuple[Sample, ...]
@@ -90,8 +90,8 @@
     last = probe.measure([largest], seed, lambda part: progress((1 + part) / 2))
     slopes = {}
     for quantity, model in probe.models.items():
-        samples = tuple(s for s in (*first, *last) if s.what == quantity)
-        measured = tuple(v for s in last if s.what == quantity for v in s.values)
+        samples = tuple(s for s in (*first, *last) if s.quantity == quantity)
+        measured = tuple(v for s in last if s.quantity == quantity for v in s.values)
         held_out = HeldOut(largest, predicted[quantity], measured)
         slopes[quantity] = Slope(
             quantity, samples[0].unit, probe.size_of, samples, fitted(samples, model), held_out
@@ -110,7 +110,7 @@
 
 def predict_largest(samples: Sequence[Sample], quantity: str, model: Model, size: int) -> Prediction | None:
     """Returns the prediction for a larger size from the samples of one quantity."""
-    found = fitted([s for s in samples if s.what == quantity], model)
+    found = fitted([s for s in samples if s.quantity == quantity], model)
     return found and found.predict(size)
 
 
@@ -154,12 +154,12 @@
 
 def row_json(ranked: Ranked, slopes: dict[str, Slope]) -> dict:
     """Returns one row of the table as plain values."""
-    row, slope = ranked.row, slopes.get(ranked.row.what or "")
+    row, slope = ranked.row, slopes.get(ranked.row.quantity or "")
     extrapolated = bool(slope and slope.fit and row.size and slope.fit.extrapolates(row.size))
     return {
         "role": row.role,
         "title": row.title,
-        "quantity": row.what,
+        "quantity": row.quantity,
         "at_size": row.size,
         "extrapolated": extrapolated,
         "largest_run": slope.fit.largest if slope and slope.fit else None,
@@ -177,7 +177,7 @@
     """Returns one quantity with its samples and fit as plain values."""
     held_out = slope.held_out
     return {
-        "what": slope.what,
+        "what": slope.quantity,
         "unit": slope.unit,
         "size_of": slope.size_of,
         "sizes": sorted({s.size for s in slope.samples}),
--- a/lichenquay/testbed/scale/rows.py
+++ b/lichenquay/testbed/scale/rows.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Holds one row. `what`: the quantity whose slope is shown; `size`: where it is read; `need`: in `unit`,
+    """Holds one row. `quantity`: whose slope is shown; `size`: where it is read; `need`: in `unit`,
     computed from `at`.
 
     `need` is None where nothing was measured, `budget` is None where the plan has none.
@@ -26,7 +26,7 @@
 
     role: str
     title: str
-    what: str | None
+    quantity: str | None
     size: float | None
     need: Callable[[At], float] | None
     unit: str
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -18,7 +18,7 @@
     """
 
     size: int
-    what: str
+    quantity: str
     unit: str
     values: tuple[float, ...]
 
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -62,9 +62,9 @@
     """Ignores the progress."""
 
 
-def values(samples, what):
+def values(samples, quantity):
     """Returns {size: values} of one quantity."""
-    return {s.size: s.values for s in samples if s.what == what}
+    return {s.size: s.values for s in samples if s.quantity == quantity}
 
 
 def small(monkeypatch):
@@ -91,7 +91,7 @@
 
     def measure_once():
         return [
-            s for s in measure(sizes, 3, no_progress) if not any(t in s.what for t in VARIABLE_QUANTITIES)
+            s for s in measure(sizes, 3, no_progress) if not any(t in s.quantity for t in VARIABLE_QUANTITIES)
         ]
 
     assert measure_once() == measure_once()
@@ -115,7 +115,7 @@
     assert {s.size for s in samples} == set(sizes)
     assert {s.unit for s in samples} <= UNITS
     assert all(math.isfinite(v) and v >= 0 for s in samples for v in s.values)
-    assert set(probe.models) <= {s.what for s in samples}
+    assert set(probe.models) <= {s.quantity for s in samples}
 
 
 def test_sizes_ascend_to_the_planned_largest_size():
@@ -154,7 +154,9 @@
 def test_the_controllers_memory_grows_with_engines():
     """Each engine takes one to four KB."""
     held = {
-        s.size: s.values[0] for s in controller.measure((50, 150), 1, no_progress) if s.what.endswith("state")
+        s.size: s.values[0]
+        for s in controller.measure((50, 150), 1, no_progress)
+        if s.quantity.endswith("state")
     }
     assert 1_000 < (held[150] - held[50]) / 100 < 4_000
 
@@ -196,7 +198,7 @@
     probe = Probe("made up", measure, "things", (), (1, 2, 3, 20), {"made-up": Model.LINEAR})
     found = capacity.run(False, 1, no_progress, [probe])
     assert not found.slopes
-    assert all(r.need is None for r in found.ranked if r.row.what is not None)
+    assert all(r.need is None for r in found.ranked if r.row.quantity is not None)
 
 
 def test_one_probe_can_run_alone(monkeypatch):
@@ -277,13 +279,13 @@
 def test_rows_name_quantities_of_the_catalogue():
     """Only the rows without a mechanism have no need."""
     known = {what for probe in PROBES for what in probe.models}
-    assert all(row.need is not None and (row.what in known or row.what is None) for row in MEASURED)
+    assert all(row.need is not None and (row.quantity in known or row.quantity is None) for row in MEASURED)
     assert all(row.need is None and row.mechanism == NONE_TODAY for row in NOT_IMPLEMENTED)
 
 
 def test_a_need_is_the_sum_of_its_parts():
     """Computed by hand: the list events of a day, with 20 sets of tables ranked again."""
-    row = next(r for r in MEASURED if r.what == "controller.list_event")
+    row = next(r for r in MEASURED if r.quantity == "controller.list_event")
     assert math.isclose(
         row.need(lambda what, size: 100.0), (1 + 20 * 4 / 25_000) * 100.0 * 7_000 * 3 / 86_400
     )
--- a/tests/test_fleet_runtime.py
+++ b/tests/test_fleet_runtime.py
@@ -17,7 +17,7 @@
     would probe it.
     """
     samples = starved.measure((FEW_PER_S, MANY_PER_S), seed=1, progress=lambda share: None)
-    turns = {sample.size: sample.values[0] for sample in samples if sample.what == "starved.turns"}
-    sent = {sample.size: sample.values[0] for sample in samples if sample.what == "starved.sent"}
+    turns = {sample.size: sample.values[0] for sample in samples if sample.quantity == "starved.turns"}
+    sent = {sample.size: sample.values[0] for sample in samples if sample.quantity == "starved.sent"}
     assert turns[MANY_PER_S] >= turns[FEW_PER_S]
     assert sent[MANY_PER_S] - MANY_PER_S <= 2 * (sent[FEW_PER_S] - FEW_PER_S)
