--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -44,7 +44,7 @@
         self._key_by_uid: dict[str, str] = {}
         # Keys that may differ from what is published or proposed, in the order in which they changed.
         self._changed_keys: dict[str, bool] = {}
-        self._generation = 0  # Generation of the lease; 0 while it is not held.
+        self._lease_generation = 0  # 0 while it is not held.
         self._pending_changes = 0
         self._is_compared = False  # Whether everything published was compared under this lease.
         self._retry_ms = now_ms
@@ -102,8 +102,8 @@
     def tick(self, now_ms: float) -> None:
         """Proposes the differences while the lease is held. now_ms: milliseconds."""
         self.due_ms = now_ms + LEASE_CHECK_INTERVAL_MS
-        self._update_generation(now_ms)
-        if not self._generation:
+        self._update_lease_generation(now_ms)
+        if not self._lease_generation:
             return
         if self._has_whole_list and not self._is_compared:
             self._compare_all()
@@ -111,11 +111,11 @@
         if self._is_compared and not self._changed_keys and not self._pending_changes:
             self._propose_completeness_marker(now_ms)
 
-    def _update_generation(self, now_ms):
+    def _update_lease_generation(self, now_ms):
         group = self.publisher.group
-        generation = group.generation if group.holds(now_ms) else 0
-        if generation != self._generation:
-            self._generation = generation
+        lease_generation = group.generation if group.holds(now_ms) else 0
+        if lease_generation != self._lease_generation:
+            self._lease_generation = lease_generation
             self._pending_changes = 0
             self._is_compared = False
 
@@ -179,17 +179,17 @@
 
     def _propose(self, now_ms, entries):
         self._pending_changes += 1
-        generation = self._generation
+        lease_generation = self._lease_generation
 
         def on_outcome(at_ms, proposed):
-            self._on_outcome(at_ms, entries, generation, proposed)
+            self._on_outcome(at_ms, entries, lease_generation, proposed)
 
         request = self.rng.getrandbits(REQUEST_NUMBER_BITS) + 1
         self.publisher.propose(now_ms, entries, request, on_outcome)
 
-    def _on_outcome(self, now_ms, entries, generation, proposed):
+    def _on_outcome(self, now_ms, entries, lease_generation, proposed):
         self.counts[pb.Proposed.Outcome.Name(proposed.outcome).lower()] += 1
-        if generation != self._generation:
+        if lease_generation != self._lease_generation:
             return  # Under the next lease everything is compared again.
         self._pending_changes -= 1
         if proposed.outcome == pb.Proposed.ACCEPTED:
--- a/lichenquay/control_plane/voter_runtime.py
+++ b/lichenquay/control_plane/voter_runtime.py
@@ -39,7 +39,7 @@
     message_types = {**ControlRuntime.message_types, Layer.LEASE: lease_pb2.Message}
     importer: EndpointImporter | None = None
     discovery: DiscoveryFactory | None = None
-    logged_generation = 0
+    logged_lease_generation = 0
     discovery_logged_ms = float("-inf")
 
     def make_components(self, now_ms: float) -> None:
@@ -95,16 +95,16 @@
 
     def after_flush(self) -> None:
         """Logs whether this voter publishes, and the newest version."""
-        generation = self.group.generation
-        if generation != self.logged_generation:
-            self._log_lease(generation)
-        if generation:
-            self.log_version(self.publisher.source.version, generation)
-
-    def _log_lease(self, generation):
-        status = "holds the lease" if generation else "lost the lease"
-        self.log.info("publisher", status=status, generation=generation or self.logged_generation)
-        self.logged_generation = generation
+        lease_generation = self.group.generation
+        if lease_generation != self.logged_lease_generation:
+            self._log_lease(lease_generation)
+        if lease_generation:
+            self.log_version(self.publisher.source.version, lease_generation)
+
+    def _log_lease(self, lease_generation):
+        status = "holds the lease" if lease_generation else "lost the lease"
+        self.log.info("publisher", status=status, generation=lease_generation or self.logged_lease_generation)
+        self.logged_lease_generation = lease_generation
 
     def release_all(self, now_ms: float) -> None:
         """Releases the lease, so that another voter may acquire it immediately."""
--- a/lichenquay/gateway/statement.py
+++ b/lichenquay/gateway/statement.py
@@ -9,7 +9,7 @@
 from itertools import chain
 from typing import NamedTuple
 
-TOKEN = re.compile(
+STATEMENT_TOKEN = re.compile(
     r"""
     (?P<skip> [\s\d=<>+*,;:%!|&?@#^~\[\]{}]+
         | --[^\n]*
@@ -42,14 +42,14 @@
 END = ("", False, False)
 
 
-def tokens(text: str) -> Iterator[tuple[str, bool, bool]]:
+def statement_tokens(text: str) -> Iterator[tuple[str, bool, bool]]:
     """Yields (text, is_name, is_quoted) for each token that is a name or a punctuation mark.
 
     The tuples are plain for speed: a long statement has thousands of tokens, and that of each query is read.
     """
     position = 0
     while position < len(text):
-        match = TOKEN.match(text, position)
+        match = STATEMENT_TOKEN.match(text, position)
         kind = match.lastgroup
         position = match.end()
         if kind == "open":
@@ -86,7 +86,7 @@
     after_dot = False
     parts = []
     outer = []  # (expects_table, in_call) outside of each open parenthesis
-    for token, is_name, is_quoted in chain(tokens(text), [END]):
+    for token, is_name, is_quoted in chain(statement_tokens(text), [END]):
         if is_name and after_dot:
             parts.append(token)
             after_dot = False
--- a/lichenquay/lease/acquisition.py
+++ b/lichenquay/lease/acquisition.py
@@ -30,7 +30,7 @@
         self.generation = generation
         self.settings = settings
         self.send = send
-        self.token = rng.getrandbits(63) + 1
+        self.echo_token = rng.getrandbits(63) + 1
         self.quorum = Quorum(voters)
         self.bootstrap_nonces = {}  # by voter; set if all voters are recovering
         self.fetch = None
@@ -50,14 +50,14 @@
         self.quorum.voters[name].acquire_sent_ms = now_ms
         request = AcquireRequest(
             generation=self.generation,
-            token=self.token,
+            echo_token=self.echo_token,
             bootstrap_nonce=self.bootstrap_nonces.get(name, 0),
         )
         self.send(name, request)
 
     def is_reply(self, name: str, message) -> bool:
         """Returns whether a message echoes a token that was sent to this voter."""
-        return message.token == self.token or self.quorum.voters[name].has_sent(message.token)
+        return message.echo_token == self.echo_token or self.quorum.voters[name].has_sent(message.echo_token)
 
     def record_grant(self, name: str, position: LogPosition, offer: SnapshotOffer) -> None:
         """Records the log position and the snapshot offer of a voter that granted."""
--- a/lichenquay/lease/leadership.py
+++ b/lichenquay/lease/leadership.py
@@ -208,7 +208,11 @@
         """Records a grant; once a majority has granted, adopts the newest log among them."""
         name = sender.name
         position = grant.position
-        if not self._is_current(name, grant) or grant.token != self.acquisition.token or position is None:
+        if (
+            not self._is_current(name, grant)
+            or grant.echo_token != self.acquisition.echo_token
+            or position is None
+        ):
             return
         if self.replicator is not None:
             is_consistent = self.replicator.is_consistent(position)
@@ -310,7 +314,7 @@
         voter = self.quorum.voters[name]
         append = voter.sent_appends.get(reply.number)
         # A reply to a request that was never sent, or about records that do not exist, must be ignored.
-        is_reply = append is not None and append.token == reply.token
+        is_reply = append is not None and append.echo_token == reply.echo_token
         if not is_reply or not self.replicator.is_consistent(position):
             self.counts["invalid"] += 1
             return
--- a/lichenquay/lease/messages.py
+++ b/lichenquay/lease/messages.py
@@ -1,8 +1,8 @@
 """The messages of a lease group as typed records, and their form in `lease.proto`.
 
 The names and numbers of the protobuf messages must stay compatible with deployed versions. They are mapped to
-the terms of this package only here. `token` is a random number that a reply must echo. A position is None if
-the digest of its parts does not match.
+the terms of this package only here. `echo_token` is a random number that a reply must echo. A position is
+None if the digest of its parts does not match.
 """
 
 from collections.abc import Sequence
@@ -41,12 +41,12 @@
     """
 
     generation: int
-    token: int
+    echo_token: int
     bootstrap_nonce: int = 0
 
     def to_wire(self) -> wire.Claim:
         """Returns the protobuf form."""
-        return wire.Claim(generation=self.generation, token=self.token, founding=self.bootstrap_nonce)
+        return wire.Claim(generation=self.generation, token=self.echo_token, founding=self.bootstrap_nonce)
 
     @classmethod
     def from_wire(cls, message: wire.Claim) -> "AcquireRequest":
@@ -75,7 +75,7 @@
     """A voter's grant of an acquire request, with the position and the snapshot offer of its log."""
 
     generation: int
-    token: int
+    echo_token: int
     position: LogPosition | None
     offer: SnapshotOffer
 
@@ -83,7 +83,7 @@
         """Returns the protobuf form."""
         return wire.Grant(
             generation=self.generation,
-            token=self.token,
+            token=self.echo_token,
             position=self.position.to_wire(),
             whole=self.offer.to_wire(),
         )
@@ -102,7 +102,7 @@
     """
 
     generation: int
-    token: int
+    echo_token: int
     promised_generation: int
     wait_ms: float = 0.0
 
@@ -110,7 +110,7 @@
         """Returns the protobuf form."""
         return wire.Refuse(
             generation=self.generation,
-            token=self.token,
+            token=self.echo_token,
             promised=self.promised_generation,
             wait_ms=self.wait_ms,
         )
@@ -125,12 +125,12 @@
     """The abstention of a recovering voter; `recovery_nonce` was drawn at its start."""
 
     generation: int
-    token: int
+    echo_token: int
     recovery_nonce: int
 
     def to_wire(self) -> wire.Blank:
         """Returns the protobuf form."""
-        return wire.Blank(generation=self.generation, token=self.token, birth=self.recovery_nonce)
+        return wire.Blank(generation=self.generation, token=self.echo_token, birth=self.recovery_nonce)
 
     @classmethod
     def from_wire(cls, message: wire.Blank) -> "RecoveryNotice":
@@ -146,7 +146,7 @@
 
     generation: int
     number: int
-    token: int
+    echo_token: int
     before: LogPosition | None
     records: Sequence[bytes]
     after: LogPosition | None
@@ -158,7 +158,7 @@
         return wire.Round(
             generation=self.generation,
             number=self.number,
-            token=self.token,
+            token=self.echo_token,
             since=self.before.to_wire(),
             records=self.records,
             till=self.after.to_wire(),
@@ -186,7 +186,7 @@
 
     generation: int
     number: int
-    token: int
+    echo_token: int
     position: LogPosition | None
 
     def to_wire(self) -> wire.Ack:
@@ -194,7 +194,7 @@
         return wire.Ack(
             generation=self.generation,
             number=self.number,
-            token=self.token,
+            token=self.echo_token,
             position=self.position.to_wire(),
         )
 
--- a/lichenquay/lease/quorum.py
+++ b/lichenquay/lease/quorum.py
@@ -12,7 +12,7 @@
     """An append request in flight to one voter."""
 
     sent_ms: float
-    token: int
+    echo_token: int
 
 
 class VoterProgress:
@@ -36,15 +36,15 @@
         """Whether the voter has neither granted nor reported that it is recovering."""
         return self.position is None and not self.recovery_nonce
 
-    def record_sent(self, now_ms: float, number: int, token: int) -> None:
+    def record_sent(self, now_ms: float, number: int, echo_token: int) -> None:
         """Records an append request, and drops the oldest beyond MAX_SENT_APPENDS."""
-        self.sent_appends[number] = SentAppend(now_ms, token)
+        self.sent_appends[number] = SentAppend(now_ms, echo_token)
         if len(self.sent_appends) > MAX_SENT_APPENDS:
             self.sent_appends.popitem(last=False)
 
-    def has_sent(self, token: int) -> bool:
-        """Returns whether an append request with this token was sent to the voter."""
-        return any(append.token == token for append in self.sent_appends.values())
+    def has_sent(self, echo_token: int) -> bool:
+        """Returns whether an append request with this echo token was sent to the voter."""
+        return any(append.echo_token == echo_token for append in self.sent_appends.values())
 
 
 class Quorum:
--- a/lichenquay/lease/replication.py
+++ b/lichenquay/lease/replication.py
@@ -52,12 +52,12 @@
         if after != before or offer is not None:
             voter.unanswered_since_ms = now_ms
         self.append_number += 1
-        token = self.rng.getrandbits(63) + 1
-        voter.record_sent(now_ms, self.append_number, token)
+        echo_token = self.rng.getrandbits(63) + 1
+        voter.record_sent(now_ms, self.append_number, echo_token)
         request = AppendRequest(
             generation=self.generation,
             number=self.append_number,
-            token=token,
+            echo_token=echo_token,
             before=before,
             records=records or (),
             after=after,
--- a/lichenquay/lease/voter.py
+++ b/lichenquay/lease/voter.py
@@ -55,7 +55,7 @@
     leader: str
     generation: int
     number: int
-    token: int
+    echo_token: int
 
 
 @dataclass(frozen=True)
@@ -183,7 +183,7 @@
         self.log_snapshot = LogSnapshot(self.log)
         grant = AcquireGrant(
             generation=request.generation,
-            token=request.token,
+            echo_token=request.echo_token,
             position=self.log.position,
             offer=self.log_snapshot.offer(),
         )
@@ -193,7 +193,7 @@
         self.counts["rejected"] += 1
         rejection = Rejection(
             generation=request.generation,
-            token=request.token,
+            echo_token=request.echo_token,
             promised_generation=max(self.promise.generation, self.attempted_promise.generation),
             wait_ms=wait_ms,
         )
@@ -201,7 +201,7 @@
 
     def _send_recovery_notice(self, sender, request):
         notice = RecoveryNotice(
-            generation=request.generation, token=request.token, recovery_nonce=self.recovery_nonce
+            generation=request.generation, echo_token=request.echo_token, recovery_nonce=self.recovery_nonce
         )
         self.send(sender.name, notice)
 
@@ -237,7 +237,9 @@
             if appended is None:
                 self.counts["invalid"] += 1
                 return
-        self.last_append = AppendReference(sender.name, request.generation, request.number, request.token)
+        self.last_append = AppendReference(
+            sender.name, request.generation, request.number, request.echo_token
+        )
         if appended is not None:
             self.fetch = None
             self._write(PendingVoterWrite(self.promise, appended))
@@ -323,7 +325,7 @@
         reply = AppendReply(
             generation=append.generation,
             number=append.number,
-            token=append.token,
+            echo_token=append.echo_token,
             position=self.log.position,
         )
         self.send(append.leader, reply)
--- a/lichenquay/migration/handover_target.py
+++ b/lichenquay/migration/handover_target.py
@@ -32,7 +32,7 @@
     source: str
     number: int
     session_id: str
-    generation: int
+    session_generation: int
 
 
 class SessionReservation(NamedTuple):
@@ -126,5 +126,7 @@
 
     def send_acknowledgement(self, handover: HandoverKey) -> None:
         """Acknowledges a handover that is committed here."""
-        acknowledgement = pb.Kept(no=handover.number, id=handover.session_id, generation=handover.generation)
+        acknowledgement = pb.Kept(
+            no=handover.number, id=handover.session_id, generation=handover.session_generation
+        )
         self.coordinator.send(handover.source, kept=acknowledgement)
--- a/lichenquay/migration/replicated_log.py
+++ b/lichenquay/migration/replicated_log.py
@@ -26,7 +26,7 @@
     """A write whose result is not known yet."""
 
     number: int
-    generation: int
+    lease_generation: int
     raw_record: bytes
     callbacks: list[ChangeCallback]
 
@@ -93,8 +93,8 @@
             return
         self.pending_write = None
         if not committed:
-            self.step_down_after_write(now_ms, committed, write.generation)
-        elif self.committed is not None and self.generation == write.generation:
+            self.step_down_after_write(now_ms, committed, write.lease_generation)
+        elif self.committed is not None and self.generation == write.lease_generation:
             record = pb.Record.FromString(write.raw_record)
             self.committed.apply(record)
             self.speculative.record_number = record.no
--- a/lichenquay/quota/ledger_leader.py
+++ b/lichenquay/quota/ledger_leader.py
@@ -26,10 +26,10 @@
 
 
 class PendingLedgerWrite(NamedTuple):
-    """A write whose result is not known yet, and the generation that started it."""
+    """A write whose result is not known yet, and the lease generation that started it."""
 
     record: pb.Record
-    generation: int
+    lease_generation: int
 
 
 class TenantLedgerStatus(NamedTuple):
@@ -191,11 +191,11 @@
         """Applies the group's result of a write; see `ReplicatedGroup.append`."""
         if not self.pending_write or record is not self.pending_write.record:
             return
-        generation = self.pending_write.generation
+        lease_generation = self.pending_write.lease_generation
         self.pending_write = None
         if not committed:
-            self.step_down_after_write(now_ms, committed, generation)
-        if self.committed is None or self.generation != generation:
+            self.step_down_after_write(now_ms, committed, lease_generation)
+        if self.committed is None or self.generation != lease_generation:
             return
         self.committed.apply(record)
         self.records_committed += 1
--- a/lichenquay/quota/messages.py
+++ b/lichenquay/quota/messages.py
@@ -13,7 +13,7 @@
 
 
 class LeaderAddress(NamedTuple):
-    """The gateway that leads the ledger, and the generation of the group in which it does."""
+    """The gateway that leads the ledger, and the lease generation of the group in which it does."""
 
     name: str
-    generation: int
+    lease_generation: int
--- a/tests/lease_broken.py
+++ b/tests/lease_broken.py
@@ -58,7 +58,7 @@
 
     def new(self, now_ms):
         append = self.last_append
-        reply = AppendReply(append.generation, append.number, append.token, self.log.position)
+        reply = AppendReply(append.generation, append.number, append.echo_token, self.log.position)
         self.send(append.leader, reply)
 
     return new
