--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -89,7 +89,7 @@
     def open(self) -> str | None:
         """Opens folder and socket, with room for more waiting datagrams than a gateway has.
 
-        Returns None, or a line that says which cannot be opened.
+        Returns None, or a line that names what cannot be opened.
         """
         problem = super().open()
         if problem is None:
--- a/lichenquay/fleet/runtime.py
+++ b/lichenquay/fleet/runtime.py
@@ -117,7 +117,7 @@
     # lifecycle
 
     def open(self) -> str | None:
-        """Opens store and socket, and sends nothing. Returns None, or one line that says what failed."""
+        """Opens store and socket, and sends nothing. Returns None, or one line that states what failed."""
         identity = self.identity
         try:
             if identity.store_directory:
--- a/lichenquay/gateway/attempt_lifecycle.py
+++ b/lichenquay/gateway/attempt_lifecycle.py
@@ -131,7 +131,7 @@
     ) -> bool:
         """Records a reply to a call written at `written_ms`. Returns whether the attempt is over.
 
-        The reply says that the query is unknown or, to a cancellation (`is_poll` is false), cancelled.
+        The reply reports that the query is unknown or, to a cancellation (`is_poll` is false), cancelled.
         may_be_other_engine: the engine is leaving or has left the endpoint list, and the reply came on a
         connection on which it has not replied for this attempt before, so that the address may belong to
         another engine by now.
--- a/lichenquay/gateway/client_connection.py
+++ b/lichenquay/gateway/client_connection.py
@@ -41,7 +41,7 @@
 
 
 def unacknowledged_bytes(transport) -> int:
-    """Returns how many sent bytes the peer has not acknowledged yet; 0 if the kernel does not tell."""
+    """Returns how many sent bytes the peer has not acknowledged yet; 0 if the kernel does not report it."""
     try:
         buffer = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, b"\0" * 4)
     except OSError:
--- a/lichenquay/gateway/dispatch.py
+++ b/lichenquay/gateway/dispatch.py
@@ -81,7 +81,7 @@
             return
         reply = outcome
         if isinstance(outcome, EngineCallError):
-            # The attempt may have run or may still run. Polls on another connection tell: the engine
+            # The attempt may have run or may still run. Polls on another connection find out: the engine
             # continues it, repeats the report of its end, or does not know it, which proves little
             # (`attempt_lifecycle`).
             self.metrics.count(f"first calls {outcome.label}")
--- a/lichenquay/gateway/endpoint_events.py
+++ b/lichenquay/gateway/endpoint_events.py
@@ -20,7 +20,7 @@
 
 
 class EndpointListError(GatewayError, ValueError):
-    """An answer or event is invalid; the text says why."""
+    """An answer or event is invalid; the text states the reason."""
 
 
 class EndpointUpdate(NamedTuple):
--- a/lichenquay/gateway/engine_call.py
+++ b/lichenquay/gateway/engine_call.py
@@ -30,7 +30,7 @@
 class NeverSentError(EngineCallError):
     """The call was withdrawn before a byte was written, as it was cancelled or no longer allowed.
 
-    Unlike NotConnectedError, it says nothing about the engine.
+    Unlike NotConnectedError, it is no evidence about the engine.
     """
 
     label = "never sent"
@@ -67,7 +67,7 @@
     preferred_connection: the connection of the attempt's last reply.
     on_written: called just before the first byte is written.
     on_timeout: if given, called when there is no reply in time; the call then remains open, as its reply
-    still tells something about the attempt.
+    still carries information on the attempt.
     authorize_dispatch: returns whether the call may still be sent; asked just before the first byte.
     attempt: the attempt that the call is for; a late duplicate of a reply to another attempt may arrive on a
     connection.
--- a/lichenquay/gateway/engine_connection.py
+++ b/lichenquay/gateway/engine_connection.py
@@ -212,7 +212,7 @@
     def clientConnectionFailed(self, connector, reason):
         """Ends the call if the connection was refused or timed out; else the pool may try another connection.
 
-        A reset before this side saw the connection established says nothing about the engine.
+        A reset before this side saw the connection established is no evidence about the engine.
         """
         self.pool.open_count -= 1
         is_refused = reason.check(ConnectionRefusedError) is not None
--- a/lichenquay/gateway/engine_pool.py
+++ b/lichenquay/gateway/engine_pool.py
@@ -152,7 +152,7 @@
     def on_connection_failed(self, call: EngineCall, error: EngineCallError) -> None:
         """Ends a call that was written; else tries another connection, at most `MAX_CONNECTION_ATTEMPTS`.
 
-        A connection that failed before a byte was written says nothing about the engine.
+        A connection that failed before a byte was written is no evidence about the engine.
         """
         call.connection_attempts += 1
         if call.is_written:
--- a/lichenquay/gateway/frames.py
+++ b/lichenquay/gateway/frames.py
@@ -57,7 +57,7 @@
 
 
 class FrameError(GatewayError, ValueError):
-    """The input is not a valid frame; the text says why."""
+    """The input is not a valid frame; the text states the reason."""
 
 
 class Frame(NamedTuple):
--- a/lichenquay/gateway/http.py
+++ b/lichenquay/gateway/http.py
@@ -30,7 +30,7 @@
 
 
 class ReplyError(GatewayError, ValueError):
-    """The input is not a valid reply; the text says why."""
+    """The input is not a valid reply; the text states the reason."""
 
 
 class _Body(NamedTuple):
--- a/lichenquay/gateway/request_intake.py
+++ b/lichenquay/gateway/request_intake.py
@@ -71,7 +71,7 @@
     ):
         """Creates an intake that accepts nothing until `set_limits` is called.
 
-        adapter: receives the queries. is_ready: tells what readiness checks are answered.
+        adapter: receives the queries. is_ready: returns whether readiness checks succeed.
         """
         self.groups = settings.groups
         self.tenants = settings.tenants
--- a/lichenquay/quota/pending_requests.py
+++ b/lichenquay/quota/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests and usage reports of gateways since the leader's last record, and when each was last heard."""
+"""Requests and usage reports of gateways since the leader's last record, and when each last sent one."""
 
 from collections.abc import Container
 from typing import NamedTuple
@@ -128,6 +128,9 @@
         }
 
     def is_fleet_under_pressure(self, since_ms: float) -> bool:
-        """Returns whether at least half of the gateways heard since then have no room for work over quota."""
+        """Returns whether at least half of the gateways that reported since then are under pressure.
+
+        Those have no room for work over quota.
+        """
         reports = [report for report in self.pressure.values() if report.reported_ms > since_ms]
         return 2 * sum(report.under_pressure for report in reports) >= len(reports)
--- a/lichenquay/storage/errors.py
+++ b/lichenquay/storage/errors.py
@@ -25,7 +25,7 @@
 
 
 class CorruptRecordError(StorageError, ValueError):
-    """Bytes are truncated, corrupt or of another format. The message says which."""
+    """Bytes are truncated, corrupt or of another format. The message states which."""
 
 
 class NewerFormatError(StorageError, ValueError):
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -41,7 +41,7 @@
 
 
 def run_gateways(size: int, kind: str) -> list[dict[str, float]]:
-    """Runs so many gateways and returns the rates that each reports. Raises RuntimeError where one of them
+    """Runs `size` gateways and returns the rates that each reports. Raises RuntimeError where one of them
     fails.
     """
     ports, running = free_ports(size), []
--- a/lichenquay/testbed/scale/probes/lease.py
+++ b/lichenquay/testbed/scale/probes/lease.py
@@ -72,8 +72,8 @@
             self.net.at(self.net.now_ms + DISK_MS, self.net.call, host.name, layer, "on_stored", number, True)
 
     def write(self, size: int) -> float | None:
-        """Returns the time to commit a record of so many bytes, in pieces where necessary; None where that
-        fails.
+        """Returns the time in ms to commit a record of `size` bytes, in pieces where necessary; None where
+        that fails.
         """
         started_ms, ended = self.net.now_ms, []
         with self.stopwatch.running():
--- a/lichenquay/testbed/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -97,7 +97,7 @@
 
 
 def measure_table_memory(size: int) -> Sample:
-    """Returns the bytes of a table of so many members, up to `MAX_MEMBERS`."""
+    """Returns the bytes of a table of `size` members, up to `MAX_MEMBERS`."""
 
     def fill() -> MemberTable:
         table = MemberTable()
--- a/lichenquay/testbed/scale/scenario_runner.py
+++ b/lichenquay/testbed/scale/scenario_runner.py
@@ -17,10 +17,10 @@
     now_ms: float  # By the clock that the gateways' records use.
 
     def run(self, seconds: float, progress: Callable[[float], None]) -> None:
-        """Runs for so many seconds, and on until all scheduled calls are done."""
+        """Runs for `seconds`, and on until all scheduled calls are done."""
 
     def call_later(self, seconds: float, call: Callable, *arguments) -> None:
-        """Schedules a call after so many seconds, while the environment runs."""
+        """Schedules a call after `seconds`, while the environment runs."""
 
     def set_rate(self, per_s: float) -> None:
         """Sets the rate of changes a second that the client proposes."""
@@ -32,16 +32,16 @@
         """Returns the leading publisher, as far as it is known."""
 
     def kill(self, name: str, seconds: float) -> None:
-        """Kills a control process, and starts it again after so many seconds."""
+        """Kills a control process, and starts it again after `seconds`."""
 
     def pause(self, name: str, seconds: float) -> None:
-        """Pauses a control process for so many seconds."""
+        """Pauses a control process for `seconds`."""
 
     def fail_disk(self, name: str, seconds: float, full: bool, delay_ms: float) -> None:
-        """Makes a publisher's disk full or slow for so many seconds."""
+        """Makes a publisher's disk full or slow for `seconds`."""
 
     def pause_reading(self, names: list[str], seconds: float) -> None:
-        """Makes gateways stop reading their sockets for so many seconds."""
+        """Makes gateways stop reading their sockets for `seconds`."""
 
     def impair(self, rules: list) -> None:
         """Replaces the network's impairment rules."""
--- a/lichenquay/testbed/scale/virtual_world.py
+++ b/lichenquay/testbed/scale/virtual_world.py
@@ -131,7 +131,7 @@
         return self.net.now_ms
 
     def run(self, seconds, progress):
-        """Runs for so many virtual seconds, and on until all scheduled calls are done."""
+        """Runs for `seconds` of virtual time, and on until all scheduled calls are done."""
         started_at_ms = self.net.now_ms
         until_ms = started_at_ms + seconds * 1000
         while self.net.now_ms < max(until_ms, self.last_ms):
--- a/lichenquay/testbed/scale/world_driver.py
+++ b/lichenquay/testbed/scale/world_driver.py
@@ -59,7 +59,7 @@
         return time.monotonic() - started_at_s
 
     def grow_to(self, gateways: int) -> bool:
-        """Starts gateways until so many run; returns False where not all had the newest version in time."""
+        """Starts gateways until `gateways` run; returns False where some lack the newest version in time."""
         names = self.shape.gateway_names()[len(self.world.running) : gateways]
         for first in range(0, len(names), START_BATCH):
             self.world.start_gateways(names[first : first + START_BATCH])
--- a/tests/test_engine_selection.py
+++ b/tests/test_engine_selection.py
@@ -24,7 +24,7 @@
 
 
 def test_an_old_report_counts_as_the_average_of_the_fresh():
-    """An old report says nothing about the present load."""
+    """An old report is no evidence of the present load."""
     gateway = FakeGateway([interactive_group(), group()], [engine("e1"), engine("e2")])
     old, fresh = gateway.states()
     gateway.report(old, {"active": 60.0})
--- a/tests/test_scale_scenario.py
+++ b/tests/test_scale_scenario.py
@@ -13,7 +13,7 @@
 
 
 def sample_delays(seed, number=2000):
-    """Returns the delays of the copies of so many datagrams on an impaired link."""
+    """Returns the delays of the copies of `number` datagrams on an impaired link."""
     one = Impairment(seed)
     one.rules = [Rule(loss=0.1, delay_ms=20.0, doubled=0.1)]
     return [one.delays_for("z0", "z1") for _ in range(number)]
--- a/tests/test_settings_section.py
+++ b/tests/test_settings_section.py
@@ -71,7 +71,7 @@
 
 
 def passes_over_fields(section_count):
-    """Returns how often reading settings with so many groups and tenants iterates over all fields."""
+    """Returns how often reading `section_count` groups and as many tenants iterates over all fields."""
     sections = {
         "classes": [{**GROUP, "name": f"g{number}"} for number in range(section_count)],
         "tenants": [{"name": f"t{number}"} for number in range(section_count)],
