--- a/lichenquay/cli/lab.py
+++ b/lichenquay/cli/lab.py
@@ -13,9 +13,9 @@
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.errors import RunError, TraceError
 from lichenquay.testbed.trial import trial
-from lichenquay.testbed.world import CannotStart
+from lichenquay.testbed.world import WorldStartError
 
-USER_ERRORS = (ConfigurationError, TraceError, CannotStart, RunError)
+USER_ERRORS = (ConfigurationError, TraceError, WorldStartError, RunError)
 MIN_FINISHED_SHARE = 0.99  # of the known clients' queries, amid a flood
 RUN_FIGURES = (
     "asked",
@@ -141,9 +141,9 @@
 @console.reports_errors(*USER_ERRORS)
 def flood(seconds, connections, addresses, sockets, gate, out, json_path):
     """Known clients with a query each, first alone, then amid a flood of connections with open queries."""
-    from lichenquay.testbed.load_under_faults import siege
+    from lichenquay.testbed.load_under_faults import measure_flood
 
-    found = siege(output_folder(out), seconds, connections, addresses, sockets, gate=gate)
+    found = measure_flood(output_folder(out), seconds, connections, addresses, sockets, gate=gate)
     console.write_json(json_path, found)
     console.print_table(
         f"{connections} connections from {addresses} addresses, {sockets} descriptors",
--- a/lichenquay/cli/load.py
+++ b/lichenquay/cli/load.py
@@ -9,7 +9,7 @@
 from lichenquay.config.reader import read_file
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.errors import ComparisonError
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 
 OUT = click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
@@ -40,15 +40,15 @@
     testbed.load.trace = trace or testbed.load.trace
     testbed.load.rate = rate or testbed.load.rate
     testbed.load.seconds = seconds or testbed.load.seconds
-    from lichenquay.testbed.trial import keep
+    from lichenquay.testbed.trial import write_run_files
 
     out = output_folder(out)
     workers = Workers(testbed, target, out)
     workers.start()
     with console.progress("load") as done:
         kept = workers.run(done)
-    figures = {**report_of(kept, testbed), "out": str(out)}
-    keep(out, testbed, kept, figures)
+    figures = {**build_report(kept, testbed), "out": str(out)}
+    write_run_files(out, testbed, kept, figures)
     console.write_json(json_path, figures)
     console.print_table(
         f"load on {target}", [(name, figures[name]) for name in RUN_FIGURES if name in figures]
--- a/lichenquay/cli/main.py
+++ b/lichenquay/cli/main.py
@@ -9,11 +9,11 @@
 from lichenquay.cli.config import config
 from lichenquay.cli.lab import demo, lab
 from lichenquay.cli.load import load
-from lichenquay.config.control_settings import warnings_of
+from lichenquay.config.control_settings import find_warnings
 from lichenquay.config.errors import ConfigurationError
 from lichenquay.config.reader import read_file, read_settings
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.child import environment
+from lichenquay.load.child import child_environment
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -31,7 +31,7 @@
     os.execve(
         sys.executable,
         [sys.executable, "-m", "lichenquay.gateway"],
-        {**environment(), "BALANCER_CONFIG": os.path.abspath(config)},
+        {**child_environment(), "BALANCER_CONFIG": os.path.abspath(config)},
     )
 
 
@@ -53,7 +53,7 @@
         except StartError as why:
             raise click.ClickException(str(why)) from None
     elif settings:
-        for line in warnings_of(read_file(file, read_settings)):
+        for line in find_warnings(read_file(file, read_settings)):
             click.echo(f"{file}: {line}", err=True)
     else:
         read_file(file, read_testbed)
@@ -67,7 +67,7 @@
     os.execve(
         sys.executable,
         [sys.executable, "-m", "lichenquay.control_plane", os.path.abspath(file)],
-        environment(),
+        child_environment(),
     )
 
 
--- a/lichenquay/cli/scale.py
+++ b/lichenquay/cli/scale.py
@@ -12,7 +12,7 @@
 
 from lichenquay.cli import console
 from lichenquay.load.errors import RunError
-from lichenquay.testbed.world import CannotStart
+from lichenquay.testbed.world import WorldStartError
 
 ROLE_HEADINGS = ("role", "cpu_share", "kb", "bytes_per_s", "messages_per_s")
 PREDICTION_HEADINGS = ("metric", "predicted", "low", "high", "measured", "within")
@@ -45,7 +45,7 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--out", type=click.Path(file_okay=False), help="Keep the run's files here.")
 @console.json_option
-@console.reports_errors(CannotStart, RunError)
+@console.reports_errors(WorldStartError, RunError)
 def scale(full, virtual, engine_sweep, fronts, engines, only, real_fronts, queries, seed, out, json_path):
     """Hollow fronts, publishers and relays: what they cost by size, and changes in force amid faults."""
     from lichenquay.testbed.scale import plans
--- a/lichenquay/config/control_settings.py
+++ b/lichenquay/config/control_settings.py
@@ -49,7 +49,7 @@
     )
 
 
-def warnings_of(settings) -> list[str]:
+def find_warnings(settings) -> list[str]:
     """What works but tolerates fewer failures than it could: lines to be logged at the start."""
     if settings.HasField("control") and settings.control.role == VOTER:
         return _warnings_of_voters(settings.control.voters)
--- a/lichenquay/config/distributed_values.py
+++ b/lichenquay/config/distributed_values.py
@@ -12,7 +12,7 @@
 GATE_KEY = "config/gate"  # protobuf text of the `Gate` settings
 
 
-def gate_of(value: bytes):
+def parse_gate(value: bytes):
     """The `Gate` message that a value holds. Errors: ConfigurationError."""
     try:
         text = value.decode("utf-8")
@@ -28,7 +28,7 @@
     if key != GATE_KEY:
         return None
     try:
-        gate_of(value)
+        parse_gate(value)
     except ConfigurationError as error:
         return str(error)
     return None
--- a/lichenquay/config/endpoint_list.py
+++ b/lichenquay/config/endpoint_list.py
@@ -23,12 +23,12 @@
     return None if value == COMPLETE else f"{COMPLETE_KEY}: {COMPLETE.decode()!r} is all that it can be"
 
 
-def key_of(record: EndpointRecord) -> str:
+def endpoint_key(record: EndpointRecord) -> str:
     """The key of an engine."""
     return f"{ENGINE_PREFIX}{record.zone}/{record.uid}"
 
 
-def value_of(record: EndpointRecord) -> bytes:
+def encode_endpoint(record: EndpointRecord) -> bytes:
     """The value of an engine that is not removed."""
     return pb.ListedEngine(
         address=record.address,
@@ -40,7 +40,7 @@
     ).SerializeToString(deterministic=True)
 
 
-def record_of(key: str, value: bytes) -> EndpointRecord:
+def decode_endpoint(key: str, value: bytes) -> EndpointRecord:
     """The engine that an entry describes. Errors: InvalidEndpointError."""
     zone, separator, uid = key.removeprefix(ENGINE_PREFIX).partition("/")
     if not key.startswith(ENGINE_PREFIX) or not separator or not uid or "/" in uid:
@@ -71,7 +71,7 @@
 def problem_with_endpoint(key: str, value: bytes) -> str | None:
     """Why an entry describes no engine, or None."""
     try:
-        record_of(key, value)
+        decode_endpoint(key, value)
     except InvalidEndpointError as error:
         return str(error)
     return None
--- a/lichenquay/control_plane/endpoint_importer.py
+++ b/lichenquay/control_plane/endpoint_importer.py
@@ -11,7 +11,13 @@
 
 from lichenquay.admission import domain
 from lichenquay.config.distributed_values import CHECKS_BY_PREFIX
-from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, ENGINE_PREFIX, key_of, value_of
+from lichenquay.config.endpoint_list import (
+    COMPLETE,
+    COMPLETE_KEY,
+    ENGINE_PREFIX,
+    encode_endpoint,
+    endpoint_key,
+)
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.distribution.messages import size_of
 from lichenquay.distribution.publisher import Publisher
@@ -66,14 +72,14 @@
             self._remove(uid)
 
     def _record_endpoint(self, record):
-        key = key_of(record)
+        key = endpoint_key(record)
         if self._key_by_uid.get(record.uid, key) != key:
             # The engine has moved to another zone; it is published under one key at a time.
             self._remove(record.uid)
         if record.state == domain.EndpointState.REMOVED:
             self._remove(record.uid)
             return
-        value = value_of(record)
+        value = encode_endpoint(record)
         error = find_entry_error(pb.Entry(key=key, value=value), CHECKS_BY_PREFIX)
         if error is not None:
             self._count_invalid(error)
--- a/lichenquay/control_plane/runtime.py
+++ b/lichenquay/control_plane/runtime.py
@@ -4,7 +4,7 @@
 import socket
 from abc import ABC, abstractmethod
 
-from lichenquay.config.control_settings import group_fingerprint, region_of, warnings_of
+from lichenquay.config.control_settings import find_warnings, group_fingerprint, region_of
 from lichenquay.config.distribution_settings import distribution_fingerprint, distribution_settings
 from lichenquay.config.process_entries import parse_address
 from lichenquay.distribution import distribution_pb2
@@ -36,7 +36,7 @@
         """
         self.settings = process_settings.control
         self.protocol_settings = distribution_settings(self.settings.figures)
-        self.warnings = warnings_of(process_settings)
+        self.warnings = find_warnings(process_settings)
         self.rng = random.Random(random.SystemRandom().getrandbits(RNG_SEED_BITS))
         self.addresses = self._make_addresses()
         self.leave_deadline_ms: float | None = None
--- a/lichenquay/fleet/applied_configuration.py
+++ b/lichenquay/fleet/applied_configuration.py
@@ -5,13 +5,13 @@
 from typing import Protocol
 
 from lichenquay.admission import domain
-from lichenquay.config.distributed_values import GATE_KEY, gate_of
+from lichenquay.config.distributed_values import GATE_KEY, parse_gate
 from lichenquay.config.distribution_settings import (
     distribution_fingerprint,
     distribution_settings,
     followed_prefixes,
 )
-from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, record_of
+from lichenquay.config.endpoint_list import COMPLETE_KEY, ENGINE_PREFIX, decode_endpoint
 from lichenquay.config.errors import ConfigurationError, InvalidEndpointError
 from lichenquay.config.process_entries import parse_address
 from lichenquay.distribution import distribution_pb2
@@ -77,7 +77,7 @@
         self.fault = None
         try:
             gate_value = changed.get(GATE_KEY)
-            rules = gate_of(gate_value) if gate_value is not None else None
+            rules = parse_gate(gate_value) if gate_value is not None else None
             records = self._endpoint_records(changed) if self.follows_engines else []
         except (ConfigurationError, InvalidEndpointError) as error:
             self.fault = str(error)
@@ -113,9 +113,9 @@
             if not key.startswith(ENGINE_PREFIX):
                 continue
             if value is not None:
-                listed.append(record_of(key, value))
+                listed.append(decode_endpoint(key, value))
             elif key in applied_values:
-                record = record_of(key, applied_values[key])
+                record = decode_endpoint(key, applied_values[key])
                 removed.append(record._replace(state=domain.EndpointState.REMOVED))
         # An engine that moves to another zone is deleted under its old key and listed under its new one.
         listed_uids = {record.uid for record in listed}
--- a/lichenquay/load/child.py
+++ b/lichenquay/load/child.py
@@ -1,4 +1,4 @@
-"""Child processes: their environment, and the lines that they print."""
+"""Child processes: their child_environment, and the lines that they print."""
 
 import os
 import select
@@ -9,8 +9,8 @@
 ROOT = Path(__file__).parents[2]
 
 
-def environment() -> dict[str, str]:
-    """Returns this process's environment, with the package on the path from any working directory."""
+def child_environment() -> dict[str, str]:
+    """Returns this process's child_environment, with the package on the path from any working directory."""
     paths = (str(ROOT), os.environ.get("PYTHONPATH", ""))
     return {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in paths if path)}
 
@@ -22,7 +22,7 @@
     """
     return subprocess.Popen(
         [sys.executable, "-m", module, *arguments],
-        env=environment(),
+        env=child_environment(),
         text=True,
         stdin=stdin,
         stdout=subprocess.PIPE,
--- a/lichenquay/load/client_connection.py
+++ b/lichenquay/load/client_connection.py
@@ -4,7 +4,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from lichenquay.gateway import frames
-from lichenquay.load.task import statement_of
+from lichenquay.load.task import encode_statement
 
 MAX_STREAMS = 32  # open queries on a connection, by the protocol
 RECONNECT_DELAY_S = 0.05
@@ -66,7 +66,7 @@
                 ("memory", f"{query.estimated_memory_mb:.0f}"),
             ]
         )
-        statement = statement_of(query.task)
+        statement = encode_statement(query.task)
         self.transport.write(frames.encode_frame(frames.FrameType.QUERY, query.stream, fields, statement))
 
     def cancel(self, query):
--- a/lichenquay/load/page.py
+++ b/lichenquay/load/page.py
@@ -30,7 +30,7 @@
     end_ms: float
 
 
-def picture(figure):
+def figure_as_html(figure):
     """Returns a figure as an HTML image with its data in it, and closes the figure."""
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=90, bbox_inches="tight")
@@ -52,7 +52,7 @@
     rate_plot.set_ylabel("a second")
     rate_plot.set_xlabel("s")
     rate_plot.legend()
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def _plot_percentiles(plot, centers_s, bins, latency_ms):
@@ -79,7 +79,7 @@
     plot.set_xlabel("one in so many is slower")
     plot.set_ylabel("ms")
     plot.legend()
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def plot_engines(ledger):
@@ -100,7 +100,7 @@
     plot.set_xlabel("s")
     plot.set_ylabel("queries that run")
     plot.legend(ncols=4, fontsize="small")
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def _engine_spans(ledger):
@@ -123,7 +123,7 @@
     ----------
     path: the file.
     title: the heading.
-    figures: as `report_of` returns them; nested ones are left out, but for the groups.
+    figures: as `build_report` returns them; nested ones are left out, but for the groups.
     columns: of the run's queries, by name.
     latency: histograms in microseconds, by group.
     ledger: what each engine did, as entries of the ledger.
--- a/lichenquay/load/report.py
+++ b/lichenquay/load/report.py
@@ -12,7 +12,7 @@
 QUANTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
 
 
-def report_of(result: RunResult, testbed: pb.Lab) -> dict:
+def build_report(result: RunResult, testbed: pb.Lab) -> dict:
     """Returns the figures of a RunResult as a dict that JSON can hold; latency is in milliseconds."""
     columns = result.columns()
     if not columns:
--- a/lichenquay/load/self_test.py
+++ b/lichenquay/load/self_test.py
@@ -9,7 +9,7 @@
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.load.child import read_line, start_module
 from lichenquay.load.errors import RunError
-from lichenquay.load.report import LAG_BOUND_MS, report_of
+from lichenquay.load.report import LAG_BOUND_MS, build_report
 from lichenquay.load.run import Workers
 
 NULL_SERVER_TIMEOUT_S = 10.0
@@ -128,7 +128,7 @@
             (stall_start_s + stall_ms / 1000, lambda: process.send_signal(signal.SIGCONT)),
         ]
         result = workers.run(progress, stall)
-    report = report_of(result, testbed)
+    report = build_report(result, testbed)
     columns = result.columns()
     slow_count = int((columns["answered_ms"] - columns["at_ms"] > stall_ms / 5).sum())
     figures = {name: report[name] for name in figure_names}
@@ -145,7 +145,7 @@
             workers.write_job(job)
         started_s = time.monotonic()
         workers.start()
-        report = report_of(workers.run(), testbed)
+        report = build_report(workers.run(), testbed)
     is_sustained = not report["void"] and not report["silent"] and report["finished"] == report["asked"]
     return {
         "rate": rate,
--- a/lichenquay/load/task.py
+++ b/lichenquay/load/task.py
@@ -38,7 +38,7 @@
     retained_until_ms: float = inf
 
 
-def statement_of(task: Task) -> bytes:
+def encode_statement(task: Task) -> bytes:
     """Returns the statement (bytes) of a task, with its real need in a comment."""
     if task.load:
         verb = f"insert into sales_{task.tables}.orders select * from staging.x"
@@ -51,7 +51,7 @@
     return f"{verb} {NEED_START}{need}{NEED_END}".encode()
 
 
-def task_of(ref: str, group: str, statement: bytes, grant_mb: float, rank: int) -> Task:
+def decode_statement(ref: str, group: str, statement: bytes, grant_mb: float, rank: int) -> Task:
     """Returns the task whose need a statement (bytes) states. Raises ValueError if it states none."""
     _, marker, comment = statement.decode("utf-8", "replace").partition(NEED_START)
     if not marker:
--- a/lichenquay/testbed/detectors.py
+++ b/lichenquay/testbed/detectors.py
@@ -17,15 +17,15 @@
 from lichenquay.membership.member_state import MemberRecord, MemberState
 from lichenquay.membership.settings import Settings
 from lichenquay.testbed.baseline_policies import Phi, Rapid
-from lichenquay.testbed.fleetnet import FleetNet, Weather
-from lichenquay.testbed.observed_members import Watched
+from lichenquay.testbed.observed_fleet import ObservedFleet
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualNetwork
 
 PAUSE_MS, PAUSE_EVERY_MS, ONE_SIDED_MS = 2_000, 10_000, 20_000
 WARM_MS = 5_000
 
 
-def watch(name, incarnation, names, rng, now_ms):
-    """A watch that knows the fleet already: joining is not what is measured."""
+def make_informed_detector(name, incarnation, names, rng, now_ms):
+    """A make_informed_detector that knows the fleet already: joining is not what is measured."""
     w = FailureDetector(name, incarnation, names, rng, Settings(), now_ms)
     for n in names:
         if n != name:
@@ -35,7 +35,7 @@
 
 
 KINDS = {
-    "members": watch,
+    "members": make_informed_detector,
     "phi": lambda *a: Phi(*a, watchers=10),
     "phi, 2 s borne": lambda *a: Phi(*a, watchers=10, pause_ms=2_000.0),
     "rapid": Rapid,
@@ -48,7 +48,7 @@
 
     def __init__(self, kind, n, seed, loss):
         self.names = [f"f{i}" for i in range(n)]
-        self.net = FleetNet(f"{kind}/{n}/{seed}/{loss}", Weather(loss=loss))
+        self.net = VirtualNetwork(f"{kind}/{n}/{seed}/{loss}", LinkConditions(loss=loss))
         self.held = {name: set() for name in self.names}
         self.episodes, self.split_ms, self.since = 0, 0.0, {}
         self.watchers = {}
@@ -118,7 +118,7 @@
     began = t.net.now_ms
     t.net.between(["f0"], t.names[1 : 1 + n // 2], cut=True)
     t.net.run(began + ONE_SIDED_MS)
-    t.net.mend()
+    t.net.reset_links()
     t.net.run(t.net.now_ms + 15_000)
     return {
         "episodes": t.episodes,
@@ -128,13 +128,13 @@
 
 def agreement(n, seed, loss=0.1):
     """Watches only: two parts apart for 20 s, then mended: the time until all hold one view with all fronts alive."""
-    fleet = Watched([f"f{i}" for i in range(n)], seed, Weather(loss=loss))
-    fleet.until(fleet.agree, 60_000)
+    fleet = ObservedFleet([f"f{i}" for i in range(n)], seed, LinkConditions(loss=loss))
+    fleet.until(fleet.views_agree, 60_000)
     fleet.run(WARM_MS)
     fleet.net.split(fleet.names[:2], fleet.names[2:])
     fleet.run(20_000)
-    fleet.net.mend()
-    return fleet.until(fleet.agree, 60_000, 10)
+    fleet.net.reset_links()
+    return fleet.until(fleet.views_agree, 60_000, 10)
 
 
 def poisson(k, hours):
--- a/lichenquay/testbed/emulator.py
+++ b/lichenquay/testbed/emulator.py
@@ -18,7 +18,7 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.reader import read_file
 from lichenquay.testbed.engine_host import EngineHost
-from lichenquay.testbed.host import Host, now_ms
+from lichenquay.testbed.http_server import Host, now_ms
 
 
 class Bulletin(Host):
--- a/lichenquay/testbed/engine_host.py
+++ b/lichenquay/testbed/engine_host.py
@@ -5,9 +5,9 @@
 from twisted.internet import reactor
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.task import RUNNING, task_of
+from lichenquay.load.task import RUNNING, decode_statement
 from lichenquay.testbed import engine as model
-from lichenquay.testbed.host import Host, now_ms
+from lichenquay.testbed.http_server import Host, now_ms
 
 # PROTOCOL: wait for news; a query that is not asked for; bytes of a page
 NEWS_MS, KEPT_MS, PAGE = 250.0, 2000.0, 6000
@@ -61,7 +61,7 @@
         try:
             if verb == "POST":
                 ref = headers["x-hop-id"]
-                task = task_of(
+                task = decode_statement(
                     ref,
                     headers["x-sort"],
                     body,
--- a/lichenquay/testbed/flood.py
+++ b/lichenquay/testbed/flood.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from lichenquay.gateway import frames
-from lichenquay.load.task import Task, statement_of
+from lichenquay.load.task import Task, encode_statement
 
 AGAIN_S = 0.1  # before a refused one comes back, whatever it was told
 
@@ -51,7 +51,7 @@
             ]
         )
         self.transport.write(
-            frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, statement_of(task))
+            frames.encode_frame(frames.FrameType.QUERY, self.stream, fields, encode_statement(task))
         )
 
     def dataReceived(self, data):
--- a/lichenquay/testbed/load_under_faults.py
+++ b/lichenquay/testbed/load_under_faults.py
@@ -1,4 +1,4 @@
-"""A siege: depot clients that open a connection for each manifest, first in calm, then amid a flood, in one run."""
+"""A measure_flood: depot clients that open a connection for each manifest, first in calm, then amid a flood, in one run."""
 
 import json
 import socket
@@ -12,8 +12,8 @@
 
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
-from lichenquay.load.child import environment
-from lichenquay.load.task import Task, statement_of
+from lichenquay.load.child import child_environment
+from lichenquay.load.task import Task, encode_statement
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.world import World
 
@@ -65,7 +65,7 @@
                 line.settimeout(ALLOWED_MS / 1000 + 1)
                 line.bind((self.source % (2 + number % 200), 0))
                 line.connect(self.address)
-                line.sendall(frames.encode_frame(frames.FrameType.QUERY, 1, fields, statement_of(task)))
+                line.sendall(frames.encode_frame(frames.FrameType.QUERY, 1, fields, encode_statement(task)))
                 sent, reader = time.monotonic(), frames.FrameReader()
                 while not answers:
                     data = line.recv(65536)
@@ -113,7 +113,9 @@
     return round(float(np.percentile(values, q)), 2) if len(values) else None
 
 
-def siege(out, seconds=10.0, connections=1500, addresses=1, sockets=400, rate=20.0, gate=True, processes=4):
+def measure_flood(
+    out, seconds=10.0, connections=1500, addresses=1, sockets=400, rate=20.0, gate=True, processes=4
+):
     """Figures of a calm and a flooded part of `seconds` each. `gate`: with known clients and their reserve, else without."""
     rules = f'gate {{ known: "{KNOWN}" reserve: 40 most_queries: 32 address {{ connections: 32 queries: 12 }} prefix {{ connections: 96 queries: 24 per_s: 20 burst: 40 }} lag_ms: 50 }}'
     lab = read_testbed(
@@ -139,7 +141,7 @@
                     str(addresses),
                     str(i),
                 ],
-                env=environment(),
+                env=child_environment(),
                 text=True,
                 stdout=subprocess.PIPE,
                 start_new_session=True,
--- a/lichenquay/testbed/observed_members.py
+++ b/lichenquay/testbed/observed_fleet.py
@@ -3,28 +3,28 @@
 
 from lichenquay.membership.failure_detector import FailureDetector
 from lichenquay.membership.settings import Settings
-from lichenquay.testbed.fleetnet import FleetNet, Weather
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualNetwork
 
 AGAIN_MS = 10
 
 
-class Watched:
+class ObservedFleet:
     """`log`: [(ms, host, member_state.StateChange)] of all hosts in the order in which they came."""
 
     def __init__(
         self,
         names,
         seed,
-        weather=Weather(),
+        weather=LinkConditions(),
         settings=Settings(),
         seeds=None,
         start=True,
         make=FailureDetector,
     ):
         self.names, self.settings, self.log, self.rejoined = list(names), settings, [], 0
-        self.net = FleetNet(seed, weather)
+        self.net = VirtualNetwork(seed, weather)
         self.net.after = self._after
-        self.looks = []  # Called as look(host, watch, changes) after each call of a watch.
+        self.observers = []  # Called as look(host, watch, changes) after each call of a watch.
         for name in self.names:
             self.net.host(
                 name,
@@ -42,7 +42,7 @@
         changes = list(watch.changes)
         watch.changes.clear()
         self.log.extend((self.net.now_ms, host.name, c) for c in changes)
-        for look in self.looks:
+        for look in self.observers:
             look(host, watch, changes)
         if watch.ended_incarnation is not None:
             self.net.at(self.net.now_ms + AGAIN_MS, self._again, host, watch)
@@ -63,10 +63,10 @@
     def run(self, ms):
         self.net.run(self.net.now_ms + ms)
 
-    def all_hold(self, name, state, besides=()):
+    def all_consider(self, name, state, besides=()):
         return all(w.state_of(name) == state for w in self.up() if w.name != name and w.name not in besides)
 
-    def agree(self):
+    def views_agree(self):
         """Those that run, and no others, are alive to all that run, in this incarnation, and all hold one view."""
         up = self.up()
         running = sorted((w.name, w.incarnation) for w in up)
--- a/lichenquay/testbed/scale/engine_sweep.py
+++ b/lichenquay/testbed/scale/engine_sweep.py
@@ -67,7 +67,7 @@
         self.result = EngineSweepResult()
 
     def run(self) -> EngineSweepResult:
-        """Runs the sweep. Raises CannotStart where a process does not start or engines can't be listed."""
+        """Runs the sweep. Raises WorldStartError where a process does not start or engines can't be listed."""
         with self.driver:
             self.baseline = self.driver.read_usage()
             self.driver.grow_to(GATEWAYS)
--- a/lichenquay/testbed/scale/engines.py
+++ b/lichenquay/testbed/scale/engines.py
@@ -3,7 +3,7 @@
 import random
 
 from lichenquay.admission import domain
-from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, value_of
+from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, encode_endpoint, endpoint_key
 from lichenquay.distribution import distribution_pb2 as pb
 from lichenquay.endpoint_record import EndpointRecord
 from lichenquay.testbed.scale.scenario import Shape
@@ -27,7 +27,7 @@
 
 def engine_entry(row: EndpointRecord) -> pb.Entry:
     """Returns an engine's record as a published entry."""
-    return pb.Entry(key=key_of(row), value=value_of(row))
+    return pb.Entry(key=endpoint_key(row), value=encode_endpoint(row))
 
 
 def engine_changes(first: int, count: int, shape: Shape) -> list[list[pb.Entry]]:
--- a/lichenquay/testbed/scale/lightweight_controller.py
+++ b/lichenquay/testbed/scale/lightweight_controller.py
@@ -14,7 +14,7 @@
 from lichenquay.fleet.runtime import boot_ms
 from lichenquay.gateway import frames
 from lichenquay.gateway.controller_adapter import ControllerAdapter, GatewayQuery
-from lichenquay.testbed.world import settings_of
+from lichenquay.testbed.world import platform_settings
 
 WORK_MS = 20.0  # The work time of every query.
 SUBMITTED, OPEN, FAULTS = "queries asked", "queries open", "faults"
@@ -91,7 +91,7 @@
 
 def deployment_settings(seed: int) -> DeploymentSettings:
     """Returns the test bed's default groups, tenants and rules, shared by all gateways of a process."""
-    return DeploymentSettings(SettingsSection.from_json(settings_of(read_testbed(""))), seed)
+    return DeploymentSettings(SettingsSection.from_json(platform_settings(read_testbed(""))), seed)
 
 
 class LightweightController:
--- a/lichenquay/testbed/scale/probes/host.py
+++ b/lichenquay/testbed/scale/probes/host.py
@@ -9,7 +9,7 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from lichenquay.load.child import environment
+from lichenquay.load.child import child_environment
 from lichenquay.testbed.scale.sample import Progress, Sample
 
 WARM_UP_S, MEASURED_S, EXIT_TIMEOUT_S = 3.0, 3.0, 60.0
@@ -62,7 +62,7 @@
                 running.append(
                     subprocess.Popen(
                         [str(argument) for argument in command],
-                        env=environment(),
+                        env=child_environment(),
                         stdout=subprocess.PIPE,
                         stderr=subprocess.DEVNULL,
                         text=True,
--- a/lichenquay/testbed/scale/probes/lease.py
+++ b/lichenquay/testbed/scale/probes/lease.py
@@ -9,8 +9,8 @@
 from lichenquay.lease.group import LeaseGroup, concatenate
 from lichenquay.lease.settings import LeaseSettings
 from lichenquay.quota.ledger_records import PiecewiseGroup
-from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualHost, VirtualNetwork
 
 GROUP, LAYER, VOTERS = "scale", "lease", ("voter-a", "voter-b", "voter-c")
 DISK_MS = 2.0  # Time of a write to disk.
@@ -34,8 +34,8 @@
         """Runs until the lease is held; raises RuntimeError where it is not within `SETTLE_MS`."""
         self.fold = fold
         one_way_ms = round_trip_ms / 2
-        self.net = FleetNet(
-            f"owner/{round_trip_ms}/{seed}", Weather(delay_ms=(one_way_ms, one_way_ms)), lag_ms=0.1
+        self.net = VirtualNetwork(
+            f"owner/{round_trip_ms}/{seed}", LinkConditions(delay_ms=(one_way_ms, one_way_ms)), lag_ms=0.1
         )
         self.net.after, self.stopwatch, self.disk_bytes = self._after, Stopwatch(), 0
         self.rng = random.Random(f"owner/records/{seed}")
@@ -45,7 +45,7 @@
         if not self.net.run(SETTLE_MS, lambda: self.group.holds(self.net.now_ms)):
             raise RuntimeError(f"no voter held the lease within {SETTLE_MS:g} ms")
 
-    def _parts(self, host: Host) -> dict[str, TimedPart]:
+    def _parts(self, host: VirtualHost) -> dict[str, TimedPart]:
         group = LeaseGroup(
             GROUP,
             host.name,
@@ -65,7 +65,7 @@
         """Returns the holder's group."""
         return self.net.hosts[VOTERS[0]].parts[LAYER].part
 
-    def _after(self, host: Host, layer: str, part: Any) -> None:
+    def _after(self, host: VirtualHost, layer: str, part: Any) -> None:
         writes, part.store_requests[:] = list(part.store_requests), []
         for number, changes in writes:
             self.disk_bytes += sum(len(key) + len(value or b"") for key, value in changes.items())
@@ -142,7 +142,7 @@
         voters.net.split([VOTERS[2]], list(VOTERS[:2]))
         for _ in range(max(1, size * 1_000 // LAGGING_RECORD_BYTES)):
             voters.write(LAGGING_RECORD_BYTES)
-        voters.net.mend(Weather(delay_ms=(FAR_ROUND_TRIP_MS / 2, FAR_ROUND_TRIP_MS / 2)))
+        voters.net.reset_links(LinkConditions(delay_ms=(FAR_ROUND_TRIP_MS / 2, FAR_ROUND_TRIP_MS / 2)))
         elapsed_ms = voters.takeover(LAGGING_TAKEOVER_TIMEOUT_MS)
         values = () if elapsed_ms is None else (elapsed_ms,)
         samples.append(Sample(size, "lease.lagging_takeover", "ms", values))
--- a/lichenquay/testbed/scale/probes/members.py
+++ b/lichenquay/testbed/scale/probes/members.py
@@ -7,9 +7,9 @@
 
 from lichenquay.membership.member_state import MemberRecord, MemberState
 from lichenquay.membership.member_table import MAX_MEMBERS, MemberTable
-from lichenquay.testbed.detectors import watch
-from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
+from lichenquay.testbed.detectors import make_informed_detector
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart, measure_state_bytes
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualHost, VirtualNetwork
 
 LOSSES = (0.0, 0.2)
 WARM_UP_MS, CALM_MS = 1_500.0, 3_000.0
@@ -24,18 +24,18 @@
 
     def __init__(self, gateways: int, seed: int, loss: float):
         """Starts all gateways with all others known, as after a start without faults."""
-        self.net = FleetNet(f"scale/{gateways}/{seed}/{loss}", Weather(loss=loss))
+        self.net = VirtualNetwork(f"scale/{gateways}/{seed}/{loss}", LinkConditions(loss=loss))
         self.stopwatch, self.names = Stopwatch(), [f"front-{i:04d}" for i in range(gateways)]
         self.killed_name, self.detected_by = "", set()
         self.net.after = self._after
         for name in self.names:
             self.net.host(name, self._parts, offset_ms=self.net.rng.uniform(0, 1e6))
 
-    def _parts(self, host: Host) -> dict[str, TimedPart]:
-        part = watch(host.name, host.incarnation, self.names, host.rng, host.now_ms())
+    def _parts(self, host: VirtualHost) -> dict[str, TimedPart]:
+        part = make_informed_detector(host.name, host.incarnation, self.names, host.rng, host.now_ms())
         return {"members": TimedPart(part, self.stopwatch)}
 
-    def _after(self, host: Host, _: str, part: Any) -> None:
+    def _after(self, host: VirtualHost, _: str, part: Any) -> None:
         for change in part.changes:
             if change.name == self.killed_name and change.new_state in ("faulty", "removed"):
                 self.detected_by.add(host.name)
--- a/lichenquay/testbed/scale/probes/quota.py
+++ b/lichenquay/testbed/scale/probes/quota.py
@@ -9,8 +9,8 @@
 from lichenquay.quota.escrow_demand import idle_stocks
 from lichenquay.quota.ledger_leader import LedgerLeader
 from lichenquay.quota.ledger_records import split
-from lichenquay.testbed.fleetnet import FleetNet, Host, Weather
 from lichenquay.testbed.scale.sample import Progress, Sample, Stopwatch, TimedPart
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualHost, VirtualNetwork
 
 LEDGER_LEADER, LAYER = "keeper", "quota"
 TERM_MS, WRITE_MS = 4_000.0, 10.0
@@ -25,7 +25,7 @@
 
     generation = 1
 
-    def __init__(self, net: FleetNet, figures: list[Any], stopwatch: Stopwatch):
+    def __init__(self, net: VirtualNetwork, figures: list[Any], stopwatch: Stopwatch):
         """`records`, `record_bytes` and `pieces` count what the group's voters would receive."""
         super().__init__(LedgerLeader(self, figures, TERM_MS), stopwatch)
         self.net, self.records, self.record_bytes, self.pieces = net, 0, 0, 0
@@ -69,7 +69,7 @@
 
     def __init__(self, gateways: int, tenants: int, seed: int):
         """Messages take 1 to 5 ms; none is lost."""
-        self.net = FleetNet(f"quota/{gateways}/{tenants}/{seed}", Weather(delay_ms=(1.0, 5.0)))
+        self.net = VirtualNetwork(f"quota/{gateways}/{tenants}/{seed}", LinkConditions(delay_ms=(1.0, 5.0)))
         self.tenants = [f"tenant-{i:04d}" for i in range(tenants)]
         self.gateways = [f"front-{i:04d}" for i in range(gateways)]
         figures = [account_terms(t, RATE_MS * gateways, BUCKET_MS * gateways) for t in self.tenants]
@@ -82,7 +82,7 @@
             self.net.host(name, lambda host: {LAYER: self._make_escrow(host, stocks)})
             self.net.at(self.net.rng.uniform(0, 1_000 / QUERIES_PER_S), self._query, name)
 
-    def _make_escrow(self, host: Host, stocks: dict[str, int]) -> EscrowPart:
+    def _make_escrow(self, host: VirtualHost, stocks: dict[str, int]) -> EscrowPart:
         escrow = TokenEscrow(host.name, host.incarnation, stocks, TERM_MS, random=host.rng)
         escrow.leader = LEDGER_LEADER, LedgerLeaderPart.generation
         return EscrowPart(escrow, self.gateway_stopwatch)
--- a/lichenquay/testbed/scale/real_gateways.py
+++ b/lichenquay/testbed/scale/real_gateways.py
@@ -9,7 +9,7 @@
 
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import audit, read_ledger
 from lichenquay.testbed.scale import measure
@@ -35,7 +35,7 @@
         self.spec = spec
         self.listens = free_addresses([f"real{i}" for i in range(lab.front.count)])
 
-    def settings_of_front(self, i):
+    def gateway_settings(self, i):
         """Returns settings with the relays, a zone in turn, a socket of its own, and the engines of its own
         world.
         """
@@ -79,7 +79,7 @@
         self.load_results: dict[int, object] = {}
 
     def __enter__(self):
-        """Starts engines and gateways, and connects the load. Raises CannotStart, RunError."""
+        """Starts engines and gateways, and connects the load. Raises WorldStartError, RunError."""
         self.world.__enter__()
         try:
             self.workers = [
@@ -108,7 +108,7 @@
         """Starts the queries, which run in the background."""
         self.world.start_script()
         self.started_at_s = time.monotonic()
-        self.cpu_before_s = [measure.usage_of(gateway.pid).cpu_s for gateway in self.world.fronts]
+        self.cpu_before_s = [measure.usage_of(gateway.pid).cpu_s for gateway in self.world.gateways]
         self.threads = [
             threading.Thread(target=self._run_load, args=(i,), daemon=True) for i in range(len(self.workers))
         ]
@@ -122,7 +122,7 @@
             thread.join(max(0.1, until - time.monotonic()))
         seconds = time.monotonic() - self.started_at_s
         for i, gateway in enumerate(self.gateways):
-            used_s = measure.usage_of(self.world.fronts[i].pid).cpu_s - self.cpu_before_s[i]
+            used_s = measure.usage_of(self.world.gateways[i].pid).cpu_s - self.cpu_before_s[i]
             gateway.cpu_share = round(used_s / seconds, 4)
             gateway.peak_mb = round(self.world.peak_mb(i), 1)
             gateway.in_force = self._version_in_force(i)
@@ -137,7 +137,7 @@
         """Returns the version that the gateway writes to its log on SIGUSR1, or None."""
         log = self.out / f"front-{i}.log"
         log_length = len(log.read_text())
-        self.world.fronts[i].send_signal(signal.SIGUSR1)
+        self.world.gateways[i].send_signal(signal.SIGUSR1)
         until = time.monotonic() + STATUS_TIMEOUT_S
         while time.monotonic() < until:
             match = IN_FORCE.search(log.read_text()[log_length:])
@@ -152,7 +152,7 @@
         """
         for i, gateway in enumerate(self.gateways):
             if i in self.load_results:
-                gateway.report = selected_report(report_of(self.load_results[i], self.lab))
+                gateway.report = selected_report(build_report(self.load_results[i], self.lab))
                 gateway.broken_rules += broken_rules_of(gateway)
             else:
                 gateway.broken_rules.append(f"{gateway.name}: its load did not end in time")
--- a/lichenquay/testbed/scale/report.py
+++ b/lichenquay/testbed/scale/report.py
@@ -7,7 +7,7 @@
 import html
 from pathlib import Path
 
-from lichenquay.load.page import picture, plt
+from lichenquay.load.page import figure_as_html, plt
 from lichenquay.testbed.scale.roles import Role
 
 # Half of each of a gateway's budgets: the targets for its control functions.
@@ -54,7 +54,7 @@
     plot.set_xlabel("gateways")
     plot.set_ylabel(LABELS[cost])
     plot.legend(fontsize="small")
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def in_force(figures: dict) -> str:
@@ -72,7 +72,7 @@
     plot.set_ylabel("ms")
     plot.tick_params(axis="x", rotation=30)
     plot.legend()
-    return picture(figure)
+    return figure_as_html(figure)
 
 
 def predictions_table(figures: dict) -> str:
--- a/lichenquay/testbed/scale/runner.py
+++ b/lichenquay/testbed/scale/runner.py
@@ -53,7 +53,7 @@
         self.done_s = 0.0
 
     def run(self) -> ScaleRunResult:
-        """Executes the run. Raises CannotStart where a process does not start."""
+        """Executes the run. Raises WorldStartError where a process does not start."""
         with self.driver:
             self.driver.list_engines(0, self.plan.shape.engines)
             self._advance(START_S)
--- a/lichenquay/testbed/scale/sample.py
+++ b/lichenquay/testbed/scale/sample.py
@@ -55,7 +55,7 @@
 
 class TimedPart:
     """Wraps a decision module without I/O (docs/design/fleet.md) and times its calls, for a host of
-    FleetNet.
+    VirtualNetwork.
     """
 
     def __init__(self, part: Any, stopwatch: Stopwatch):
--- a/lichenquay/testbed/scale/virtual_run.py
+++ b/lichenquay/testbed/scale/virtual_run.py
@@ -9,7 +9,7 @@
 from lichenquay.testbed.scale.audit import Findings, audit
 from lichenquay.testbed.scale.scenario_runner import ScenarioResult, ScenarioRunner
 from lichenquay.testbed.scale.virtual_world import VirtualWorld
-from lichenquay.testbed.world import CannotStart
+from lichenquay.testbed.world import WorldStartError
 
 WINDOW_S = 5.0  # Virtual time without faults in which messages are counted.
 LEADER_TIMEOUT_MS, LISTING_TIMEOUT_MS, SETTLE_TIMEOUT_MS = 30_000.0, 300_000.0, 60_000.0
@@ -65,7 +65,7 @@
         self.world = VirtualWorld(plan.shape)
 
     def run(self) -> VirtualRunResult:
-        """Executes the run. Raises CannotStart where no publisher leads."""
+        """Executes the run. Raises WorldStartError where no publisher leads."""
         started_at_s = time.process_time()
         self._prepare()
         self._measure_calm()
@@ -84,11 +84,11 @@
     def _prepare(self):
         world, shape = self.world, self.plan.shape
         if not world.run_until(lambda: world.holder() is not None, LEADER_TIMEOUT_MS):
-            raise CannotStart("no publisher leads")
+            raise WorldStartError("no publisher leads")
         for entries in engines.engine_changes(0, shape.engines, shape):
             world.propose(entries)
         if not world.run_until(lambda: world.client.is_idle, LISTING_TIMEOUT_MS):
-            raise CannotStart("the engines could not be listed")
+            raise WorldStartError("the engines could not be listed")
         world.start_gateways(shape.gateway_names())
         self._wait_settled("the first start")
 
--- a/lichenquay/testbed/scale/virtual_world.py
+++ b/lichenquay/testbed/scale/virtual_world.py
@@ -1,7 +1,7 @@
 """The same decision classes, client, scenarios and audit in virtual time, for sizes that can't run in real
 time.
 
-The network is FleetNet's: each message is serialised and parsed, none has an envelope. Virtual time does not
+The network is VirtualNetwork's: each message is serialised and parsed, none has an envelope. Virtual time does not
 show processor time and socket queues.
 """
 
@@ -16,13 +16,13 @@
 from lichenquay.fleet.message_envelope import Layer
 from lichenquay.fleet.source_ranking import rank_sources
 from lichenquay.lease import lease_pb2
-from lichenquay.testbed.fleetnet import FleetNet
 from lichenquay.testbed.scale import engines, record
 from lichenquay.testbed.scale.client import ProposerClient
 from lichenquay.testbed.scale.digest import values_digest
 from lichenquay.testbed.scale.impairment import Impairment
 from lichenquay.testbed.scale.scenario import Shape, zone_of_name
 from lichenquay.testbed.scale.world_spec import CLIENT, PREFIXES
+from lichenquay.testbed.virtual_network import VirtualNetwork
 
 DISK_MS = 2.0  # Time of a voter's write.
 LINK_MS = (0.2, 1.0)
@@ -99,9 +99,9 @@
     def __init__(self, shape: Shape, settings: Settings = DEFAULT_SETTINGS):
         """Starts control processes and the client, but no gateway. `settings`: of distribution."""
         self.shape, self.settings = shape, settings
-        self.net = FleetNet(f"{shape.seed}/virtual")
+        self.net = VirtualNetwork(f"{shape.seed}/virtual")
         self.impairment = Impairment(f"{shape.seed}/virtual")
-        self.net.meddle, self.net.after = self._delivery_copies, self._after
+        self.net.intercept, self.net.after = self._delivery_copies, self._after
         self.disks = {name: Disk() for name in shape.publisher_names()}
         self.relays = relay_locations(shape)
         self.lifetimes: list[record.GatewayLifetime] = []
@@ -248,7 +248,7 @@
         return {Layer.DISTRIBUTION: subscriber}
 
     def _delivery_copies(self, number, source, target, layer, message):
-        """Returns the copies to deliver under the impairment rules; None for FleetNet's default delay."""
+        """Returns the copies to deliver under the impairment rules; None for VirtualNetwork's default delay."""
         if not self.impairment.rules:
             return None
         delays = self.impairment.delays_for(zone_of_name(source), zone_of_name(target))
--- a/lichenquay/testbed/scale/world.py
+++ b/lichenquay/testbed/scale/world.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lichenquay.load.child import ROOT, environment, read_line
+from lichenquay.load.child import ROOT, child_environment, read_line
 from lichenquay.testbed.scale import commands, measure
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world_spec import WorldSpec
-from lichenquay.testbed.world import CannotStart
+from lichenquay.testbed.world import WorldStartError
 
 READY_TIMEOUT_S = 60.0  # A loaded machine starts many processes slowly.
 ANSWER_TIMEOUT_S = 10.0
@@ -41,7 +41,7 @@
                 stdout=subprocess.PIPE,
                 stderr=log,
                 text=True,
-                env=environment(),
+                env=child_environment(),
                 cwd=ROOT,
                 start_new_session=True,
             )
@@ -58,10 +58,10 @@
         return self.runs and self.ready and not self.paused
 
     def wait_ready(self, seconds=READY_TIMEOUT_S):
-        """Waits for READY. Raises CannotStart on a timeout."""
+        """Waits for READY. Raises WorldStartError on a timeout."""
         if not self.ready and read_line(self.process, seconds) != READY:
             lines = self.log.read_text().strip().splitlines()
-            raise CannotStart(f"{self.name} did not start: {lines[-1] if lines else 'its log is empty'}")
+            raise WorldStartError(f"{self.name} did not start: {lines[-1] if lines else 'its log is empty'}")
         self.ready = True
 
     def poll_ready(self) -> bool:
@@ -232,7 +232,7 @@
             try:
                 host.process.wait(max(0.1, until - time.monotonic()))
             except subprocess.TimeoutExpired:
-                raise CannotStart(f"{host.name} did not end in {END_TIMEOUT_S:g} s") from None
+                raise WorldStartError(f"{host.name} did not end in {END_TIMEOUT_S:g} s") from None
 
     def record_paths(self) -> list[Path]:
         """Returns the paths of the hosts' records, which exist after `end_hosts`."""
--- a/lichenquay/testbed/scale/world_driver.py
+++ b/lichenquay/testbed/scale/world_driver.py
@@ -11,7 +11,7 @@
 from lichenquay.testbed.scale.scenario import Scenario, Shape
 from lichenquay.testbed.scale.scenario_runner import ScenarioResult, ScenarioRunner, no_progress
 from lichenquay.testbed.scale.world import ScaleWorld
-from lichenquay.testbed.world import CannotStart
+from lichenquay.testbed.world import WorldStartError
 
 LEADER_TIMEOUT_S = 30.0  # Until a publisher must lead.
 LISTING_TIMEOUT_S = 180.0  # Until the engines must be listed.
@@ -32,7 +32,7 @@
         self.memory_share = 0.0  # The highest reading, as a share of the machine's memory.
 
     def __enter__(self):
-        """Starts the processes and the client. Raises CannotStart where one does not start."""
+        """Starts the processes and the client. Raises WorldStartError where one does not start."""
         self.world.__enter__()
         try:
             self.proposer = Proposer(self.world.spec, engines.BackgroundChanges(self.shape))
@@ -113,9 +113,9 @@
         return [lifetime for path in self.world.record_paths() for lifetime in record.read(path)]
 
     def wait_for(self, condition, seconds: float, failure: str):
-        """Waits for `condition()`. Raises CannotStart with the text `failure` on a timeout."""
+        """Waits for `condition()`. Raises WorldStartError with the text `failure` on a timeout."""
         until = time.monotonic() + seconds
         while not condition():
             if time.monotonic() > until:
-                raise CannotStart(f"{failure} within {seconds:g} s")
+                raise WorldStartError(f"{failure} within {seconds:g} s")
             time.sleep(POLL_INTERVAL_S)
--- a/lichenquay/testbed/trial.py
+++ b/lichenquay/testbed/trial.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from lichenquay.load.page import write_page
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.testbed.audit import STRANGE, audit, read_ledger, value_of
 from lichenquay.testbed.world import World
@@ -12,7 +12,7 @@
 
 def figures_of(kept, lab, ledger):
     """A run's report with what the audit found and the value in time."""
-    report, c = report_of(kept, lab), kept.columns()
+    report, c = build_report(kept, lab), kept.columns()
     findings = audit(c, ledger, lab) if c else []
     if report.get("strange_answers"):
         findings.append((STRANGE, report["strange_answers"], []))
@@ -24,7 +24,7 @@
     }
 
 
-def keep(out, lab, kept, figures, ledger=()):
+def write_run_files(out, lab, kept, figures, ledger=()):
     """What a run leaves: its figures, its page, and the targets that `compare` needs."""
     (out / "targets.json").write_text(json.dumps({g.name: g.target_ms for g in lab.groups}))
     (out / "report.json").write_text(json.dumps(figures, indent=1))
@@ -48,7 +48,7 @@
         code = world.leave()
     ledger = read_ledger(world.ledger)
     figures = figures_of(kept, lab, ledger)
-    keep(out, lab, kept, figures, ledger)
+    write_run_files(out, lab, kept, figures, ledger)
     n = max(1, figures["asked"])
     return {
         **figures,
--- a/lichenquay/testbed/fleetnet.py
+++ b/lichenquay/testbed/virtual_network.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class LinkConditions:
     """One direction of a link. Shares 0 to 1."""
 
     loss: float = 0.0
@@ -29,7 +29,7 @@
     cut: bool = False
 
 
-class Host:
+class VirtualHost:
     """A process: `make(host)` gives its parts {layer: part} at each start, with `incarnation`, `rng` and `now_ms()` of
     this host."""
 
@@ -37,31 +37,29 @@
         self.net, self.name, self.make, self.rate, self.offset_ms = net, name, make, rate, offset_ms
         self.incarnation, self.life, self.up, self.paused = 0, 0, False, False
         self.parts, self.waiting, self.wake_ms = {}, [], INF
-        self.sent, self.sent_bytes, self.longest = 0, 0, 0
+        self.sent, self.sent_bytes, self.max_message_bytes = 0, 0, 0
 
     def now_ms(self):
         return self.offset_ms + self.rate * self.net.now_ms
 
 
-class FleetNet:
-    def __init__(self, seed, weather=Weather(), lag_ms=1.0):
+class VirtualNetwork:
+    def __init__(self, seed, weather=LinkConditions(), lag_ms=1.0):
         """`lag_ms`: a tick comes up to so much after it was due."""
-        self.rng, self.seed, self.weather, self.lag_ms = random.Random(seed), seed, weather, lag_ms
+        self.rng, self.seed, self.link_conditions, self.lag_ms = random.Random(seed), seed, weather, lag_ms
         self.hosts, self.links, self.now_ms = {}, {}, 0.0
         self.lost, self.messages = Counter(), 0
         self._heap, self._order = [], count()
         self.after = (
             None  # after(host, layer, part): called when a part was called, before its outbox goes out.
         )
-        self.meddle = (
-            None  # meddle(no, source, target, layer, message): None, or [(target, delay_ms, message)], which
-        )
+        self.intercept = None  # intercept(no, source, target, layer, message): None, or [(target, delay_ms, message)], which
         # are delivered instead of what the weather would make of it.
 
     # --- hosts
 
     def host(self, name, make, rate=1.0, offset_ms=0.0, start=True, incarnation=0):
-        h = self.hosts[name] = Host(self, name, make, rate, offset_ms)
+        h = self.hosts[name] = VirtualHost(self, name, make, rate, offset_ms)
         h.incarnation = incarnation
         if start:
             self.start(name)
@@ -114,7 +112,7 @@
         for a in sources:
             for b in targets:
                 if a != b:
-                    self.links[a, b] = replace(self.links.get((a, b), self.weather), **weather)
+                    self.links[a, b] = replace(self.links.get((a, b), self.link_conditions), **weather)
 
     def split(self, *sides, cut=True):
         """Cuts (or mends) all links between the sides, both ways."""
@@ -123,10 +121,10 @@
                 self.between(a, b, cut=cut)
                 self.between(b, a, cut=cut)
 
-    def mend(self, weather=None):
+    def reset_links(self, weather=None):
         """Every link has the same weather again."""
         self.links.clear()
-        self.weather = weather or self.weather
+        self.link_conditions = weather or self.link_conditions
 
     # --- time
 
@@ -190,15 +188,15 @@
         h.sent_bytes += len(data)
         h.longest = max(h.longest, len(data))
         sender = (h.name, h.incarnation)
-        if self.meddle is not None:
-            instead = self.meddle(self.messages, h.name, target, layer, message)
+        if self.intercept is not None:
+            instead = self.intercept(self.messages, h.name, target, layer, message)
             if instead is not None:
                 for to, delay, other in instead:
                     self.at(
                         self.now_ms + delay, self._arrive, to, layer, sender, other.SerializeToString(), form
                     )
                 return
-        w = self.links.get((h.name, target), self.weather)
+        w = self.links.get((h.name, target), self.link_conditions)
         if w.cut or (w.loss and self.rng.random() < w.loss):
             self.lost["cut" if w.cut else "loss"] += 1
             return
--- a/lichenquay/testbed/world.py
+++ b/lichenquay/testbed/world.py
@@ -13,18 +13,18 @@
 from google.protobuf import text_format
 
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.load.child import ROOT, environment, read_line, start_module
+from lichenquay.load.child import ROOT, child_environment, read_line, start_module
 
 READY_S = 15.0
 EFFECTS = {pb.READ_ONLY: "safe", pb.TOKENED: "keyed", pb.MUTATING: "unsafe"}
 log = structlog.get_logger()
 
 
-class CannotStart(Exception):
+class WorldStartError(Exception):
     """One line."""
 
 
-def settings_of(lab):
+def platform_settings(lab):
     """What the world's fronts are told of it, in the platform's names."""
     e = lab.engines
     return {
@@ -91,7 +91,7 @@
 
     def __init__(self, lab, out, front="lichenquay.gateway", arguments=()):
         self.lab, self.out, self.front, self.arguments = lab, Path(out), front, arguments
-        self.processes, self.fronts, self.addresses = [], [], []
+        self.processes, self.gateways, self.addresses = [], [], []
         self.ledger = self.out / "ledger.jsonl"
 
     def __enter__(self):
@@ -101,7 +101,7 @@
             self.processes.append(self.emulator)
             line = read_line(self.emulator, READY_S)
             if not line:
-                raise CannotStart("the emulator did not start")
+                raise WorldStartError("the emulator did not start")
             self.told = json.loads(line)
             for i in range(self.lab.front.count):
                 self.start_front(i)
@@ -125,12 +125,12 @@
             },
             "bulletin": self.told["bulletin"],
             "known": self.told["known"],
-            "settings": settings_of(self.lab),
+            "settings": platform_settings(self.lab),
         }
         path = self.out / f"front-{i}.json"
         path.write_text(json.dumps(config))
         more = {"BALANCER_CONFIG": str(path)}
-        own = self.settings_of_front(i)
+        own = self.gateway_settings(i)
         if own is not None:
             settings = self.out / f"settings-{i}.textproto"
             settings.write_text(text_format.MessageToString(own))
@@ -141,12 +141,12 @@
                 stderr=out,
                 stdout=out,
                 stdin=subprocess.DEVNULL,
-                env={**environment(), **more},
+                env={**child_environment(), **more},
                 cwd=ROOT,
                 start_new_session=True,
             )
         self.processes.append(front)
-        self.fronts.append(front)
+        self.gateways.append(front)
         self.addresses.append(address)
         until = time.monotonic() + READY_S
         while time.monotonic() < until and front.poll() is None:
@@ -156,9 +156,9 @@
             except OSError:
                 time.sleep(0.02)
         text = (self.out / f"front-{i}.log").read_text().strip().splitlines()
-        raise CannotStart(f"front {i} did not start: {text[-1] if text else 'no word of it'}")
+        raise WorldStartError(f"front {i} did not start: {text[-1] if text else 'no word of it'}")
 
-    def settings_of_front(self, i):
+    def gateway_settings(self, i):
         """A front's settings of our own features, or None."""
         return pb.Settings(gate=self.lab.front.gate) if self.lab.front.HasField("gate") else None
 
@@ -169,25 +169,25 @@
 
     def stall(self, seconds, which=0):
         """A front stands still: what a stall is."""
-        front = self.fronts[which]
+        front = self.gateways[which]
         front.send_signal(signal.SIGSTOP)
         time.sleep(seconds)
         front.send_signal(signal.SIGCONT)
 
     def cpu_s(self, which=0):
         """CPU seconds that a front has used."""
-        fields = Path(f"/proc/{self.fronts[which].pid}/stat").read_text().rpartition(")")[2].split()
+        fields = Path(f"/proc/{self.gateways[which].pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def peak_mb(self, which=0):
-        for line in Path(f"/proc/{self.fronts[which].pid}/status").read_text().splitlines():
+        for line in Path(f"/proc/{self.gateways[which].pid}/status").read_text().splitlines():
             if line.startswith("VmHWM"):
                 return int(line.split()[1]) / 1024
         return 0.0
 
     def leave(self, which=0, seconds=6.0):
         """SIGTERM, as at a planned restart; its exit code."""
-        front = self.fronts[which]
+        front = self.gateways[which]
         front.terminate()
         try:
             return front.wait(seconds)
@@ -196,7 +196,7 @@
             return front.wait()
 
     def __exit__(self, *_):
-        for front in self.fronts:
+        for front in self.gateways:
             if front.poll() is None:
                 front.terminate()
         for process in self.processes[::-1]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
     "test_slow_start_fleet",
     "test_matrix",
     "test_settings",
-    "test_written_later",
+    "test_dispatch_races",
     "test_closing",
     "test_engine_connections",
     "test_membership",
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_world import RESULT, answered
-from hooks import PlainClient, assert_no_more_posts, counter, query_frame, wait_until_over
+from interleavings import PlainClient, assert_no_more_posts, counter, query_frame, wait_until_over
 from loopback import until, wait
 
 from lichenquay.gateway import client_connection, frames, request_intake
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -9,9 +9,9 @@
 
 import pytest
 from gateway_world import answered
-from hooks import PlainClient, environment, is_ready, wait_until_over
+from interleavings import PlainClient, environment, is_ready, wait_until_over
 from loopback import StandInDiscovery, until, wait
-from ports import listening_port
+from ports import allocate_free_port
 
 from lichenquay.gateway import frames, service
 
@@ -116,7 +116,7 @@
     runs = []
 
     def start(world, sockets, **more):
-        world.port = listening_port()
+        world.port = allocate_free_port()
         world.path.write_text(
             json.dumps(
                 {
@@ -149,7 +149,7 @@
 def test_discovery_finds_a_descriptor_though_idle_clients_hold_many(make_world, start_program):
     """Its connection must find one once the service is back."""
     world = make_world(engines=2, start=False)
-    at = listening_port()
+    at = allocate_free_port()
     run = start_program(world, 120, bulletin=f"127.0.0.1:{at}")
     until(lambda: accepts_connections(world.port), 10)
     crowd = []
--- a/tests/crossings/test_written_later.py
+++ b/tests/crossings/test_dispatch_races.py
@@ -5,7 +5,7 @@
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, start_with_settings
-from hooks import DelayedConnections, assert_no_more_posts, counter, wait_until_over
+from interleavings import DelayedConnections, assert_no_more_posts, counter, wait_until_over
 from loopback import until, wait
 
 from lichenquay.gateway import frames
--- a/tests/crossings/test_engine_connections.py
+++ b/tests/crossings/test_engine_connections.py
@@ -5,7 +5,7 @@
 
 import pytest
 from gateway_world import RESULT, answered
-from hooks import DelayedConnections, counter, wait_until_over
+from interleavings import DelayedConnections, counter, wait_until_over
 from loopback import PAGES, until, wait
 from twisted.internet.error import ConnectionAborted
 from twisted.python.failure import Failure
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -9,9 +9,9 @@
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, start_with_settings
-from hooks import PlainClient, counter, environment, is_ready, query_frame
+from interleavings import PlainClient, counter, environment, is_ready, query_frame
 from loopback import until, wait
-from ports import listening_port
+from ports import allocate_free_port
 
 from lichenquay.gateway import frames, service
 from lichenquay.gateway.service import ServicePhase
@@ -132,7 +132,7 @@
 def test_signals_in_quick_succession_end_the_program_in_order(make_world, signals):
     """To the program itself, with queries open; each is answered, and it exits with 0."""
     world = make_world(engines=2, start=False)
-    world.port = listening_port()
+    world.port = allocate_free_port()
     world.path.write_text(json.dumps({**world.config, "listen": f"127.0.0.1:{world.port}"}))
     run = subprocess.Popen(
         [sys.executable, "-m", "lichenquay.gateway"],
@@ -173,7 +173,7 @@
 @contextlib.contextmanager
 def gateway_with_stepping_clock(world, sign, step_s):
     """Runs the program, whose wall clock steps once the file `sign` is there."""
-    world.port = listening_port()
+    world.port = allocate_free_port()
     world.path.write_text(json.dumps({**world.config, "listen": f"127.0.0.1:{world.port}"}))
     run = subprocess.Popen(
         [sys.executable, "-c", STEPS, str(sign), str(step_s)],
--- a/tests/crossings/test_matrix.py
+++ b/tests/crossings/test_matrix.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_world import STATEMENT, answered
-from hooks import DelayedConnections, assert_all_released, counter, query_frame
+from interleavings import DelayedConnections, assert_all_released, counter, query_frame
 from loopback import until, wait
 
 from lichenquay.gateway import frames
--- a/tests/crossings/test_settings.py
+++ b/tests/crossings/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 from gateway_world import RESULT, SETTINGS, answered, reactor_for
-from hooks import counter, wait_until_over
+from interleavings import counter, wait_until_over
 from loopback import until
 
 from lichenquay.gateway import frames
--- a/tests/distribution/installation.py
+++ b/tests/distribution/installation.py
@@ -5,10 +5,10 @@
 import sys
 from pathlib import Path
 
-from ports import listening_ports
+from ports import allocate_free_ports
 from recording_subscriber import ReaderThread, RecordingSubscriber
 from relay import Relay
-from running import Running, until
+from running import ProcessGroup, until
 
 ROOT = Path(__file__).resolve().parents[2]
 FLEET = f"test-{os.getpid()}"  # Different in each test process.
@@ -31,14 +31,14 @@
         target = self.targets.get(receiver)
         if target is None:  # From an earlier owner of the port.
             return
-        self.links[pair].passed += 1
+        self.links[pair].forwarded += 1
         try:
             self.sockets[receiver, sender].sendto(data, target)
         except OSError:  # Nothing listens there now.
             return
 
 
-class Installation(Running):
+class Installation(ProcessGroup):
     """Runs three voters in three regions, two relays in two zones, and subscribers; a context manager."""
 
     def __init__(self, path, subscriber_count=4, seed=1, figures=FIGURES, refusing=(), discovery=""):
@@ -54,7 +54,7 @@
         names = (*VOTERS, *RELAYS, *self.subscriber_names, *CLIENTS, GATEWAY)
         self.links = UdpLinks(names, seed)
         listeners = VOTERS + RELAYS
-        self.ports = dict(zip(listeners, listening_ports(len(listeners)), strict=True))
+        self.ports = dict(zip(listeners, allocate_free_ports(len(listeners)), strict=True))
         self.links.targets = {name: ("127.0.0.1", port) for name, port in self.ports.items()}
         self.starts = dict.fromkeys(listeners, 0)
         self.subscribers = {}
@@ -164,7 +164,9 @@
 
         def find_holders():
             holders[:] = [
-                name for name in among if ["lease", "holds"] in [words[:2] for words in self.told(name)]
+                name
+                for name in among
+                if ["lease", "holds"] in [words[:2] for words in self.status_report(name)]
             ]
             return bool(holders)
 
@@ -175,4 +177,4 @@
     def count(self, name, *words):
         """Returns the number in the SIGUSR1 report's line with these words, 0 if there is none."""
         label = [*words[:-1], f"{words[-1]}:"]
-        return next((float(line[-1]) for line in self.told(name) if line[:-1] == label), 0.0)
+        return next((float(line[-1]) for line in self.status_report(name) if line[:-1] == label), 0.0)
--- a/tests/distribution/test_distributed_engines.py
+++ b/tests/distribution/test_distributed_engines.py
@@ -3,7 +3,7 @@
 import pytest
 from discovery_server import DiscoveryServer, engine
 from installation import VOTERS, Installation
-from ports import listening_ports
+from ports import allocate_free_ports
 from running import until
 from test_distribution_gateway import GatewayProcess
 
@@ -14,7 +14,7 @@
 @pytest.fixture
 def discovery():
     """A discovery service that has announced three engines."""
-    with DiscoveryServer(*listening_ports(1)) as discovery:
+    with DiscoveryServer(*allocate_free_ports(1)) as discovery:
         discovery.announce(*(engine(f"e{number}") for number in range(3)), is_whole=True)
         yield discovery
 
--- a/tests/distribution/test_distribution_front.py
+++ b/tests/distribution/test_distribution_front.py
@@ -13,7 +13,7 @@
 from cluster import Cluster
 from gateway_world import SETTINGS
 from installation import FLEET, GATEWAY, RELAYS, ROOT, START_TIMEOUT_S, VOTERS, Installation
-from ports import listening_ports
+from ports import allocate_free_ports
 from running import until
 
 from lichenquay.cli.config import config
@@ -33,7 +33,7 @@
         self.name = name
         self.extra_settings = extra_settings
         self.known_engines = list(known_engines)
-        self.port, self.distribution_port = listening_ports(2)
+        self.port, self.distribution_port = allocate_free_ports(2)
         installation.links.targets[name] = ("127.0.0.1", self.distribution_port)
 
     def settings_text(self):
@@ -88,7 +88,7 @@
 
     def applied_version(self):
         """Returns the version in force according to its report."""
-        return version_in_force(self.installation.told(self.name))
+        return version_in_force(self.installation.status_report(self.name))
 
     def count_accepted(self, count):
         """Opens `count` connections and returns how many are accepted, that is, not closed at once."""
@@ -121,9 +121,9 @@
         self.installation = installation
         super().__init__(path, count)
 
-    def fleet_text(self, name):
+    def fleet_settings_text(self, name):
         """Returns the fleet and distribution settings; names and addresses are only in the former."""
-        fleet = super().fleet_text(name).replace('"yard"', f'"{FLEET}"')
+        fleet = super().fleet_settings_text(name).replace('"yard"', f'"{FLEET}"')
         relays = " ".join(
             f'relays {{ name: "{relay}" address: "127.0.0.1:{self.installation.ports[relay]}" '
             f'region: "g{relay[1]}" zone: "z{relay[1]}" }}'
@@ -183,7 +183,7 @@
         until(lambda: gateway.applied_version() == 1, 10)
         for name in RELAYS:
             installation.kill(name)
-        until(lambda: "stale" in sum(installation.told(gateway.name), []), 10)
+        until(lambda: "stale" in sum(installation.status_report(gateway.name), []), 10)
         assert gateway.applied_version() == 1 and gateway.count_accepted(3) == 1
         for name in RELAYS:
             installation.restart(name)
@@ -200,11 +200,11 @@
     with installation, FollowingCluster(cluster_path, 2, installation) as cluster:
         assert run_command(installation, "put", "config/gate", GATE).exit_code == 0
         for name in cluster.names:
-            until(lambda name=name: version_in_force(cluster.told(name)) == 1, 15)
-        until(lambda: cluster.agree(states={"a": "alive", "b": "alive"}), 10, 0.2)
+            until(lambda name=name: version_in_force(cluster.status_report(name)) == 1, 15)
+        until(lambda: cluster.views_agree(states={"a": "alive", "b": "alive"}), 10, 0.2)
         cluster.kill("a")
-        cluster.back("a")
-        until(lambda: version_in_force(cluster.told("a")) == 1, 15)
+        cluster.restart("a")
+        until(lambda: version_in_force(cluster.status_report("a")) == 1, 15)
         assert cluster.leave("b") == 0
 
 
--- a/tests/distribution_faults.py
+++ b/tests/distribution_faults.py
@@ -8,7 +8,7 @@
 from distribution_world import LEASE_MS, SETTINGS, VOTERS, World
 
 from lichenquay.distribution import distribution_pb2 as pb
-from lichenquay.testbed.fleetnet import Weather
+from lichenquay.testbed.virtual_network import LinkConditions
 
 
 class FaultKind(Enum):
@@ -42,10 +42,10 @@
 SETTLE_TIMEOUT_MS = 25_000.0  # From the last fault until all accepted changes are in force everywhere.
 KEY_COUNT = 12
 IMPAIRMENTS = (
-    Weather(),
-    Weather(loss=0.05, doubled=0.1, late=0.1, late_ms=3000),
-    Weather(loss=0.2, delay_ms=(1, 80), late=0.05),
-    Weather(doubled=0.3, late=0.3, late_ms=800),
+    LinkConditions(),
+    LinkConditions(loss=0.05, doubled=0.1, late=0.1, late_ms=3000),
+    LinkConditions(loss=0.2, delay_ms=(1, 80), late=0.05),
+    LinkConditions(doubled=0.3, late=0.3, late_ms=800),
 )
 # A short history and a short log, so that snapshots and log compaction occur.
 SHORT_HISTORY = replace(
@@ -147,7 +147,7 @@
 
 def end_faults(world):
     """Ends all faults: starts all processes and restores all links."""
-    world.net.mend(Weather())
+    world.net.reset_links(LinkConditions())
     for name in (*VOTERS, *world.relays, *world.gateways):
         if not world.net.hosts[name].up:
             world.net.start(name)
@@ -244,8 +244,8 @@
 
     def _lose_packets(self, _name):
         """Makes all links lose 35% of the messages for a while."""
-        original = self.net.weather
-        self.net.weather = replace(self.net.weather, loss=0.35, doubled=0.1)
+        original = self.net.link_conditions
+        self.net.link_conditions = replace(self.net.link_conditions, loss=0.35, doubled=0.1)
         self._schedule(setattr, self.net, "weather", original)
 
     def _refuse(self, _name):
--- a/tests/distribution_mutation.py
+++ b/tests/distribution_mutation.py
@@ -86,7 +86,7 @@
             return None
         return mutation.deliveries(world, receiver, message)
 
-    world.net.meddle = intercept
+    world.net.intercept = intercept
     world.settle(SETTLE_TIMEOUT_MS)
     for change in range(8):
         world.propose_until_accepted(
@@ -180,7 +180,7 @@
         if name == "lost with those that follow":
             senders = [host for host in world.net.hosts if host != receiver]
             world.net.between(senders, [receiver], cut=True)
-            world.net.at(world.net.now_ms + 400, world.net.mend)
+            world.net.at(world.net.now_ms + 400, world.net.reset_links)
         by_name = {
             "duplicated": [(receiver, DELAY_MS, message), (receiver, 0.9, message)],
             "delayed past the next message": [(receiver, 1300.0, message)],
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -13,7 +13,7 @@
 from lichenquay.distribution.subscriber import Subscriber
 from lichenquay.fleet.message_envelope import MAX_BODY_BYTES, Layer
 from lichenquay.lease.lease_pb2 import Message as LeaseMessage
-from lichenquay.testbed.fleetnet import FleetNet, Weather
+from lichenquay.testbed.virtual_network import LinkConditions, VirtualNetwork
 
 LEASE_MS = 1500.0
 VOTERS = ("v1", "v2", "v3")
@@ -213,7 +213,7 @@
         self.lease_ms = lease_ms
         self.voters = voters
         self.voters_without_data = set()  # Voters whose disk was lost.
-        self.net = FleetNet(seed, weather or Weather())
+        self.net = VirtualNetwork(seed, weather or LinkConditions())
         self.rng = Random(f"world/{seed}")
         self.audit = Audit()
         self.net.after = self._check_outbox
@@ -285,7 +285,7 @@
         return None
 
     def run(self, ms, done=None):
-        """Runs for a time in ms, or until done() is true; returns what FleetNet.run does."""
+        """Runs for a time in ms, or until done() is true; returns what VirtualNetwork.run does."""
         return self.net.run(self.net.now_ms + ms, done)
 
     def settle(self, ms=20_000):
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -7,15 +7,15 @@
 from pathlib import Path
 
 from gateway_world import SETTINGS
-from ports import listening_ports
+from ports import allocate_free_ports
 from relay import Relay
-from running import Running, until
+from running import ProcessGroup, until
 
 ROOT = Path(__file__).resolve().parents[2]
 GOES, CUT = ("alive", "suspect"), ("faulty", "left", "removed")
 
 
-class Cluster(Running):
+class Cluster(ProcessGroup):
     """A context: `count` fronts named a, b, c, ...; each with its own folder, configuration and settings under `path`."""
 
     def __init__(
@@ -40,8 +40,8 @@
         )
         self.settings, self.folders, self.env, self.fleet = settings, folders, env or {}, fleet
         self.names = [chr(97 + i) for i in range(count)]
-        self.doors = dict(zip(self.names, listening_ports(count)))
-        self.ports = dict(zip(self.names, listening_ports(count)))
+        self.doors = dict(zip(self.names, allocate_free_ports(count)))
+        self.ports = dict(zip(self.names, allocate_free_ports(count)))
         self.relay, self.starts = Relay(self.names, seed), dict.fromkeys(self.names, 0)
         self.relay.targets = {n: ("127.0.0.1", p) for n, p in self.ports.items()}
 
@@ -61,7 +61,7 @@
         self.end_all()
         self.relay.close()
 
-    def fleet_text(self, name):
+    def fleet_settings_text(self, name):
         peers = " ".join(
             f'peers {{ name: "{p}" address: "{self.relay.address(name, p)}" }}'
             for p in self.names
@@ -85,7 +85,7 @@
                 }
             )
         )
-        text.write_text(self.fleet_text(name))
+        text.write_text(self.fleet_settings_text(name))
         self.starts[name] += 1
         more = {"LICHENQUAY_SETTINGS": str(text)} if self.fleet else {}
         with open(self.path / f"{name}.log", "a", encoding="utf-8") as out:
@@ -111,18 +111,18 @@
         )
         assert self.running[name].poll() is None, self.log(name)[-2000:]
 
-    def back(self, name):
+    def restart(self, name):
         self.start(name)
         self.begun(name)
 
     def members(self, name):
         """{member: (incarnation, state)} as that front has it."""
-        return {w[1]: (int(w[2]), w[3]) for w in self.told(name) if w[:1] == ["member"]}
+        return {w[1]: (int(w[2]), w[3]) for w in self.status_report(name) if w[:1] == ["member"]}
 
     def digest(self, name):
-        return next((w[2] for w in self.told(name) if w[:1] == ["view"]), None)
+        return next((w[2] for w in self.status_report(name) if w[:1] == ["view"]), None)
 
-    def agree(self, names=None, states=None):
+    def views_agree(self, names=None, states=None):
         """Whether all hold the same of everybody; and `states`, where given: {member: state}."""
         views = [self.members(n) for n in names or self.names]
         return (
--- a/tests/fleet/fleet_mutants.py
+++ b/tests/fleet/fleet_mutants.py
@@ -16,10 +16,10 @@
 
 import broken_rules
 import fleet_scenario as scenario
+from excluded_changes import outside
 from fleet_audit import Audit
-from fleet_marks import mark
 from fleet_mutations import PAST, dropped, is_field, kind_of, mutations
-from outside import outside
+from fleet_state_digest import mark
 from virtual_fleet import World
 
 CHECK_MS = 1e-3  # after the mutant's arrival
--- a/tests/fleet/terminals.py
+++ b/tests/fleet/query_clients.py
@@ -10,8 +10,8 @@
 from lichenquay.config.testbed_settings import read_testbed
 from lichenquay.gateway import frames
 from lichenquay.load.child import read_line
-from lichenquay.load.task import Task, statement_of
-from lichenquay.testbed.world import settings_of, start_emulator
+from lichenquay.load.task import Task, encode_statement
+from lichenquay.testbed.world import platform_settings, start_emulator
 
 
 class Engines:
@@ -19,7 +19,7 @@
 
     def __init__(self, path, world):
         self.path, self.lab = Path(path), read_testbed(world)
-        self.settings = settings_of(self.lab)
+        self.settings = platform_settings(self.lab)
 
     def __enter__(self):
         self.ledger = self.path / "engines.jsonl"
@@ -92,7 +92,7 @@
             "effort": f"{self.work_ms:.1f}",
             "memory": "16",
         }
-        statement = statement_of(Task(ref, self.group, self.work_ms, 16.0, tables="3"))
+        statement = encode_statement(Task(ref, self.group, self.work_ms, 16.0, tables="3"))
         with self.lock:
             self.asked[ref], self.refs[self.stream] = time.monotonic(), ref
         try:
--- a/tests/fleet/relay.py
+++ b/tests/fleet/relay.py
@@ -23,7 +23,7 @@
     most_ms: float = 0.0  # drawn between the two, so that datagrams overtake each other
     cut: bool = False
     change: object = None  # called with each datagram; gives what goes on in its place: a list
-    passed: int = 0
+    forwarded: int = 0
     dropped: int = 0
 
 
@@ -98,7 +98,7 @@
                     heapq.heappush(self.late, (time.monotonic() + wait_ms / 1000, self.numbers, pair, data))
 
     def send(self, pair, data):
-        self.links[pair].passed += 1
+        self.links[pair].forwarded += 1
         try:
             self.sockets[pair].sendto(data, self.targets[pair[1]])
         except OSError:  # nobody listens there now
--- a/tests/fleet/running.py
+++ b/tests/fleet/running.py
@@ -5,7 +5,7 @@
 import time
 
 
-class Running:
+class ProcessGroup:
     """`path`: where each has its log, NAME.log. `running`: {name: process}."""
 
     def __init__(self, path):
@@ -58,7 +58,7 @@
                     got.append(said)
         return got
 
-    def told(self, name, seconds=3.0):
+    def status_report(self, name, seconds=3.0):
         """SIGUSR1's lines, as a list of words each."""
         before = len(self.log(name))
         self.signal(name, signal.SIGUSR1)
--- a/tests/fleet/test_fleet_cost.py
+++ b/tests/fleet/test_fleet_cost.py
@@ -6,7 +6,7 @@
 
 import pytest
 from cluster import Cluster, until
-from terminals import Engines, Terminal
+from query_clients import Engines, Terminal
 from test_fleet_quota import ACCOUNTS, WORLD
 
 RATE, SECONDS = 120, 6.0
--- a/tests/fleet/test_fleet_mutation.py
+++ b/tests/fleet/test_fleet_mutation.py
@@ -15,9 +15,9 @@
 import broken_rules
 import fleet_scenario as scenario
 import pytest
+from excluded_changes import OUTSIDE, outside
 from fleet_mutants import end_of
 from fleet_mutations import WAYS, is_field, kind_of, mutations
-from outside import OUTSIDE, outside
 
 HERE = os.path.dirname(os.path.abspath(__file__))
 SEED, SAMPLE, PARTS, WORKERS = broken_rules.SEED, 70, 16, 2
--- a/tests/fleet/test_fleet_quota.py
+++ b/tests/fleet/test_fleet_quota.py
@@ -8,7 +8,7 @@
 
 import pytest
 from cluster import Cluster, until
-from terminals import Engines, Terminal
+from query_clients import Engines, Terminal
 
 ACCOUNTS = "lease_ms: 1200 term_ms: 3000 " + " ".join(
     f'accounts {{ tenant: "{t}" rate_ms: {rate} bucket_ms: {bucket} credit_ms: {credit} due_ms: 8000 repay_share: 0.5 lend_share: 0.8 }}'
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -5,8 +5,8 @@
 from lichenquay.membership.message_format import MAX_BODY_BYTES
 from lichenquay.membership.probing import MAX_EXTRA_PROBES, MAX_RELAYED_PINGS
 from lichenquay.membership.settings import Settings
-from lichenquay.testbed.fleetnet import Weather
-from lichenquay.testbed.observed_members import Watched
+from lichenquay.testbed.observed_fleet import ObservedFleet
+from lichenquay.testbed.virtual_network import LinkConditions
 
 ALIVE, SUSPECT = MemberState.ALIVE, MemberState.SUSPECT
 FAULTY = MemberState.FAULTY
@@ -15,7 +15,7 @@
 MAX_OUTBOX = 200
 MAX_JOIN_MS = 20_000
 SETTLING_MS = 3_000
-LOSSLESS_NETWORK = Weather()
+LOSSLESS_NETWORK = LinkConditions()
 DEFAULT_SETTINGS = Settings()
 QUICK = Settings(
     probe_period_ms=100,
@@ -35,7 +35,7 @@
         """Checks a fleet from now on."""
         self.check_count = 0
         self.observed = {}  # {(host, start): (view number, precedences, states after the changes)}
-        fleet.looks.append(self)
+        fleet.observers.append(self)
 
     def __call__(self, host, detector, changes):
         """Checks one detector after a call that made `changes`."""
@@ -79,7 +79,7 @@
     def check_bounds(host, detector):
         """Checks that memory, messages and the time of the next call are bounded."""
         assert len(detector.table.members) <= MAX_MEMBERS
-        assert host.longest <= MAX_BODY_BYTES
+        assert host.max_message_bytes <= MAX_BODY_BYTES
         assert len(detector.prober.probes) <= MAX_EXTRA_PROBES + 1
         assert len(detector.prober.relayed_pings) <= MAX_RELAYED_PINGS
         assert len(detector.outbox) < MAX_OUTBOX
@@ -91,10 +91,10 @@
 
 def make_fleet(count, seed, impairment=LOSSLESS_NETWORK, settings=DEFAULT_SETTINGS, joined=True, **options):
     """Returns a fleet f0, f1, ... with invariants; `joined`: once all know each other and have settled."""
-    fleet = Watched([f"f{number}" for number in range(count)], seed, impairment, settings, **options)
+    fleet = ObservedFleet([f"f{number}" for number in range(count)], seed, impairment, settings, **options)
     fleet.invariants = MembershipInvariants(fleet)
     if joined:
-        assert fleet.until(fleet.agree, MAX_JOIN_MS) is not None
+        assert fleet.until(fleet.views_agree, MAX_JOIN_MS) is not None
         fleet.run(SETTLING_MS)
         fleet.log.clear()
     return fleet
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -31,12 +31,12 @@
     return True
 
 
-def listening_ports(count):
+def allocate_free_ports(count):
     """Free ports for TCP or UDP. Nobody else is given one before its process listens: not a client of another
     test, since the system takes a client's port from elsewhere, and not another worker's process."""
     return list(itertools.islice(filter(is_free, _candidates), count))
 
 
-def listening_port():
+def allocate_free_port():
     """A port that nothing listens on."""
-    return listening_ports(1)[0]
+    return allocate_free_ports(1)[0]
--- a/tests/test_capacity_probes.py
+++ b/tests/test_capacity_probes.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from lichenquay.cli.main import cli
-from lichenquay.load.child import environment
+from lichenquay.load.child import child_environment
 from lichenquay.testbed.scale import capacity, plan
 from lichenquay.testbed.scale.catalogue import PROBES, Probe
 from lichenquay.testbed.scale.fit import Model
@@ -213,7 +213,7 @@
 def test_other_commands_do_not_import_the_probes():
     """The probes import most of the tree, which slows down every start."""
     code = "import sys, lichenquay.cli.main; sys.exit(any('testbed.scale' in name for name in sys.modules))"
-    assert subprocess.run([sys.executable, "-c", code], env=environment(), check=False).returncode == 0
+    assert subprocess.run([sys.executable, "-c", code], env=child_environment(), check=False).returncode == 0
 
 
 def test_a_stopwatch_counts_nested_use_once():
--- a/tests/test_config_control.py
+++ b/tests/test_config_control.py
@@ -5,10 +5,10 @@
 from lichenquay.config import lichenquay_pb2 as pb
 from lichenquay.config.control_settings import (
     RANGES,
+    find_warnings,
     group_fingerprint,
     lease_duration_ms,
     region_of,
-    warnings_of,
 )
 from lichenquay.config.distribution_settings import (
     distribution_fingerprint,
@@ -151,7 +151,7 @@
 def test_one_voter_works_with_a_warning():
     """Said at the start, and by `check`."""
     said = read_settings(control_text(voters=VOTERS[:1], relays=[]))
-    assert warnings_of(said) == [
+    assert find_warnings(said) == [
         "control.voters: one alone; while it is down nothing changes, and its folder is the only one"
     ]
 
@@ -168,7 +168,7 @@
 def test_a_region_that_nothing_changes_without_is_told(regions, warned):
     """Two regions alone always have one."""
     voters = [(f"v{i}", i, region) for i, region in enumerate(regions, 1)]
-    warnings = warnings_of(read_settings(control_text(voters=voters)))
+    warnings = find_warnings(read_settings(control_text(voters=voters)))
     assert len(warnings) == (warned is not None) and (not warned or warned in warnings[0])
 
 
--- a/tests/test_endpoint_importer.py
+++ b/tests/test_endpoint_importer.py
@@ -10,7 +10,7 @@
 from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as conf
 from lichenquay.config.distributed_values import CHECKS_BY_PREFIX
-from lichenquay.config.endpoint_list import COMPLETE_KEY, key_of, record_of, value_of
+from lichenquay.config.endpoint_list import COMPLETE_KEY, decode_endpoint, encode_endpoint, endpoint_key
 from lichenquay.config.errors import InvalidEndpointError
 from lichenquay.control_plane.endpoint_importer import MAX_PENDING_CHANGES, RETRY_DELAY_MS, EndpointImporter
 from lichenquay.distribution import distribution_pb2 as pb
@@ -67,7 +67,7 @@
     def published(self):
         """Returns {uid: state} of the published entries."""
         entries = self.speculative_state.entries.items()
-        records = (record_of(key, value) for key, (value, _) in entries if key != COMPLETE_KEY)
+        records = (decode_endpoint(key, value) for key, (value, _) in entries if key != COMPLETE_KEY)
         return {record.uid: record.state for record in records}
 
 
@@ -216,7 +216,7 @@
 def test_an_entry_that_describes_no_engine_is_rejected(key, value, reason):
     """The reason is one line, and the publisher's check gives it too."""
     with pytest.raises(InvalidEndpointError, match=reason):
-        record_of(key, value)
+        decode_endpoint(key, value)
     assert reason in CHECKS_BY_PREFIX["engine/"](key, value)
 
 
@@ -224,7 +224,7 @@
 def test_any_bytes_are_parsed_or_rejected(value):
     """Bytes either describe an engine or raise InvalidEndpointError."""
     try:
-        record = record_of("engine/z/e", value)
+        record = decode_endpoint("engine/z/e", value)
     except InvalidEndpointError:
         return
-    assert record_of(key_of(record), value_of(record)) == record
+    assert decode_endpoint(endpoint_key(record), encode_endpoint(record)) == record
--- a/tests/test_fleet_applied_configuration.py
+++ b/tests/test_fleet_applied_configuration.py
@@ -7,7 +7,7 @@
 
 from lichenquay.admission import domain
 from lichenquay.config import lichenquay_pb2 as pb
-from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, value_of
+from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, encode_endpoint, endpoint_key
 from lichenquay.config.reader import read_settings
 from lichenquay.distribution import distribution_pb2 as wire
 from lichenquay.distribution.settings import Settings
@@ -144,7 +144,9 @@
 def entries_of(*records):
     """Returns the published entries of engines; a removed engine is a deleted key."""
     return {
-        key_of(record): None if record.state == domain.EndpointState.REMOVED else value_of(record)
+        endpoint_key(record): None
+        if record.state == domain.EndpointState.REMOVED
+        else encode_endpoint(record)
         for record in records
     }
 
--- a/tests/test_golden_config.py
+++ b/tests/test_golden_config.py
@@ -18,7 +18,13 @@
     distribution_settings,
     followed_prefixes,
 )
-from lichenquay.config.endpoint_list import COMPLETE, COMPLETE_KEY, key_of, record_of, value_of
+from lichenquay.config.endpoint_list import (
+    COMPLETE,
+    COMPLETE_KEY,
+    decode_endpoint,
+    encode_endpoint,
+    endpoint_key,
+)
 from lichenquay.config.fleet_settings import (
     fingerprint,
     gateway_names,
@@ -91,11 +97,11 @@
 @pytest.mark.parametrize("case", EXPECTED["endpoints"], ids=lambda case: case["key"])
 def test_an_endpoint_entry_is_the_same_bytes(case):
     """Read and written."""
-    record = record_of(case["key"], bytes.fromhex(case["value"]))
+    record = decode_endpoint(case["key"], bytes.fromhex(case["value"]))
     fields = [*record]
     fields[5] = ENDPOINT_STATES.index(record.state)
     assert fields == case["fields"]
-    assert (key_of(record), value_of(record).hex()) == (case["key"], case["value"])
+    assert (endpoint_key(record), encode_endpoint(record).hex()) == (case["key"], case["value"])
 
 
 def test_the_marker_of_a_complete_endpoint_list_is_the_same():
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -18,7 +18,7 @@
 from lichenquay.load import plan
 from lichenquay.load.compare import ComparedRun, QuerySample, compare
 from lichenquay.load.errors import TraceError
-from lichenquay.load.report import report_of
+from lichenquay.load.report import build_report
 from lichenquay.load.run import Workers
 from lichenquay.load.self_test import measure_stall, null_server
 from lichenquay.load.trace import read_trace, write_trace
@@ -127,7 +127,7 @@
         workers = Workers(testbed, address, tmp_path, rows=False)
         workers.start()
         result = workers.run()
-    report = report_of(result, testbed)
+    report = build_report(result, testbed)
     columns = result.columns()
     assert report["asked"] == len(workers.plan["at_ms"])
     assert not report["silent"]
@@ -156,7 +156,7 @@
                 (1.3, lambda: process.send_signal(signal.SIGCONT)),
             ]
         )
-    report = report_of(result, testbed)
+    report = build_report(result, testbed)
     columns = result.columns()
     assert report["waited_for_a_stream"] > 50
     assert not report["silent"]
@@ -175,7 +175,7 @@
         workers = Workers(testbed, address, tmp_path, rows=False)
         workers.start()
         result = workers.run(during=[(0.6, lambda: workers.processes[1].kill())])
-    report = report_of(result, testbed)
+    report = build_report(result, testbed)
     planned = len(workers.plan["at_ms"])
     assert report["void"]
     assert report["missing"] == [f"worker 1 of 2: {planned // 2} queries meant for it"]
@@ -192,7 +192,7 @@
         threading.Timer(1.5, os.kill, (os.getpid(), signal.SIGINT)).start()
         started_s = time.monotonic()
         result = workers.run()
-    report = report_of(result, testbed)
+    report = build_report(result, testbed)
     assert time.monotonic() - started_s < 8
     assert report["stopped"]
     assert 0 < report["seconds"] < 5
@@ -214,7 +214,7 @@
                 (0.8, lambda: worker.send_signal(signal.SIGCONT)),
             ]
         )
-    report = report_of(result, testbed)
+    report = build_report(result, testbed)
     assert report["void"]
     assert "the generator's own lag was" in report["why_void"]
     assert report["lag_max_ms"] > 200
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -10,9 +10,9 @@
 
 from lichenquay.membership import members_pb2 as pb
 from lichenquay.membership.settings import Settings
-from lichenquay.testbed.fleetnet import Weather
+from lichenquay.testbed.virtual_network import LinkConditions
 
-LOSSY_NETWORK = Weather(loss=0.15, delay_ms=(0.2, 20), doubled=0.1, late=0.05, late_ms=2_000)
+LOSSY_NETWORK = LinkConditions(loss=0.15, delay_ms=(0.2, 20), doubled=0.1, late=0.05, late_ms=2_000)
 CONVERGENCE_MS = 40_000
 
 
@@ -23,11 +23,11 @@
     """
     fleet.run(settling_ms)
     tables = [detector.members() for detector in fleet.up()]
-    assert fleet.until(fleet.agree, CONVERGENCE_MS, 100) is not None, tables
+    assert fleet.until(fleet.views_agree, CONVERGENCE_MS, 100) is not None, tables
     fleet.log.clear()
     fleet.run(1_000)
     running = {detector.name: detector.incarnation for detector in fleet.up()}
-    assert fleet.agree()
+    assert fleet.views_agree()
     changes = [change for *_, change in fleet.log if running.get(change.name) == change.incarnation]
     assert not [change for change in changes if change.new_state in (FAULTY, REMOVED, LEFT)]
 
@@ -45,7 +45,7 @@
         "one way": lambda: net.between([first], [second], cut=True),
         "not received": lambda: net.between([first], names, cut=True),
         "partition": lambda: net.split(names[:2], names[2:]),
-        "heal": net.mend,
+        "heal": net.reset_links,
     }
     faults[fault]()
 
@@ -87,7 +87,7 @@
     for fault, first, second, wait_ms in schedule:
         inject(fleet, fault, first, second)
         fleet.run(wait_ms)
-    fleet.net.mend(Weather(loss=0.02))
+    fleet.net.reset_links(LinkConditions(loss=0.02))
     for name in fleet.names[:3]:
         if not fleet.net.hosts[name].up or fleet.watch(name).end_reason:
             fleet.net.start(name)
@@ -119,7 +119,7 @@
     One is killed, removed and restarted; one leaves and rejoins; one is paused.
     """
     fleet = make_fleet(3, seed, settings=SCENARIO_SETTINGS, joined=False)
-    fleet.net.meddle = replace_message
+    fleet.net.intercept = replace_message
     net = fleet.net
     for at_ms, action, *arguments in (
         (2_000, net.kill, "f1"),
@@ -264,6 +264,6 @@
         rng = random.Random(f"{seed}/{test}")
         number = rng.randrange(1, message_count + 1)
         fleet = run_scenario(seed, mutate_message(number, rng, applied_mutations))
-        fleet.net.meddle = None
+        fleet.net.intercept = None
         check_converges(fleet, 200)
     assert len(applied_mutations) > 5
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lichenquay.load.child import ROOT, environment, read_line
+from lichenquay.load.child import ROOT, child_environment, read_line
 from lichenquay.testbed.scale import commands
 from lichenquay.testbed.scale.scenario import Shape
 from lichenquay.testbed.scale.world import free_addresses, loopback_addresses
@@ -29,7 +29,7 @@
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
-        env=environment(),
+        env=child_environment(),
         cwd=ROOT,
     )
     try:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,7 @@
 
 import pytest
 from gateway_world import SETTINGS
-from ports import listening_port
+from ports import allocate_free_port
 
 from lichenquay.gateway import frames
 
@@ -37,7 +37,7 @@
                 "settings": SETTINGS,
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                 "known": {"no": 0, "items": []},
-                "bulletin": f"127.0.0.1:{listening_port()}",
+                "bulletin": f"127.0.0.1:{allocate_free_port()}",
             }
         )
     )
@@ -82,7 +82,7 @@
     rng, gateways = random.Random(str(numbers)), []
     for i in range(6):
         (tmp_path / str(i)).mkdir()
-        gateways.append(start_gateway(tmp_path / str(i), listening_port()))
+        gateways.append(start_gateway(tmp_path / str(i), allocate_free_port()))
     try:
         for process in gateways:
             wait_for_first_line(process)
@@ -103,7 +103,7 @@
     """A request just before or after SIGTERM has one answer."""
     rng = random.Random(30)
     for i in range(4):
-        port = listening_port()
+        port = allocate_free_port()
         process = start_gateway(tmp_path, port)
         try:
             for _ in range(2000):
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from lichenquay.config.testbed_settings import read_testbed
-from lichenquay.load.task import RUNNING, Task, statement_of, task_of
+from lichenquay.load.task import RUNNING, Task, decode_statement, encode_statement
 from lichenquay.testbed import audit as a
 from lichenquay.testbed.engine import FULL, Engine, rows_of
 from lichenquay.testbed.trial import trial
@@ -161,7 +161,7 @@
 )
 def test_a_statement_says_what_it_needs(work, memory, threads, rows, tables, load):
     task = Task("00" * 8, "g", work, memory, threads, rows, str(tables), load)
-    got = task_of(task.ref, "g", statement_of(task), 0.0, 1)
+    got = decode_statement(task.ref, "g", encode_statement(task), 0.0, 1)
     assert abs(got.work_ms - work) < 0.001 and abs(got.memory_mb - memory) < 0.06
     assert (got.threads, got.rows, got.tables, got.load) == (threads, rows, str(tables), load)
     assert len(rows_of(got, "e")) == rows
