--- a/lichenquay/cli/capacity.py
+++ b/lichenquay/cli/capacity.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from lichenquay.testbed.scale.capacity import Capacity, Ranked, Slope
-    from lichenquay.testbed.scale.catalogue import Probe
+    from lichenquay.testbed.scale.catalogue import CapacityProbe
 
 SLOPE_HEADINGS = ("quantity", "model", "intercept", "slope", "low", "high", "sizes", "largest size")
 ROW_HEADINGS = ("role: what", "slope", "low", "high", "sizes", "at the size", "budget", "ratio")
@@ -43,7 +43,7 @@
     model = slope.fit.model.value if slope.fit else None
     intercept = format_number(slope.fit.intercept) if slope.fit else None
     prediction = PREDICTION_CELLS[slope.held_out.within]
-    return f"{slope.what}, {slope.unit}", model, intercept, *fit_cells(slope), prediction
+    return f"{slope.quantity}, {slope.unit}", model, intercept, *fit_cells(slope), prediction
 
 
 def ranked_cells(ranked: Ranked, slopes: dict[str, Slope]) -> tuple[str | None, ...]:
@@ -53,7 +53,7 @@
     at_size = f"{need} {row.unit}" if need else None
     return (
         f"{row.role}: {row.title}",
-        *fit_cells(slopes.get(row.what)),
+        *fit_cells(slopes.get(row.quantity)),
         at_size,
         format_number(row.budget),
         ratio,
@@ -68,7 +68,7 @@
     click.echo(f"{measured.processor_s:.1f} s of processor time")
 
 
-def select_probes(probe_names: tuple[str, ...]) -> list[Probe]:
+def select_probes(probe_names: tuple[str, ...]) -> list[CapacityProbe]:
     """Returns the named probes, by default all. Raises click.UsageError for an unknown name."""
     from lichenquay.testbed.scale.catalogue import PROBES
 
--- a/lichenquay/quota/messages.py
+++ b/lichenquay/quota/messages.py
@@ -5,7 +5,7 @@
 from google.protobuf.message import Message
 
 
-class OutgoingMessage(NamedTuple):
+class OutgoingQuotaMessage(NamedTuple):
     """A message and the name of the gateway that it is addressed to."""
 
     to: str
@@ -13,7 +13,7 @@
 
 
 class LeaderAddress(NamedTuple):
-    """The gateway that leads the ledger, and the generation of the group in which it does."""
+    """The gateway that leads the ledger, and the lease generation of the group in which it does."""
 
     name: str
-    generation: int
+    lease_generation: int
--- a/lichenquay/testbed/scale/catalogue.py
+++ b/lichenquay/testbed/scale/catalogue.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Probe:
+class CapacityProbe:
     """Holds one probe: the sizes of its short and full form, the last of each held out, and a model for each
     quantity.
 
@@ -51,7 +51,7 @@
 
 
 PROBES = (
-    Probe(
+    CapacityProbe(
         "controller",
         controller.measure,
         "engines",
@@ -67,7 +67,7 @@
             "controller.state": Model.LINEAR,
         },
     ),
-    Probe(
+    CapacityProbe(
         "query rate",
         query_rate.measure,
         "queries a second",
@@ -75,7 +75,7 @@
         (40, 80, 160, 320, 640),
         {"controller.query_by_rate": Model.LINEAR},
     ),
-    Probe(
+    CapacityProbe(
         "members",
         members.measure,
         "fronts",
@@ -87,7 +87,7 @@
             "members.state": Model.LINEAR,
         },
     ),
-    Probe(
+    CapacityProbe(
         "datagram",
         datagram.measure,
         "bytes of message",
@@ -100,7 +100,7 @@
             "datagram.socket": Model.LINEAR,
         },
     ),
-    Probe(
+    CapacityProbe(
         "host",
         host.measure,
         "fronts",
@@ -112,7 +112,7 @@
             for quantity in ("processor", "datagrams", "bytes_out")
         },
     ),
-    Probe(
+    CapacityProbe(
         "starved",
         starved.measure,
         "messages heard a second",
@@ -120,7 +120,7 @@
         (50, 200, 500, 900, 2_000),
         {"starved.turns": Model.LINEAR, "starved.sent": Model.LINEAR},
     ),
-    Probe(
+    CapacityProbe(
         "discovery",
         discovery.measure,
         "engines",
@@ -135,7 +135,7 @@
             "discovery.idle_bytes_in": Model.CONSTANT,
         },
     ),
-    Probe(
+    CapacityProbe(
         "quota, a front",
         quota.measure_gateway_escrow,
         "tenants",
@@ -148,7 +148,7 @@
             "quota.front.processor": Model.LINEAR,
         },
     ),
-    Probe(
+    CapacityProbe(
         "quota, the keeper",
         quota.measure_ledger_leader,
         "fronts",
@@ -162,7 +162,7 @@
             "quota.keeper.state": Model.LINEAR,
         },
     ),
-    Probe(
+    CapacityProbe(
         "lease, round trips",
         lease.measure_round_trips,
         "ms of round trip",
@@ -175,7 +175,7 @@
             "lease.record_sent": Model.CONSTANT,
         },
     ),
-    Probe(
+    CapacityProbe(
         "lease, a voter behind",
         lease.measure_lagging,
         "kilobytes of state",
@@ -183,7 +183,7 @@
         (16, 64, 128, 256, 608),
         {"lease.lagging_takeover": Model.LINEAR},
     ),
-    Probe(
+    CapacityProbe(
         "lease, record sizes",
         lease.measure_record_sizes,
         "bytes of record",
--- a/lichenquay/testbed/scale/world_driver.py
+++ b/lichenquay/testbed/scale/world_driver.py
@@ -10,7 +10,7 @@
 from lichenquay.testbed.scale.roles import Reading
 from lichenquay.testbed.scale.scenario import Scenario, Shape
 from lichenquay.testbed.scale.scenario_runner import ScenarioResult, ScenarioRunner, no_progress
-from lichenquay.testbed.scale.world import World
+from lichenquay.testbed.scale.world import ScaleWorld
 from lichenquay.testbed.world import WorldStartError
 
 LEADER_TIMEOUT_S = 30.0  # Until a publisher must lead.
@@ -28,7 +28,7 @@
         have one version in force.
         """
         self.shape, self.settle_timeout_s = shape, settle_timeout_s
-        self.world = World(shape, Path(folder))
+        self.world = ScaleWorld(shape, Path(folder))
         self.memory_share = 0.0  # The highest reading, as a share of the machine's memory.
 
     def __enter__(self):
@@ -59,7 +59,7 @@
         return time.monotonic() - started_at_s
 
     def grow_to(self, gateways: int) -> bool:
-        """Starts gateways until so many run; returns False where not all had the newest version in time."""
+        """Starts gateways until `gateways` run; returns False where some lack the newest version in time."""
         names = self.shape.gateway_names()[len(self.world.running) : gateways]
         for first in range(0, len(names), START_BATCH):
             self.world.start_gateways(names[first : first + START_BATCH])
--- a/tests/crossings/test_dispatch_races.py
+++ b/tests/crossings/test_dispatch_races.py
@@ -26,7 +26,7 @@
     """Returns the ids of the engines that the controller considers unresponsive."""
     return [
         engine_state.engine.id
-        for engine_state in world.service.adapter.controller.fleet.states.values()
+        for engine_state in world.service.adapter.controller.registry.states.values()
         if engine_state.is_unresponsive
     ]
 
@@ -37,7 +37,7 @@
     client, world.engines[0].behaviours = world.client(), ["hold"]
     stream = client.ask("report", allow=4000)
     until(lambda: world.posts() == 1)
-    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    (engine_state,) = world.service.adapter.controller.registry.states.values()
     engine_state.is_unresponsive = True
     client.transport.write(frames.encode_frame(frames.FrameType.CANCEL, stream))
     wait_until_complete(world)
@@ -243,7 +243,7 @@
     endpoint_row = {**world.engines[0].row(), "boot_ms": 1000 * time.time()}
     world.discovery.add_event(endpoint_row)
     until(lambda: world.service.discovery.last_number == 2)
-    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    (engine_state,) = world.service.adapter.controller.registry.states.values()
     slow_start = world.service.adapter.controller.slow_start
     delayed_connections, client, stream = ask_delayed(world, effort="20.0")
     (query,) = world.service.adapter.open_queries
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -256,7 +256,7 @@
     monkeypatch.setattr(service.time, "time", lambda: real_time() - 3600)
     world.discovery.add_event({**world.engines[0].row(), "boot_ms": (real_time() - 3600) * 1000})
     until(lambda: world.service.discovery.last_number == 2)
-    (engine_state,) = world.service.adapter.controller.fleet.states.values()
+    (engine_state,) = world.service.adapter.controller.registry.states.values()
     assert (
         world.service.adapter.controller.slow_start.warm_share(
             engine_state.engine, world.service.adapter.clock_ms()
--- a/tests/fleet/broken_rules.py
+++ b/tests/fleet/broken_rules.py
@@ -117,7 +117,7 @@
         append = self.last_append
         self.supported_leader = self._promised_process
         self.no_grants_until_ms = now_ms + self.settings.expiry_wait_ms
-        reply = AppendReply(append.generation, append.number, append.token, self.log.position)
+        reply = AppendReply(append.generation, append.number, append.echo_token, self.log.position)
         self.send(append.leader, reply)
 
     return [
@@ -212,7 +212,7 @@
         if self._is_current(sender.name, reply):
             voter = self.quorum.voters[sender.name]
             append = voter.sent_appends.get(reply.number)
-            if append and append.token == reply.token and reply.position:
+            if append and append.echo_token == reply.echo_token and reply.position:
                 voter.supports_since_ms = max(voter.supports_since_ms, now_ms)
         real(self, now_ms, sender, reply)
 
