--- a/tests/test_attempt_lifecycle.py
+++ b/tests/test_attempt_lifecycle.py
@@ -304,4 +304,28 @@
 LifecycleMachine.TestCase.settings = settings(
     max_examples=600, stateful_step_count=25, deadline=None, derandomize=True
 )
-TestLifecycleMachine = LifecycleMachine.TestCase
+
+
+def replay_unknown_replies_of_the_next_engine():
+    """Replays a failing history; whether the random run draws it depends on the modules that are loaded.
+
+    A draining engine closes the connection of the POST and still runs the query. The engine that now has its
+    address then replies twice that it does not know the query.
+    """
+    machine = LifecycleMachine()
+    machine.begin(seed=0, read_delay_ms=0.0, is_lost=False)
+    machine.engine_stops_accepting(is_address_reused=True)
+    machine.post_connection_closes(by_engine=True)
+    machine.call_is_made(is_cancel=False, is_reply_lost=False, on_last_connection=False)
+    machine.time_passes(ms=50.0)
+    machine.call_is_made(is_cancel=False, is_reply_lost=False, on_last_connection=False)
+    machine.an_attempt_that_is_over_cannot_run()
+
+
+class TestLifecycleMachine(LifecycleMachine.TestCase):
+    """The random run, followed by the replay."""
+
+    def runTest(self):
+        """Fails if the lifecycle concludes what the model contradicts."""
+        super().runTest()
+        replay_unknown_replies_of_the_next_engine()
